--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -28,7 +28,7 @@
 use crate::Clock;
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ClassId, Event, Micros, TenantId};
-use lotusdeck_recovery::Learned;
+use lotusdeck_state::Learned;
 use state::State;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/core/src/memory.rs
+++ b/crates/core/src/memory.rs
@@ -3,7 +3,7 @@
 use crate::registry::Registry;
 use lotusdeck_policy::settings::Names;
 use lotusdeck_policy::{Estimate, KindMemory, Memory, Micros, Spent};
-use lotusdeck_recovery::learned::{self, Learned, Mean};
+use lotusdeck_state::learned::{self, Learned, Mean};
 
 fn mean(e: Estimate) -> Mean {
     Mean { value: e.value, samples: e.samples }
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -3,14 +3,14 @@
 use crate::operator::Fault;
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{Beside, Clock, Endpoint, Host, Lines};
-use lotusdeck_pgfront::classes::Rule;
-use lotusdeck_pgfront::scram::{ScramError, Verifier};
-use lotusdeck_pgfront::{Front, FrontSettings, Login, Servers, User, SPARE};
 use lotusdeck_policy::settings::{Names, Row, Settings};
 use lotusdeck_policy::{
     Backend, BackendState, Balancer, Class, ClassId, ConfigError, Discovery, Effect, ListUpdate, Micros,
     ZoneId,
 };
+use lotusdeck_postgres::classes::Rule;
+use lotusdeck_postgres::scram::{ScramError, Verifier};
+use lotusdeck_postgres::{Front, FrontSettings, Login, Servers, User, SPARE};
 use lotusdeck_proxy::discovery;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/lotusdeck/src/state.rs
+++ b/crates/lotusdeck/src/state.rs
@@ -1,12 +1,12 @@
 //! The proxy's state on disk (docs/recovery.md): the last list and what was learned, read once at the start and
 //! written by a thread of its own, so that the event loop never waits for a disk. What is in the bytes and how far they are believed is
-//! `lotusdeck_recovery`'s.
+//! `lotusdeck_state`'s.
 
 use crate::operator::StateSettings;
 use lotusdeck_core::Host;
 use lotusdeck_proxy::list::List;
 use lotusdeck_proxy::mirror::Mirror;
-use lotusdeck_recovery::{
+use lotusdeck_state::{
     choose, decode, encode, Age, Choice, Kept, Learned, ReadError, Saved, Trust, Weighing,
 };
 use std::collections::HashMap;
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use lotusdeck_lab::relay::links::{Link, Links, CUT};
+use lotusdeck_testbed::fault_proxy::links::{Link, Links, CUT};
 use rig::*;
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/lotusdeck/tests/lab.rs
+++ b/crates/lotusdeck/tests/lab.rs
@@ -1,15 +1,15 @@
 //! The program in the laboratory: a short run with troubles, judged by the stand-ins alone.
 
-use lotusdeck_lab::campaign;
-use lotusdeck_lab::drive::run::{play, Outcome};
-use lotusdeck_lab::experiment::Experiment;
-use lotusdeck_lab::fleet::{self, Script, Way};
-use lotusdeck_lab::ledger;
-use lotusdeck_lab::oracle::Broken;
-use lotusdeck_lab::report::figures::Figures;
-use lotusdeck_lab::virt;
-use lotusdeck_lab::virt::policy::Which;
-use lotusdeck_lab::world::plan::Plan;
+use lotusdeck_testbed::campaign;
+use lotusdeck_testbed::drive::run::{play, Outcome};
+use lotusdeck_testbed::experiment::Experiment;
+use lotusdeck_testbed::fleet::{self, Script, Way};
+use lotusdeck_testbed::ledger;
+use lotusdeck_testbed::oracle::Broken;
+use lotusdeck_testbed::report::figures::Figures;
+use lotusdeck_testbed::virt;
+use lotusdeck_testbed::virt::policy::Which;
+use lotusdeck_testbed::world::plan::Plan;
 use std::ops::Range;
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -125,7 +125,7 @@
     let text = SHORT.replace("proxies = 2", &format!("proxies = 1\nbase_port = {port}"));
     let text = text.split("trouble = [").next().unwrap();
     let plan = Arc::new(Plan::draw(&Experiment::parse("short", text).unwrap(), 1));
-    let folder = std::env::temp_dir().join(format!("lotusdeck-lab-{}-taken", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("lotusdeck-testbed-{}-taken", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let fault = runtime.block_on(play(plan, program, &folder, &|_| {})).err().unwrap().to_string();
@@ -171,7 +171,7 @@
 fn too_many_descriptors_are_refused_before_the_start() {
     let text = SHORT.split("trouble = [").next().unwrap().to_string() + "limits = { sockets = 1000000000 }";
     let plan = Arc::new(Plan::draw(&Experiment::parse("short", &text).unwrap(), 1));
-    let folder = std::env::temp_dir().join(format!("lotusdeck-lab-{}-many", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("lotusdeck-testbed-{}-many", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let fault = runtime.block_on(play(plan, program, &folder, &|_| {})).err().unwrap().to_string();
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -1,10 +1,10 @@
 //! The PostgreSQL front in the program: switched on by the operator file, spoken to by a real driver.
 
 mod rig;
-#[path = "../../pgfront/tests/rig/mod.rs"]
+#[path = "../../postgres/tests/rig/mod.rs"]
 mod stand_in;
 
-use lotusdeck_pgfront::scram::Verifier;
+use lotusdeck_postgres::scram::Verifier;
 use rig::Proxy;
 use std::path::PathBuf;
 use tokio::task::LocalSet;
@@ -64,7 +64,7 @@
 /// The soak's short form: servers that die at the worst moments, and no word to a driver that is not true.
 #[test]
 fn no_write_is_lost_doubled_or_told_wrongly_when_servers_die() {
-    let args = lotusdeck_lab::postgres::Soak {
+    let args = lotusdeck_testbed::postgres::Soak {
         seconds: 6.0,
         servers: 4,
         clients: 12,
@@ -73,7 +73,7 @@
         proxy: Some(env!("CARGO_BIN_EXE_lotusdeck").into()),
         out: std::env::temp_dir().join(format!("lotusdeck-pg-soak-{}", std::process::id())),
     };
-    let soaked = lotusdeck_lab::postgres::run(&args).unwrap();
+    let soaked = lotusdeck_testbed::postgres::run(&args).unwrap();
     assert!(soaked.wrong.is_empty(), "{:?}", soaked.wrong);
     // How much was played depends on the machine; that it was played does not.
     assert!(soaked.deaths > 0 && soaked.told[0] > 0, "{soaked:?}");
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use lotusdeck_recovery::{decode, encode, Learned, Saved};
+use lotusdeck_state::{decode, encode, Learned, Saved};
 use rig::*;
 use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
--- a/crates/lotusdeck/tests/scale.rs
+++ b/crates/lotusdeck/tests/scale.rs
@@ -1,8 +1,8 @@
 //! The scale rig around the real program: every quantity of its axes is measured, and no request fails meanwhile.
 
-use lotusdeck_lab::scale::experiment::{AxisKind, ScaleExperiment};
-use lotusdeck_lab::scale::record::{Metric, Series};
-use lotusdeck_lab::scale::{walk, Rig};
+use lotusdeck_testbed::scale::experiment::{AxisKind, ScaleExperiment};
+use lotusdeck_testbed::scale::record::{Metric, Series};
+use lotusdeck_testbed::scale::{walk, Rig};
 use std::path::Path;
 
 const SMALL: &str = r#"
--- a/crates/pgfront/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -3,8 +3,8 @@
 mod rig;
 
 use bytes::{BufMut, BytesMut};
-use lotusdeck_pgfront::wire::{message, put};
 use lotusdeck_policy::Micros;
+use lotusdeck_postgres::wire::{message, put};
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 use rig::{stand_in, Rig};
 use std::future::Future;
--- a/crates/pgfront/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -5,12 +5,12 @@
 use bytes::{BufMut, BytesMut};
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{Beside, Clock, Endpoint, Host};
-use lotusdeck_pgfront::classes::Rule;
-use lotusdeck_pgfront::scram::Verifier;
-use lotusdeck_pgfront::wire::{message, opening, put, Opening};
-use lotusdeck_pgfront::{Front, FrontSettings, Login, Servers, User};
 use lotusdeck_policy::settings::{Names, Network, Row, Settings};
 use lotusdeck_policy::*;
+use lotusdeck_postgres::classes::Rule;
+use lotusdeck_postgres::scram::Verifier;
+use lotusdeck_postgres::wire::{message, opening, put, Opening};
+use lotusdeck_postgres::{Front, FrontSettings, Login, Servers, User};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/pgfront/tests/transactions.rs
+++ b/crates/postgres/tests/transactions.rs
@@ -2,8 +2,8 @@
 
 mod rig;
 
-use lotusdeck_pgfront::classes::Rule;
 use lotusdeck_policy::{BackendState, ClassId, Micros};
+use lotusdeck_postgres::classes::Rule;
 use rig::{code, stand_in, value, Rig};
 use std::future::Future;
 use tokio::task::LocalSet;
--- a/crates/simwire/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
     match run(stdin, stdout) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("lotusdeck-simwire: {text}");
+            eprintln!("lotusdeck-simulator-adapter: {text}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/crates/simwire/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -155,7 +155,7 @@
                 Some(Instance { balancer, names, numbers: HashMap::new(), addresses: Vec::new() })
             }
             Err(text) => {
-                eprintln!("lotusdeck-simwire: settings of {who}: {text}");
+                eprintln!("lotusdeck-simulator-adapter: settings of {who}: {text}");
                 put(reply, &serde_json::json!(["BROKEN", who, format!("settings: {text}")]));
                 None
             }
--- a/crates/simwire/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -24,7 +24,7 @@
 
 /// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
 fn run(input: &str) -> (String, String, bool) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lotusdeck-simwire"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_lotusdeck-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/lab/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -1,7 +1,7 @@
 //! What a campaign plays: a small deployment, and injuries and troubles drawn from a seed.
 
 use crate::experiment::{Experiment, ExperimentError, Trouble, What as Turn};
-use crate::relay::script::{Fault, Place, Way, What};
+use crate::fault_proxy::script::{Fault, Place, Way, What};
 use crate::world::dice::Dice;
 
 /// A deployment in which every path of a request is met within seconds. Connections are few, so that answers and
--- a/crates/lab/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -1,6 +1,6 @@
 //! Why an experiment cannot be played.
 
-use crate::relay::script::ScriptError;
+use crate::fault_proxy::script::ScriptError;
 use thiserror::Error;
 
 /// Why an experiment cannot be played.
--- a/crates/lab/src/experiment/format.rs
+++ b/crates/testbed/src/experiment/format.rs
@@ -1,7 +1,7 @@
 //! The form of an experiment: its tables and keys, as serde reads them.
 
 use super::defaults;
-use crate::relay::script::Fault;
+use crate::fault_proxy::script::Fault;
 use serde::{Deserialize, Serialize};
 
 /// A fleet, its load, what happens to it, and the limits of the proxies before it.
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -13,7 +13,7 @@
     Class, Clients, DiscoverySpec, Effect, Experiment, Kind, Limits, Load, Phase, Rules, Talk, Trouble, What,
 };
 
-use crate::relay::script::{Framing, Route, Script, ScriptError};
+use crate::fault_proxy::script::{Framing, Route, Script, ScriptError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/lab/src/relay/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -311,7 +311,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::relay::script::Place;
+    use crate::fault_proxy::script::Place;
 
     fn due(when: When, what: What) -> Due {
         Due { index: 0, way: Way::Down, when, gives: None, what, seed: 1 }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,13 +1,13 @@
 //! The lab's command.
 
 use clap::{Parser, Subcommand};
-use lotusdeck_lab::drive;
-use lotusdeck_lab::experiment::Experiment;
-use lotusdeck_lab::report::compare;
-use lotusdeck_lab::report::figures::Figures;
-use lotusdeck_lab::session::{self, Options, SessionError};
-use lotusdeck_lab::{
-    campaign, crowd_cost, duel, fleet, ledger, overhead, paper, postgres, relay, scale, swings,
+use lotusdeck_testbed::drive;
+use lotusdeck_testbed::experiment::Experiment;
+use lotusdeck_testbed::report::compare;
+use lotusdeck_testbed::report::figures::Figures;
+use lotusdeck_testbed::session::{self, Options, SessionError};
+use lotusdeck_testbed::{
+    campaign, crowd_cost, duel, fault_proxy, fleet, ledger, overhead, paper, postgres, scale, swings,
 };
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -66,9 +66,9 @@
     /// Search for faults that break a rule: draw them from seeds, play them, and shrink what breaks one.
     Campaign(campaign::Args),
     /// Stand between sockets and injure what passes, by a script (docs/relay.md); it ends with its standard input.
-    Relay(relay::Args),
+    Relay(fault_proxy::Args),
     /// What a relay adds that meets no fault: direct and through it, interleaved; and idle connections.
-    RelayCost(relay::cost::Args),
+    RelayCost(fault_proxy::cost::Args),
     /// Copy bytes between sockets: the floor that `overhead` measures against.
     #[command(hide = true)]
     PlainRelay {
@@ -97,7 +97,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("lotusdeck-lab: {e}");
+            eprintln!("lotusdeck-testbed: {e}");
             ExitCode::from(
                 if matches!(
                     e,
@@ -134,8 +134,8 @@
         Command::Fleet(args) => fleet::main(&args),
         Command::Scale(args) => scale::main(&args).map(|()| true).map_err(SessionError::from),
         Command::Capacity(args) => scale::capacity::main(&args).map_err(SessionError::from),
-        Command::Relay(args) => relay::main(&args).map(|()| true),
-        Command::RelayCost(args) => relay::cost::main(&args).map(|()| true),
+        Command::Relay(args) => fault_proxy::main(&args).map(|()| true),
+        Command::RelayCost(args) => fault_proxy::cost::main(&args).map(|()| true),
         Command::PlainRelay { listen, to } => {
             let fault = |e| SessionError::File(listen.to_string(), e);
             let runtime =
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -38,7 +38,7 @@
         say(if agrees {
             "page and records agree\n"
         } else {
-            "page and records differ: run `lotusdeck-lab capacity`\n"
+            "page and records differ: run `lotusdeck-testbed capacity`\n"
         });
         return Ok(agrees);
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -31,7 +31,7 @@
 /// Walk axes of size and print slopes.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// A scale experiment, as `crates/lab/scale/settings.toml`.
+    /// A scale experiment, as `crates/testbed/scale/settings.toml`.
     pub experiment: PathBuf,
     /// Sets runs of one experiment on different code apart in names of records.
     #[arg(long, default_value = "before")]
@@ -128,7 +128,7 @@
         label: args.label.clone(),
         commit,
         date,
-        command: format!("lotusdeck-lab scale {} --label {}", args.experiment.display(), args.label),
+        command: format!("lotusdeck-testbed scale {} --label {}", args.experiment.display(), args.label),
         events: format!("{:016x}", events_hash(&experiment)),
         experiment,
         series,
@@ -190,7 +190,7 @@
 }
 
 /// What the program is made of, of all that is checked out: not the lab, nor tests.
-const PROGRAM: [&str; 3] = ["crates", ":!crates/lab", ":!crates/*/tests/*"];
+const PROGRAM: [&str; 3] = ["crates", ":!crates/testbed", ":!crates/*/tests/*"];
 
 /// The last commit that touched the program, marked where it was changed since.
 fn commit() -> String {
--- a/crates/lab/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -2,8 +2,8 @@
 
 use crate::drive::run::{self, RunError};
 use crate::experiment::{Experiment, ExperimentError};
+use crate::fault_proxy::script::ScriptError;
 use crate::oracle::{story, MOST_TOLD};
-use crate::relay::script::ScriptError;
 use crate::report::figures::Figures;
 use crate::report::{page, table};
 use crate::virt::policy::Which;
--- a/crates/lab/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -1,7 +1,7 @@
 //! The experiments that come with the lab.
 
-use lotusdeck_lab::experiment::Experiment;
-use lotusdeck_lab::world::plan::Plan;
+use lotusdeck_testbed::experiment::Experiment;
+use lotusdeck_testbed::world::plan::Plan;
 use std::path::Path;
 
 /// Each is sound, bears its file's name, and gives the same plan for the same seed.
--- a/crates/lab/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -1,8 +1,8 @@
 //! The relay on sockets: what a script says happens, where it says, and the same again for the same seed.
 
-use lotusdeck_lab::drive::wire::listen;
-use lotusdeck_lab::relay::run::{hash, Done, Relay};
-use lotusdeck_lab::relay::script::Script;
+use lotusdeck_testbed::drive::wire::listen;
+use lotusdeck_testbed::fault_proxy::run::{hash, Done, Relay};
+use lotusdeck_testbed::fault_proxy::script::Script;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/lab/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,10 +1,10 @@
 //! The scale rig: its experiments, its fit, its page, and a short walk with stand-ins alone.
 
-use lotusdeck_lab::scale::capacity;
-use lotusdeck_lab::scale::experiment::{AxisKind, ScaleExperiment};
-use lotusdeck_lab::scale::fit::Fit;
-use lotusdeck_lab::scale::record::{Gathered, Metric, Record};
-use lotusdeck_lab::scale::{events_hash, walk, Rig};
+use lotusdeck_testbed::scale::capacity;
+use lotusdeck_testbed::scale::experiment::{AxisKind, ScaleExperiment};
+use lotusdeck_testbed::scale::fit::Fit;
+use lotusdeck_testbed::scale::record::{Gathered, Metric, Record};
+use lotusdeck_testbed::scale::{events_hash, walk, Rig};
 use std::path::{Path, PathBuf};
 
 fn root() -> PathBuf {
@@ -34,7 +34,7 @@
 /// Every experiment that comes with the lab is sound and walks in at least four steps.
 #[test]
 fn every_scale_experiment_is_sound() {
-    let folder = root().join("crates/lab/scale");
+    let folder = root().join("crates/testbed/scale");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -147,7 +147,7 @@
         label: label.into(),
         commit: "0123456789".into(),
         date: "2026-12-02".into(),
-        command: "lotusdeck-lab scale small.toml".into(),
+        command: "lotusdeck-testbed scale small.toml".into(),
         experiment: ScaleExperiment::parse("small", SMALL).unwrap(),
         events: "00".into(),
         series: gathered.finish(),
@@ -197,12 +197,12 @@
     assert!((170.0..190.0).contains(&law) && series.extrapolated(160.0) == 2.0, "{law}");
 }
 
-/// What the page says is what the records say: `lotusdeck-lab capacity` was run after the last measurement.
+/// What the page says is what the records say: `lotusdeck-testbed capacity` was run after the last measurement.
 #[test]
 fn the_capacity_page_agrees_with_its_records() {
     let page = std::fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap();
     let block = capacity::block(&root().join("docs/capacity")).unwrap();
     let made = capacity::with_block(&page, &block).unwrap();
-    assert!(made == page, "run `cargo run -p lotusdeck-lab -- capacity`");
+    assert!(made == page, "run `cargo run -p lotusdeck-testbed -- capacity`");
     assert!(capacity::with_block("no markers", &block).is_err());
 }
--- a/crates/lab/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,14 +1,14 @@
 //! The driver in virtual time: the same result every time, near to the sockets, and sharp enough to tell policies
 //! apart.
 
-use lotusdeck_lab::duel::rows;
-use lotusdeck_lab::experiment::Experiment;
-use lotusdeck_lab::oracle::judge;
-use lotusdeck_lab::report::figures::Figures;
-use lotusdeck_lab::report::swing::swings;
-use lotusdeck_lab::virt::play;
-use lotusdeck_lab::virt::policy::Which;
-use lotusdeck_lab::world::plan::Plan;
+use lotusdeck_testbed::duel::rows;
+use lotusdeck_testbed::experiment::Experiment;
+use lotusdeck_testbed::oracle::judge;
+use lotusdeck_testbed::report::figures::Figures;
+use lotusdeck_testbed::report::swing::swings;
+use lotusdeck_testbed::virt::play;
+use lotusdeck_testbed::virt::policy::Which;
+use lotusdeck_testbed::world::plan::Plan;
 use std::path::Path;
 use std::sync::Arc;
 
