--- a/crates/core/examples/reload.rs
+++ b/crates/core/examples/reload.rs
@@ -3,7 +3,7 @@
 
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{Beside, Clock, Endpoint, Host};
-use lotusdeck_policy::settings::{Row, Settings};
+use lotusdeck_policy::settings::{EndpointRecord, Settings};
 use lotusdeck_policy::{Backend, BackendState, Balancer, ListUpdate};
 use serde_json::{json, Value};
 use std::error::Error;
@@ -41,7 +41,7 @@
 fn endpoint(n: u16) -> Endpoint {
     let (name, address) = (format!("b{n}"), SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + n)));
     let entry = Backend { state: BackendState::Ready, ..Backend::default() };
-    let row = Row::new(&name, &address.to_string(), "east", "big", entry);
+    let row = EndpointRecord::new(&name, &address.to_string(), "east", "big", entry);
     Endpoint { name, address, state: BackendState::Ready, row }
 }
 
--- a/crates/core/src/adoption.rs
+++ b/crates/core/src/adoption.rs
@@ -1,7 +1,7 @@
 //! Settings that follow upon those in force: merged apart from the event loop, then put in force in one step.
 
-use lotusdeck_policy::settings::{Names, Pinned, Settings, Succession};
-use lotusdeck_policy::{Config, Renewed};
+use lotusdeck_policy::settings::{IdsInUse, Names, Settings, SettingsMerge};
+use lotusdeck_policy::{Config, ReassignedIds};
 use std::sync::Arc;
 use thiserror::Error;
 
@@ -9,7 +9,7 @@
 pub struct InForce {
     pub(crate) settings: Arc<Settings>,
     pub(crate) names: Names,
-    pub(crate) pinned: Pinned,
+    pub(crate) pinned: IdsInUse,
 }
 
 /// New settings under the numbers of those in force, ready to be put in force.
@@ -19,7 +19,7 @@
     pub(crate) settings: Arc<Settings>,
     /// For the module, which owns its own.
     pub(crate) config: Box<Config>,
-    pub(crate) renewed: Renewed,
+    pub(crate) renewed: ReassignedIds,
     /// What changes, in words.
     pub(crate) difference: String,
 }
@@ -27,7 +27,8 @@
 impl InForce {
     /// Merges `new` with these. Takes time in proportion to the number of names: not for the event loop.
     pub fn succeeded_by(self, new: Settings) -> Successor {
-        let Succession { settings, renewed } = self.settings.succeeded_by(new, &self.names, &self.pinned);
+        let SettingsMerge { settings, reassigned: renewed } =
+            self.settings.merge_successor(new, &self.names, &self.pinned);
         Successor {
             merged_with: self.names,
             config: Box::new(settings.config.clone()),
--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -51,12 +51,12 @@
     /// An attempt ended.
     pub fn ended(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Full => self.full += 1,
+            Outcome::Rejected => self.full += 1,
             Outcome::Error => self.errors += 1,
             Outcome::Reset => self.resets += 1,
             Outcome::ConnectFailed => self.unconnected += 1,
             Outcome::NeverSent => self.unsent += 1,
-            Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled => {}
+            Outcome::Success | Outcome::TimedOut | Outcome::Cancelled => {}
         }
     }
 }
--- a/crates/core/src/host/actions.rs
+++ b/crates/core/src/host/actions.rs
@@ -26,7 +26,7 @@
             Action::Dispatch { request, backend } => {
                 self.dispatch(s, now, request, backend, Host::attempt_ended);
             }
-            Action::Refuse { request, retry_after } => self.refuse(s, request, retry_after),
+            Action::Reject { request, retry_after } => self.refuse(s, request, retry_after),
             Action::Fail { request } => {
                 s.counts.failed += 1;
                 self.finish(s, request, Answer::Failed);
@@ -36,7 +36,7 @@
                 s.events.extend(end.map(Event::AttemptEnded));
             }
             Action::SetTimer { token, after } => self.timers.set(now + after, token),
-            Action::Follow => self.follow.notify_one(),
+            Action::WatchEndpoints => self.follow.notify_one(),
             Action::Log(text) => info!(target: LOG_TARGET, module = %text, "decided"),
         }
     }
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -75,11 +75,11 @@
         if !outcome.never_ran() {
             s.note_run(id, open.sent);
         }
-        if outcome == Outcome::Ok && s.requests.contains_key(&id) {
+        if outcome == Outcome::Success && s.requests.contains_key(&id) {
             s.counts.served += 1;
             self.finish(s, id, Answer::Served(attempt));
         }
-        if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
+        if !matches!(outcome, Outcome::Success | Outcome::Cancelled) {
             let backend = open.backend.0;
             debug!(target: LOG_TARGET, request = id.0, attempt = attempt.0, backend, ?outcome, "attempt ended");
         }
--- a/crates/core/src/host/membership.rs
+++ b/crates/core/src/host/membership.rs
@@ -18,7 +18,7 @@
             s.registry.take(update, news.into(), &mut s.names, &holds, |name| self.cordon.holds(name))
         };
         self.apply_cordons();
-        self.tell(Event::Members { update, backends });
+        self.tell(Event::EndpointsUpdated { update, backends });
     }
 
     /// Whether the list has or had a backend of that id.
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -108,7 +108,7 @@
     pub fn adopt(self: &Rc<Self>, new: Successor) -> Result<String, Outdated> {
         {
             let mut s = self.state.borrow_mut();
-            if !s.names.are_those_of(&new.merged_with) {
+            if !s.names.is_same_revision(&new.merged_with) {
                 return Err(Outdated);
             }
             self.lines.iter().for_each(|lines| lines.adopt(&new.settings.network));
@@ -116,7 +116,7 @@
             s.names = new.settings.names.clone();
             s.settings = new.settings;
         }
-        self.tell(Event::Settings { config: new.config, renewed: new.renewed });
+        self.tell(Event::ConfigApplied { config: new.config, reassigned: new.renewed });
         Ok(new.difference)
     }
 
@@ -135,7 +135,7 @@
     pub fn shared(self: &Rc<Self>, with_another: bool) {
         info!(processes = 1 + u32::from(with_another), "processes of this proxy");
         self.beside.gate.iter().for_each(|gate| gate.shared(with_another));
-        self.tell(Event::Processes { count: 1 + u32::from(with_another) });
+        self.tell(Event::ProcessCount { count: 1 + u32::from(with_another) });
     }
 
     /// What was learned so far, by names; `None` where no request came since the last call.
@@ -143,7 +143,7 @@
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         let any_request = std::mem::replace(&mut s.learned_at, s.last_request) != s.last_request;
-        any_request.then(|| memory::named(&s.balancer.memory(self.clock.now()), &s.names, &s.registry))
+        any_request.then(|| memory::named(&s.balancer.snapshot(self.clock.now()), &s.names, &s.registry))
     }
 
     /// Takes back what was learned before the process began; after the first list, whose names it speaks of.
@@ -153,7 +153,7 @@
             let s = &mut *s;
             memory::numbered(learned, &mut s.names, &s.registry)
         };
-        self.tell(Event::Remembered(Box::new(memory)));
+        self.tell(Event::Restored(Box::new(memory)));
     }
 
     /// Attempts that are out.
@@ -163,7 +163,7 @@
 
     /// What the other proxies told that they hold together.
     pub fn others_hold(self: &Rc<Self>, held: f64) {
-        self.tell(Event::Others { held });
+        self.tell(Event::FleetLoad { in_flight: held });
     }
 
     /// Until the module asks discovery for changes.
--- a/crates/core/src/host/report.rs
+++ b/crates/core/src/host/report.rs
@@ -54,9 +54,9 @@
 fn kind_status(s: &State, kind: KindView) -> KindStatus {
     KindStatus {
         name: s.names.kind(kind.id).into(),
-        ready: kind.ready,
-        speed_rps: kind.speed,
-        share: kind.share,
+        ready: kind.readiness,
+        speed_rps: kind.service_rate,
+        share: kind.traffic_share,
     }
 }
 
@@ -69,12 +69,12 @@
         state: state_name(backend.state),
         cordoned: backend.cordoned,
         kind: s.names.kind(backend.kind).into(),
-        ready: backend.ready,
-        share: backend.share,
-        held: backend.held,
-        room: backend.room,
-        errors: backend.errors,
-        ejected: backend.ejected.is_some(),
+        ready: backend.readiness,
+        share: backend.traffic_share,
+        held: backend.in_flight,
+        room: backend.in_flight_limit,
+        errors: backend.error_rate,
+        ejected: backend.ejected_until.is_some(),
     })
 }
 
@@ -82,6 +82,6 @@
     match state {
         BackendState::Ready => "ready",
         BackendState::Draining => "draining",
-        BackendState::Gone => "gone",
+        BackendState::Removed => "gone",
     }
 }
--- a/crates/core/src/host/request.rs
+++ b/crates/core/src/host/request.rs
@@ -4,7 +4,7 @@
 use super::{Host, LOG_TARGET};
 use crate::journal::Labels;
 use crate::work::Work;
-use lotusdeck_policy::{Arrival, Effect, Event, Micros, Outcome, RequestId};
+use lotusdeck_policy::{Arrival, Event, Micros, Outcome, RequestId, SideEffects};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::warn;
@@ -13,12 +13,12 @@
     /// Takes a request; `arrival.request` is given here. `labels` name it in the journal, where there is one and
     /// the request must never run twice.
     pub fn request(
-        self: &Rc<Self>, mut arrival: Arrival, work: Rc<dyn Work>, effect: Effect,
+        self: &Rc<Self>, mut arrival: Arrival, work: Rc<dyn Work>, effect: SideEffects,
         labels: impl FnOnce() -> Labels,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, wait) = oneshot::channel();
         let window = match effect {
-            Effect::Keyed(_, window) => Some(window),
+            SideEffects::IdempotencyKey { window, .. } => Some(window),
             _ => None,
         };
         let deadline = self.clock.now() + arrival.time_left;
@@ -40,14 +40,14 @@
     /// # Errors
     /// One of them refuses it: when the client had better come again.
     fn admit(
-        &self, s: &mut State, arrival: &Arrival, effect: Effect, labels: impl FnOnce() -> Labels,
+        &self, s: &mut State, arrival: &Arrival, effect: SideEffects, labels: impl FnOnce() -> Labels,
     ) -> Result<(), Micros> {
         let id = arrival.request;
         if let Some(gate) = &self.beside.gate {
             let pass = gate.enter(arrival.class, arrival.tenant, &s.names)?;
             s.requests.entry(id).and_modify(|request| request.pass = Some(pass));
         }
-        let journal = self.beside.journal.as_ref().filter(|_| effect == Effect::Unsafe);
+        let journal = self.beside.journal.as_ref().filter(|_| effect == SideEffects::NonIdempotent);
         let Some(journal) = journal else { return Ok(()) };
         if let Some(retry_after) = journal.refuses() {
             return Err(retry_after);
@@ -65,7 +65,7 @@
             self.settled(id, &request);
             s.counts.gone += 1;
         }
-        self.tell(Event::ClientGone { request: id });
+        self.tell(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
@@ -82,7 +82,7 @@
         self.settled(id, &request);
         self.state.borrow_mut().counts.timed_out += 1;
         let _ = request.answer.send(Answer::TimedOut);
-        self.tell(Event::ClientGone { request: id });
+        self.tell(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
@@ -96,6 +96,6 @@
             let out = s.attempts.iter_mut().filter(|(key, _)| key.0 == id);
             out.for_each(|(_, flight)| flight.began = now);
         }
-        self.tell(Event::Uploaded { request: id, time_left });
+        self.tell(Event::BodyReceived { request: id, time_left });
     }
 }
--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -162,6 +162,13 @@
     ) -> AttemptEnd {
         let request = self.requests.get(&id);
         let spent = request.is_some_and(|request| request.work.spent());
-        AttemptEnd { request: id, attempt, outcome, latency, settled: request.is_none(), spent }
+        AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            request_answered: request.is_none(),
+            body_consumed: spent,
+        }
     }
 }
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -5,10 +5,10 @@
 use crate::registry::Endpoint;
 use crate::work::{Leg, Sending, Work};
 use crate::Clock;
-use lotusdeck_policy::settings::{Names, Network, Row, Settings};
+use lotusdeck_policy::settings::{EndpointRecord, Names, NetworkSettings, Settings};
 use lotusdeck_policy::{
-    Arrival, AttemptNo, Backend, BackendId, BackendState, Balancer, ClassId, Config, Effect, ListUpdate,
-    Micros, RequestId,
+    Arrival, AttemptNo, Backend, BackendId, BackendState, Balancer, ClassId, Config, ListUpdate, Micros,
+    RequestId, SideEffects,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,9 +36,9 @@
     let settings = Settings {
         config: Config::example(),
         names: Names::default(),
-        network: Network {
+        network: NetworkSettings {
             connect_timeout: second,
-            conn_idle: second,
+            idle_timeout: second,
             max_retry_after: Some(second),
             deadlines: vec![second],
         },
@@ -49,7 +49,8 @@
         Host::new(balancer, settings, Clock::new(), Vec::new(), Cordon::load(&none), Beside::default());
     let at = |state, port: u16| {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let row = Row::new("b", &address.to_string(), "", "", Backend { state, ..Backend::default() });
+        let row =
+            EndpointRecord::new("b", &address.to_string(), "", "", Backend { state, ..Backend::default() });
         vec![Endpoint { name: "b".into(), address, state, row }]
     };
     let news = |state| at(state, 9);
@@ -63,10 +64,10 @@
                 tenant: None,
                 time_left: Micros(60_000_000),
                 work_hint: None,
-                repeat: false,
-                uploading: false,
+                is_client_retry: false,
+                body_incomplete: false,
             };
-            let (id, _wait) = host.request(arrival, Rc::new(Endless), Effect::Free, || unreachable!());
+            let (id, _wait) = host.request(arrival, Rc::new(Endless), SideEffects::None, || unreachable!());
             let (now, b) = (host.clock.now(), (BackendId(0), SocketAddr::from(([127, 0, 0, 1], 9))));
             assert!(host.may_send(id, b, None) && host.may_send(id, b, Some(now + Micros(60_000_000))));
             assert!(!host.may_send(id, b, Some(now)), "the window is over");
@@ -79,7 +80,7 @@
             assert!(!host.may_send(id, b, None), "the backend drains");
             host.client_gone(id);
             assert!(host.state.borrow().attempts.is_empty(), "nothing is out for a client that left");
-            host.members(ListUpdate::Changes, news(BackendState::Gone));
+            host.members(ListUpdate::Changes, news(BackendState::Removed));
             let s = host.state.borrow();
             assert!(s.registry.is_empty(), "one that is gone is forgotten");
         })
--- a/crates/core/src/pins.rs
+++ b/crates/core/src/pins.rs
@@ -1,6 +1,6 @@
 //! Numbers of classes and tenants that open requests speak of: no later settings give these to other names.
 
-use lotusdeck_policy::settings::Pinned;
+use lotusdeck_policy::settings::IdsInUse;
 use lotusdeck_policy::{ClassId, TenantId};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -36,9 +36,9 @@
     }
 
     /// All that any request speaks of.
-    pub fn all(&self) -> Pinned {
+    pub fn all(&self) -> IdsInUse {
         let counts = self.0.borrow();
-        Pinned {
+        IdsInUse {
             classes: counts.classes.keys().copied().collect(),
             tenants: counts.tenants.keys().copied().collect(),
         }
--- a/crates/core/src/registry.rs
+++ b/crates/core/src/registry.rs
@@ -1,7 +1,7 @@
 //! Who the backends are: their names, numbers and addresses, and which of them operators have taken out.
 
 use crate::former::Former;
-use lotusdeck_policy::settings::{Names, Row};
+use lotusdeck_policy::settings::{EndpointRecord, Names};
 use lotusdeck_policy::{Backend, BackendId, BackendState, ListUpdate};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     /// What it may be sent.
     pub state: BackendState,
     /// What the module is told of it.
-    pub row: Row,
+    pub row: EndpointRecord,
 }
 
 /// What an entry says that is not understood whole.
@@ -81,7 +81,7 @@
         };
         let held: Vec<(String, BackendState)> = partial.into_iter().filter_map(held).collect();
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            self.backends.values_mut().for_each(|b| b.state = BackendState::Gone);
+            self.backends.values_mut().for_each(|b| b.state = BackendState::Removed);
         }
         let mut told = Vec::with_capacity(entries.len());
         for e in entries {
@@ -95,7 +95,7 @@
             if update != ListUpdate::Cached {
                 debug!(backend = id.0, name = %e.name, address = %e.address, state = ?e.state, "backend listed");
             }
-            let entry = names.entry(&e.row, id);
+            let entry = names.resolve(&e.row, id);
             told.push(entry.clone());
             self.backends.insert(id, Known { name: e.name, address: e.address, state: e.state, told: entry });
         }
@@ -107,7 +107,7 @@
             }));
         }
         self.backends.retain(|id, b| {
-            let keep = b.state != BackendState::Gone || holds.contains(id) || banned(&b.name);
+            let keep = b.state != BackendState::Removed || holds.contains(id) || banned(&b.name);
             if !keep {
                 self.numbers.remove(&b.name);
                 self.former.add(&b.name);
--- a/crates/core/src/work.rs
+++ b/crates/core/src/work.rs
@@ -1,7 +1,7 @@
 //! What a protocol brings to the core.
 
 use crate::journal::Clearance;
-use lotusdeck_policy::settings::Network;
+use lotusdeck_policy::settings::NetworkSettings;
 use lotusdeck_policy::{AttemptNo, BackendId, Outcome};
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -74,5 +74,5 @@
     fn unanswered(&self, backend: BackendId, sent: Instant);
 
     /// Other figures hold from now on.
-    fn adopt(&self, network: &Network);
+    fn adopt(&self, network: &NetworkSettings);
 }
--- a/crates/lotusdeck/src/fleet.rs
+++ b/crates/lotusdeck/src/fleet.rs
@@ -186,14 +186,14 @@
                 return Err(unknown("tenant", tenant));
             }
         }
-        let size = NonZeroU32::new(node.config.proxies).unwrap_or(NonZeroU32::MIN);
+        let size = NonZeroU32::new(node.config.proxy_count).unwrap_or(NonZeroU32::MIN);
         if let Some((position, _)) = settings.members.iter().find(|m| m.0 >= size.get()) {
             return Err(FleetError::Member(*position, size.get()));
         }
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let own = Identity {
-            position: node.config.position,
+            position: node.config.proxy_index,
             // Later than that of the process before: it lived for more than a microsecond.
             generation: u64::try_from(since.as_micros()).unwrap_or(u64::MAX),
             address: settings.advertise.or(settings.listen).unwrap_or(nowhere),
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -3,10 +3,10 @@
 use crate::operator::Fault;
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{Beside, Clock, Endpoint, Host, Lines};
-use lotusdeck_policy::settings::{Names, Row, Settings};
+use lotusdeck_policy::settings::{EndpointRecord, Names, Settings};
 use lotusdeck_policy::{
-    Backend, BackendState, Balancer, Class, ClassId, ConfigError, Discovery, Effect, ListUpdate, Micros,
-    ZoneId,
+    Backend, BackendState, Balancer, Class, ClassId, ConfigError, DiscoveryMode, ListUpdate, Micros,
+    SideEffects, ZoneId,
 };
 use lotusdeck_postgres::classes::Rule;
 use lotusdeck_postgres::scram::{ScramError, Verifier};
@@ -225,11 +225,15 @@
     /// The module's settings: the classes, a last one that must never run twice, and all else as the node has it.
     fn settings(&self, node: &Settings) -> Settings {
         let class = |c: Option<&ClassSpec>| Class {
-            aim: Micros(c.and_then(|c| c.aim_ms).unwrap_or(self.aim_ms) * 1000),
-            aim_stretch: 0.0,
-            effect: if c.is_some_and(|c| c.repeatable) { Effect::Free } else { Effect::Unsafe },
-            worth: f64::from(c.and_then(|c| c.worth_percent).unwrap_or(100)) / 100.0,
-            late_worth: 0.5,
+            latency_objective: Micros(c.and_then(|c| c.aim_ms).unwrap_or(self.aim_ms) * 1000),
+            objective_per_work_hint: 0.0,
+            side_effects: if c.is_some_and(|c| c.repeatable) {
+                SideEffects::None
+            } else {
+                SideEffects::NonIdempotent
+            },
+            priority_weight: f64::from(c.and_then(|c| c.worth_percent).unwrap_or(100)) / 100.0,
+            late_value_factor: 0.5,
             retired: false,
         };
         let all = || self.class.iter().map(Some).chain([None]);
@@ -237,9 +241,9 @@
         (out.config.classes, out.config.tenants, out.config.zone) =
             (all().map(class).collect(), Vec::new(), ZoneId(0));
         // Two attempts of one transaction would share one client's streams.
-        (out.config.cross_zone_cost, out.config.second_copies) = (0.0, false);
+        (out.config.cross_zone_cost, out.config.allow_hedging) = (0.0, false);
         if self.discovery.is_none() {
-            out.config.discovery = Discovery::Push;
+            out.config.discovery = DiscoveryMode::Push;
         }
         let deadline = |c: Option<&ClassSpec>| c.and_then(|c| c.deadline_ms).unwrap_or(self.deadline_ms);
         out.network.deadlines = all().map(|c| Micros(deadline(c) * 1000)).collect();
@@ -331,7 +335,7 @@
         None => {
             let line = |s: &ServerSpec| {
                 let entry = Backend { state: BackendState::Ready, ..Backend::default() };
-                let row = Row::new(&s.name, &s.address.to_string(), "", &s.kind, entry);
+                let row = EndpointRecord::new(&s.name, &s.address.to_string(), "", &s.kind, entry);
                 Endpoint { name: s.name.clone(), address: s.address, state: BackendState::Ready, row }
             };
             host.members(ListUpdate::Full, spec.server.iter().map(line).collect::<Vec<_>>());
--- a/crates/lotusdeck/src/serve.rs
+++ b/crates/lotusdeck/src/serve.rs
@@ -10,7 +10,7 @@
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{span, Beside, Clock, Gate, Host, Journal, Lines};
 use lotusdeck_policy::settings::Settings;
-use lotusdeck_policy::{Balancer, Discovery, ListUpdate};
+use lotusdeck_policy::{Balancer, DiscoveryMode, ListUpdate};
 use lotusdeck_proxy::admin::{Admin, MAX_CALLERS};
 use lotusdeck_proxy::body::Budget;
 use lotusdeck_proxy::config::{Change, FileInForce, Node, NodeError};
@@ -169,7 +169,7 @@
     operator: Option<PathBuf>,
     fixed: Arc<Fixed>,
     pauses: Shared,
-    moved: watch::Sender<(SocketAddr, Discovery)>,
+    moved: watch::Sender<(SocketAddr, DiscoveryMode)>,
     following: Following,
     /// Settings of the source are in force.
     followed: bool,
@@ -290,7 +290,7 @@
         return Ok((Beginning { list: known, learned: None }, None));
     };
     let place = Place::new(settings, folder, &node.name);
-    let window = span(node.settings.config.fall_window);
+    let window = span(node.settings.config.overload_window);
     let beginning = state::begin(settings, &place, known, window);
     let keeper = Keeper::start(place, settings.every, &beginning.list).map_err(ServeError::State)?;
     Ok((beginning, Some(keeper)))
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,6 +1,6 @@
 //! The whole interface of the decision module: configuration, events, actions. No decisions here.
 
-use crate::memory::Memory;
+use crate::memory::Snapshot;
 
 /// A point in time, in microseconds of the host's clock; it begins at no particular value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// How many proxies share the traffic, this one included.
-    pub proxies: u32,
+    pub proxy_count: u32,
     /// Which of them this one is, from 0.
-    pub position: u32,
+    pub proxy_index: u32,
     /// The proxy's own zone.
     pub zone: ZoneId,
     /// The sorts of requests.
@@ -90,62 +90,62 @@
     /// The customers; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request past its tenant's quota, as a part of its class's worth.
-    pub over_quota_worth: f64,
+    pub over_quota_factor: f64,
     /// What the operator's goal puts on the whole of the traffic.
-    pub goal_whole: f64,
+    pub overall_goal_weight: f64,
     /// What the operator's goal puts on the worst-served class.
-    pub goal_worst_class: f64,
+    pub worst_class_goal_weight: f64,
     /// What it costs the goal when every request crosses zones once.
     pub cross_zone_cost: f64,
     /// Where the list of backends comes from.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub allow_cancel: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     /// The least time between two rounds of events.
     pub tick: Micros,
     /// Part of its capacity that a backend has at least when it boots.
-    pub cold_from: f64,
+    pub slow_start_floor: f64,
     /// A booted backend is warm after this time at most.
-    pub ramp: Micros,
+    pub slow_start_duration: Micros,
     /// A cold backend sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this time falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 impl Config {
     /// A small sound configuration: one zone, three proxies, one class that is free to repeat.
     pub fn example() -> Config {
         Config {
-            proxies: 3,
-            position: 0,
+            proxy_count: 3,
+            proxy_index: 0,
             zone: ZoneId(0),
             classes: vec![Class {
-                aim: Micros(500_000),
-                aim_stretch: 0.0,
-                effect: Effect::Free,
-                worth: 1.0,
-                late_worth: 0.0,
+                latency_objective: Micros(500_000),
+                objective_per_work_hint: 0.0,
+                side_effects: SideEffects::None,
+                priority_weight: 1.0,
+                late_value_factor: 0.0,
                 retired: false,
             }],
             tenants: Vec::new(),
-            over_quota_worth: 0.1,
-            goal_whole: 1.0,
-            goal_worst_class: 0.0,
+            over_quota_factor: 0.1,
+            overall_goal_weight: 1.0,
+            worst_class_goal_weight: 0.0,
             cross_zone_cost: 0.0,
-            discovery: Discovery::Push,
+            discovery: DiscoveryMode::Push,
             max_attempts: 3,
-            cancel: true,
-            second_copies: true,
+            allow_cancel: true,
+            allow_hedging: true,
             tick: Micros(5_000),
-            cold_from: 0.3,
-            ramp: Micros(10_000_000),
-            fall_multiple: 3.0,
-            fall_window: Micros(2_000_000),
+            slow_start_floor: 0.3,
+            slow_start_duration: Micros(10_000_000),
+            overload_multiple: 3.0,
+            overload_window: Micros(2_000_000),
         }
     }
 
@@ -155,22 +155,22 @@
         let above_zero = |x: f64| x > 0.0 && x.is_finite();
         let classes = &self.classes;
         let tests = [
-            (self.proxies > 0, "proxies", "at least 1"),
-            (self.position < self.proxies, "position", "less than proxies"),
+            (self.proxy_count > 0, "proxies", "at least 1"),
+            (self.proxy_index < self.proxy_count, "position", "less than proxies"),
             (classes.iter().any(|c| !c.retired), "classes", "at least one class"),
-            (classes.iter().all(|c| c.aim.0 > 0), "aim", "a time above 0"),
-            (classes.iter().all(|c| c.aim_stretch >= 0.0), "aim_stretch", "at least 0"),
-            (classes.iter().all(|c| above_zero(c.worth)), "worth", "a finite number above 0"),
-            (classes.iter().all(|c| part(c.late_worth)), "late_worth", "a part from 0 to 1"),
+            (classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0"),
+            (classes.iter().all(|c| c.objective_per_work_hint >= 0.0), "aim_stretch", "at least 0"),
+            (classes.iter().all(|c| above_zero(c.priority_weight)), "worth", "a finite number above 0"),
+            (classes.iter().all(|c| part(c.late_value_factor)), "late_worth", "a part from 0 to 1"),
             (self.tenants.iter().all(|t| above_zero(t.quota_per_s)), "quota_per_s", "a finite rate above 0"),
-            (part(self.over_quota_worth), "over_quota_worth", "a part from 0 to 1"),
-            (part(self.goal_whole), "goal_whole", "a part from 0 to 1"),
-            (part(self.goal_worst_class), "goal_worst_class", "a part from 0 to 1"),
+            (part(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1"),
+            (part(self.overall_goal_weight), "goal_whole", "a part from 0 to 1"),
+            (part(self.worst_class_goal_weight), "goal_worst_class", "a part from 0 to 1"),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
             (self.tick.0 > 0, "tick", "a time above 0"),
-            (part(self.cold_from), "cold_from", "a part from 0 to 1"),
-            (above_zero(self.fall_multiple), "fall_multiple", "a finite number above 0"),
+            (part(self.slow_start_floor), "cold_from", "a part from 0 to 1"),
+            (above_zero(self.overload_multiple), "fall_multiple", "a finite number above 0"),
         ];
         let failed = tests.into_iter().find(|t| !t.0);
         failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
@@ -181,22 +181,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's work hint.
-    pub aim_stretch: f64,
+    pub objective_per_work_hint: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub side_effects: SideEffects,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_value_factor: f64,
     /// No new request is of it any more; those that are open end under its rules.
     pub retired: bool,
 }
 
 /// Numbers that mean something else than before: nothing that was learned under them counts any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Renewed {
+pub struct ReassignedIds {
     /// Of classes, in ascending order.
     pub classes: Vec<ClassId>,
     /// Of tenants, in ascending order.
@@ -205,20 +205,35 @@
 
 impl Class {
     /// A new request of it does no harm where it fails or runs twice.
-    pub(crate) fn is_harmless(&self) -> bool {
-        self.effect == Effect::Free && !self.retired
+    pub(crate) fn is_idempotent(&self) -> bool {
+        self.side_effects == SideEffects::None && !self.retired
     }
 }
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
+pub enum SideEffects {
     /// Nothing: it may be repeated and refused at will.
-    Free,
+    None,
     /// The backends of one scope discard repeats for a time after the first send.
-    Keyed(KeyScope, Micros),
+    IdempotencyKey {
+        /// Which backends discard each other's duplicates.
+        scope: KeyScope,
+        /// How long after the first send they do.
+        window: Micros,
+    },
     /// A second run does harm.
-    Unsafe,
+    NonIdempotent,
+}
+
+impl std::fmt::Display for SideEffects {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            SideEffects::None => "no side effects",
+            SideEffects::IdempotencyKey { .. } => "idempotency key",
+            SideEffects::NonIdempotent => "non-idempotent",
+        })
+    }
 }
 
 /// Which backends discard each other's repeats.
@@ -241,11 +256,14 @@
 
 /// Where the list of backends comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Push,
     /// Changes arrive after [`Action::Follow`]; a proxy that does not ask counts as told after this time.
-    Subscribe(Micros),
+    Subscribe {
+        /// A proxy that has not asked for so long counts as notified of every change.
+        poll_within: Micros,
+    },
 }
 
 /// Why a configuration was not accepted.
@@ -271,7 +289,7 @@
     /// Which backend.
     pub id: BackendId,
     /// A number drawn from its address, the same at every proxy.
-    pub mark: u64,
+    pub order_key: u64,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -281,7 +299,7 @@
     /// What it may be sent.
     pub state: BackendState,
     /// When it last started; `None` means long ago.
-    pub booted: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// What a backend may be sent.
@@ -293,7 +311,7 @@
     Draining,
     /// Nothing: it has left.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// What sort of news about the list this is.
@@ -306,18 +324,18 @@
     /// The whole list as it was before a restart, perhaps out of date.
     Cached,
     /// The call or the subscription failed; the list held stays.
-    Lost,
+    Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Ok,
+    Success,
     /// An error answer; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection was made.
@@ -333,7 +351,7 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 }
 
@@ -351,9 +369,9 @@
     /// The work expected, on a standard core.
     pub work_hint: Option<Micros>,
     /// The client says that it asked before.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// A part of its body is still to come: its time begins with [`Event::Uploaded`].
-    pub uploading: bool,
+    pub body_incomplete: bool,
 }
 
 /// How an attempt ended.
@@ -368,16 +386,16 @@
     /// Time since the dispatch.
     pub latency: Micros,
     /// The request has had its final answer; the module owes none.
-    pub settled: bool,
+    pub request_answered: bool,
     /// Its body is gone with this attempt: there can be no other.
-    pub spent: bool,
+    pub body_consumed: bool,
 }
 
 /// What the host tells the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the backend list.
-    Members {
+    EndpointsUpdated {
         /// What sort of news.
         update: ListUpdate,
         /// The entries.
@@ -390,28 +408,28 @@
         backends: Vec<BackendId>,
     },
     /// Other settings hold from now on. Classes and tenants keep their places, but for the renewed ones.
-    Settings {
+    ConfigApplied {
         /// All of them.
         config: Box<Config>,
         /// Numbers that nothing open speaks of and that now mean something else.
-        renewed: Renewed,
+        reassigned: ReassignedIds,
     },
     /// Where proxies talk: attempts that all the others together have out, as far as they told.
-    Others {
+    FleetLoad {
         /// So many.
-        held: f64,
+        in_flight: f64,
     },
     /// What was learned before this process began, as far as it is still believed.
-    Remembered(Box<Memory>),
+    Restored(Box<Snapshot>),
     /// So many processes act for this proxy, this one included: two while one takes over from another.
-    Processes {
+    ProcessCount {
         /// How many.
         count: u32,
     },
     /// A client's request: it is owed one final answer.
     Request(Arrival),
     /// The last byte of a request's body has come; the attempt that took it is the only one there can be.
-    Uploaded {
+    BodyReceived {
         /// The request.
         request: RequestId,
         /// When the client gives up, from now.
@@ -427,7 +445,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client left; no answer is owed.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -449,7 +467,7 @@
         backend: BackendId,
     },
     /// Final answer: refused, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When the client had better come again, from now.
@@ -475,7 +493,7 @@
         after: Micros,
     },
     /// Ask discovery for changes from now on.
-    Follow,
+    WatchEndpoints,
     /// A line for the operators.
     Log(String),
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -16,7 +16,7 @@
 mod view;
 
 pub use interface::*;
-pub use memory::{Estimate, KindMemory, Memory, Spent};
+pub use memory::{Estimate, KindEstimates, Snapshot, WarmupSpend};
 pub use rules::{halb_shares, Balancer};
 pub use view::{BackendView, KindView};
 
--- a/crates/policy/src/memory.rs
+++ b/crates/policy/src/memory.rs
@@ -33,7 +33,7 @@
 
 /// What was learned of a kind of machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct KindMemory {
+pub struct KindEstimates {
     /// Seconds from dispatch to answer, the class mix taken out.
     pub latency: Estimate,
     /// Requests a second that one backend got meanwhile.
@@ -42,7 +42,7 @@
 
 /// Work that was sent to a backend while it was cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spent {
+pub struct WarmupSpend {
     /// Where to.
     pub backend: BackendId,
     /// How long ago, to the tick.
@@ -53,27 +53,28 @@
 
 /// What a module learned, by numbers of the process that holds it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct Snapshot {
     /// Seconds from dispatch to answer, of all classes.
-    pub overall: Estimate,
+    pub overall_latency: Estimate,
     /// The same by class.
-    pub classes: Vec<(ClassId, Estimate)>,
+    pub class_latency: Vec<(ClassId, Estimate)>,
     /// By kind.
-    pub kinds: Vec<(KindId, KindMemory)>,
+    pub kinds: Vec<(KindId, KindEstimates)>,
     /// Backends out of use or on trial, and how often in a row they were put out of use.
     pub ejected: Vec<(BackendId, u32)>,
     /// Cold budget spent inside the fall window.
-    pub spent: Vec<Spent>,
+    pub warmup_spend: Vec<WarmupSpend>,
 }
 
 impl Balancer {
     /// What is worth keeping at `now`. Looks at each backend once.
-    pub fn memory(&self, now: Time) -> Memory {
-        let window = self.cfg.fall_window;
-        let cold = |b: &Backend| b.booted.is_some_and(|at| now - window - at < self.cfg.ramp);
-        let mut memory = Memory {
-            overall: Estimate::of(&self.overall),
-            classes: self
+    pub fn snapshot(&self, now: Time) -> Snapshot {
+        let window = self.cfg.overload_window;
+        let cold =
+            |b: &Backend| b.started_at.is_some_and(|at| now - window - at < self.cfg.slow_start_duration);
+        let mut memory = Snapshot {
+            overall_latency: Estimate::of(&self.overall),
+            class_latency: self
                 .classes
                 .iter()
                 .map(|c| Estimate::of(&c.latency))
@@ -84,10 +85,10 @@
                 .kinds
                 .iter()
                 .map(|(id, k)| {
-                    (*id, KindMemory { latency: Estimate::of(&k.latency), flow: Estimate::of(&k.flows) })
+                    (*id, KindEstimates { latency: Estimate::of(&k.latency), flow: Estimate::of(&k.flows) })
                 })
                 .collect(),
-            ..Memory::default()
+            ..Snapshot::default()
         };
         for (&id, p) in &self.peers {
             if p.ejected.is_some() {
@@ -98,9 +99,9 @@
                 let mut slot = None;
                 for (at, work) in p.spent.iter().rev().filter(|s| now - s.0 < window) {
                     let (ago, mine) = (now - *at, ((now - *at).0 * SLOTS).checked_div(window.0));
-                    match memory.spent.last_mut().filter(|_| slot == Some(mine)) {
+                    match memory.warmup_spend.last_mut().filter(|_| slot == Some(mine)) {
                         Some(last) => last.work += work,
-                        None => memory.spent.push(Spent { backend: id, ago, work: *work }),
+                        None => memory.warmup_spend.push(WarmupSpend { backend: id, ago, work: *work }),
                     }
                     slot = Some(mine);
                 }
@@ -110,7 +111,7 @@
     }
 
     /// Makes room for so many classes, and forgets what was learned under numbers that mean something else now.
-    pub(crate) fn renew(&mut self, classes: usize, renewed: &Renewed) {
+    pub(crate) fn renew(&mut self, classes: usize, renewed: &ReassignedIds) {
         self.classes.resize_with(classes, ClassState::default);
         for class in &renewed.classes {
             self.classes.get_mut(class.0).into_iter().for_each(|c| *c = ClassState::default());
@@ -132,15 +133,15 @@
 
     /// Takes back what was learned before the process began, where nothing was learned since. Backends that were out
     /// of use begin on trial; work sent before counts against the cold budget of those that were sent it.
-    pub(crate) fn recall(&mut self, now: Time, memory: &Memory) {
+    pub(crate) fn recall(&mut self, now: Time, memory: &Snapshot) {
         let into = |own: &mut Mean, kept: Estimate| match kept.mean() {
             Some(mean) if own.count <= 0.0 => *own = mean,
             _ => {}
         };
-        into(&mut self.overall, memory.overall);
+        into(&mut self.overall, memory.overall_latency);
         // A class's work is its latency beside that of all: one without the other tells nothing.
         let whole = self.overall.count > 0.0;
-        for (id, kept) in memory.classes.iter().filter(|_| whole) {
+        for (id, kept) in memory.class_latency.iter().filter(|_| whole) {
             self.classes.get_mut(id.0).into_iter().for_each(|c| into(&mut c.latency, *kept));
         }
         for (id, kept) in &memory.kinds {
@@ -154,8 +155,8 @@
             (p.ejected, p.strikes, p.trials) =
                 (Some(now), i32::try_from(*strikes).unwrap_or(i32::MAX).max(1), 0);
         }
-        let window = self.cfg.fall_window;
-        for s in memory.spent.iter().filter(|s| s.ago < window && s.work > 0.0 && s.work.is_finite()) {
+        let window = self.cfg.overload_window;
+        for s in memory.warmup_spend.iter().filter(|s| s.ago < window && s.work > 0.0 && s.work.is_finite()) {
             let Some(p) = self.peers.get_mut(&s.backend) else { continue };
             let at = now - s.ago;
             let place = p.spent.partition_point(|have| have.0 <= at);
--- a/crates/policy/src/names.rs
+++ b/crates/policy/src/names.rs
@@ -86,16 +86,16 @@
 
 /// Names that settings told: each keeps its number when later settings leave it out, but is not found any more.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct DeclaredNames {
     table: NameTable,
     /// By number: new requests may be of it.
     current: Vec<bool>,
 }
 
-impl Told {
+impl DeclaredNames {
     /// An empty one with room for so many names.
-    pub fn with_capacity(names: usize) -> Told {
-        Told { table: NameTable::with_capacity(names), current: Vec::with_capacity(names) }
+    pub fn with_capacity(names: usize) -> DeclaredNames {
+        DeclaredNames { table: NameTable::with_capacity(names), current: Vec::with_capacity(names) }
     }
 
     /// Gives the next number to a name in force; `false` where another in force has that name.
@@ -138,8 +138,8 @@
 pub struct Names {
     pub(crate) zones: NameTable,
     pub(crate) kinds: NameTable,
-    pub(crate) classes: Arc<Told>,
-    pub(crate) tenants: Arc<Told>,
+    pub(crate) classes: Arc<DeclaredNames>,
+    pub(crate) tenants: Arc<DeclaredNames>,
     /// How often settings have followed upon others.
     pub(crate) generation: u64,
 }
@@ -181,13 +181,13 @@
     }
 
     /// Whether these are the very names of `other`: no settings were taken since, and no list has added any.
-    pub fn are_those_of(&self, other: &Names) -> bool {
+    pub fn is_same_revision(&self, other: &Names) -> bool {
         let sizes = |names: &Names| (names.generation, names.zones.len(), names.kinds.len());
         sizes(self) == sizes(other)
     }
 
     /// The row as this instance numbers it.
-    pub fn entry(&mut self, row: &Row, id: BackendId) -> Backend {
+    pub fn resolve(&mut self, row: &EndpointRecord, id: BackendId) -> Backend {
         let zone = ZoneId(self.zones.number(&row.zone));
         let kind = self.kind_id(&row.kind);
         Backend { id, zone, kind, ..row.entry.clone() }
@@ -196,7 +196,7 @@
 
 /// An entry of a backend list under its plain names; each proxy has numbers of its own for these.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct EndpointRecord {
     /// Where it listens.
     pub address: String,
     zone: String,
@@ -204,12 +204,12 @@
     entry: Backend,
 }
 
-impl Row {
+impl EndpointRecord {
     /// `same` is what every proxy calls the backend: the order that they share is drawn from it.
-    pub fn new(same: &str, address: &str, zone: &str, kind: &str, entry: Backend) -> Row {
+    pub fn new(same: &str, address: &str, zone: &str, kind: &str, entry: Backend) -> EndpointRecord {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         let mark = same.bytes().fold(0xcbf2_9ce4_8422_2325, fold) >> 20;
-        let entry = Backend { mark, ..entry };
-        Row { address: address.into(), zone: zone.into(), kind: kind.into(), entry }
+        let entry = Backend { order_key: mark, ..entry };
+        EndpointRecord { address: address.into(), zone: zone.into(), kind: kind.into(), entry }
     }
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -86,14 +86,16 @@
 
 /// The part of its capacity that a backend has at least.
 fn warmth(cfg: &Config, now: Time, entry: &Backend) -> f64 {
-    let age = entry.booted.map_or(f64::MAX, |boot| (now - boot).secs() / cfg.ramp.secs().max(1e-6));
-    cfg.cold_from + (1.0 - cfg.cold_from) * age.min(1.0)
+    let age = entry
+        .started_at
+        .map_or(f64::MAX, |boot| (now - boot).secs() / cfg.slow_start_duration.secs().max(1e-6));
+    cfg.slow_start_floor + (1.0 - cfg.slow_start_floor) * age.min(1.0)
 }
 
 /// This proxy's place in an order of all, spread evenly from 0 up to their number; each mark has its own.
 fn place(cfg: &Config, mark: u64) -> f64 {
-    let (proxies, begin) = (f64::from(cfg.proxies), (mark % u64::from(cfg.proxies)) as f64);
-    (f64::from(cfg.position) * 0.618_033_988_749_895 + begin / proxies).fract() * proxies
+    let (proxies, begin) = (f64::from(cfg.proxy_count), (mark % u64::from(cfg.proxy_count)) as f64);
+    (f64::from(cfg.proxy_index) * 0.618_033_988_749_895 + begin / proxies).fract() * proxies
 }
 
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
@@ -163,7 +165,7 @@
             shared_until: Time(0),
             kinds: BTreeMap::new(),
             classes: cfg.classes.iter().map(|_| ClassState::default()).collect(),
-            any_harmless: cfg.classes.iter().any(Class::is_harmless),
+            any_harmless: cfg.classes.iter().any(Class::is_idempotent),
             overall: Mean::default(),
             buckets: cfg.tenants.iter().map(|_| Bucket::default()).collect(),
             requests: BTreeMap::new(),
@@ -181,7 +183,7 @@
             seen: Time(0),
             look_at: Time(0),
             timer: (0, Time(u64::MAX)),
-            ask: ((cfg.discovery != Discovery::Push).then_some(Time(0)), 0.0),
+            ask: ((cfg.discovery != DiscoveryMode::Push).then_some(Time(0)), 0.0),
             log_at: Time(0),
             actions: Vec::new(),
             cfg,
@@ -201,25 +203,25 @@
         }
         self.seen = now;
         match event {
-            Event::Members { update, backends } => self.members(now, update, backends),
+            Event::EndpointsUpdated { update, backends } => self.members(now, update, backends),
             Event::Cordoned { backends } => self.cordon(now, backends),
-            Event::Settings { config, renewed } => self.settings(now, *config, &renewed),
+            Event::ConfigApplied { config, reassigned: renewed } => self.settings(now, *config, &renewed),
             // What the other sent weighs on a cold backend for a window more.
-            Event::Processes { count: 0 | 1 } => self.shared_until = now + self.cfg.fall_window,
-            Event::Processes { .. } => self.shared_until = Time(u64::MAX),
-            Event::Remembered(memory) => self.recall(now, &memory),
-            Event::Others { held } => {
+            Event::ProcessCount { count: 0 | 1 } => self.shared_until = now + self.cfg.overload_window,
+            Event::ProcessCount { .. } => self.shared_until = Time(u64::MAX),
+            Event::Restored(memory) => self.recall(now, &memory),
+            Event::FleetLoad { in_flight: held } => {
                 self.part.iter_mut().zip([held + out, out]).for_each(|(r, n)| r.pass(now, n))
             }
             Event::Request(arrival) => self.request(now, arrival),
-            Event::Uploaded { request, time_left } => self.uploaded(now, request, time_left),
+            Event::BodyReceived { request, time_left } => self.uploaded(now, request, time_left),
             Event::StreamStarted { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     r.streaming |= r.sent.get(attempt.0 as usize).is_some_and(|s| s.out);
                 }
             }
             Event::AttemptEnded(end) => self.ended(now, end),
-            Event::ClientGone { request } => self.close(request),
+            Event::ClientDisconnected { request } => self.close(request),
             Event::Timer { token } if token != TimerToken(self.timer.0) => return,
             Event::Timer { .. } => self.timer.1 = Time(u64::MAX),
         }
@@ -241,7 +243,7 @@
     fn members(&mut self, now: Time, update: ListUpdate, list: Vec<Backend>) {
         match (update, self.cfg.discovery) {
             // A lost subscription is asked for again, later each time and not in step with others.
-            (ListUpdate::Lost, Discovery::Subscribe(within)) => {
+            (ListUpdate::Failed, DiscoveryMode::Subscribe { poll_within: within }) => {
                 // Shorter pauses of a whole fleet keep a crowded discovery from ever answering.
                 let wait = (self.ask.1 * 2.0).clamp(0.1, (within.secs() / 8.0).max(0.1));
                 self.ask = (Some(now + Micros::from_secs(wait * (0.5 + self.dice.unit()))), wait);
@@ -253,34 +255,34 @@
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             let ids: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
             for (id, p) in self.peers.iter_mut().filter(|(id, _)| !ids.contains(id)) {
-                p.entry.state = BackendState::Gone;
+                p.entry.state = BackendState::Removed;
                 self.leaving.insert(*id);
             }
         }
         for mut entry in list {
-            entry.booted = entry.booted.max(self.returned.get(&entry.id).copied());
+            entry.started_at = entry.started_at.max(self.returned.get(&entry.id).copied());
             let id = entry.id;
             let p = self.peers.entry(id).or_default();
-            if p.entry.booted != entry.booted {
+            if p.entry.started_at != entry.started_at {
                 // A restarted process has nothing in common with the old one but its address.
                 p.begin_anew();
             }
             p.cordoned = self.cordoned.contains(&id);
-            self.order.remove(&(p.entry.mark, id));
-            self.order.insert((entry.mark, id));
-            if entry.state == BackendState::Gone {
+            self.order.remove(&(p.entry.order_key, id));
+            self.order.insert((entry.order_key, id));
+            if entry.state == BackendState::Removed {
                 self.leaving.insert(id);
             }
             p.entry = entry;
         }
         for id in std::mem::take(&mut self.leaving) {
-            let Some(p) = self.peers.get(&id).filter(|p| p.entry.state == BackendState::Gone) else {
+            let Some(p) = self.peers.get(&id).filter(|p| p.entry.state == BackendState::Removed) else {
                 continue;
             };
             if p.out > 0 {
                 self.leaving.insert(id);
             } else {
-                self.order.remove(&(p.entry.mark, id));
+                self.order.remove(&(p.entry.order_key, id));
                 self.peers.remove(&id);
             }
         }
@@ -291,7 +293,7 @@
     /// been, and the list tells of that seconds later.
     fn cordon(&mut self, now: Time, backends: Vec<BackendId>) {
         let cordoned: BTreeSet<BackendId> = backends.into_iter().collect();
-        self.returned.retain(|id, at| now - *at < self.cfg.ramp && !cordoned.contains(id));
+        self.returned.retain(|id, at| now - *at < self.cfg.slow_start_duration && !cordoned.contains(id));
         self.returned.extend(self.cordoned.difference(&cordoned).map(|id| (*id, now)));
         let changed: Vec<BackendId> = self.cordoned.symmetric_difference(&cordoned).copied().collect();
         self.cordoned = cordoned;
@@ -300,19 +302,19 @@
             p.cordoned = self.cordoned.contains(&id);
             if !p.cordoned {
                 p.begin_anew();
-                p.entry.booted = p.entry.booted.max(Some(now));
+                p.entry.started_at = p.entry.started_at.max(Some(now));
             }
         }
         (self.solve_at, self.look_at) = (now, now);
     }
 
     /// Other settings from now on; what was learned stays, and open requests keep what they were promised.
-    fn settings(&mut self, now: Time, cfg: Config, renewed: &Renewed) {
+    fn settings(&mut self, now: Time, cfg: Config, renewed: &ReassignedIds) {
         self.renew(cfg.classes.len(), renewed);
-        self.any_harmless = cfg.classes.iter().any(Class::is_harmless);
+        self.any_harmless = cfg.classes.iter().any(Class::is_idempotent);
         self.buckets.resize_with(cfg.tenants.len(), Bucket::default);
         if cfg.discovery != self.cfg.discovery {
-            self.ask = ((cfg.discovery != Discovery::Push).then_some(now), 0.0);
+            self.ask = ((cfg.discovery != DiscoveryMode::Push).then_some(now), 0.0);
         }
         self.cfg = cfg;
         (self.solve_at, self.look_at) = (now, now);
@@ -327,17 +329,18 @@
         let ratio = RETRY_RATIO * if self.losing().is_some() { 2.0 } else { 1.0 };
         self.extra = (self.extra + ratio).min(ratio * KIND_SAMPLES);
         let tenant = new.tenant.and_then(|t| self.cfg.tenants.get(t.0).zip(self.buckets.get_mut(t.0)));
-        let part = |t: &Tenant| t.quota_per_s / f64::from(self.cfg.proxies);
+        let part = |t: &Tenant| t.quota_per_s / f64::from(self.cfg.proxy_count);
         let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.take(now, part(t), RATE_MEMORY, FEW));
-        let aim = c.aim.0 + new.work_hint.unwrap_or_default().times(c.aim_stretch).0;
+        let aim =
+            c.latency_objective.0 + new.work_hint.unwrap_or_default().times(c.objective_per_work_hint).0;
         let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
         // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
         // and serving it before a new request would make both late, all through a storm of repeats.
-        let again = if new.repeat { c.late_worth } else { 1.0 };
-        let value = again * if over_quota { self.cfg.over_quota_worth } else { 1.0 };
+        let again = if new.is_client_retry { c.late_value_factor } else { 1.0 };
+        let value = again * if over_quota { self.cfg.over_quota_factor } else { 1.0 };
         let (class, came, streaming, sent) = (new.class.0, now, false, Vec::new());
-        let (most, copies) = (self.cfg.max_attempts as usize, self.cfg.second_copies);
-        let uploading = new.uploading;
+        let (most, copies) = (self.cfg.max_attempts as usize, self.cfg.allow_hedging);
+        let uploading = new.body_incomplete;
         let request = Request { class, came, aim, deadline, value, most, copies, uploading, streaming, sent };
         self.requests.insert(new.request, request);
         self.held.push(new.request);
@@ -366,8 +369,8 @@
         if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
             (s.out, s.never_ran) = (false, end.outcome.never_ran());
         }
-        r.most = if end.spent { r.sent.len() } else { r.most };
-        if end.settled || end.outcome == Outcome::Ok {
+        r.most = if end.body_consumed { r.sent.len() } else { r.most };
+        if end.request_answered || end.outcome == Outcome::Success {
             self.close(id);
         } else if !r.out() && !self.held.contains(&id) {
             self.held.push(id); // `pump` sends it again or gives it up
@@ -386,7 +389,7 @@
         for (age, answered) in &mut self.answered {
             match end.outcome {
                 _ if coming || now < sent + usual.times(*age) => {}
-                Outcome::Ok | Outcome::Error => answered.add(1.0, OLD_SAMPLES),
+                Outcome::Success | Outcome::Error => answered.add(1.0, OLD_SAMPLES),
                 Outcome::TimedOut | Outcome::Cancelled => answered.add(0.0, OLD_SAMPLES),
                 _ => {}
             }
@@ -396,11 +399,11 @@
         p.coming = p.coming.saturating_sub(u32::from(coming));
         p.lost = p.lost.saturating_sub(u32::from(!coming && now >= sent + quiet));
         let k = self.kinds.entry(p.entry.kind).or_default();
-        if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            k.answered.add(f64::from(outcome == Outcome::Ok), OLD_SAMPLES);
+        if matches!(outcome, Outcome::Success | Outcome::TimedOut) {
+            k.answered.add(f64::from(outcome == Outcome::Success), OLD_SAMPLES);
         }
         match outcome {
-            Outcome::Ok => {
+            Outcome::Success => {
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
                 let secs = end.latency.secs().max(1e-6);
                 self.classes[class].latency.add(secs, KIND_SAMPLES);
@@ -423,7 +426,7 @@
             }
             // A full backend answers, and is left alone until it may have finished one, twice as long each
             // time that it is still full: busy is not ill. It may hold back one class only.
-            Outcome::Full => {
+            Outcome::Rejected => {
                 let part = p.part(class);
                 let wait = usual.times(f64::from(part.fulls.min(4)).exp2()).secs().min(EJECT_TERM / 2.0);
                 (part.full_until, part.fulls) = (now + Micros::from_secs(wait), part.fulls + 1);
@@ -481,9 +484,9 @@
     fn look_after(&mut self, now: Time) {
         let mut next = now + Micros::from_secs(CROWD_MEMORY); // nothing else may be due
         let due = self.ask.0.filter(|at| now >= *at);
-        if let (Some(_), Discovery::Subscribe(within)) = (due, self.cfg.discovery) {
+        if let (Some(_), DiscoveryMode::Subscribe { poll_within: within }) = (due, self.cfg.discovery) {
             self.ask.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
-            self.actions.push(Action::Follow);
+            self.actions.push(Action::WatchEndpoints);
         }
         next = self.ask.0.map_or(next, |at| next.min(at));
         for id in std::mem::take(&mut self.doubted) {
@@ -510,7 +513,7 @@
             let usual = self.usual(r.class);
             // A client whose request nobody has seen is told before half of its time is over.
             let unseen = r.sent.iter().all(|s| s.never_ran);
-            let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !unseen;
+            let late_pays = self.cfg.classes[r.class].late_value_factor > 0.0 && !unseen;
             let half = r.came + (r.deadline - r.came).times(0.5) + usual - self.cfg.tick;
             let last_start = if late_pays { r.deadline } else { r.aim.min(half) };
             let old = |s: &Sent| losing && now >= s.at + self.quiet(r.class);
@@ -532,7 +535,9 @@
                     if self.may_send(now, r) && !self.held.contains(&id) {
                         self.held.push(id);
                     }
-                } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
+                } else if self.cfg.allow_cancel
+                    && self.cfg.classes[r.class].side_effects != SideEffects::NonIdempotent
+                {
                     // Where no copy may run beside it, it is called back to make way for the next.
                     self.actions
                         .push(Action::Cancel { request: id, attempt: AttemptNo(r.sent.len() as u32 - 1) });
@@ -547,7 +552,7 @@
     /// What a served request of the class usually takes; before any was served, a quarter of its aim.
     fn usual(&self, class: usize) -> Micros {
         let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].aim.times(0.25), Micros::from_secs)
+        known.map_or(self.cfg.classes[class].latency_objective.times(0.25), Micros::from_secs)
     }
 
     /// The age, in usual times, from which most attempts are never answered.
@@ -618,7 +623,7 @@
     /// Goes on with a pass while steps are left; where it has to go on, if it is not through.
     fn step(&mut self, now: Time, s: &mut Sweep, left: &mut usize) -> Option<(u64, BackendId)> {
         let (cfg, kinds, peers) = (&self.cfg, &self.kinds, &mut self.peers);
-        let (at, proxies) = (s.next.1, f64::from(cfg.proxies));
+        let (at, proxies) = (s.next.1, f64::from(cfg.proxy_count));
         let part = |p: &Peer| kinds.get(&p.entry.kind).map_or(0.0, |k| k.share * p.ready / k.ready.max(1e-9));
         let next = match s.pass {
             Pass::Rest => None,
@@ -661,8 +666,8 @@
                     let bias = if cfg.cross_zone_cost > 0.0 && here > 0.0 { near / here } else { 1.0 };
                     // Half of the room for all goes by that part, half evenly; each has a room of one at
                     // least, as more proxies than the hold would wait for turns: `crowded` keeps the hold.
-                    let turn = p.entry.mark.wrapping_add(u64::from(cfg.position));
-                    let coin = ((turn % u64::from(cfg.proxies)) as f64 + 0.5) / proxies;
+                    let turn = p.entry.order_key.wrapping_add(u64::from(cfg.proxy_index));
+                    let coin = ((turn % u64::from(cfg.proxy_count)) as f64 + 0.5) / proxies;
                     let fair = HOLD / proxies * p.ready;
                     p.room = (fair * (0.5 + 0.5 * bias) + coin).floor().max(1.0);
                     // The trace takes the overflow where all that have a part are full.
@@ -691,7 +696,8 @@
                     let inside = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
                     let evenly = inside(start) + inside(start - 1.0);
                     // Where few may send to a cold one they share it, whatever their slices.
-                    let few = f64::from(place(&self.cfg, p.entry.mark) < senders) * (to - from) / senders;
+                    let few =
+                        f64::from(place(&self.cfg, p.entry.order_key) < senders) * (to - from) / senders;
                     let slice = if senders < proxies { few * width * proxies } else { evenly };
                     p.weight = slice + p.pull * 1e-6;
                     if p.ready > 0.0 {
@@ -715,7 +721,7 @@
         }
         self.kinds.iter_mut().for_each(|(id, k)| k.ready = s.kinds.get(id).map_or(0.0, |k| k.0));
         self.rate.add(now, 0.0);
-        let rate = self.rate.per_s().map(|r| r * f64::from(self.cfg.proxies) * self.processes(now));
+        let rate = self.rate.per_s().map(|r| r * f64::from(self.cfg.proxy_count) * self.processes(now));
         for k in self.kinds.values_mut() {
             k.speed = k.latency.get().map_or(0.0, |t| 1.0 / t + k.flows.value);
         }
@@ -741,38 +747,38 @@
 
     /// Work that all proxies together may send to a backend inside the present fall window.
     fn allowed(&self, now: Time, p: &Peer) -> f64 {
-        let warmth = warmth(&self.cfg, now - self.cfg.fall_window, &p.entry); // as the window began
+        let warmth = warmth(&self.cfg, now - self.cfg.overload_window, &p.entry); // as the window began
         if warmth >= 1.0 {
             return f64::MAX;
         }
         // Against few ready backends the speed formula overshoots; twice the bare 1/T is sure.
         let sure = |k: &Kind| k.latency.get().map(|t| k.speed.min(2.0 / t));
         // Before any was served: what does not serve one within the longest aim is of no use.
-        let aim = || self.cfg.classes.iter().map(|c| c.aim.secs()).fold(0.0, f64::max);
+        let aim = || self.cfg.classes.iter().map(|c| c.latency_objective.secs()).fold(0.0, f64::max);
         let speed = self.kinds.get(&p.entry.kind).and_then(sure).unwrap_or_else(|| 1.0 / aim());
-        let all = self.cfg.fall_multiple * warmth * speed * self.cfg.fall_window.secs();
+        let all = self.cfg.overload_multiple * warmth * speed * self.cfg.overload_window.secs();
         all * FALL_MARGIN / self.processes(now)
     }
 
     /// How many proxies may send to it: where it bears less than one request of each, the first in its order.
     fn senders(&self, now: Time, p: &Peer) -> f64 {
-        self.allowed(now, p).floor().clamp(1.0, f64::from(self.cfg.proxies))
+        self.allowed(now, p).floor().clamp(1.0, f64::from(self.cfg.proxy_count))
     }
 
     /// Work that this proxy may still send to a cold backend inside the present fall window.
     fn budget(&self, now: Time, p: &Peer) -> f64 {
         let senders = self.senders(now, p);
         let each = (self.allowed(now, p) / senders).max(1.0);
-        let own = if place(&self.cfg, p.entry.mark) < senders { each } else { 0.0 };
-        let spent: f64 = p.spent.iter().filter(|s| now - s.0 < self.cfg.fall_window).map(|s| s.1).sum();
+        let own = if place(&self.cfg, p.entry.order_key) < senders { each } else { 0.0 };
+        let spent: f64 = p.spent.iter().filter(|s| now - s.0 < self.cfg.overload_window).map(|s| s.1).sum();
         own - spent
     }
 
     fn may_send(&self, now: Time, r: &Request) -> bool {
-        let safe = |s: &Sent| match self.cfg.classes[r.class].effect {
-            Effect::Free => true,
-            Effect::Keyed(_, window) => s.never_ran || now + self.cfg.tick < s.at + window,
-            Effect::Unsafe => s.never_ran,
+        let safe = |s: &Sent| match self.cfg.classes[r.class].side_effects {
+            SideEffects::None => true,
+            SideEffects::IdempotencyKey { window, .. } => s.never_ran || now + self.cfg.tick < s.at + window,
+            SideEffects::NonIdempotent => s.never_ran,
         };
         let alone = r.copies || !r.out();
         alone && r.sent.len() < r.most && r.sent.iter().all(safe)
@@ -781,13 +787,17 @@
     /// The request may go there now: the backend is up to it and there is room.
     fn open(&self, now: Time, r: &Request, p: &Peer, work: f64, heed: bool) -> bool {
         // A repeat outside the scope that knows the key would run twice.
-        let known = |s: &Sent| match self.cfg.classes[r.class].effect {
-            Effect::Keyed(KeyScope::Zone, _) => s.never_ran || s.to.zone == p.entry.zone,
-            Effect::Keyed(KeyScope::Cell, _) => s.never_ran || s.to.cell == p.entry.cell,
+        let known = |s: &Sent| match self.cfg.classes[r.class].side_effects {
+            SideEffects::IdempotencyKey { scope: KeyScope::Zone, .. } => {
+                s.never_ran || s.to.zone == p.entry.zone
+            }
+            SideEffects::IdempotencyKey { scope: KeyScope::Cell, .. } => {
+                s.never_ran || s.to.cell == p.entry.cell
+            }
             _ => true,
         };
         // On trial, one request at a time that may fail without harm.
-        let harmless = || self.cfg.classes[r.class].is_harmless() || !self.any_harmless;
+        let harmless = || self.cfg.classes[r.class].is_idempotent() || !self.any_harmless;
         let fit = !p.trial || p.out == 0 && r.sent.is_empty() && harmless();
         let fresh = r.sent.iter().all(|s| s.to.id != p.entry.id && known(s));
         let barred = |part: &Part| part.unheard > 1 || now < part.full_until || heed && now < part.shunned;
@@ -835,7 +845,7 @@
     /// With load / (1 - load) held, half more than the hold is a load of six sevenths, half of it two
     /// thirds. Turned away at once does no harm; waiting here would make no room.
     fn crowded(&self, value: f64) -> bool {
-        let proxies = f64::from(self.cfg.proxies);
+        let proxies = f64::from(self.cfg.proxy_count);
         let ready: f64 = self.kinds.values().map(|k| k.ready).sum();
         let limit = if value < LOW { HOLD / 2.0 } else { HOLD * 1.5 };
         let [all, own] = self.part.each_ref().map(Rate::per_s);
@@ -852,7 +862,7 @@
         for id in std::mem::take(&mut self.held) {
             if let Some(r) = self.requests.get(&id) {
                 let value = if r.sent.is_empty() { r.value } else { f64::MAX };
-                let density = self.cfg.classes[r.class].worth / self.work(r.class);
+                let density = self.cfg.classes[r.class].priority_weight / self.work(r.class);
                 line.push((density * r.value, r.came, id, value));
             }
         }
@@ -873,7 +883,7 @@
                 r.sent.push(Sent { to: p.entry.clone(), at: now, out: true, never_ran: false });
                 p.out += 1;
                 p.coming += u32::from(r.uploading);
-                p.spend(now, work, self.cfg.tick, self.cfg.fall_window);
+                p.spend(now, work, self.cfg.tick, self.cfg.overload_window);
                 self.attempts
                     .insert((id, no), Out { to: backend, class: r.class, sent: now, coming: r.uploading });
                 self.actions.push(Action::Dispatch { request: id, backend });
@@ -894,12 +904,15 @@
     /// Final answer for a request that will not be served.
     fn give_up(&mut self, id: RequestId) {
         let Some(r) = self.requests.get(&id) else { return };
-        let free = matches!(self.cfg.classes[r.class].effect, Effect::Free | Effect::Keyed(KeyScope::All, _));
+        let free = matches!(
+            self.cfg.classes[r.class].side_effects,
+            SideEffects::None | SideEffects::IdempotencyKey { scope: KeyScope::All, .. }
+        );
         let harmless = free || r.sent.iter().all(|s| s.never_ran);
         // By then what is out now has made room, or an ejected backend is tried again.
         let ready = self.kinds.values().any(|k| k.ready > 0.0);
         let retry_after = if ready { self.usual(r.class).times(2.0) } else { Micros::from_secs(EJECT_TERM) };
-        let (refused, failed) = (Action::Refuse { request: id, retry_after }, Action::Fail { request: id });
+        let (refused, failed) = (Action::Reject { request: id, retry_after }, Action::Fail { request: id });
         self.actions.push(if harmless { refused } else { failed });
         self.close(id);
     }
@@ -907,7 +920,7 @@
     fn close(&mut self, id: RequestId) {
         let Some(r) = self.requests.remove(&id) else { return };
         self.held.retain(|h| *h != id);
-        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.cancel) {
+        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.allow_cancel) {
             self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(no as u32) });
         }
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -2,15 +2,15 @@
 //! the proxy and the simulator's adapter.
 
 use crate::interface::*;
-use crate::names::Told;
+use crate::names::DeclaredNames;
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::sync::Arc;
 
 pub use crate::faults::{Fault, Faults};
-pub use crate::names::{Names, Row};
-pub use crate::succession::{Pinned, Succession};
+pub use crate::names::{EndpointRecord, Names};
+pub use crate::succession::{IdsInUse, SettingsMerge};
 
 /// A fault's text is no longer than this: a value may be large.
 const MOST_GOT: usize = 60;
@@ -84,14 +84,14 @@
 }
 
 /// The name of a class or tenant, which no other may have: rules are found by it.
-fn told(key: &Key, names: &mut Told, sort: &'static str) {
+fn told(key: &Key, names: &mut DeclaredNames, sort: &'static str) {
     let name = key.get("name");
     if !names.push(name.text()) {
         name.want::<()>(None, sort);
     }
 }
 
-fn class(key: &Key, names: &mut Told) -> Class {
+fn class(key: &Key, names: &mut DeclaredNames) -> Class {
     told(key, names, "a name that no other class has");
     let (effect, scope) = (key.get("effect"), key.get("key_scope"));
     let scope = || match scope.text() {
@@ -104,12 +104,12 @@
         }
     };
     let effect = match effect.text() {
-        "free" => Effect::Free,
-        "guarded" => Effect::Keyed(scope(), key.get("window_us").micros()),
-        "single_shot" => Effect::Unsafe,
+        "free" => SideEffects::None,
+        "guarded" => SideEffects::IdempotencyKey { scope: scope(), window: key.get("window_us").micros() },
+        "single_shot" => SideEffects::NonIdempotent,
         _ => {
             effect.want::<()>(None, "free, guarded or single_shot");
-            Effect::Unsafe
+            SideEffects::NonIdempotent
         }
     };
     let stretch = key.get("aim_stretch");
@@ -118,16 +118,16 @@
         aim.want::<()>(None, "no more than deadline_us");
     }
     Class {
-        aim: aim.micros(),
-        aim_stretch: if stretch.value.is_some() { stretch.real() } else { 0.0 },
-        effect,
-        worth: key.get("gain").real(),
-        late_worth: key.get("late_worth").real(),
+        latency_objective: aim.micros(),
+        objective_per_work_hint: if stretch.value.is_some() { stretch.real() } else { 0.0 },
+        side_effects: effect,
+        priority_weight: key.get("gain").real(),
+        late_value_factor: key.get("late_worth").real(),
         retired: false,
     }
 }
 
-fn tenant(key: &Key, names: &mut Told) -> Tenant {
+fn tenant(key: &Key, names: &mut DeclaredNames) -> Tenant {
     told(key, names, "a name that no other customer has");
     Tenant { quota_per_s: key.get("quota_rps").real() }
 }
@@ -144,60 +144,60 @@
     let zone = my_zone.value.and_then(Value::as_str).and_then(|zone| names.zones.find(zone));
     let zone = ZoneId(my_zone.want(zone, "one of zones") as u32);
     let profiles = root.get("profiles").list();
-    let mut told_classes = Told::with_capacity(profiles.len());
+    let mut told_classes = DeclaredNames::with_capacity(profiles.len());
     let classes = profiles.iter().map(|key| class(key, &mut told_classes)).collect();
     names.classes = Arc::new(told_classes);
     let customers = root.get("customers").list();
-    let mut told_tenants = Told::with_capacity(customers.len());
+    let mut told_tenants = DeclaredNames::with_capacity(customers.len());
     let tenants = customers.iter().map(|key| tenant(key, &mut told_tenants)).collect();
     names.tenants = Arc::new(told_tenants);
     let (limits, rules, goal) = (root.get("limits"), root.get("rules"), root.get("blend"));
     let discovery = root.get("discovery");
     let discovery = match discovery.text() {
-        "automatic" => Discovery::Push,
-        "subscribe" => Discovery::Subscribe(rules.get("must_ask_in_us").micros()),
+        "automatic" => DiscoveryMode::Push,
+        "subscribe" => DiscoveryMode::Subscribe { poll_within: rules.get("must_ask_in_us").micros() },
         _ => {
             discovery.want::<()>(None, "automatic or subscribe");
-            Discovery::Push
+            DiscoveryMode::Push
         }
     };
     let config = Config {
-        proxies: root.get("group_size").count(),
-        position: root.get("position").count(),
+        proxy_count: root.get("group_size").count(),
+        proxy_index: root.get("position").count(),
         zone,
         classes,
         tenants,
-        over_quota_worth: root.get("over_share_worth").real(),
-        goal_whole: goal.get("whole").real(),
-        goal_worst_class: goal.get("worst_class").real(),
+        over_quota_factor: root.get("over_share_worth").real(),
+        overall_goal_weight: goal.get("whole").real(),
+        worst_class_goal_weight: goal.get("worst_class").real(),
         cross_zone_cost: root.get("costs").get("cross_zone").real(),
         discovery,
         max_attempts: limits.get("max_attempts").count(),
-        cancel: limits.get("cancel").flag(),
-        second_copies: limits.get("parallel_tries").flag(),
+        allow_cancel: limits.get("cancel").flag(),
+        allow_hedging: limits.get("parallel_tries").flag(),
         tick: root.get("granularity_us").micros(),
-        cold_from: rules.get("cold_from").real(),
-        ramp: rules.get("ramp_time_us").micros(),
-        fall_multiple: rules.get("fall_multiple").real(),
-        fall_window: rules.get("tip_after_us").micros(),
+        slow_start_floor: rules.get("cold_from").real(),
+        slow_start_duration: rules.get("ramp_time_us").micros(),
+        overload_multiple: rules.get("fall_multiple").real(),
+        overload_window: rules.get("tip_after_us").micros(),
     };
     (config, names)
 }
 
 /// What only a proxy on real sockets needs of the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Network {
+pub struct NetworkSettings {
     /// A connection that is not up by then counts as failed.
     pub connect_timeout: Micros,
     /// Backends close connections that were idle for so long.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// The longest advice on when to come again that a client follows; `None` where clients are given none.
     pub max_retry_after: Option<Micros>,
     /// How long a client waits at most, by class.
     pub deadlines: Vec<Micros>,
 }
 
-fn sockets(root: &Key) -> Network {
+fn sockets(root: &Key) -> NetworkSettings {
     let limits = root.get("limits");
     let deadline = |class: &Key| {
         let key = class.get("deadline_us");
@@ -211,9 +211,9 @@
     let advised = limits.get("retry_after");
     let advised = advised.value.is_none() || advised.flag();
     let max_retry_after = limits.get("max_retry_after_us").micros();
-    Network {
+    NetworkSettings {
         connect_timeout: limits.get("dial_timeout_us").micros(),
-        conn_idle: limits.get("conn_idle_us").micros(),
+        idle_timeout: limits.get("conn_idle_us").micros(),
         max_retry_after: advised.then_some(max_retry_after),
         deadlines: root.get("profiles").list().iter().map(deadline).collect(),
     }
@@ -227,7 +227,7 @@
     /// The names behind its numbers.
     pub names: Names,
     /// What concerns sockets.
-    pub network: Network,
+    pub network: NetworkSettings,
 }
 
 impl Settings {
@@ -272,7 +272,7 @@
         let classes = self.names.classes.iter().zip(&self.config.classes).zip(&self.network.deadlines);
         let current = classes.enumerate().filter(|(number, _)| self.names.classes.is_current(*number));
         let told = |(_, ((name, class), deadline)): (usize, ((_, &Class), &Micros))| {
-            let (effect, aim, deadline) = (class.effect, class.aim, *deadline);
+            let (effect, aim, deadline) = (class.side_effects, class.latency_objective, *deadline);
             ToldClass { name, effect, aim, deadline }
         };
         current.map(told).collect()
@@ -286,7 +286,7 @@
 #[derive(PartialEq, Eq, Hash)]
 struct ToldClass<'a> {
     name: &'a str,
-    effect: Effect,
+    effect: SideEffects,
     aim: Micros,
     deadline: Micros,
 }
@@ -294,6 +294,6 @@
 impl std::fmt::Display for ToldClass<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ToldClass { name, effect, aim, deadline } = self;
-        write!(f, "{name} ({effect:?}, aim {} us, deadline {} us)", aim.0, deadline.0)
+        write!(f, "{name} ({effect}, latency objective {} us, deadline {} us)", aim.0, deadline.0)
     }
 }
--- a/crates/policy/src/succession.rs
+++ b/crates/policy/src/succession.rs
@@ -6,7 +6,7 @@
 //! once, and some spare ones.
 
 use crate::interface::*;
-use crate::names::{Names, Told};
+use crate::names::{DeclaredNames, Names};
 use crate::settings::Settings;
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -17,7 +17,7 @@
 
 /// Numbers that open requests speak of, or may come to.
 #[derive(Clone, Debug, Default)]
-pub struct Pinned {
+pub struct IdsInUse {
     /// Of classes.
     pub classes: HashSet<ClassId>,
     /// Of tenants.
@@ -26,18 +26,18 @@
 
 /// Settings under the numbers of those that they follow.
 #[derive(Debug)]
-pub struct Succession {
+pub struct SettingsMerge {
     /// What holds now.
     pub settings: Settings,
     /// Numbers that mean something else than before.
-    pub renewed: Renewed,
+    pub reassigned: ReassignedIds,
 }
 
 impl Settings {
     /// `new` under the numbers of these: a class keeps its number while its name and effect stay, and one of another
     /// effect gets another. `names` are these settings' own, with what lists have added; `pinned` what was open at some
     /// moment since these came into force: who comes later speaks of numbers in force only. Linear in both.
-    pub fn succeeded_by(&self, new: Settings, names: &Names, pinned: &Pinned) -> Succession {
+    pub fn merge_successor(&self, new: Settings, names: &Names, pinned: &IdsInUse) -> SettingsMerge {
         let Settings { mut config, names: told, mut network } = new;
         let mut names_then = names.clone();
         names_then.generation += 1;
@@ -54,17 +54,17 @@
         let tenants = Places::new(names.tenants.iter(), told.tenants.iter(), free);
         config.tenants = tenants.merge(self.config.tenants.iter().cloned(), config.tenants.into_iter());
         names_then.tenants = Arc::new(tenants.rename(&names.tenants, &told.tenants));
-        let renewed = Renewed {
+        let renewed = ReassignedIds {
             classes: classes.renewed.into_iter().map(ClassId).collect(),
             tenants: tenants.renewed.into_iter().map(TenantId).collect(),
         };
-        Succession { settings: Settings { config, names: names_then, network }, renewed }
+        SettingsMerge { settings: Settings { config, names: names_then, network }, reassigned: renewed }
     }
 }
 
 /// By what a class is the same one under other settings.
-fn identities<'a>(names: &'a Names, config: &'a Config) -> impl Iterator<Item = (&'a str, Effect)> {
-    names.classes.iter().zip(config.classes.iter().map(|class| class.effect))
+fn identities<'a>(names: &'a Names, config: &'a Config) -> impl Iterator<Item = (&'a str, SideEffects)> {
+    names.classes.iter().zip(config.classes.iter().map(|class| class.side_effects))
 }
 
 /// Where the entries of new settings stand among those of the old.
@@ -121,10 +121,10 @@
     }
 
     /// The names at each number; those that `new` has not are found no more.
-    fn rename(&self, old: &Told, new: &Told) -> Told {
+    fn rename(&self, old: &DeclaredNames, new: &DeclaredNames) -> DeclaredNames {
         let mut current = vec![false; self.len];
         self.of_new.iter().for_each(|number| current[*number] = true);
-        let mut names = Told::with_capacity(self.len);
+        let mut names = DeclaredNames::with_capacity(self.len);
         for (name, current) in self.merge(old.iter(), new.iter()).into_iter().zip(current) {
             if current {
                 names.push(name);
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -9,11 +9,11 @@
     /// Which.
     pub id: KindId,
     /// Sum of the readiness of its backends.
-    pub ready: f64,
+    pub readiness: f64,
     /// Requests a second that one backend could serve; 0 before anything was learned.
-    pub speed: f64,
+    pub service_rate: f64,
     /// Part of all proxies' traffic that it is due.
-    pub share: f64,
+    pub traffic_share: f64,
 }
 
 /// What is known of a backend.
@@ -28,23 +28,28 @@
     /// Operators have taken it out.
     pub cordoned: bool,
     /// From 0 (send nothing) to 1 (healthy and warm).
-    pub ready: f64,
+    pub readiness: f64,
     /// Its part of this proxy's traffic.
-    pub share: f64,
+    pub traffic_share: f64,
     /// Attempts of this proxy that it holds, and may hold.
-    pub held: u32,
+    pub in_flight: u32,
     /// How many it may hold.
-    pub room: f64,
+    pub in_flight_limit: f64,
     /// Running share of error answers.
-    pub errors: f64,
+    pub error_rate: f64,
     /// Out of use, until this time at least.
-    pub ejected: Option<Time>,
+    pub ejected_until: Option<Time>,
 }
 
 impl Balancer {
     /// The kinds of machines, in the order of their numbers.
     pub fn kinds(&self) -> impl Iterator<Item = KindView> + '_ {
-        self.kinds.iter().map(|(id, k)| KindView { id: *id, ready: k.ready, speed: k.speed, share: k.share })
+        self.kinds.iter().map(|(id, k)| KindView {
+            id: *id,
+            readiness: k.ready,
+            service_rate: k.speed,
+            traffic_share: k.share,
+        })
     }
 
     /// The backends, in the order of their numbers.
@@ -54,12 +59,12 @@
             kind: p.entry.kind,
             state: p.entry.state,
             cordoned: p.cordoned,
-            ready: p.ready,
-            share: p.pull,
-            held: p.out,
-            room: p.room,
-            errors: p.errors,
-            ejected: p.ejected,
+            readiness: p.ready,
+            traffic_share: p.pull,
+            in_flight: p.out,
+            in_flight_limit: p.room,
+            error_rate: p.errors,
+            ejected_until: p.ejected,
         })
     }
 }
--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -171,7 +171,7 @@
                 return Outcome::Error;
             }
             if self.idle(upstream) {
-                return Outcome::Ok;
+                return Outcome::Success;
             }
             if self.farewell.get() && self.track.get().owed() == 0 {
                 self.end(Over::Left);
@@ -206,7 +206,7 @@
                 outcome = self.client.upward(&upstream) => outcome,
             };
             self.client.at.set(None);
-            if outcome == Outcome::Ok && self.client.leaves_clean(&upstream) {
+            if outcome == Outcome::Success && self.client.leaves_clean(&upstream) {
                 self.servers.put(leg.backend, upstream);
             }
             outcome
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -11,7 +11,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{Answer, Host, Labels};
-use lotusdeck_policy::{Arrival, ClassId, Effect, RequestId};
+use lotusdeck_policy::{Arrival, ClassId, RequestId, SideEffects};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
@@ -410,13 +410,13 @@
             let text = whole.and_then(|(h, body)| statement(h.kind, body));
             let last = ClassId(settings.config.classes.len().saturating_sub(1));
             let class = class(&self.settings.rules, who, text, last);
-            let safe = settings.config.classes[class.0].effect == Effect::Free;
+            let safe = settings.config.classes[class.0].side_effects == SideEffects::None;
             let may = |(h, body): &(Head, &[u8])| safe && h.length <= MAX_REPLAY && single(h.kind, body);
             let replay = whole.filter(may).map(|(h, _)| Bytes::copy_from_slice(&input[..HEAD + h.length]));
             (class, replay)
         };
         client.begin(replay);
-        let effect = settings.config.classes[class.0].effect;
+        let effect = settings.config.classes[class.0].side_effects;
         let time_left = settings.network.deadlines.get(class.0).copied().unwrap_or_default();
         let arrival = Arrival {
             request: RequestId(0),
@@ -424,8 +424,8 @@
             tenant: None,
             time_left,
             work_hint: None,
-            repeat: false,
-            uploading: false,
+            is_client_retry: false,
+            body_incomplete: false,
         };
         let work = Rc::new(Transaction { client: client.clone(), servers: self.servers.clone() });
         let labels = || Labels { id: String::new(), class: "transaction".into(), key: String::new() };
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -4,7 +4,7 @@
 use crate::wire::{message, put, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{span, Lines};
-use lotusdeck_policy::settings::Network;
+use lotusdeck_policy::settings::NetworkSettings;
 use lotusdeck_policy::{BackendId, Outcome};
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 use std::cell::{Cell, RefCell};
@@ -127,13 +127,13 @@
 
 impl Servers {
     /// None is open yet; at most so many will be.
-    pub fn new(login: Login, network: &Network, most: usize) -> Rc<Servers> {
+    pub fn new(login: Login, network: &NetworkSettings, most: usize) -> Rc<Servers> {
         Rc::new(Servers {
             login,
             idle: RefCell::default(),
             open: Rc::default(),
             most,
-            keep: Cell::new(span(network.conn_idle)),
+            keep: Cell::new(span(network.idle_timeout)),
             connect_timeout: Cell::new(span(network.connect_timeout)),
             params: RefCell::default(),
         })
@@ -200,7 +200,7 @@
                 let prepared = RefCell::default();
                 Ok(Upstream { tcp, to, input, output, key, prepared, since: Instant::now(), _slot: slot })
             }
-            Ok(Err(Refusal::Said(code))) if code == "53300" || code == "57P03" => Err(Outcome::Full),
+            Ok(Err(Refusal::Said(code))) if code == "53300" || code == "57P03" => Err(Outcome::Rejected),
             Ok(Err(refusal)) => {
                 match refusal {
                     Refusal::Io => {}
@@ -315,8 +315,8 @@
         }
     }
 
-    fn adopt(&self, network: &Network) {
-        self.keep.set(span(network.conn_idle));
+    fn adopt(&self, network: &NetworkSettings) {
+        self.keep.set(span(network.idle_timeout));
         self.connect_timeout.set(span(network.connect_timeout));
     }
 }
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -67,7 +67,7 @@
         if !stays_in_class(head.uri.path()) {
             return Err(Fault::Path);
         }
-        let effect = rules.config.classes[class.0].effect;
+        let effect = rules.config.classes[class.0].side_effects;
         let most = rules.network.deadlines[class.0];
         let (name, left, length) = check(&head, &body, client.stream.sized(), effect, most)?;
         let (body, _kept) =
@@ -83,8 +83,8 @@
             tenant,
             time_left: left,
             work_hint: headers.get("x-weight-hint").and_then(number).map(|us| Micros(us as u64)),
-            repeat: headers.get("x-repeat").is_some_and(|v| v == "1"),
-            uploading: body.flow().is_some(),
+            is_client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
+            body_incomplete: body.flow().is_some(),
         };
         strip_hop_by_hop(&mut headers);
         let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -165,9 +165,9 @@
         }
         // Where chunks hide what is on its way the last byte counts as written once it was given away.
         let given = length.is_none() && upload.is_some_and(|u| u.whole());
-        let heard = ended.as_ref().is_ok_and(|e| judge(&e.head) == Outcome::Full);
+        let heard = ended.as_ref().is_ok_and(|e| judge(&e.head) == Outcome::Rejected);
         if !c.stream.request_written() && !given {
-            let outcome = if heard { Outcome::Full } else { Outcome::ConnectFailed };
+            let outcome = if heard { Outcome::Rejected } else { Outcome::ConnectFailed };
             return outcome.into(); // the backend begins with the last byte, and never before it
         }
         let mut reply = match ended {
@@ -207,7 +207,7 @@
                 AnswerBody::Flow(flow, None)
             }
         };
-        Ended { outcome, status, served: (outcome == Outcome::Ok).then_some(Served { headers, body }) }
+        Ended { outcome, status, served: (outcome == Outcome::Success).then_some(Served { headers, body }) }
     }
 }
 
@@ -215,8 +215,8 @@
 pub(crate) fn judge(answer: &Parts) -> Outcome {
     let unprocessed = answer.headers.get("x-unprocessed").is_some_and(|v| v == "1");
     match answer.status {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
+        StatusCode::OK => Outcome::Success,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -25,7 +25,7 @@
 use crate::list::{List, Told};
 use call::{Call, Dialer, Ended, Link, Question};
 use lotusdeck_core::{span, Host};
-use lotusdeck_policy::{Discovery, ListUpdate};
+use lotusdeck_policy::{DiscoveryMode, ListUpdate};
 use pacing::{backoff, spread, GAP, MOST_CALLS};
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -65,10 +65,10 @@
 /// and what they were not told of counts as told after 4 s (docs/scale.md). Where `kept` is given, every list
 /// taken goes on to it.
 pub async fn watch(
-    host: Rc<Host>, mut moved: Receiver<(SocketAddr, Discovery)>, known: u64, kept: Option<Kept>,
+    host: Rc<Host>, mut moved: Receiver<(SocketAddr, DiscoveryMode)>, known: u64, kept: Option<Kept>,
 ) {
     // An agent's answers cost nothing: begin with the truth.
-    let index = (moved.borrow().1 != Discovery::Push).then_some(known);
+    let index = (moved.borrow().1 != DiscoveryMode::Push).then_some(known);
     let (check, moves, answered) = (Cell::default(), Cell::default(), Cell::default());
     let watch = Rc::new(Watch { host, index: Cell::new(index), check, moves, answered, kept });
     let dialer = Rc::new(Dialer::default());
@@ -76,7 +76,7 @@
     let mut begun = false;
     loop {
         let (at, mode) = *moved.borrow_and_update();
-        if let Discovery::Subscribe(_) = mode {
+        if let DiscoveryMode::Subscribe { .. } = mode {
             if !std::mem::replace(&mut begun, true) {
                 watch.host.followed().await;
             }
@@ -161,24 +161,24 @@
 
 impl Watch {
     /// Discovery is elsewhere, or tells in another way.
-    fn follow_elsewhere(&self, mode: Discovery) {
+    fn follow_elsewhere(&self, mode: DiscoveryMode) {
         self.moves.set(self.moves.get() + 1);
         self.answered.set(false);
         match mode {
-            Discovery::Push => self.index.set(None),
-            Discovery::Subscribe(within) => {
+            DiscoveryMode::Push => self.index.set(None),
+            DiscoveryMode::Subscribe { poll_within: within } => {
                 // Spread evenly over the proxies, as their first calls could not be.
-                let share = spread(self.host.settings().config.position);
+                let share = spread(self.host.settings().config.proxy_index);
                 self.check.set(Some(Instant::now() + span(within.times(1.0 + 2.0 * share))));
             }
         }
     }
 
     /// Follows one discovery for ever, from what is held on.
-    async fn follow(self: &Rc<Self>, mode: Discovery, calls: &mut Calls) {
+    async fn follow(self: &Rc<Self>, mode: DiscoveryMode, calls: &mut Calls) {
         let (mut link, mut failures) = (None, 0u32);
         // A call of the module's, or after a failure, is answered once, by what it missed; only what follows waits.
-        let mut wait = if mode == Discovery::Push { WAIT } else { Duration::ZERO };
+        let mut wait = if mode == DiscoveryMode::Push { WAIT } else { Duration::ZERO };
         loop {
             if calls.out.is_empty() {
                 calls.open(link.take(), self.question(wait));
@@ -223,20 +223,22 @@
 
     /// A list was taken, whole or not, or a call failed. Where the whole list was asked for to compare with it and did
     /// not come, what is newer comes first, and the comparison some time later.
-    fn checked(&self, asked: bool, whole: bool, mode: Discovery) {
+    fn checked(&self, asked: bool, whole: bool, mode: DiscoveryMode) {
         match mode {
             _ if whole => self.check.set(None),
-            Discovery::Subscribe(within) if asked => self.check.set(Some(Instant::now() + span(within))),
+            DiscoveryMode::Subscribe { poll_within: within } if asked => {
+                self.check.set(Some(Instant::now() + span(within)))
+            }
             _ => {}
         }
     }
 
     /// The pause after a failed call, with no other out.
-    async fn pause(&self, mode: Discovery, failures: u32) {
+    async fn pause(&self, mode: DiscoveryMode, failures: u32) {
         match mode {
-            Discovery::Push => tokio::time::sleep(backoff(failures)).await,
-            Discovery::Subscribe(_) => {
-                self.host.members(ListUpdate::Lost, Vec::new());
+            DiscoveryMode::Push => tokio::time::sleep(backoff(failures)).await,
+            DiscoveryMode::Subscribe { .. } => {
+                self.host.members(ListUpdate::Failed, Vec::new());
                 self.host.followed().await; // when to ask again is the module's to say
             }
         }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -69,7 +69,7 @@
             read.extend_from_slice(&data);
             let kept = kept.grow(data.len());
             let flows = large || read.len() > WHOLE || !kept && head.status == StatusCode::OK;
-            if flows && judge(&head) != Outcome::Ok {
+            if flows && judge(&head) != Outcome::Success {
                 return Err(Broken::Spoilt);
             }
             if flows && !body.is_end_stream() {
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/list.rs
@@ -1,7 +1,7 @@
 //! The backend list in discovery's JSON form, and what its lines say, whole or in part.
 
 use lotusdeck_core::{Endpoint, News, Partial};
-use lotusdeck_policy::settings::Row;
+use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendState, CellId, Time};
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -63,7 +63,7 @@
     match status {
         "SERVING" => Some(BackendState::Ready),
         "DRAINING" => Some(BackendState::Draining),
-        "DELETED" => Some(BackendState::Gone),
+        "DELETED" => Some(BackendState::Removed),
         _ => None,
     }
 }
@@ -80,9 +80,9 @@
         let address = e.address.parse();
         let address = address.map_err(|_| format!("address: expected IP:port, got {:?}", e.address))?;
         let booted = (e.since_ms > 0.0).then_some(Time((e.since_ms * 1e3) as u64));
-        let entry = Backend { cell: CellId(e.group), state, booted, ..Backend::default() };
+        let entry = Backend { cell: CellId(e.group), state, started_at: booted, ..Backend::default() };
         // The name is the same at every proxy; the address may not be.
-        let row = Row::new(&e.name, &e.address, &e.zone, &e.kind, entry);
+        let row = EndpointRecord::new(&e.name, &e.address, &e.zone, &e.kind, entry);
         Ok(Endpoint { name: e.name, address, state, row })
     }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method};
-use lotusdeck_policy::{Effect, Micros};
+use lotusdeck_policy::{Micros, SideEffects};
 
 /// A request's id may be so long.
 const MAX_ID: usize = 128;
@@ -60,16 +60,16 @@
 /// The request's id, how long its client waits, at most `most`, and its body's length where it is told. `sized`:
 /// the head gives a length, be it one that hyper hides.
 pub fn check(
-    head: &Parts, body: &Incoming, sized: bool, effect: Effect, most: Micros,
+    head: &Parts, body: &Incoming, sized: bool, effect: SideEffects, most: Micros,
 ) -> Result<(HeaderValue, Micros, Option<u64>), Fault> {
     let headers = &head.headers;
     let id = single(headers, "x-correlation-id").map_err(|_| Fault::Id)?;
     let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ID).ok_or(Fault::Id)?;
     let keys = headers.get_all("idempotency-key").iter().count();
     let fits = match effect {
-        Effect::Free => head.method == Method::GET,
-        Effect::Keyed(..) => head.method == Method::POST && keys == 1,
-        Effect::Unsafe => head.method == Method::POST && keys <= 1,
+        SideEffects::None => head.method == Method::GET,
+        SideEffects::IdempotencyKey { .. } => head.method == Method::POST && keys == 1,
+        SideEffects::NonIdempotent => head.method == Method::POST && keys <= 1,
     };
     if !fits {
         return Err(Fault::Method);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Lines to events, actions to lines.
 
-use lotusdeck_policy::settings::{Names, Row};
+use lotusdeck_policy::settings::{EndpointRecord, Names};
 use lotusdeck_policy::*;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 pub struct Host {
     /// `None`: its settings were refused and a fault was sent.
     instances: HashMap<String, Option<Instance>>,
-    rosters: HashMap<u64, Vec<Row>>,
+    rosters: HashMap<u64, Vec<EndpointRecord>>,
     now: Option<Time>,
     actions: Vec<Action>,
 }
@@ -65,8 +65,8 @@
     fn outcome(&self, at: usize) -> Result<Outcome, String> {
         Ok(match self.whole(at, "an outcome code from 0 to 7")? {
             0 => Outcome::Error,
-            1 => Outcome::Ok,
-            2 => Outcome::Full,
+            1 => Outcome::Success,
+            2 => Outcome::Rejected,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
@@ -114,7 +114,7 @@
                     return Err(f.bad(0, "a roster number from 0 to 15"));
                 }
                 let rows = f.values[1].as_array().ok_or_else(|| f.bad(1, "an array of entries"))?;
-                let rows: Result<Vec<Row>, String> = rows.iter().map(row).collect();
+                let rows: Result<Vec<EndpointRecord>, String> = rows.iter().map(row).collect();
                 self.rosters.insert(id, rows?);
                 return Ok(false);
             }
@@ -165,33 +165,35 @@
     }
 }
 
-fn event(f: &Fields, to: &mut Instance, rosters: &HashMap<u64, Vec<Row>>) -> Result<Option<Event>, String> {
+fn event(
+    f: &Fields, to: &mut Instance, rosters: &HashMap<u64, Vec<EndpointRecord>>,
+) -> Result<Option<Event>, String> {
     Ok(Some(match f.name {
         "VIEW" => {
             let update = match f.text(3, "a list kind")? {
                 "incr" => ListUpdate::Changes,
                 "total" => ListUpdate::Full,
                 "warm_copy" => ListUpdate::Cached,
-                "lost" => ListUpdate::Lost,
+                "lost" => ListUpdate::Failed,
                 _ => return Err(f.bad(3, "incr, total, warm_copy or lost")),
             };
             let mut backends = Vec::new();
-            if update != ListUpdate::Lost {
+            if update != ListUpdate::Failed {
                 let id = f.whole(1, "a roster number")?;
                 for row in rosters.get(&id).ok_or_else(|| f.bad(1, "a known roster number"))? {
                     let id = to.backend(&row.address);
-                    backends.push(to.names.entry(row, id));
+                    backends.push(to.names.resolve(row, id));
                 }
             }
-            Event::Members { update, backends }
+            Event::EndpointsUpdated { update, backends }
         }
         "JOB_IN" => {
             let flags = f.values[6].as_u64().unwrap_or(0);
             Event::Request(Arrival {
                 request: f.request(1)?,
                 work_hint: f.values[2].as_u64().filter(|_| flags & 1 == 1).map(Micros),
-                repeat: flags & 2 == 2,
-                uploading: false,
+                is_client_retry: flags & 2 == 2,
+                body_incomplete: false,
                 time_left: Micros(f.whole(3, "the time left in microseconds")?),
                 tenant: match &f.values[5] {
                     Value::String(name) => {
@@ -213,11 +215,11 @@
                 attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
                 outcome: f.outcome(4)?,
                 latency: Micros(f.whole(5, "a time in microseconds")?),
-                settled: f.flag(6, "true or false")?,
-                spent: false,
+                request_answered: f.flag(6, "true or false")?,
+                body_consumed: false,
             })
         }
-        "VANISHED" => Event::ClientGone { request: f.request(1)? },
+        "VANISHED" => Event::ClientDisconnected { request: f.request(1)? },
         "TIMEOUT_FIRED" => Event::Timer { token: TimerToken(f.whole(1, "a token")?) },
         // MEMO, STATUS_BACK: peers are told nothing and no backend is probed, so neither is ever heard.
         _ => return Ok(None),
@@ -225,7 +227,7 @@
 }
 
 /// One entry of a list: an array in the order of the wire's page.
-fn row(row: &Value) -> Result<Row, String> {
+fn row(row: &Value) -> Result<EndpointRecord, String> {
     let bad = |what: &str| format!("list entry {row}: expected {what}");
     let row = row.as_array().filter(|r| r.len() == 7).ok_or_else(|| bad("an array of 7 values"))?;
     let text = |at: usize, what| row[at].as_str().ok_or_else(|| bad(what));
@@ -237,7 +239,7 @@
     let state = match text(4, "IN, LAME or OUT")? {
         "IN" => BackendState::Ready,
         "LAME" => BackendState::Draining,
-        "OUT" => BackendState::Gone,
+        "OUT" => BackendState::Removed,
         _ => return Err(bad("IN, LAME or OUT")),
     };
     let booted = match &row[6] {
@@ -247,10 +249,10 @@
     let entry = Backend {
         cell: CellId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
         state,
-        booted: booted.filter(|t| *t > 0).map(Time),
+        started_at: booted.filter(|t| *t > 0).map(Time),
         ..Backend::default()
     };
-    Ok(Row::new(address, address, text(0, "a zone")?, text(2, "a kind")?, entry))
+    Ok(EndpointRecord::new(address, address, text(0, "a zone")?, text(2, "a kind")?, entry))
 }
 
 fn put(reply: &mut Vec<u8>, value: &Value) {
@@ -265,7 +267,7 @@
             let to = address(backend);
             writeln!(reply, "[\"HAND_OFF\",\"{who}\",\"{:016x}\",\"{to}\",0]", request.0)
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             writeln!(reply, "[\"BOUNCE\",\"{who}\",\"{:016x}\",{}]", request.0, retry_after.0)
         }
         Action::Fail { request } => writeln!(reply, "[\"LOSE\",\"{who}\",\"{:016x}\"]", request.0),
@@ -273,7 +275,7 @@
             writeln!(reply, "[\"RECALL\",\"{who}\",\"{:016x}\",{}]", request.0, attempt.0)
         }
         Action::SetTimer { token, after } => writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0),
-        Action::Follow => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
+        Action::WatchEndpoints => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
         Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", who, text])),
     };
 }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -9,7 +9,7 @@
 use super::stand_ins::StandIns;
 use super::{Rig, ScaleRunError};
 use crate::drive::run::thread;
-use lotusdeck_policy::settings::{Names, Pinned, Settings};
+use lotusdeck_policy::settings::{IdsInUse, Names, Settings};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
@@ -75,7 +75,7 @@
     let second = read(&new)?;
     note(Metric::ReadSeconds, began.elapsed().as_secs_f64());
     let began = Instant::now();
-    let merged = first.succeeded_by(second, &first.names, &Pinned::default()).settings;
+    let merged = first.merge_successor(second, &first.names, &IdsInUse::default()).settings;
     note(Metric::SucceedSeconds, began.elapsed().as_secs_f64());
     note(Metric::LookupSeconds, lookup(size, &merged.names));
     Ok(())
--- a/crates/testbed/src/virt/backends.rs
+++ b/crates/testbed/src/virt/backends.rs
@@ -40,7 +40,7 @@
             self.held[backend].insert(ticket, attempt);
         } else {
             self.record(What::Ended { id, backend, how: How::TurnedAway });
-            self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Full });
+            self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Rejected });
         }
         self.schedule(backend);
     }
@@ -52,7 +52,7 @@
         for (_, ticket) in ended {
             if let Some(attempt) = self.held[backend].remove(&ticket) {
                 self.record(What::Ended { id: attempt.id, backend, how: How::Served });
-                self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Ok });
+                self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Success });
             }
         }
         self.schedule(backend);
--- a/crates/testbed/src/virt/discovery.rs
+++ b/crates/testbed/src/virt/discovery.rs
@@ -5,12 +5,12 @@
 use super::{Simulation, ONE_WAY};
 use crate::record::What;
 use crate::world::discovery::{Line, Status};
-use lotusdeck_policy::settings::Row;
+use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendId, BackendState, CellId, ListUpdate, Micros};
 
 /// A line of the list as a proxy reads it.
 struct ListedBackend {
-    row: Row,
+    row: EndpointRecord,
     id: BackendId,
     status: Status,
 }
@@ -37,12 +37,12 @@
         let state = match line.status {
             Status::Serving => BackendState::Ready,
             Status::Draining => BackendState::Draining,
-            Status::Deleted => BackendState::Gone,
+            Status::Deleted => BackendState::Removed,
         };
         let booted = line.since.map(module_time);
-        let entry = Backend { cell: CellId(spec.cell), state, booted, ..Backend::default() };
+        let entry = Backend { cell: CellId(spec.cell), state, started_at: booted, ..Backend::default() };
         ListedBackend {
-            row: Row::new(&spec.name, "127.0.0.1:1", &spec.zone, &spec.kind, entry),
+            row: EndpointRecord::new(&spec.name, "127.0.0.1:1", &spec.zone, &spec.kind, entry),
             id: BackendId(line.backend as u32),
             status: line.status,
         }
--- a/crates/testbed/src/virt/gossip.rs
+++ b/crates/testbed/src/virt/gossip.rs
@@ -26,7 +26,7 @@
         let all: f64 = out.iter().sum();
         for (proxy, own) in out.iter().enumerate() {
             if self.proxies[proxy].alive() {
-                self.proxies[proxy].push(lotusdeck_policy::Event::Others { held: all - own });
+                self.proxies[proxy].push(lotusdeck_policy::Event::FleetLoad { in_flight: all - own });
                 self.pump(proxy);
             }
         }
--- a/crates/testbed/src/virt/proxy.rs
+++ b/crates/testbed/src/virt/proxy.rs
@@ -4,7 +4,7 @@
 use crate::record::TryId;
 use crate::world::plan::Plan;
 use crate::world::station::Ticket;
-use lotusdeck_policy::settings::{Names, Row, Settings};
+use lotusdeck_policy::settings::{EndpointRecord, Names, Settings};
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -117,8 +117,8 @@
             tenant,
             time_left,
             work_hint,
-            repeat,
-            uploading,
+            is_client_retry: repeat,
+            body_incomplete: uploading,
         }));
         request
     }
@@ -132,20 +132,20 @@
     /// The module stayed silent to the deadline: the request is over, and whose it was is told so.
     pub fn give_up(&mut self, request: RequestId) -> Option<TryId> {
         let live = self.requests.remove(&request)?;
-        self.push(Event::ClientGone { request });
+        self.push(Event::ClientDisconnected { request });
         Some(live.id)
     }
 
     pub fn client_gone(&mut self, request: RequestId) {
         if self.requests.remove(&request).is_some() {
-            self.push(Event::ClientGone { request });
+            self.push(Event::ClientDisconnected { request });
         }
     }
 
     pub fn members(
-        &mut self, update: ListUpdate, lines: impl Iterator<Item = (Row, BackendId)>, version: u64,
+        &mut self, update: ListUpdate, lines: impl Iterator<Item = (EndpointRecord, BackendId)>, version: u64,
     ) {
-        let lines: Vec<Backend> = lines.map(|(row, id)| self.names.entry(&row, id)).collect();
+        let lines: Vec<Backend> = lines.map(|(row, id)| self.names.resolve(&row, id)).collect();
         for b in &lines {
             let serves = b.state == BackendState::Ready;
             self.serving.insert(b.id.0 as usize, serves);
@@ -154,7 +154,7 @@
             }
         }
         self.version = version;
-        self.push(Event::Members { update, backends: lines });
+        self.push(Event::EndpointsUpdated { update, backends: lines });
     }
 
     pub fn cordon(&mut self, which: &[BackendId], out: bool) {
@@ -193,15 +193,22 @@
         &mut self, now: Time, key: (RequestId, AttemptNo), outcome: Outcome,
     ) -> Option<(usize, Ticket)> {
         let flight = self.flights.remove(&key)?;
-        if matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if matches!(outcome, Outcome::Success | Outcome::Rejected) {
             *self.idle.entry(flight.backend).or_default() += 1;
         }
         let (request, attempt) = key;
         // The answer goes out before the module hears of it, as in the core.
-        let served = outcome == Outcome::Ok && self.requests.contains_key(&request);
+        let served = outcome == Outcome::Success && self.requests.contains_key(&request);
         let settled = served || !self.requests.contains_key(&request);
         let latency = now - flight.since;
-        let end = AttemptEnd { request, attempt, outcome, latency, settled, spent: false };
+        let end = AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            request_answered: settled,
+            body_consumed: false,
+        };
         self.push(Event::AttemptEnded(end));
         if served {
             self.served.push(request);
@@ -242,7 +249,7 @@
                 self.flights.insert(key, Flight { backend, warm, since: now, ticket: None });
                 wishes.push(Stage::Connect { key, backend, warm });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.finish(request, Answer::Refused(retry_after), wishes)
             }
             Action::Fail { request } => self.finish(request, Answer::Failed, wishes),
@@ -252,11 +259,18 @@
                     .extend(flight.ticket.map(|ticket| Stage::Withdraw { backend: flight.backend, ticket }));
                 let (outcome, latency) = (Outcome::Cancelled, now - flight.since);
                 let settled = !self.requests.contains_key(&request);
-                let end = AttemptEnd { request, attempt, outcome, latency, settled, spent: false };
+                let end = AttemptEnd {
+                    request,
+                    attempt,
+                    outcome,
+                    latency,
+                    request_answered: settled,
+                    body_consumed: false,
+                };
                 self.push(Event::AttemptEnded(end));
             }
             Action::SetTimer { token, after } => wishes.push(Stage::Timer { token, after }),
-            Action::Follow | Action::Log(_) => {}
+            Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
--- a/crates/testbed/src/virt/rivals.rs
+++ b/crates/testbed/src/virt/rivals.rs
@@ -122,7 +122,7 @@
     /// Sends a request, or ends it where it may not or cannot be sent again.
     fn send(&mut self, now: Time, id: RequestId, sight: Sight, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let free = matches!(self.config.classes[open.class].effect, Effect::Free);
+        let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
         let may = (free || !open.ran) && tried.len() < self.config.max_attempts as usize;
         let harmless = free || !open.ran;
@@ -137,7 +137,7 @@
             None => {
                 self.open.remove(&id);
                 let retry_after = Micros(100_000);
-                let refuse = Action::Refuse { request: id, retry_after };
+                let refuse = Action::Reject { request: id, retry_after };
                 actions.push(if harmless { refuse } else { Action::Fail { request: id } });
             }
         }
@@ -156,7 +156,7 @@
 impl Policy for Rival {
     fn handle(&mut self, now: Time, event: Event, sight: Sight, actions: &mut Vec<Action>) {
         match event {
-            Event::Members { update, backends } => {
+            Event::EndpointsUpdated { update, backends } => {
                 if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
                     self.listed.clear();
                 }
@@ -167,7 +167,7 @@
                 self.cordoned = backends;
                 self.list();
             }
-            Event::Settings { config, .. } => self.config = *config,
+            Event::ConfigApplied { config, .. } => self.config = *config,
             Event::Request(a) => {
                 self.open.insert(a.request, Open { class: a.class.0, tried: Vec::new(), ran: false });
                 self.send(now, a.request, sight, actions);
@@ -178,7 +178,7 @@
                 sent.2 = false;
                 let backend = sent.0;
                 open.ran |= !end.outcome.never_ran();
-                let over = end.settled || end.outcome == Outcome::Ok;
+                let over = end.request_answered || end.outcome == Outcome::Success;
                 self.release(backend, (end.outcome != Outcome::NeverSent).then(|| end.latency.secs()));
                 if over {
                     self.open.remove(&end.request);
@@ -189,7 +189,7 @@
                     self.send(now, end.request, sight, actions);
                 }
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 let Some(open) = self.open.remove(&request) else { return };
                 for (no, (backend, _, out)) in open.tried.iter().enumerate() {
                     if *out {
@@ -198,10 +198,10 @@
                     }
                 }
             }
-            Event::Processes { .. }
-            | Event::Remembered(_)
-            | Event::Others { .. }
-            | Event::Uploaded { .. }
+            Event::ProcessCount { .. }
+            | Event::Restored(_)
+            | Event::FleetLoad { .. }
+            | Event::BodyReceived { .. }
             | Event::StreamStarted { .. }
             | Event::Timer { .. } => {}
         }
