--- a/crates/core/examples/reload.rs
+++ b/crates/core/examples/reload.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p lotusdeck-core --example reload`.
 
 use lotusdeck_core::cordon::Cordon;
-use lotusdeck_core::{Beside, Clock, Endpoint, Host};
+use lotusdeck_core::{Clock, Endpoint, Host, OptionalServices};
 use lotusdeck_policy::settings::{EndpointRecord, Settings};
 use lotusdeck_policy::{Backend, BackendState, Balancer, ListUpdate};
 use serde_json::{json, Value};
@@ -51,18 +51,18 @@
         let first = Settings::read(&settings(classes, tenants, 0))?;
         let balancer = Balancer::new(first.config.clone(), 1)?;
         let cordon = Cordon::load(&std::env::temp_dir().join("reload-example"));
-        let host = Host::new(balancer, first, Clock::new(), Vec::new(), cordon, Beside::default());
-        host.members(ListUpdate::Full, (0..BACKENDS).map(endpoint).collect::<Vec<_>>());
+        let host = Host::new(balancer, first, Clock::new(), Vec::new(), cordon, OptionalServices::default());
+        host.update_endpoints(ListUpdate::Full, (0..BACKENDS).map(endpoint).collect::<Vec<_>>());
         let mut holds = Vec::new();
         for change in 1..=CHANGES {
             let first = change * classes.max(tenants).div_ceil(REPLACED);
             let new = Settings::read(&settings(classes, tenants, first))?;
             let began = Instant::now();
-            let in_force = host.in_force();
+            let in_force = host.active_settings();
             let before = began.elapsed();
-            let successor = in_force.succeeded_by(new); // on another thread
+            let successor = in_force.prepare(new); // on another thread
             let began = Instant::now();
-            host.adopt(successor)?;
+            host.apply_settings(successor)?;
             holds.push(before.max(began.elapsed()).as_secs_f64() * 1e6);
         }
         holds.sort_unstable_by(f64::total_cmp);
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -33,6 +33,6 @@
 }
 
 /// The module's span as the standard library's.
-pub fn span(of: Micros) -> Duration {
+pub fn to_duration(of: Micros) -> Duration {
     Duration::from_micros(of.0)
 }
--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -54,8 +54,8 @@
 pub struct Cordon {
     file: PathBuf,
     lock: PathBuf,
-    out: RefCell<BTreeSet<String>>,
-    seen: Cell<Option<Stamp>>,
+    cordoned: RefCell<BTreeSet<String>>,
+    file_stamp: Cell<Option<Stamp>>,
 }
 
 impl Cordon {
@@ -64,30 +64,30 @@
         let cordon = Cordon {
             file: base.with_extension("cordon"),
             lock: base.with_extension("cordon.lock"),
-            out: RefCell::default(),
-            seen: Cell::new(None),
+            cordoned: RefCell::default(),
+            file_stamp: Cell::new(None),
         };
         cordon.refresh();
         cordon
     }
 
-    pub fn holds(&self, id: &str) -> bool {
-        self.out.borrow().contains(id)
+    pub fn contains(&self, id: &str) -> bool {
+        self.cordoned.borrow().contains(id)
     }
 
     pub fn count(&self) -> usize {
-        self.out.borrow().len()
+        self.cordoned.borrow().len()
     }
 
     /// Takes in what another process wrote; whether anything changed.
     pub fn refresh(&self) -> bool {
         // A file that is not there bans nobody: it is written before the first yes and never removed.
         let Ok(found) = std::fs::metadata(&self.file) else { return false };
-        if self.seen.replace(Some(stamp(&found))) == Some(stamp(&found)) {
+        if self.file_stamp.replace(Some(stamp(&found))) == Some(stamp(&found)) {
             return false;
         }
         match read(&self.file) {
-            Ok(out) => self.out.replace(out.clone()) != out,
+            Ok(out) => self.cordoned.replace(out.clone()) != out,
             Err(e) => {
                 warn!(error = %e, "the file of cordons cannot be read; those known stay");
                 false
@@ -99,11 +99,11 @@
     pub async fn set(&self, id: &str, out: bool) -> Result<bool, CordonError> {
         let _lock = self.locked().await?;
         self.refresh();
-        let mut set = self.out.borrow().clone();
+        let mut set = self.cordoned.borrow().clone();
         let changed = if out { set.insert(id.into()) } else { set.remove(id) };
         if changed {
             self.save(&set)?;
-            self.out.replace(set);
+            self.cordoned.replace(set);
         }
         Ok(changed)
     }
@@ -130,7 +130,7 @@
         file.write_all(text.as_bytes())?;
         let written = stamp(&file.metadata()?);
         std::fs::rename(&beside, &self.file)?;
-        self.seen.set(Some(written));
+        self.file_stamp.set(Some(written));
         Ok(())
     }
 }
@@ -165,9 +165,9 @@
         assert!(a.set("s-1", true).await.unwrap() && b.set("s-2", true).await.unwrap());
         assert!(!b.set("s-1", true).await.unwrap(), "it is out already");
         assert!(a.refresh() && !a.refresh());
-        assert!(a.holds("s-1") && a.holds("s-2") && b.holds("s-1"));
+        assert!(a.contains("s-1") && a.contains("s-2") && b.contains("s-1"));
         assert!(a.set("s-1", false).await.unwrap(), "one call back undoes two calls out");
-        assert!(b.refresh() && !b.holds("s-1") && b.holds("s-2"));
+        assert!(b.refresh() && !b.contains("s-1") && b.contains("s-2"));
         assert_eq!(Cordon::load(&base).count(), 1);
     }
 
@@ -177,7 +177,7 @@
         let base = base("damaged");
         std::fs::write(base.with_extension("cordon"), b"s-1\n\xff\xfe\0\ns-2\nhalf a line").unwrap();
         let cordon = Cordon::load(&base);
-        assert!(cordon.holds("s-1") && cordon.holds("s-2") && cordon.count() == 2);
+        assert!(cordon.contains("s-1") && cordon.contains("s-2") && cordon.count() == 2);
         cordon.set("s-3", true).await.unwrap();
         assert_eq!(Cordon::load(&base).count(), 3);
     }
@@ -186,6 +186,6 @@
     #[tokio::test]
     async fn what_cannot_be_saved_is_not_taken() {
         let cordon = Cordon::load(Path::new("/nowhere/at/all"));
-        assert!(cordon.set("s-1", true).await.is_err() && !cordon.holds("s-1"));
+        assert!(cordon.set("s-1", true).await.is_err() && !cordon.contains("s-1"));
     }
 }
--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -26,36 +26,43 @@
     /// Final answers: served.
     served,
     /// Refused, harmless to repeat.
-    refused,
+    #[serde(rename = "refused")]
+    rejected,
     /// Failed, nothing promised.
     failed,
     /// The module stayed silent to the deadline.
     timed_out,
     /// The client left first.
-    gone,
+    #[serde(rename = "gone")]
+    client_disconnects,
     /// Sent to backends.
     attempts,
     /// Turned away unseen.
-    full,
+    #[serde(rename = "full")]
+    attempts_rejected,
     /// Answered with an error.
-    errors,
+    #[serde(rename = "errors")]
+    attempts_with_error_answer,
     /// Broken off.
-    resets,
+    #[serde(rename = "resets")]
+    attempts_reset,
     /// No connection came up.
-    unconnected,
+    #[serde(rename = "unconnected")]
+    attempts_not_connected,
     /// Given up before the first byte.
-    unsent,
+    #[serde(rename = "unsent")]
+    attempts_not_sent,
 }
 
 impl Counts {
     /// An attempt ended.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn count_attempt_end(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Rejected => self.full += 1,
-            Outcome::Error => self.errors += 1,
-            Outcome::Reset => self.resets += 1,
-            Outcome::ConnectFailed => self.unconnected += 1,
-            Outcome::NeverSent => self.unsent += 1,
+            Outcome::Rejected => self.attempts_rejected += 1,
+            Outcome::Error => self.attempts_with_error_answer += 1,
+            Outcome::Reset => self.attempts_reset += 1,
+            Outcome::ConnectFailed => self.attempts_not_connected += 1,
+            Outcome::NeverSent => self.attempts_not_sent += 1,
             Outcome::Success | Outcome::TimedOut | Outcome::Cancelled => {}
         }
     }
--- a/crates/core/src/memory.rs
+++ b/crates/core/src/estimates.rs
@@ -40,10 +40,10 @@
         (names.kind_id(name), KindEstimates { latency: estimate(*latency), flow: estimate(*flow) })
     });
     let ejected =
-        learned.ejected.iter().filter_map(|(name, strikes)| Some((registry.number(name)?, *strikes)));
+        learned.ejected.iter().filter_map(|(name, strikes)| Some((registry.id_of(name)?, *strikes)));
     let spent = learned.spent.iter().filter_map(|s| {
         let ago = Micros(s.ago_ms.saturating_mul(1_000));
-        Some(WarmupSpend { backend: registry.number(&s.backend)?, ago, work: s.work })
+        Some(WarmupSpend { backend: registry.id_of(&s.backend)?, ago, work: s.work })
     });
     Snapshot {
         overall_latency: estimate(learned.overall),
--- a/crates/core/src/host/actions.rs
+++ b/crates/core/src/host/actions.rs
@@ -8,7 +8,7 @@
 
 impl Host {
     /// Passes an event on, and all that follows from it.
-    pub(super) fn tell(self: &Rc<Self>, event: Event) {
+    pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         s.events.push_back(event);
@@ -26,7 +26,7 @@
             Action::Dispatch { request, backend } => {
                 self.dispatch(s, now, request, backend, Host::attempt_ended);
             }
-            Action::Reject { request, retry_after } => self.refuse(s, request, retry_after),
+            Action::Reject { request, retry_after } => self.reject(s, request, retry_after),
             Action::Fail { request } => {
                 s.counts.failed += 1;
                 self.finish(s, request, Answer::Failed);
@@ -36,7 +36,7 @@
                 s.events.extend(end.map(Event::AttemptEnded));
             }
             Action::SetTimer { token, after } => self.timers.set(now + after, token),
-            Action::WatchEndpoints => self.follow.notify_one(),
+            Action::WatchEndpoints => self.watch_request.notify_one(),
             Action::Log(text) => info!(target: LOG_TARGET, module = %text, "decided"),
         }
     }
@@ -45,7 +45,7 @@
     pub(super) fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: AttemptNo, outcome: Outcome) {
         let end = self.close_attempt(&mut self.state.borrow_mut(), id, attempt, outcome);
         if let Some(end) = end {
-            self.tell(Event::AttemptEnded(end));
+            self.handle_event(Event::AttemptEnded(end));
         }
     }
 
--- a/crates/core/src/host/answers.rs
+++ b/crates/core/src/host/answers.rs
@@ -8,24 +8,24 @@
     /// Gives the final answer; nothing where the request is over.
     pub(super) fn finish(&self, s: &mut State, id: RequestId, answer: Answer) {
         if let Some(request) = s.requests.remove(&id) {
-            self.settled(id, &request);
+            self.release_request(id, &request);
             let _ = request.answer.send(answer);
         }
     }
 
     /// Refuses a request: the client may come again after that time.
-    pub(super) fn refuse(&self, s: &mut State, id: RequestId, retry_after: Micros) {
-        s.counts.refused += 1;
-        self.finish(s, id, Answer::Refused(retry_after));
+    pub(super) fn reject(&self, s: &mut State, id: RequestId, retry_after: Micros) {
+        s.counts.rejected += 1;
+        self.finish(s, id, Answer::Rejected(retry_after));
     }
 
     /// Tells journal and limits that a request is over.
-    pub(super) fn settled(&self, id: RequestId, request: &OpenRequest) {
-        if let Some(journal) = self.beside.journal.as_ref().filter(|_| request.journaled) {
-            journal.settled(id);
+    pub(super) fn release_request(&self, id: RequestId, request: &OpenRequest) {
+        if let Some(journal) = self.services.journal.as_ref().filter(|_| request.journaled) {
+            journal.request_finished(id);
         }
-        if let Some((gate, pass)) = self.beside.gate.as_ref().zip(request.pass.as_ref()) {
-            gate.leave(pass);
+        if let Some((gate, pass)) = self.services.fleet_limiter.as_ref().zip(request.admission.as_ref()) {
+            gate.release(pass);
         }
     }
 }
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -2,8 +2,8 @@
 
 use super::state::{Answer, OpenAttempt, State};
 use super::{Host, LOG_TARGET};
-use crate::registry::Known;
-use crate::work::Leg;
+use crate::exchange::AttemptContext;
+use crate::registry::KnownBackend;
 use lotusdeck_policy::{AttemptEnd, AttemptNo, BackendId, BackendState, Outcome, RequestId, Time};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,15 +26,18 @@
         let Some(leg) = self.leg(s, id, attempt, backend) else { return };
         let host = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let outcome = work.attempt(leg).await;
+            let outcome = work.send_attempt(leg).await;
             on_end(&host, id, attempt, outcome);
         });
-        let open = OpenAttempt { backend, sent: now, began: now, task: task.abort_handle(), journaled };
+        let open =
+            OpenAttempt { backend, sent_at: now, time_runs_from: now, task: task.abort_handle(), journaled };
         s.attempts.insert((id, attempt), open);
     }
 
     /// Where and until when an attempt goes, and what has to hold before its first byte.
-    fn leg(self: &Rc<Self>, s: &State, id: RequestId, attempt: AttemptNo, backend: BackendId) -> Option<Leg> {
+    fn leg(
+        self: &Rc<Self>, s: &State, id: RequestId, attempt: AttemptNo, backend: BackendId,
+    ) -> Option<AttemptContext> {
         let request = s.requests.get(&id)?;
         let known = s.registry.get(backend)?;
         let address = known.address;
@@ -43,9 +46,9 @@
         let host = self.clone();
         let gate = Box::new(move || host.may_send(id, (backend, address), send_by));
         // The journal writes while the connection comes up.
-        let journal = self.beside.journal.as_ref().filter(|_| request.journaled);
-        let clearance = journal.map(|journal| journal.intent(id, attempt, &known.name, address));
-        Some(Leg { attempt, backend, address, deadline, gate, clearance: clearance.into() })
+        let journal = self.services.journal.as_ref().filter(|_| request.journaled);
+        let clearance = journal.map(|journal| journal.attempt_intended(id, attempt, &known.name, address));
+        Some(AttemptContext { attempt, backend, address, deadline, gate, clearance: clearance.into() })
     }
 
     /// At the moment of the first byte: the list still allows it and still has the backend at that address, where
@@ -54,8 +57,9 @@
         &self, request: RequestId, (backend, to): (BackendId, SocketAddr), send_by: Option<Time>,
     ) -> bool {
         let s = self.state.borrow();
-        let usable =
-            |b: &Known| b.state == BackendState::Ready && b.address == to && !self.cordon.holds(&b.name);
+        let usable = |b: &KnownBackend| {
+            b.state == BackendState::Ready && b.address == to && !self.cordon.contains(&b.name)
+        };
         s.registry.get(backend).is_some_and(usable)
             && s.requests.contains_key(&request)
             && send_by.is_none_or(|at| self.clock.now() < at)
@@ -67,13 +71,13 @@
     ) -> Option<AttemptEnd> {
         let open = s.attempts.remove(&(id, attempt))?;
         open.task.abort(); // closes its connection, if it is still on one
-        s.counts.ended(outcome);
+        s.counts.count_attempt_end(outcome);
         self.journal_end(id, attempt, outcome, &open);
         if outcome == Outcome::TimedOut {
-            self.unanswered(&open);
+            self.notify_unanswered(&open);
         }
         if !outcome.never_ran() {
-            s.note_run(id, open.sent);
+            s.note_run(id, open.sent_at);
         }
         if outcome == Outcome::Success && s.requests.contains_key(&id) {
             s.counts.served += 1;
@@ -83,7 +87,7 @@
             let backend = open.backend.0;
             debug!(target: LOG_TARGET, request = id.0, attempt = attempt.0, backend, ?outcome, "attempt ended");
         }
-        Some(s.attempt_end(id, attempt, outcome, self.clock.now() - open.began))
+        Some(s.attempt_end(id, attempt, outcome, self.clock.now() - open.time_runs_from))
     }
 
     /// Gives up an attempt that the module cancels; `None` where it is not out. Counts are of ends that came otherwise.
@@ -93,20 +97,20 @@
         let open = s.attempts.remove(&(id, attempt))?;
         open.task.abort();
         self.journal_end(id, attempt, Outcome::Cancelled, &open);
-        self.unanswered(&open);
-        Some(s.attempt_end(id, attempt, Outcome::Cancelled, now - open.began))
+        self.notify_unanswered(&open);
+        Some(s.attempt_end(id, attempt, Outcome::Cancelled, now - open.time_runs_from))
     }
 
     /// Tells the journal of the end of an attempt that it was told of.
     fn journal_end(&self, id: RequestId, attempt: AttemptNo, outcome: Outcome, open: &OpenAttempt) {
-        if let Some((journal, work)) = self.beside.journal.as_ref().zip(open.journaled.as_ref()) {
-            journal.ended(id, attempt, outcome, work.status(attempt));
+        if let Some((journal, work)) = self.services.journal.as_ref().zip(open.journaled.as_ref()) {
+            journal.attempt_ended(id, attempt, outcome, work.answer_status(attempt));
         }
     }
 
     /// Tells the connections of an attempt that was given up unanswered.
-    fn unanswered(&self, open: &OpenAttempt) {
-        let sent = self.clock.instant(open.sent);
-        self.lines.iter().for_each(|lines| lines.unanswered(open.backend, sent));
+    fn notify_unanswered(&self, open: &OpenAttempt) {
+        let sent = self.clock.instant(open.sent_at);
+        self.pools.iter().for_each(|lines| lines.attempt_unanswered(open.backend, sent));
     }
 }
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -17,14 +17,14 @@
 
 pub use state::Answer;
 
-use crate::adoption::{InForce, Outdated, Successor};
 use crate::cordon::Cordon;
-use crate::gate::Gate;
+use crate::estimates;
+use crate::exchange::ConnectionPools;
+use crate::fleet_limits::FleetLimiter;
+use crate::id_usage::{IdGuard, IdUsage};
 use crate::journal::Journal;
-use crate::memory;
-use crate::pins::{Pin, Pins};
+use crate::settings_change::{ActiveSettings, Outdated, PreparedSettings};
 use crate::timers::Timers;
-use crate::work::Lines;
 use crate::Clock;
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ClassId, Event, Micros, TenantId};
@@ -46,11 +46,11 @@
 
 /// What stands beside the module, where there is any of it.
 #[derive(Clone, Default)]
-pub struct Beside {
+pub struct OptionalServices {
     /// The journal of requests that must never run twice.
     pub journal: Option<Rc<dyn Journal>>,
     /// Limits that hold for more than this process.
-    pub gate: Option<Rc<dyn Gate>>,
+    pub fleet_limiter: Option<Rc<dyn FleetLimiter>>,
 }
 
 /// Owns the module and all requests that are open. Fronts bring requests and wait for the one answer to each.
@@ -59,31 +59,31 @@
     /// The module's time.
     pub clock: Clock,
     /// The connections of all protocols.
-    lines: Vec<Rc<dyn Lines>>,
+    pools: Vec<Rc<dyn ConnectionPools>>,
     cordon: Cordon,
-    beside: Beside,
+    services: OptionalServices,
     timers: Timers,
     /// Woken when the module asks discovery for changes.
-    follow: Notify,
+    watch_request: Notify,
     /// Numbers of classes and tenants that requests being read speak of.
-    pins: Pins,
+    id_usage: IdUsage,
 }
 
 impl Host {
     /// A host that has taken no request yet; `lines` are those of all protocols.
     pub fn new(
-        balancer: Balancer, settings: Settings, clock: Clock, lines: Vec<Rc<dyn Lines>>, cordon: Cordon,
-        beside: Beside,
+        balancer: Balancer, settings: Settings, clock: Clock, lines: Vec<Rc<dyn ConnectionPools>>,
+        cordon: Cordon, services: OptionalServices,
     ) -> Rc<Host> {
         Rc::new(Host {
             state: RefCell::new(State::new(balancer, settings)),
             clock,
-            lines,
+            pools: lines,
             cordon,
-            beside,
+            services,
             timers: Timers::default(),
-            follow: Notify::new(),
-            pins: Pins::default(),
+            watch_request: Notify::new(),
+            id_usage: IdUsage::default(),
         })
     }
 
@@ -93,11 +93,11 @@
     }
 
     /// What new settings are merged with, on another thread.
-    pub fn in_force(&self) -> InForce {
+    pub fn active_settings(&self) -> ActiveSettings {
         let s = self.state.borrow();
-        let mut pinned = self.pins.all();
+        let mut pinned = self.id_usage.ids_in_use();
         pinned.classes.extend(s.balancer.classes_in_use());
-        InForce { settings: s.settings.clone(), names: s.names.clone(), pinned }
+        ActiveSettings { settings: s.settings.clone(), names: s.names.clone(), in_use: pinned }
     }
 
     /// Takes new settings, all at once and in a time that does not grow with their names but for what the module
@@ -105,82 +105,82 @@
     ///
     /// # Errors
     /// They were merged with others than those in force.
-    pub fn adopt(self: &Rc<Self>, new: Successor) -> Result<String, Outdated> {
+    pub fn apply_settings(self: &Rc<Self>, new: PreparedSettings) -> Result<String, Outdated> {
         {
             let mut s = self.state.borrow_mut();
             if !s.names.is_same_revision(&new.merged_with) {
                 return Err(Outdated);
             }
-            self.lines.iter().for_each(|lines| lines.adopt(&new.settings.network));
+            self.pools.iter().for_each(|lines| lines.apply_settings(&new.settings.network));
             s.generation += 1;
             s.names = new.settings.names.clone();
             s.settings = new.settings;
         }
-        self.tell(Event::ConfigApplied { config: new.config, reassigned: new.renewed });
+        self.handle_event(Event::ConfigApplied { config: new.config, reassigned: new.reassigned });
         Ok(new.difference)
     }
 
     /// A request that is read speaks of these numbers, found in [`Host::settings`] at this moment: they keep their
     /// meaning until the pin is dropped, whatever settings come meanwhile.
-    pub fn pin(&self, class: ClassId, tenant: Option<TenantId>) -> Pin {
-        self.pins.pin(class, tenant)
+    pub fn hold_ids(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
+        self.id_usage.hold(class, tenant)
     }
 
     /// What is held back of a client's time.
-    pub fn margin(&self) -> Micros {
+    pub fn reply_margin(&self) -> Micros {
         Micros((MARGIN.0 + self.timers.lag().0).min(MOST_MARGIN.0))
     }
 
     /// Another process serves beside this one, or does no more.
-    pub fn shared(self: &Rc<Self>, with_another: bool) {
+    pub fn set_other_process(self: &Rc<Self>, with_another: bool) {
         info!(processes = 1 + u32::from(with_another), "processes of this proxy");
-        self.beside.gate.iter().for_each(|gate| gate.shared(with_another));
-        self.tell(Event::ProcessCount { count: 1 + u32::from(with_another) });
+        self.services.fleet_limiter.iter().for_each(|gate| gate.set_other_process(with_another));
+        self.handle_event(Event::ProcessCount { count: 1 + u32::from(with_another) });
     }
 
     /// What was learned so far, by names; `None` where no request came since the last call.
-    pub fn learned(&self) -> Option<Learned> {
+    pub fn export_estimates(&self) -> Option<Learned> {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
-        let any_request = std::mem::replace(&mut s.learned_at, s.last_request) != s.last_request;
-        any_request.then(|| memory::named(&s.balancer.snapshot(self.clock.now()), &s.names, &s.registry))
+        let any_request = std::mem::replace(&mut s.exported_up_to, s.last_request) != s.last_request;
+        any_request.then(|| estimates::named(&s.balancer.snapshot(self.clock.now()), &s.names, &s.registry))
     }
 
     /// Takes back what was learned before the process began; after the first list, whose names it speaks of.
-    pub fn recall(self: &Rc<Self>, learned: &Learned) {
+    pub fn restore_estimates(self: &Rc<Self>, learned: &Learned) {
         let memory = {
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
-            memory::numbered(learned, &mut s.names, &s.registry)
+            estimates::numbered(learned, &mut s.names, &s.registry)
         };
-        self.tell(Event::Restored(Box::new(memory)));
+        self.handle_event(Event::Restored(Box::new(memory)));
     }
 
     /// Attempts that are out.
-    pub fn held(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.state.borrow().attempts.len()
     }
 
     /// What the other proxies told that they hold together.
-    pub fn others_hold(self: &Rc<Self>, held: f64) {
-        self.tell(Event::FleetLoad { in_flight: held });
+    pub fn set_fleet_load(self: &Rc<Self>, held: f64) {
+        self.handle_event(Event::FleetLoad { in_flight: held });
     }
 
     /// Until the module asks discovery for changes.
-    pub async fn followed(&self) {
-        self.follow.notified().await;
+    pub async fn watch_requested(&self) {
+        self.watch_request.notified().await;
     }
 
     /// Fires the module's timers for as long as the program runs.
-    pub async fn timers(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
-            match self.timers.next() {
-                None => self.timers.sooner().await,
+            match self.timers.next_due() {
+                None => self.timers.earlier_timer_set().await,
                 Some(at) => {
                     let due = tokio::time::sleep_until(self.clock.instant(at));
                     tokio::select! {
                         _ = due => self.fire(),
-                        _ = self.timers.sooner() => {}
+                        _ = self.timers.earlier_timer_set() => {}
                     }
                 }
             }
@@ -188,8 +188,8 @@
     }
 
     fn fire(self: &Rc<Self>) {
-        while let Some(token) = self.timers.due(self.clock.now()) {
-            self.tell(Event::Timer { token });
+        while let Some(token) = self.timers.take_due(self.clock.now()) {
+            self.handle_event(Event::Timer { token });
         }
     }
 }
--- a/crates/core/src/host/report.rs
+++ b/crates/core/src/host/report.rs
@@ -8,7 +8,7 @@
 
 impl Host {
     /// One line on what went on since the last.
-    pub fn report(&self) {
+    pub fn log_counts(&self) {
         let mut s = self.state.borrow_mut();
         let counts = std::mem::take(&mut s.counts);
         s.counts_before += counts;
@@ -16,16 +16,16 @@
             target: LOG_TARGET,
             requests = counts.requests,
             served = counts.served,
-            refused = counts.refused,
+            refused = counts.rejected,
             failed = counts.failed,
             overdue = counts.timed_out,
-            gone = counts.gone,
+            gone = counts.client_disconnects,
             attempts = counts.attempts,
-            full = counts.full,
-            errors = counts.errors,
-            resets = counts.resets,
-            unconnected = counts.unconnected,
-            unsent = counts.unsent,
+            full = counts.attempts_rejected,
+            errors = counts.attempts_with_error_answer,
+            resets = counts.attempts_reset,
+            unconnected = counts.attempts_not_connected,
+            unsent = counts.attempts_not_sent,
             open = s.requests.len(),
             lag_us = self.timers.lag().0,
             "requests"
@@ -43,8 +43,8 @@
             open_attempts: s.attempts.len(),
             timer_lag_us: self.timers.lag().0,
             counts,
-            ledger: self.beside.journal.as_ref().map(|journal| journal.status()),
-            fleet: self.beside.gate.as_ref().map(|gate| gate.status()),
+            ledger: self.services.journal.as_ref().map(|journal| journal.status()),
+            fleet: self.services.fleet_limiter.as_ref().map(|gate| gate.status()),
             kinds: s.balancer.kinds().map(|kind| kind_status(&s, kind)).collect(),
             backends: s.balancer.backends().filter_map(|backend| backend_status(&s, backend)).collect(),
         }
@@ -54,9 +54,9 @@
 fn kind_status(s: &State, kind: KindView) -> KindStatus {
     KindStatus {
         name: s.names.kind(kind.id).into(),
-        ready: kind.readiness,
-        speed_rps: kind.service_rate,
-        share: kind.traffic_share,
+        readiness: kind.readiness,
+        service_rate_rps: kind.service_rate,
+        traffic_share: kind.traffic_share,
     }
 }
 
@@ -69,11 +69,11 @@
         state: state_name(backend.state),
         cordoned: backend.cordoned,
         kind: s.names.kind(backend.kind).into(),
-        ready: backend.readiness,
-        share: backend.traffic_share,
-        held: backend.in_flight,
-        room: backend.in_flight_limit,
-        errors: backend.error_rate,
+        readiness: backend.readiness,
+        traffic_share: backend.traffic_share,
+        in_flight: backend.in_flight,
+        in_flight_limit: backend.in_flight_limit,
+        error_rate: backend.error_rate,
         ejected: backend.ejected_until.is_some(),
     })
 }
--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -1,9 +1,9 @@
 //! What the host owns: the module, the list of backends, the open requests and attempts.
 
 use crate::counts::Counts;
-use crate::gate::Pass;
+use crate::exchange::Exchange;
+use crate::fleet_limits::Admission;
 use crate::registry::Registry;
-use crate::work::Work;
 use lotusdeck_policy::settings::{Names, Settings};
 use lotusdeck_policy::{
     Action, AttemptEnd, AttemptNo, BackendId, Balancer, Event, Micros, Outcome, RequestId, Time,
@@ -20,7 +20,7 @@
     /// By this attempt: its answer lies with the work.
     Served(AttemptNo),
     /// With the time after which the client had better come again.
-    Refused(Micros),
+    Rejected(Micros),
     /// Nothing is promised.
     Failed,
     /// The module stayed silent to the deadline.
@@ -30,11 +30,11 @@
 /// A request that waits for its final answer.
 pub struct OpenRequest {
     /// What its attempts send.
-    pub work: Rc<dyn Work>,
+    pub work: Rc<dyn Exchange>,
     /// How long after the first send that may have run backends still drop a repeat, for a keyed class.
-    pub window: Option<Micros>,
+    pub idempotency_window: Option<Micros>,
     /// When the first attempt that may have run was sent, of those that have ended.
-    pub ran: Option<Time>,
+    pub first_may_have_run: Option<Time>,
     /// Takes the final answer.
     pub answer: oneshot::Sender<Answer>,
     /// When the client gives up.
@@ -44,15 +44,24 @@
     /// The journal is told of it.
     pub journaled: bool,
     /// What it was taken in under.
-    pub pass: Option<Pass>,
+    pub admission: Option<Admission>,
 }
 
 impl OpenRequest {
     /// One of which no attempt was begun.
     pub fn new(
-        work: Rc<dyn Work>, window: Option<Micros>, answer: oneshot::Sender<Answer>, deadline: Time,
+        work: Rc<dyn Exchange>, window: Option<Micros>, answer: oneshot::Sender<Answer>, deadline: Time,
     ) -> OpenRequest {
-        OpenRequest { work, window, ran: None, answer, deadline, attempts: 0, journaled: false, pass: None }
+        OpenRequest {
+            work,
+            idempotency_window: window,
+            first_may_have_run: None,
+            answer,
+            deadline,
+            attempts: 0,
+            journaled: false,
+            admission: None,
+        }
     }
 }
 
@@ -61,13 +70,13 @@
     /// Where it was sent.
     pub backend: BackendId,
     /// When it was handed to its protocol.
-    pub sent: Time,
+    pub sent_at: Time,
     /// When its last byte came: its time counts from then.
-    pub began: Time,
+    pub time_runs_from: Time,
     /// The task that sends it.
     pub task: AbortHandle,
     /// The journal is told of its end, and the work knows how that was.
-    pub journaled: Option<Rc<dyn Work>>,
+    pub journaled: Option<Rc<dyn Exchange>>,
 }
 
 /// All that changes while the host runs.
@@ -93,7 +102,7 @@
     /// The number of the last request.
     pub last_request: u64,
     /// The number of the last request when what was learned was last handed out.
-    pub learned_at: u64,
+    pub exported_up_to: u64,
     /// Counts since the last line about them.
     pub counts: Counts,
     /// Counts of all lines before.
@@ -114,7 +123,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
             last_request: 0,
-            learned_at: 0,
+            exported_up_to: 0,
             counts: Counts::default(),
             counts_before: Counts::default(),
         }
@@ -145,14 +154,14 @@
     /// come up, would run again. `None` where there is no such end.
     pub fn send_by(&self, id: RequestId, request: &OpenRequest, attempt: AttemptNo) -> Option<Time> {
         let earlier = (0..attempt.0).filter_map(|no| self.attempts.get(&(id, AttemptNo(no))));
-        let first_sent = earlier.map(|earlier| earlier.sent).chain(request.ran).min();
-        first_sent.zip(request.window).map(|(sent, window)| sent + window)
+        let first_sent = earlier.map(|earlier| earlier.sent_at).chain(request.first_may_have_run).min();
+        first_sent.zip(request.idempotency_window).map(|(sent, window)| sent + window)
     }
 
     /// Notes that an attempt which may have run, sent at that time, has ended.
     pub fn note_run(&mut self, id: RequestId, sent: Time) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.ran = Some(request.ran.map_or(sent, |ran| ran.min(sent)));
+            request.first_may_have_run = Some(request.first_may_have_run.map_or(sent, |ran| ran.min(sent)));
         }
     }
 
@@ -161,7 +170,7 @@
         &self, id: RequestId, attempt: AttemptNo, outcome: Outcome, latency: Micros,
     ) -> AttemptEnd {
         let request = self.requests.get(&id);
-        let spent = request.is_some_and(|request| request.work.spent());
+        let spent = request.is_some_and(|request| request.work.body_consumed());
         AttemptEnd {
             request: id,
             attempt,
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -1,9 +1,9 @@
 //! What is asked at the first byte of an attempt, and what is left of a request and a backend that are over.
 
-use super::{Beside, Host};
+use super::{Host, OptionalServices};
 use crate::cordon::Cordon;
+use crate::exchange::{AttemptContext, AttemptFuture, Exchange};
 use crate::registry::Endpoint;
-use crate::work::{Leg, Sending, Work};
 use crate::Clock;
 use lotusdeck_policy::settings::{EndpointRecord, Names, NetworkSettings, Settings};
 use lotusdeck_policy::{
@@ -16,14 +16,14 @@
 /// A request that stays out until it is given up.
 struct Endless;
 
-impl Work for Endless {
-    fn attempt(self: Rc<Self>, _: Leg) -> Sending {
+impl Exchange for Endless {
+    fn send_attempt(self: Rc<Self>, _: AttemptContext) -> AttemptFuture {
         Box::pin(std::future::pending())
     }
-    fn spent(&self) -> bool {
+    fn body_consumed(&self) -> bool {
         false
     }
-    fn status(&self, _: AttemptNo) -> Option<u16> {
+    fn answer_status(&self, _: AttemptNo) -> Option<u16> {
         None
     }
 }
@@ -45,8 +45,14 @@
     };
     let balancer = Balancer::new(Config::example(), 1).unwrap();
     let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-    let host =
-        Host::new(balancer, settings, Clock::new(), Vec::new(), Cordon::load(&none), Beside::default());
+    let host = Host::new(
+        balancer,
+        settings,
+        Clock::new(),
+        Vec::new(),
+        Cordon::load(&none),
+        OptionalServices::default(),
+    );
     let at = |state, port: u16| {
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let row =
@@ -57,7 +63,7 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            host.members(ListUpdate::Changes, news(BackendState::Ready));
+            host.update_endpoints(ListUpdate::Changes, news(BackendState::Ready));
             let arrival = Arrival {
                 request: RequestId(0),
                 class: ClassId(0),
@@ -67,20 +73,20 @@
                 is_client_retry: false,
                 body_incomplete: false,
             };
-            let (id, _wait) = host.request(arrival, Rc::new(Endless), SideEffects::None, || unreachable!());
+            let (id, _wait) = host.submit(arrival, Rc::new(Endless), SideEffects::None, || unreachable!());
             let (now, b) = (host.clock.now(), (BackendId(0), SocketAddr::from(([127, 0, 0, 1], 9))));
             assert!(host.may_send(id, b, None) && host.may_send(id, b, Some(now + Micros(60_000_000))));
             assert!(!host.may_send(id, b, Some(now)), "the window is over");
             assert!(!host.may_send(RequestId(99), b, None), "the request is over");
-            host.members(ListUpdate::Changes, at(BackendState::Ready, 10));
+            host.update_endpoints(ListUpdate::Changes, at(BackendState::Ready, 10));
             assert!(!host.may_send(id, b, None), "the backend is elsewhere, and another may be there");
-            host.members(ListUpdate::Changes, news(BackendState::Ready));
+            host.update_endpoints(ListUpdate::Changes, news(BackendState::Ready));
             assert!(host.may_send(id, b, None));
-            host.members(ListUpdate::Changes, news(BackendState::Draining));
+            host.update_endpoints(ListUpdate::Changes, news(BackendState::Draining));
             assert!(!host.may_send(id, b, None), "the backend drains");
-            host.client_gone(id);
+            host.client_disconnected(id);
             assert!(host.state.borrow().attempts.is_empty(), "nothing is out for a client that left");
-            host.members(ListUpdate::Changes, news(BackendState::Removed));
+            host.update_endpoints(ListUpdate::Changes, news(BackendState::Removed));
             let s = host.state.borrow();
             assert!(s.registry.is_empty(), "one that is gone is forgotten");
         })
--- a/crates/core/src/pins.rs
+++ b/crates/core/src/id_usage.rs
@@ -9,7 +9,7 @@
 
 /// How many requests speak of each number. There are no more entries than open requests.
 #[derive(Clone, Default)]
-pub(crate) struct Pins(Rc<RefCell<Counts>>);
+pub(crate) struct IdUsage(Rc<RefCell<Counts>>);
 
 #[derive(Default)]
 struct Counts {
@@ -18,25 +18,25 @@
 }
 
 /// Keeps what numbers mean for one request, until it is dropped.
-pub struct Pin {
-    pins: Pins,
+pub struct IdGuard {
+    usage: IdUsage,
     class: ClassId,
     tenant: Option<TenantId>,
 }
 
-impl Pins {
+impl IdUsage {
     /// A request speaks of these from now on.
-    pub fn pin(&self, class: ClassId, tenant: Option<TenantId>) -> Pin {
+    pub fn hold(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
         let mut counts = self.0.borrow_mut();
         *counts.classes.entry(class).or_default() += 1;
         if let Some(tenant) = tenant {
             *counts.tenants.entry(tenant).or_default() += 1;
         }
-        Pin { pins: self.clone(), class, tenant }
+        IdGuard { usage: self.clone(), class, tenant }
     }
 
     /// All that any request speaks of.
-    pub fn all(&self) -> IdsInUse {
+    pub fn ids_in_use(&self) -> IdsInUse {
         let counts = self.0.borrow();
         IdsInUse {
             classes: counts.classes.keys().copied().collect(),
@@ -45,9 +45,9 @@
     }
 }
 
-impl Drop for Pin {
+impl Drop for IdGuard {
     fn drop(&mut self) {
-        let mut counts = self.pins.0.borrow_mut();
+        let mut counts = self.usage.0.borrow_mut();
         release(&mut counts.classes, self.class);
         self.tenant.into_iter().for_each(|tenant| release(&mut counts.tenants, tenant));
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,28 +1,28 @@
 //! The core of the proxy: it owns the decision module, and with it requests, attempts, deadlines and the promise of
-//! exactly one final answer. It knows no protocol: a front hands it [`Work`], which sends itself, and keeps the
-//! connections that attempts go out on behind [`Lines`].
+//! exactly one final answer. It knows no protocol: a front hands it [`Exchange`], which sends itself, and keeps the
+//! connections that attempts go out on behind [`ConnectionPools`].
 
-mod adoption;
 mod clock;
 pub mod cordon;
 mod counts;
-mod former;
-mod gate;
+mod estimates;
+mod exchange;
+mod fleet_limits;
 mod host;
+mod id_usage;
 mod journal;
-mod memory;
-mod pins;
 mod registry;
+mod retired;
+mod settings_change;
 mod status;
 mod timers;
-mod work;
 
-pub use adoption::{InForce, Outdated, Successor};
-pub use clock::{span, Clock};
-pub use gate::{Gate, GateStatus, Pass};
-pub use host::{Answer, Beside, Host};
-pub use journal::{Clearance, Journal, JournalStatus, Labels};
-pub use pins::Pin;
-pub use registry::{Endpoint, News, Partial};
+pub use clock::{to_duration, Clock};
+pub use exchange::{AttemptContext, AttemptFuture, ConnectionPools, Exchange};
+pub use fleet_limits::{Admission, FleetLimitStatus, FleetLimiter};
+pub use host::{Answer, Host, OptionalServices};
+pub use id_usage::IdGuard;
+pub use journal::{Journal, JournalStatus, RequestLabels, SendPermit};
+pub use registry::{Endpoint, EndpointUpdate, PartialEndpoint};
+pub use settings_change::{ActiveSettings, Outdated, PreparedSettings};
 pub use status::{BackendStatus, KindStatus, Status};
-pub use work::{Leg, Lines, Sending, Work};
--- a/crates/core/src/former.rs
+++ b/crates/core/src/retired.rs
@@ -8,14 +8,14 @@
 
 /// Those that left last.
 #[derive(Default)]
-pub(crate) struct Former {
+pub(crate) struct RetiredBackends {
     /// By when they left.
     names: BTreeMap<u64, String>,
     left_at: HashMap<String, u64>,
     next: u64,
 }
 
-impl Former {
+impl RetiredBackends {
     /// One leaves now, be it once more; beyond the bound the one is forgotten that left first.
     pub fn add(&mut self, name: &str) {
         if let Some(before) = self.left_at.insert(name.into(), self.next) {
@@ -30,7 +30,7 @@
     }
 
     /// Whether it is among them.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.left_at.contains_key(name)
     }
 }
@@ -41,13 +41,13 @@
 
     #[test]
     fn the_one_that_left_first_is_forgotten_first() {
-        let mut former = Former::default();
+        let mut former = RetiredBackends::default();
         former.add("first");
         former.add("second");
         former.add("first");
         (2..MOST).for_each(|n| former.add(&n.to_string()));
-        assert!(former.holds("first") && former.holds("second"));
+        assert!(former.contains("first") && former.contains("second"));
         former.add("one more");
-        assert!(former.holds("first") && !former.holds("second"), "the first left once more");
+        assert!(former.contains("first") && !former.contains("second"), "the first left once more");
     }
 }
--- a/crates/core/src/adoption.rs
+++ b/crates/core/src/settings_change.rs
@@ -6,35 +6,35 @@
 use thiserror::Error;
 
 /// What is in force, as another thread needs it to merge new settings with.
-pub struct InForce {
+pub struct ActiveSettings {
     pub(crate) settings: Arc<Settings>,
     pub(crate) names: Names,
-    pub(crate) pinned: IdsInUse,
+    pub(crate) in_use: IdsInUse,
 }
 
 /// New settings under the numbers of those in force, ready to be put in force.
-pub struct Successor {
+pub struct PreparedSettings {
     /// The names with which they were merged.
     pub(crate) merged_with: Names,
     pub(crate) settings: Arc<Settings>,
     /// For the module, which owns its own.
     pub(crate) config: Box<Config>,
-    pub(crate) renewed: ReassignedIds,
+    pub(crate) reassigned: ReassignedIds,
     /// What changes, in words.
     pub(crate) difference: String,
 }
 
-impl InForce {
+impl ActiveSettings {
     /// Merges `new` with these. Takes time in proportion to the number of names: not for the event loop.
-    pub fn succeeded_by(self, new: Settings) -> Successor {
+    pub fn prepare(self, new: Settings) -> PreparedSettings {
         let SettingsMerge { settings, reassigned: renewed } =
-            self.settings.merge_successor(new, &self.names, &self.pinned);
-        Successor {
+            self.settings.merge_successor(new, &self.names, &self.in_use);
+        PreparedSettings {
             merged_with: self.names,
             config: Box::new(settings.config.clone()),
             difference: self.settings.difference(&settings),
             settings: Arc::new(settings),
-            renewed,
+            reassigned: renewed,
         }
     }
 }
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -1,7 +1,7 @@
 //! What the proxy knows and does at this moment, for operators.
 
 use crate::counts::Counts;
-use crate::gate::GateStatus;
+use crate::fleet_limits::FleetLimitStatus;
 use crate::journal::JournalStatus;
 use serde::Serialize;
 
@@ -21,7 +21,7 @@
     /// The journal of requests that must never run twice, where there is one.
     pub ledger: Option<JournalStatus>,
     /// The fleet's limits, where there are any.
-    pub fleet: Option<GateStatus>,
+    pub fleet: Option<FleetLimitStatus>,
     /// By kind of machine.
     pub kinds: Vec<KindStatus>,
     /// In the order in which they were met.
@@ -34,11 +34,14 @@
     /// Its name.
     pub name: String,
     /// Sum of the readiness of its backends.
-    pub ready: f64,
+    #[serde(rename = "ready")]
+    pub readiness: f64,
     /// Requests a second that one backend could serve, as learned; 0 before anything was.
-    pub speed_rps: f64,
+    #[serde(rename = "speed_rps")]
+    pub service_rate_rps: f64,
     /// Part of the traffic that it is due.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub traffic_share: f64,
 }
 
 /// One backend.
@@ -55,15 +58,20 @@
     /// Its kind.
     pub kind: String,
     /// From 0 (nothing is sent) to 1 (healthy and warm).
-    pub ready: f64,
+    #[serde(rename = "ready")]
+    pub readiness: f64,
     /// Its part of this proxy's traffic.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub traffic_share: f64,
     /// Attempts that it holds, of this proxy.
-    pub held: u32,
+    #[serde(rename = "held")]
+    pub in_flight: u32,
     /// ... and may hold.
-    pub room: f64,
+    #[serde(rename = "room")]
+    pub in_flight_limit: f64,
     /// Running share of error answers.
-    pub errors: f64,
+    #[serde(rename = "errors")]
+    pub error_rate: f64,
     /// It is out of use for its failures.
     pub ejected: bool,
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(crate) struct Timers {
     heap: RefCell<BinaryHeap<Reverse<(Time, TimerToken)>>>,
-    sooner: Notify,
+    earlier_timer_set: Notify,
     /// How late timers fire: the largest of late, fading.
     lag: Cell<u64>,
 }
@@ -21,18 +21,18 @@
     pub fn set(&self, at: Time, token: TimerToken) {
         let mut heap = self.heap.borrow_mut();
         if heap.peek().is_none_or(|first| at < first.0 .0) {
-            self.sooner.notify_one();
+            self.earlier_timer_set.notify_one();
         }
         heap.push(Reverse((at, token)));
     }
 
     /// When the next one is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.heap.borrow().peek().map(|t| t.0 .0)
     }
 
     /// One that is due at `now`.
-    pub fn due(&self, now: Time) -> Option<TimerToken> {
+    pub fn take_due(&self, now: Time) -> Option<TimerToken> {
         let mut heap = self.heap.borrow_mut();
         let Reverse((at, token)) = heap.peek().copied().filter(|t| t.0 .0 <= now)?;
         heap.pop();
@@ -41,8 +41,8 @@
     }
 
     /// Until one is set that is due before all others.
-    pub async fn sooner(&self) {
-        self.sooner.notified().await;
+    pub async fn earlier_timer_set(&self) {
+        self.earlier_timer_set.notified().await;
     }
 
     pub fn lag(&self) -> Micros {
--- a/crates/lotusdeck/src/fleet.rs
+++ b/crates/lotusdeck/src/fleet.rs
@@ -2,7 +2,7 @@
 //! proxies (docs/fleet-limits.md). What is decided is `lotusdeck_fleet`'s; here are sockets, clocks and names.
 
 use crate::operator::Fault;
-use lotusdeck_core::{span, Gate, GateStatus, Host, Pass};
+use lotusdeck_core::{to_duration, Admission, FleetLimitStatus, FleetLimiter, Host};
 use lotusdeck_fleet::wire::MAX_DATAGRAM;
 use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig};
 use lotusdeck_policy::settings::{Names, Settings};
@@ -159,7 +159,7 @@
     limits: Vec<LimitSpec>,
     /// Proxies of the fleet but this one.
     others: u32,
-    passes: RefCell<HashMap<(ClassId, Option<TenantId>), Pass>>,
+    passes: RefCell<HashMap<(ClassId, Option<TenantId>), Admission>>,
     /// The generation of names that these are of.
     passes_of: Cell<u64>,
     begun: Instant,
@@ -206,7 +206,7 @@
             seeds: settings.members.clone(),
             limits: limits.iter().map(LimitSpec::limit).collect(),
             term: settings.term,
-            longest: span(longest) + MARGIN,
+            longest: to_duration(longest) + MARGIN,
             seed,
         };
         Ok(Some(Rc::new(Fleet {
@@ -236,11 +236,11 @@
             let now = self.now();
             if socket.is_some() && now >= told_at {
                 told_at = now + TELL_MODULE;
-                self.node.borrow_mut().hold(u32::try_from(host.held()).unwrap_or(u32::MAX));
+                self.node.borrow_mut().hold(u32::try_from(host.attempts_in_flight()).unwrap_or(u32::MAX));
                 // Where nobody is heard of, all are taken to be alike, as without talk.
-                let alike = host.held() as f64 * f64::from(self.others);
+                let alike = host.attempts_in_flight() as f64 * f64::from(self.others);
                 let others = self.node.borrow().others_hold(now).unwrap_or(alike);
-                host.others_hold(others);
+                host.set_fleet_load(others);
             }
             self.node.borrow_mut().tick(now);
             self.post(socket.as_ref());
@@ -313,8 +313,8 @@
     }
 }
 
-impl Gate for Fleet {
-    fn enter(&self, class: ClassId, tenant: Option<TenantId>, names: &Names) -> Result<Pass, Micros> {
+impl FleetLimiter for Fleet {
+    fn admit(&self, class: ClassId, tenant: Option<TenantId>, names: &Names) -> Result<Admission, Micros> {
         let mut passes = self.passes.borrow_mut();
         // A number may have been given to another name since, and pairs of names may be many.
         let outdated = self.passes_of.replace(names.generation()) != names.generation();
@@ -336,22 +336,22 @@
         Ok(pass.clone())
     }
 
-    fn leave(&self, pass: &Pass) {
+    fn release(&self, pass: &Admission) {
         self.node.borrow_mut().leave(pass);
     }
 
-    fn shared(&self, with_another: bool) {
+    fn set_other_process(&self, with_another: bool) {
         self.node.borrow_mut().halve(self.now(), with_another);
     }
 
-    fn status(&self) -> GateStatus {
+    fn status(&self) -> FleetLimitStatus {
         let node = self.node.borrow();
-        GateStatus {
+        FleetLimitStatus {
             members: node.membership().live().len(),
-            others_hold: node.others_hold(self.now()),
-            view: node.membership().generation(),
-            unread: self.unread.get(),
-            shares: node.shares(self.now()).collect(),
+            others_in_flight: node.others_hold(self.now()),
+            membership_generation: node.membership().generation(),
+            undecodable_datagrams: self.unread.get(),
+            quotas: node.shares(self.now()).collect(),
         }
     }
 }
--- a/crates/lotusdeck/src/journaling.rs
+++ b/crates/lotusdeck/src/journaling.rs
@@ -1,7 +1,7 @@
 //! The ledger as the core's journal.
 
 use crate::operator::LedgerSettings;
-use lotusdeck_core::{Clearance, Journal, JournalStatus, Labels};
+use lotusdeck_core::{Journal, JournalStatus, RequestLabels, SendPermit};
 use lotusdeck_ledger::{End, Folder, Ledger, Mode, OnFailure, Options, Record};
 use lotusdeck_policy::{AttemptNo, Micros, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
@@ -94,20 +94,20 @@
 }
 
 impl Journal for Journaling {
-    fn refuses(&self) -> Option<Micros> {
+    fn unavailable_for(&self) -> Option<Micros> {
         (!self.ledger.goes_on() && self.ledger.shown().failing).then_some(COME_AGAIN)
     }
 
-    fn taken(&self, request: RequestId, labels: Labels) {
+    fn request_taken(&self, request: RequestId, labels: RequestLabels) {
         let id = Ledger::text(&labels.id);
         self.ids.borrow_mut().insert(request, id.clone());
         let (class, key) = (Ledger::text(&labels.class), Ledger::text(&labels.key));
         self.ledger.note(Record::Taken { request: request.0, at: now(), id, class, key });
     }
 
-    fn intent(
+    fn attempt_intended(
         &self, request: RequestId, attempt: AttemptNo, backend: &str, address: SocketAddr,
-    ) -> Clearance {
+    ) -> SendPermit {
         let id = self.ids.borrow().get(&request).cloned().unwrap_or_default();
         let (backend, address) = (Ledger::text(backend), address.to_string());
         let record =
@@ -117,7 +117,7 @@
         Box::pin(async move { tokio::time::timeout(wait, durable).await.unwrap_or(false) || goes_on })
     }
 
-    fn ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
+    fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
         let end = match (outcome, status) {
             (outcome, _) if outcome.never_ran() => End::NeverSent,
             (_, Some(status)) => End::Answered(status),
@@ -126,7 +126,7 @@
         self.ledger.note(Record::Ended { request: request.0, attempt: attempt.0, at: now(), end });
     }
 
-    fn settled(&self, request: RequestId) {
+    fn request_finished(&self, request: RequestId) {
         self.ids.borrow_mut().remove(&request);
         self.ledger.note(Record::Settled { request: request.0 });
     }
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -2,7 +2,7 @@
 
 use crate::operator::Fault;
 use lotusdeck_core::cordon::Cordon;
-use lotusdeck_core::{Beside, Clock, Endpoint, Host, Lines};
+use lotusdeck_core::{Clock, ConnectionPools, Endpoint, Host, OptionalServices};
 use lotusdeck_policy::settings::{EndpointRecord, Names, Settings};
 use lotusdeck_policy::{
     Backend, BackendState, Balancer, Class, ClassId, ConfigError, DiscoveryMode, ListUpdate, Micros,
@@ -277,7 +277,7 @@
     /// One line on it since the last.
     pub fn report(&self) {
         info_span!("postgres", at = %self.at).in_scope(|| {
-            self.host.report();
+            self.host.log_counts();
             info!(clients = self.front.clients(), servers = self.servers.open(), "sessions");
         });
     }
@@ -308,8 +308,8 @@
     let mode = settings.config.discovery;
     let servers = Servers::new(login, &settings.network, spec.connections);
     let balancer = Balancer::new(settings.config.clone(), seed)?;
-    let lines: Vec<Rc<dyn Lines>> = vec![servers.clone()];
-    let host = Host::new(balancer, settings, clock, lines, Cordon::load(state), Beside::default());
+    let lines: Vec<Rc<dyn ConnectionPools>> = vec![servers.clone()];
+    let host = Host::new(balancer, settings, clock, lines, Cordon::load(state), OptionalServices::default());
     let io = |e| PostgresError::Start(spec.listen, e);
     let listener = lotusdeck_proxy::server::listen(spec.listen).map_err(io)?;
     let at = listener.local_addr().unwrap_or(spec.listen);
@@ -321,8 +321,8 @@
         rules: spec.rules(),
     };
     let front = Front::new(host.clone(), servers.clone(), told).map_err(io)?;
-    tokio::task::spawn_local(host.clone().timers());
-    tokio::task::spawn_local(host.clone().heed_cordons());
+    tokio::task::spawn_local(host.clone().run_timers());
+    tokio::task::spawn_local(host.clone().follow_cordon_file());
     match spec.discovery {
         Some(from) => {
             let (moved, discovery) = watch::channel((from, mode));
@@ -338,7 +338,7 @@
                 let row = EndpointRecord::new(&s.name, &s.address.to_string(), "", &s.kind, entry);
                 Endpoint { name: s.name.clone(), address: s.address, state: BackendState::Ready, row }
             };
-            host.members(ListUpdate::Full, spec.server.iter().map(line).collect::<Vec<_>>());
+            host.update_endpoints(ListUpdate::Full, spec.server.iter().map(line).collect::<Vec<_>>());
         }
     }
     tokio::task::spawn_local(front.clone().run(listener));
--- a/crates/lotusdeck/src/serve.rs
+++ b/crates/lotusdeck/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::postgres::{self, PostgresError, Running, Spec};
 use crate::state::{self, Beginning, Keeper, Place};
 use lotusdeck_core::cordon::Cordon;
-use lotusdeck_core::{span, Beside, Clock, Gate, Host, Journal, Lines};
+use lotusdeck_core::{to_duration, Clock, ConnectionPools, FleetLimiter, Host, Journal, OptionalServices};
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, DiscoveryMode, ListUpdate};
 use lotusdeck_proxy::admin::{Admin, MAX_CALLERS};
@@ -217,9 +217,9 @@
         let at = (discovery, settings.config.discovery);
         let settings = Arc::new(settings);
         let changed = loop {
-            let (in_force, new) = (self.host.in_force(), settings.clone());
-            let successor = apart(move || in_force.succeeded_by(Settings::clone(&new))).await?;
-            match self.host.adopt(successor) {
+            let (in_force, new) = (self.host.active_settings(), settings.clone());
+            let successor = apart(move || in_force.prepare(Settings::clone(&new))).await?;
+            match self.host.apply_settings(successor) {
                 Ok(changed) => break changed,
                 Err(outdated) => debug!(%outdated, "settings are merged anew"),
             }
@@ -278,7 +278,7 @@
         tokio::time::sleep(peer::LOOK).await;
         if std::mem::replace(&mut shared, peer.alive()) != shared {
             share(sockets, shared, &pool, &server);
-            host.shared(shared);
+            host.set_other_process(shared);
         }
     }
 }
@@ -290,7 +290,7 @@
         return Ok((Beginning { list: known, learned: None }, None));
     };
     let place = Place::new(settings, folder, &node.name);
-    let window = span(node.settings.config.overload_window);
+    let window = to_duration(node.settings.config.overload_window);
     let beginning = state::begin(settings, &place, known, window);
     let keeper = Keeper::start(place, settings.every, &beginning.list).map_err(ServeError::State)?;
     Ok((beginning, Some(keeper)))
@@ -318,7 +318,7 @@
     let pool = Rc::new(Pool::new(&node.settings.network, budget.clone(), pauses.clone()));
     let mode = node.settings.config.discovery;
     let balancer = Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeError::Unsound)?;
-    let lines: Vec<Rc<dyn Lines>> = vec![pool.clone()];
+    let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
     let ledger = Journaling::start(&operator.ledger, &node.name, node.seed).map_err(ServeError::Ledger)?;
     let journal = ledger.clone().map(|l| l as Rc<dyn Journal>);
     // What the other fronts may hold is no longer HTTP's.
@@ -328,11 +328,12 @@
     let start = |spec| postgres::start(spec, &node.settings, node.seed, clock, &node.state());
     let fronts: Vec<Running> = operator.postgres.iter().map(start).collect::<Result<_, _>>()?;
     let fleet = Fleet::new(&operator.fleet, &operator.limits, &node.settings, node.seed)?;
-    let beside = Beside { journal, gate: fleet.clone().map(|f| f as Rc<dyn Gate>) };
+    let beside =
+        OptionalServices { journal, fleet_limiter: fleet.clone().map(|f| f as Rc<dyn FleetLimiter>) };
     let host = Host::new(balancer, node.settings, clock, lines, cordon, beside);
     // The list from before the restart is in place before anything is served.
-    host.members(ListUpdate::Cached, known.news());
-    learned.iter().for_each(|learned| host.recall(learned));
+    host.update_endpoints(ListUpdate::Cached, known.news());
+    learned.iter().for_each(|learned| host.restore_estimates(learned));
     let handed_down = inherited.is_some();
     let listener = match inherited {
         Some(listener) => tokio::net::TcpListener::from_std(listener),
@@ -343,7 +344,7 @@
     let calls = node.admin.map(listen).transpose()?;
     let address = listener.local_addr().unwrap_or(node.listen);
     info!(name = node.name, %address, known = known.endpoints.len(), "listens");
-    tokio::task::spawn_local(host.clone().timers());
+    tokio::task::spawn_local(host.clone().run_timers());
     tokio::task::spawn_local(pool.clone().sweep());
     let (moved, discovery) = watch::channel((node.discovery, mode));
     if let Some(keeper) = &keeper {
@@ -367,7 +368,7 @@
     let shared = peer.alive();
     share(sockets, shared, &pool, &server);
     if shared {
-        host.shared(true);
+        host.set_other_process(true);
     }
     tokio::task::spawn_local(heed_peer(peer, sockets, shared, host.clone(), pool, server.clone()));
     if let Some(calls) = calls {
@@ -377,14 +378,14 @@
             Admin::new(host.clone(), server.clone(), Box::new(move || told.status())).run(calls),
         );
     }
-    tokio::task::spawn_local(host.clone().heed_cordons());
+    tokio::task::spawn_local(host.clone().follow_cordon_file());
     let fronts = Rc::new(fronts);
     let (reporter, reported, ledgered, fronted) =
         (server.clone(), host.clone(), ledger.clone(), fronts.clone());
     tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(REPORT_EVERY).await;
-            reported.report();
+            reported.log_counts();
             reporter.report();
             ledgered.iter().for_each(|l| l.report());
             fronted.iter().for_each(Running::report);
--- a/crates/lotusdeck/src/state.rs
+++ b/crates/lotusdeck/src/state.rs
@@ -336,7 +336,7 @@
     pub async fn learn(self, host: Rc<Host>) {
         loop {
             tokio::time::sleep(self.every).await;
-            if let Some(learned) = host.learned() {
+            if let Some(learned) = host.export_estimates() {
                 self.give(|pending| pending.learned = Some(Learned { written_ms: now_ms(), ..learned }));
             }
         }
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use lotusdeck_core::cordon::Cordon;
-use lotusdeck_core::{Beside, Clock, Host, Lines};
+use lotusdeck_core::{Clock, ConnectionPools, Host, OptionalServices};
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ListUpdate};
 use lotusdeck_proxy::age::{self, Arrivals};
@@ -45,12 +45,13 @@
     let pool = Rc::new(Pool::new(&settings.network, Budget::new(1 << 20), Shared::default()));
     let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
     let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-    let lines: Vec<Rc<dyn Lines>> = vec![pool.clone()];
-    let host = Host::new(balancer, settings, Clock::new(), lines, Cordon::load(&none), Beside::default());
+    let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+    let host =
+        Host::new(balancer, settings, Clock::new(), lines, Cordon::load(&none), OptionalServices::default());
     let named = |(n, b): (usize, &&BackendServer)| entry(&format!("b{n}"), b.address, "SERVING");
     let entries: Vec<String> = backends.iter().enumerate().map(named).collect();
     let listed: List = serde_json::from_str(&list(1, true, &entries)).unwrap();
-    host.members(ListUpdate::Full, listed.news());
+    host.update_endpoints(ListUpdate::Full, listed.news());
     let server = Server::new(host, pool, Budget::new(1 << 20));
     server.bound(500, 24);
     let listener = server::listen(([127, 0, 0, 1], 0).into()).unwrap();
--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -6,7 +6,7 @@
 use crate::upstream::{drain, fill, Servers, Upstream};
 use crate::wire::{Pieces, WireError};
 use bytes::{BufMut, Bytes, BytesMut};
-use lotusdeck_core::{Leg, Sending, Work};
+use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
 use lotusdeck_policy::{AttemptNo, Outcome};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -186,15 +186,15 @@
     pub servers: Rc<Servers>,
 }
 
-impl Work for Transaction {
-    fn attempt(self: Rc<Self>, leg: Leg) -> Sending {
+impl Exchange for Transaction {
+    fn send_attempt(self: Rc<Self>, leg: AttemptContext) -> AttemptFuture {
         Box::pin(async move {
             self.client.rewind();
             let upstream = match self.servers.take(leg.backend, leg.address).await {
                 Ok(upstream) => upstream,
                 Err(outcome) => return outcome,
             };
-            if !leg.cleared().await || self.client.sent.get() || !leg.may_send() {
+            if !leg.journaled().await || self.client.sent.get() || !leg.may_send() {
                 self.servers.put(leg.backend, upstream);
                 return Outcome::NeverSent;
             }
@@ -214,11 +214,11 @@
     }
 
     /// What has gone to a server is not kept for another, but for a single statement that is declared safe.
-    fn spent(&self) -> bool {
+    fn body_consumed(&self) -> bool {
         self.client.sent.get() && (self.client.answered.get() || self.client.replay.borrow().is_none())
     }
 
-    fn status(&self, _: AttemptNo) -> Option<u16> {
+    fn answer_status(&self, _: AttemptNo) -> Option<u16> {
         None
     }
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -10,7 +10,7 @@
 use crate::wire::{head, message, opening, put, Head, Opening, WireError, HEAD};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use lotusdeck_core::{Answer, Host, Labels};
+use lotusdeck_core::{Answer, Host, RequestLabels};
 use lotusdeck_policy::{Arrival, ClassId, RequestId, SideEffects};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -364,8 +364,8 @@
                 ),
                 (None, Answer::Served(_)) => continue,
                 // Declared safe, and not to be repeated any more by this proxy: what was lost is the server.
-                (None, Answer::Refused(_)) if client.lost.get() && client.track.get().unknown() => unknown(),
-                (None, Answer::Refused(after)) => Trouble::refused(after, client.sent.get()),
+                (None, Answer::Rejected(_)) if client.lost.get() && client.track.get().unknown() => unknown(),
+                (None, Answer::Rejected(after)) => Trouble::refused(after, client.sent.get()),
                 (None, Answer::TimedOut) => late(),
                 // Withdrawn by the module, a moment before the client's time was up.
                 (None, Answer::Failed) if client.sent.get() && !client.lost.get() => late(),
@@ -428,21 +428,21 @@
             body_incomplete: false,
         };
         let work = Rc::new(Transaction { client: client.clone(), servers: self.servers.clone() });
-        let labels = || Labels { id: String::new(), class: "transaction".into(), key: String::new() };
-        let (id, mut answer) = self.host.request(arrival, work, effect, labels);
-        let due = tokio::time::sleep(lotusdeck_core::span(time_left));
+        let labels = || RequestLabels { id: String::new(), class: "transaction".into(), key: String::new() };
+        let (id, mut answer) = self.host.submit(arrival, work, effect, labels);
+        let due = tokio::time::sleep(lotusdeck_core::to_duration(time_left));
         tokio::pin!(due);
         let mut late = false;
         loop {
             tokio::select! {
                 got = &mut answer => return got.unwrap_or(Answer::Failed),
                 _ = client.ended.notified() => {
-                    self.host.client_gone(id);
+                    self.host.client_disconnected(id);
                     return Answer::Failed;
                 }
                 _ = &mut due, if !late => {
                     late = true;
-                    self.host.deadline(id);
+                    self.host.deadline_expired(id);
                 }
             }
         }
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -3,7 +3,7 @@
 use crate::carry::Prepared;
 use crate::wire::{message, put, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use lotusdeck_core::{span, Lines};
+use lotusdeck_core::{to_duration, ConnectionPools};
 use lotusdeck_policy::settings::NetworkSettings;
 use lotusdeck_policy::{BackendId, Outcome};
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
@@ -133,8 +133,8 @@
             idle: RefCell::default(),
             open: Rc::default(),
             most,
-            keep: Cell::new(span(network.idle_timeout)),
-            connect_timeout: Cell::new(span(network.connect_timeout)),
+            keep: Cell::new(to_duration(network.idle_timeout)),
+            connect_timeout: Cell::new(to_duration(network.connect_timeout)),
             params: RefCell::default(),
         })
     }
@@ -299,8 +299,8 @@
     field.map(|f| String::from_utf8_lossy(&f[1..]).into_owned()).unwrap_or_default()
 }
 
-impl Lines for Servers {
-    fn serve(&self, backends: &HashSet<BackendId>) {
+impl ConnectionPools for Servers {
+    fn retain_backends(&self, backends: &HashSet<BackendId>) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|id, _| backends.contains(id));
         for id in backends {
@@ -309,14 +309,14 @@
     }
 
     /// Its idle connections may be dead without a sign.
-    fn unanswered(&self, backend: BackendId, sent: Instant) {
+    fn attempt_unanswered(&self, backend: BackendId, sent: Instant) {
         if let Some(of) = self.idle.borrow_mut().get_mut(&backend) {
             of.retain(|u| u.since > sent);
         }
     }
 
-    fn adopt(&self, network: &NetworkSettings) {
-        self.keep.set(span(network.idle_timeout));
-        self.connect_timeout.set(span(network.connect_timeout));
+    fn apply_settings(&self, network: &NetworkSettings) {
+        self.keep.set(to_duration(network.idle_timeout));
+        self.connect_timeout.set(to_duration(network.connect_timeout));
     }
 }
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -4,7 +4,7 @@
 
 use bytes::{BufMut, BytesMut};
 use lotusdeck_core::cordon::Cordon;
-use lotusdeck_core::{Beside, Clock, Endpoint, Host};
+use lotusdeck_core::{Clock, Endpoint, Host, OptionalServices};
 use lotusdeck_policy::settings::{EndpointRecord, Names, NetworkSettings, Settings};
 use lotusdeck_policy::*;
 use lotusdeck_postgres::classes::Rule;
@@ -258,9 +258,15 @@
         let settings = Settings { config: config.clone(), names: Names::default(), network };
         let cordon = Cordon::load(&std::env::temp_dir().join("lotusdeck-no-such-proxy"));
         let balancer = Balancer::new(config, 4).unwrap();
-        let host =
-            Host::new(balancer, settings, Clock::new(), vec![servers.clone()], cordon, Beside::default());
-        tokio::task::spawn_local(host.clone().timers());
+        let host = Host::new(
+            balancer,
+            settings,
+            Clock::new(),
+            vec![servers.clone()],
+            cordon,
+            OptionalServices::default(),
+        );
+        tokio::task::spawn_local(host.clone().run_timers());
         let user = User { name: "ann".into(), verifier: Verifier::of_password(b"do re mi", b"salt", 64) };
         let settings =
             FrontSettings { databases: vec!["scores".into()], users: vec![user], clients: 100, rules };
@@ -278,7 +284,7 @@
         let (name, address) = (format!("pg-{server}"), self.list[server]);
         let entry = Backend { state, ..Backend::default() };
         let row = EndpointRecord::new(&name, &address.to_string(), "", "", entry);
-        self.host.members(ListUpdate::Changes, vec![Endpoint { name, address, state, row }]);
+        self.host.update_endpoints(ListUpdate::Changes, vec![Endpoint { name, address, state, row }]);
     }
 
     /// A real driver's session.
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -178,10 +178,10 @@
         if id.is_empty() {
             return Err(No::Empty);
         }
-        if !self.host.knows(id) {
+        if !self.host.knows_backend(id) {
             return Err(No::Unknown);
         }
-        let changed = self.host.cordon(id, out).await.map_err(No::Storage)?;
+        let changed = self.host.set_cordon(id, out).await.map_err(No::Storage)?;
         let call = if out { "cordon" } else { "uncordon" };
         info!(call, backend = id, changed, "operator call taken");
         Ok(plain(StatusCode::OK, "ok\n"))
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use lotusdeck_core::{Answer, Host, Labels};
+use lotusdeck_core::{Answer, Host, RequestLabels};
 use lotusdeck_policy::*;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -63,7 +63,7 @@
         let class = class.ok_or(Fault::NoSuchClass)?;
         let tenant = head.headers.get("x-account").and_then(|v| v.to_str().ok());
         let tenant = tenant.and_then(|name| rules.names.tenant(name));
-        let _pin = self.host.pin(class, tenant);
+        let _pin = self.host.hold_ids(class, tenant);
         if !stays_in_class(head.uri.path()) {
             return Err(Fault::Path);
         }
@@ -73,7 +73,7 @@
         let (body, _kept) =
             gather(body, length, &client.stream, &self.budget, self.pool.pauses.get().upload_stall).await?;
         // The time of a request counts from its last byte; where more is to come it has not begun.
-        let most = Micros(left.0.saturating_sub(self.host.margin().0));
+        let most = Micros(left.0.saturating_sub(self.host.reply_margin().0));
         let left = self.still_left(most, client);
         let deadline = Cell::new(self.host.clock.now() + left);
         let mut headers = head.headers;
@@ -98,11 +98,11 @@
             let (class, rest) = path.trim_start_matches('/').split_once('/').unwrap_or((path, ""));
             let key = rest.rsplit('/').next().unwrap_or_default();
             let id = String::from_utf8_lossy(label.as_bytes()).into_owned();
-            Labels { id, class: class.into(), key: key.into() }
+            RequestLabels { id, class: class.into(), key: key.into() }
         };
         let _open = Open::new(&self.ids, name).ok_or(Fault::IdInUse)?;
         client.prove();
-        let (id, answer) = self.host.request(arrival, work.clone(), effect, labels);
+        let (id, answer) = self.host.submit(arrival, work.clone(), effect, labels);
         let mut owed = Owed { host: &self.host, id, open: true };
         let mut answer = pin!(answer);
         let due = async {
@@ -110,7 +110,7 @@
                 upload.over().await?;
                 let left = self.still_left(most, client);
                 deadline.set(self.host.clock.now() + left);
-                self.host.uploaded(id, left);
+                self.host.body_received(id, left);
             }
             tokio::time::sleep_until(self.host.clock.instant(deadline.get())).await;
             Ok::<_, Fault>(())
@@ -121,7 +121,7 @@
             _ = work.left.notified() => return Err(Fault::Left), // `owed` tells the module
             over = due => {
                 over?; // no request after all: `owed` tells the module that nobody waits
-                self.host.deadline(id);
+                self.host.deadline_expired(id);
                 answer.await
             }
         };
@@ -140,7 +140,7 @@
                 }
                 None => plain(StatusCode::BAD_GATEWAY, "failed\n"),
             },
-            Ok(Answer::Refused(retry_after)) => {
+            Ok(Answer::Rejected(retry_after)) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
                 let advice = rules.network.max_retry_after.map(|most| retry_after.min(most).secs());
                 if let Some(Ok(text)) = advice.map(|after| format!("{after:.3}").parse()) {
@@ -180,7 +180,7 @@
 impl Drop for Owed<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.host.client_gone(self.id);
+            self.host.client_disconnected(self.id);
         }
     }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::header::CONNECTION;
 use hyper::http::response::Parts;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, Version};
-use lotusdeck_core::{Leg, Sending, Work};
+use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
 use lotusdeck_policy::{AttemptNo, BackendId, Outcome};
 use std::cell::RefCell;
 use std::future::Future;
@@ -72,7 +72,7 @@
 
     /// Asked at the first byte of an attempt. The end of a client may be hidden from hyper, which reads no further
     /// behind bytes that follow a request, and may have come while this process was doing something else.
-    fn gate(&self, leg: Leg) -> Gate {
+    fn gate(&self, leg: AttemptContext) -> Gate {
         let (client, left) = (self.client.clone(), self.left.clone());
         Box::new(move || {
             let gone = client.left();
@@ -96,11 +96,11 @@
     }
 }
 
-impl Work for HttpWork {
-    fn attempt(self: Rc<Self>, leg: Leg) -> Sending {
+impl Exchange for HttpWork {
+    fn send_attempt(self: Rc<Self>, leg: AttemptContext) -> AttemptFuture {
         Box::pin(async move {
             let (attempt, to, deadline) = (leg.attempt, (leg.backend, leg.address), leg.deadline);
-            let cleared = leg.cleared();
+            let cleared = leg.journaled();
             let ended = self.pool.attempt(to, &self.call, deadline, cleared, self.gate(leg)).await;
             self.statuses.borrow_mut().extend(ended.status.map(|s| (attempt, s)));
             self.served.borrow_mut().extend(ended.served.map(|s| (attempt, s)));
@@ -108,11 +108,11 @@
         })
     }
 
-    fn spent(&self) -> bool {
+    fn body_consumed(&self) -> bool {
         self.call.body.spent()
     }
 
-    fn status(&self, attempt: AttemptNo) -> Option<u16> {
+    fn answer_status(&self, attempt: AttemptNo) -> Option<u16> {
         self.statuses.borrow().iter().find(|s| s.0 == attempt).map(|s| s.1)
     }
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -24,7 +24,7 @@
 
 use crate::list::{List, Told};
 use call::{Call, Dialer, Ended, Link, Question};
-use lotusdeck_core::{span, Host};
+use lotusdeck_core::{to_duration, Host};
 use lotusdeck_policy::{DiscoveryMode, ListUpdate};
 use pacing::{backoff, spread, GAP, MOST_CALLS};
 use std::cell::Cell;
@@ -78,7 +78,7 @@
         let (at, mode) = *moved.borrow_and_update();
         if let DiscoveryMode::Subscribe { .. } = mode {
             if !std::mem::replace(&mut begun, true) {
-                watch.host.followed().await;
+                watch.host.watch_requested().await;
             }
         }
         let mut calls = Calls::new(at, dialer.clone());
@@ -169,7 +169,7 @@
             DiscoveryMode::Subscribe { poll_within: within } => {
                 // Spread evenly over the proxies, as their first calls could not be.
                 let share = spread(self.host.settings().config.proxy_index);
-                self.check.set(Some(Instant::now() + span(within.times(1.0 + 2.0 * share))));
+                self.check.set(Some(Instant::now() + to_duration(within.times(1.0 + 2.0 * share))));
             }
         }
     }
@@ -227,7 +227,7 @@
         match mode {
             _ if whole => self.check.set(None),
             DiscoveryMode::Subscribe { poll_within: within } if asked => {
-                self.check.set(Some(Instant::now() + span(within)))
+                self.check.set(Some(Instant::now() + to_duration(within)))
             }
             _ => {}
         }
@@ -238,8 +238,8 @@
         match mode {
             DiscoveryMode::Push => tokio::time::sleep(backoff(failures)).await,
             DiscoveryMode::Subscribe { .. } => {
-                self.host.members(ListUpdate::Failed, Vec::new());
-                self.host.followed().await; // when to ask again is the module's to say
+                self.host.update_endpoints(ListUpdate::Failed, Vec::new());
+                self.host.watch_requested().await; // when to ask again is the module's to say
             }
         }
     }
@@ -256,7 +256,7 @@
         self.index.set((!gap).then_some(index));
         if gap {
             // Who leaves by its word gets nothing until then: that it was told is certain.
-            self.host.members(ListUpdate::Changes, told.leaving());
+            self.host.update_endpoints(ListUpdate::Changes, told.leaving());
             return question.after().is_some();
         }
         self.take(told);
@@ -265,7 +265,7 @@
 
     fn take(&self, Told { list, news }: Told) {
         let update = if list.snapshot { ListUpdate::Full } else { ListUpdate::Changes };
-        self.host.members(update, news);
+        self.host.update_endpoints(update, news);
         if let Some(kept) = &self.kept {
             kept(list);
         }
@@ -292,7 +292,7 @@
         match held {
             Some(held) if index <= held => {}
             _ if told.list.snapshot || held.is_some_and(follows_on) => drop(self.heed(question, told)),
-            _ => self.host.members(ListUpdate::Changes, told.leaving()),
+            _ => self.host.update_endpoints(ListUpdate::Changes, told.leaving()),
         }
     }
 
@@ -304,7 +304,7 @@
         match held {
             Some(held) if self.answered.get() && index <= held => {}
             _ if self.answered.get() || !follows => {
-                self.host.members(ListUpdate::Changes, told.leaving());
+                self.host.update_endpoints(ListUpdate::Changes, told.leaving());
             }
             _ => {
                 self.index.set(held.map(|_| index));
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/list.rs
@@ -1,6 +1,6 @@
 //! The backend list in discovery's JSON form, and what its lines say, whole or in part.
 
-use lotusdeck_core::{Endpoint, News, Partial};
+use lotusdeck_core::{Endpoint, EndpointUpdate, PartialEndpoint};
 use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendState, CellId, Time};
 use serde::de::{Error, SeqAccess, Visitor};
@@ -88,10 +88,10 @@
 
     /// What can be told of an entry that is not understood whole: whom it names, and whether that one leaves. Any
     /// other word of it is not believed.
-    fn part(value: &Value) -> Option<Partial> {
+    fn part(value: &Value) -> Option<PartialEndpoint> {
         let text = |key| value.get(key).and_then(Value::as_str);
         let leaving = text("status").and_then(state).filter(|s| leaves(*s));
-        Some(Partial { name: text("name")?.into(), state: leaving })
+        Some(PartialEndpoint { name: text("name")?.into(), state: leaving })
     }
 }
 
@@ -99,12 +99,12 @@
     /// What it says. Of entries that are not understood whole one is logged, with their number, as a list may be
     /// long; a word that a backend leaves is taken from them all the same, and else they change nothing. Where a
     /// whole list names one twice, the word that it leaves goes first; in changes the last word counts.
-    pub fn news(&self) -> News {
-        let mut news = News::default();
+    pub fn news(&self) -> EndpointUpdate {
+        let mut news = EndpointUpdate::default();
         let (mut skipped, mut sample) = (0, None);
         for (at, value) in self.endpoints.iter().enumerate() {
             match Entry::read(value) {
-                Ok(entry) => news.entries.push(entry),
+                Ok(entry) => news.complete.push(entry),
                 Err(e) => {
                     skipped += 1;
                     sample.get_or_insert_with(|| format!("endpoints[{at}]: {e}: {value:.200}"));
@@ -116,7 +116,7 @@
             warn!(skipped, first = format!("{sample:.400}"), "discovery entries skipped");
         }
         if self.snapshot {
-            news.partial.extend(contradicted(&news.entries));
+            news.partial.extend(contradicted(&news.complete));
         }
         news
     }
@@ -133,21 +133,22 @@
     /// As discovery sent it.
     pub list: List,
     /// What was understood of it.
-    pub news: News,
+    pub news: EndpointUpdate,
 }
 
 impl Told {
     /// Of what it says only who leaves: all that can be believed of changes to a list that is not held.
-    pub fn leaving(self) -> News {
-        let left = |e: Endpoint| leaves(e.state).then_some(Partial { name: e.name, state: Some(e.state) });
-        let entries = self.news.entries.into_iter().filter_map(left);
+    pub fn leaving(self) -> EndpointUpdate {
+        let left =
+            |e: Endpoint| leaves(e.state).then_some(PartialEndpoint { name: e.name, state: Some(e.state) });
+        let entries = self.news.complete.into_iter().filter_map(left);
         let partial = entries.chain(self.news.partial.into_iter().filter(|p| p.state.is_some())).collect();
-        News { entries: Vec::new(), partial }
+        EndpointUpdate { complete: Vec::new(), partial }
     }
 }
 
 /// The leaving words of names that stand more than once in a whole list.
-fn contradicted(entries: &[Endpoint]) -> Vec<Partial> {
+fn contradicted(entries: &[Endpoint]) -> Vec<PartialEndpoint> {
     let mut states: HashMap<&str, (usize, Option<BackendState>)> = HashMap::with_capacity(entries.len());
     for e in entries {
         let (times, leaving) = states.entry(&e.name).or_default();
@@ -156,5 +157,7 @@
     }
     let twice = states.into_iter().filter(|(_, (times, _))| *times > 1);
     let twice = twice.inspect(|(name, (times, _))| warn!(name, times, "discovery names one more than once"));
-    twice.filter_map(|(name, (_, state))| Some(Partial { name: name.into(), state: Some(state?) })).collect()
+    twice
+        .filter_map(|(name, (_, state))| Some(PartialEndpoint { name: name.into(), state: Some(state?) }))
+        .collect()
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::body::Budget;
 use crate::pauses::Shared;
 use crate::stream::Stream;
-use lotusdeck_core::{span, Lines};
+use lotusdeck_core::{to_duration, ConnectionPools};
 use lotusdeck_policy::settings::NetworkSettings;
 use lotusdeck_policy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
@@ -68,8 +68,8 @@
             lines: RefCell::default(),
             open: Rc::default(),
             max: Cell::new(usize::MAX),
-            keep: Cell::new(span(network.idle_timeout.times(IDLE_PART))),
-            connect_timeout: Cell::new(span(network.connect_timeout)),
+            keep: Cell::new(to_duration(network.idle_timeout.times(IDLE_PART))),
+            connect_timeout: Cell::new(to_duration(network.connect_timeout)),
             opened: Cell::new(0),
             budget,
             pauses,
@@ -153,15 +153,15 @@
     }
 }
 
-impl Lines for Pool {
+impl ConnectionPools for Pool {
     /// Other figures from now on.
-    fn adopt(&self, network: &NetworkSettings) {
-        self.keep.set(span(network.idle_timeout.times(IDLE_PART)));
-        self.connect_timeout.set(span(network.connect_timeout));
+    fn apply_settings(&self, network: &NetworkSettings) {
+        self.keep.set(to_duration(network.idle_timeout.times(IDLE_PART)));
+        self.connect_timeout.set(to_duration(network.connect_timeout));
     }
 
     /// These backends may be sent requests. Nothing is kept of any other.
-    fn serve(&self, ids: &HashSet<BackendId>) {
+    fn retain_backends(&self, ids: &HashSet<BackendId>) {
         let mut lines = self.lines.borrow_mut();
         lines.retain(|id, _| ids.contains(id));
         for id in ids {
@@ -173,7 +173,7 @@
     /// its machine may be cut off and its idle connections dead without a sign: what is written to one of
     /// those may have run for all one can tell, while a new connection that does not come up proves that
     /// it did not.
-    fn unanswered(&self, id: BackendId, sent: Instant) {
+    fn attempt_unanswered(&self, id: BackendId, sent: Instant) {
         if let Some(line) = self.lines.borrow_mut().get_mut(&id) {
             if line.heard.is_none_or(|at| at < sent) {
                 line.idle.clear();
@@ -189,7 +189,7 @@
     use crate::body::Payload;
     use bytes::Bytes;
     use hyper::{HeaderMap, Method, Uri};
-    use lotusdeck_core::Lines;
+    use lotusdeck_core::ConnectionPools;
     use lotusdeck_policy::Micros;
     use std::io::{Read, Write};
 
@@ -244,7 +244,7 @@
     async fn a_kept_connection_is_looked_at_when_it_is_used() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let (pool, to) = (pool(4), listener.local_addr().unwrap());
-        pool.serve(&HashSet::from([BackendId(0)]));
+        pool.retain_backends(&HashSet::from([BackendId(0)]));
         pool.put(BackendId(0), pool.connect(to).await.ok().unwrap());
         let kept = listener.accept().unwrap().0;
         let answers = std::thread::spawn(move || {
@@ -274,7 +274,7 @@
         let busy = pool.connect(to).await.ok().unwrap();
         let refused = pool.connect(to).await.err();
         assert_eq!((refused, pool.open()), (Some(Outcome::NeverSent), 1));
-        pool.serve(&HashSet::from([BackendId(0)]));
+        pool.retain_backends(&HashSet::from([BackendId(0)]));
         pool.put(BackendId(0), busy);
         let other = pool.connect(to).await;
         assert!(other.is_ok() && pool.open() == 1);
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderValue;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use lotusdeck_core::{span, Host};
+use lotusdeck_core::{to_duration, Host};
 use lotusdeck_policy::*;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -173,7 +173,7 @@
         // Past the longest deadline nothing is owed any more; a client that holds a connection open with half
         // of a request does not keep the program.
         let settings = self.host.settings();
-        let longest = span(settings.network.deadlines.iter().max().copied().unwrap_or_default());
+        let longest = to_duration(settings.network.deadlines.iter().max().copied().unwrap_or_default());
         let end = told + longest + GRACE;
         self.end.set(Some(told + longest.min(MOST_STAY) + GRACE - FLUSH));
         if inherited {
