--- a/crates/configuration/examples/size.rs
+++ b/crates/configuration/examples/size.rs
@@ -7,11 +7,12 @@
 #[allow(dead_code)]
 mod rollout;
 
-use lotusdeck_configuration::desk::DeskBounds;
 use lotusdeck_configuration::history::HistoryBounds;
-use lotusdeck_configuration::source::Answer;
+use lotusdeck_configuration::long_poll::QueueBounds;
+use lotusdeck_configuration::source::SourceAnswer;
 use lotusdeck_configuration::{
-    decode, Ask, Candidate, Entry, Follower, FollowerSettings, Key, Message, Section, Source, Step, Version,
+    decode, Candidate, Entry, Follower, FollowerSettings, Key, Message, NextStep, Poll, Section, Source,
+    Version,
 };
 use lotusdeck_policy::settings::Settings;
 use rollout::{Conditions, Rollout};
@@ -83,25 +84,25 @@
 fn take_message(follower: &mut Follower, message: Message, read_settings: bool) -> Cost {
     let mut cost = Cost::default();
     let now = Duration::ZERO;
-    while !matches!(follower.poll(now), Step::Ask(_)) {}
-    follower.answered(now, message);
+    while !matches!(follower.next_step(now), NextStep::Poll(_)) {}
+    follower.handle_message(now, message);
     let mut judged = false;
     loop {
         let begun = Instant::now();
-        let step = follower.poll(now);
+        let step = follower.next_step(now);
         let spent = begun.elapsed();
         match step {
-            Step::More | Step::Took(_) => {
+            NextStep::More | NextStep::Took(_) => {
                 *(if judged { &mut cost.commit } else { &mut cost.verify }) += spent;
                 cost.slice = cost.slice.max(spent);
-                if matches!(step, Step::Took(_)) {
+                if matches!(step, NextStep::Took(_)) {
                     return cost;
                 }
             }
-            Step::Judge => {
+            NextStep::Judge => {
                 let candidate = follower.candidate().expect("a candidate");
                 (cost.object, cost.read) = judge(&candidate, read_settings);
-                follower.judged(now, Ok(()));
+                follower.candidate_judged(now, Ok(()));
                 judged = true;
             }
             other => panic!("{other:?}"),
@@ -141,9 +142,9 @@
 }
 
 fn text(source: &mut Source, after: Option<Version>) -> std::sync::Arc<str> {
-    match source.answer(&Ask { after, past: None, wait: Duration::ZERO }) {
-        Answer::Now(text) => text,
-        Answer::Later => panic!("nothing later"),
+    match source.answer_poll(&Poll { after, rejected_version: None, wait: Duration::ZERO }) {
+        SourceAnswer::Now(text) => text,
+        SourceAnswer::Later => panic!("nothing later"),
     }
 }
 
@@ -263,11 +264,11 @@
         }
         // Over what counts as large, as the real one is.
         settings["note"] = Value::String("x".repeat(70_000));
-        Source::begin(1, &settings, HistoryBounds::default(), |_| Ok(())).expect("a source")
+        Source::new(1, &settings, HistoryBounds::default(), |_| Ok(())).expect("a source")
     };
     for (name, within) in [("within a minute", 60), ("at once", 0)] {
         let within = Duration::from_secs(within);
-        let mut world = Rollout::new(small(), PROXIES, within, DeskBounds::default(), conditions);
+        let mut world = Rollout::new(small(), PROXIES, within, QueueBounds::default(), conditions);
         let current = world.run(Duration::from_secs(600));
         println!(
             "{PROXIES} proxies started {name}: {current} have the document after {:.1} s, {:.0} MB, {} told to come again",
@@ -306,7 +307,7 @@
         return run_proxy();
     }
     let begun = Instant::now();
-    let mut source = Source::begin(1, &settings(), HistoryBounds::default(), |_| Ok(())).expect("a source");
+    let mut source = Source::new(1, &settings(), HistoryBounds::default(), |_| Ok(())).expect("a source");
     let (document, made) = (source.document(), begun.elapsed());
     println!(
         "{PROFILES} classes, {CUSTOMERS} tenants: {} entries, {} bytes of names and values, made in {:.0} ms",
@@ -320,5 +321,5 @@
     memory(&mut source);
     let whole = text(&mut source, None).len();
     fleet(whole, Duration::from_millis(500));
-    assert!(matches!(decode(text(&mut source, None).as_bytes()), Ok(Message::Whole(_))));
+    assert!(matches!(decode(text(&mut source, None).as_bytes()), Ok(Message::FullDocument(_))));
 }
--- a/crates/configuration/src/pace.rs
+++ b/crates/configuration/src/backoff.rs
@@ -6,7 +6,7 @@
 /// Doubling pauses: each is drawn between half of its length and the whole of it, from a seed that no other proxy has,
 /// so that proxies that lost their source together do not come back together.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct Backoff {
     first: Duration,
     most: Duration,
     seed: u64,
@@ -17,21 +17,21 @@
 /// The pause doubles so many times at most, so that no shift overflows; any longest pause is reached before.
 const MOST_DOUBLINGS: u32 = 16;
 
-impl Pace {
+impl Backoff {
     /// The first pause, and the longest.
-    pub fn new(first: Duration, most: Duration, seed: u64) -> Pace {
-        Pace { first, most, seed, failures: 0, drawn: 0 }
+    pub fn new(first: Duration, most: Duration, seed: u64) -> Backoff {
+        Backoff { first, most, seed, failures: 0, drawn: 0 }
     }
 
     /// The pause after one more failure in a row.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_pause(&mut self) -> Duration {
         let doublings = self.failures.min(MOST_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        self.spread((self.first * (1 << doublings)).min(self.most))
+        self.jitter((self.first * (1 << doublings)).min(self.most))
     }
 
     /// A pause between half of `length` and the whole of it.
-    pub fn spread(&mut self, length: Duration) -> Duration {
+    pub fn jitter(&mut self, length: Duration) -> Duration {
         self.drawn += 1;
         let drawn = xxh3_64_with_seed(&self.drawn.to_le_bytes(), self.seed);
         let part = drawn as f64 / u64::MAX as f64;
@@ -39,7 +39,7 @@
     }
 
     /// The row of failures is over.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -30,7 +30,7 @@
 
 /// All entries of one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct FullDocument {
     /// Which version it is.
     pub version: Version,
     /// Ordered by key, each once.
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -5,11 +5,11 @@
 //! never goes back: an answer that is not built upon it, whose checksum over the whole does not hold, or whose settings
 //! are unsound is refused with its reason, and the last sound version stays in force for as long as it takes.
 
-use crate::delta::{Delta, Whole};
+use crate::backoff::Backoff;
+use crate::delta::{Delta, FullDocument};
 use crate::document::Document;
 use crate::message::Message;
-use crate::pace::Pace;
-use crate::staging::{Candidate, Progress, Staged, StagingError};
+use crate::staging::{Candidate, Progress, StagedUpdate, StagingError};
 use crate::version::Version;
 use std::time::Duration;
 use thiserror::Error;
@@ -18,15 +18,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerSettings {
     /// The source may hold a question so long while it has nothing later.
-    pub wait: Duration,
+    pub poll_wait: Duration,
     /// What an answer may take beyond that wait before the source counts as silent.
-    pub overdue: Duration,
+    pub poll_timeout: Duration,
     /// The first pause after a failure, and the longest.
-    pub pauses: (Duration, Duration),
+    pub backoff: (Duration, Duration),
     /// A whole document that was refused is asked for again after such a pause: it is megabytes each time.
-    pub whole_again: Duration,
+    pub full_refetch_after: Duration,
     /// Entries of a slice: at some 1 us each, a slice holds a loop for a quarter of a millisecond.
-    pub slice: usize,
+    pub entries_per_slice: usize,
 }
 
 impl Default for FollowerSettings {
@@ -34,22 +34,22 @@
     /// to be in force for a pause, the answer and its reading (docs/configuration-distribution.md).
     fn default() -> FollowerSettings {
         FollowerSettings {
-            wait: Duration::from_secs(10),
-            overdue: Duration::from_secs(2),
-            pauses: (Duration::from_millis(100), Duration::from_secs(2)),
-            whole_again: Duration::from_secs(30),
-            slice: 256,
+            poll_wait: Duration::from_secs(10),
+            poll_timeout: Duration::from_secs(2),
+            backoff: (Duration::from_millis(100), Duration::from_secs(2)),
+            full_refetch_after: Duration::from_secs(30),
+            entries_per_slice: 256,
         }
     }
 }
 
 /// A question to the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Poll {
     /// The version held, which deltas are to be built upon; `None` asks for the whole document.
     pub after: Option<Version>,
     /// A version that was refused here: only what is later than that is an answer.
-    pub past: Option<Version>,
+    pub rejected_version: Option<Version>,
     /// The source may hold the question so long.
     pub wait: Duration,
 }
@@ -73,7 +73,7 @@
 
 /// Why an answer was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// A delta for another version than the one held.
     #[error("a delta from version {from}, while {held} is held")]
     OtherBase {
@@ -119,9 +119,9 @@
 
 /// What the driver does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum NextStep {
     /// Put this question; its end is told by [`Follower::answered`] or [`Follower::failed`].
-    Ask(Ask),
+    Poll(Poll),
     /// Nothing before that time, or before an answer.
     Wait(Duration),
     /// Call again at once, or after something else had its turn: a slice is done, and more are to come.
@@ -131,14 +131,14 @@
     /// This version is held now: what was read of it comes into force.
     Took(Version),
     /// Tell the operators.
-    Refused(Refusal),
+    Refused(Rejection),
     /// The question is given up; tell the operators.
     Failed(Failure),
 }
 
 /// How the document held stands to the source's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SyncState {
     /// Nothing is held yet.
     Empty,
     /// The source's latest, as far as the last answer tells.
@@ -153,9 +153,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerStatus {
     /// The version held.
-    pub held: Option<Version>,
+    pub applied_version: Option<Version>,
     /// How it stands to the source's.
-    pub standing: Standing,
+    pub sync_state: SyncState,
     /// At most so long ago the version held was the source's latest: since the question whose answer said so.
     pub age: Option<Duration>,
 }
@@ -164,18 +164,18 @@
 enum Phase {
     Resting { until: Duration },
     Asked { at: Duration },
-    Verifying(Staged),
-    Judging(Staged),
-    Committing(Staged),
+    Verifying(StagedUpdate),
+    Judging(StagedUpdate),
+    Committing(StagedUpdate),
 }
 
 /// The follower's state; times are spans since the process began.
 #[derive(Debug)]
 pub struct Follower {
     settings: FollowerSettings,
-    pace: Pace,
+    pace: Backoff,
     phase: Phase,
-    held: Option<Version>,
+    applied_version: Option<Version>,
     document: Document,
     /// The latest version that was refused for its content.
     refused: Option<Version>,
@@ -186,18 +186,18 @@
     /// When the question was put after which the version held was last known to be the latest.
     current_at: Option<Duration>,
     /// To be told by the next poll.
-    told: Option<Step>,
+    told: Option<NextStep>,
 }
 
 impl Follower {
     /// Nothing is held; the first question is put at once. `seed` spreads its pauses: no other proxy's.
     pub fn new(settings: FollowerSettings, seed: u64) -> Follower {
-        let (first, most) = settings.pauses;
+        let (first, most) = settings.backoff;
         Follower {
             settings,
-            pace: Pace::new(first, most, seed),
+            pace: Backoff::new(first, most, seed),
             phase: Phase::Resting { until: Duration::ZERO },
-            held: None,
+            applied_version: None,
             document: Document::default(),
             refused: None,
             whole: true,
@@ -213,63 +213,63 @@
     }
 
     /// The version held.
-    pub fn held(&self) -> Option<Version> {
-        self.held
+    pub fn applied_version(&self) -> Option<Version> {
+        self.applied_version
     }
 
     /// How it stands.
     pub fn status(&self, now: Duration) -> FollowerStatus {
-        let standing = match (self.held, self.refused) {
-            _ if self.pace.failures() > 0 => Standing::CutOff,
-            (held, Some(refused)) if held.is_none_or(|held| refused > held) => Standing::Refusing(refused),
-            (None, _) => Standing::Empty,
-            (Some(_), _) => Standing::Current,
+        let standing = match (self.applied_version, self.refused) {
+            _ if self.pace.failures() > 0 => SyncState::CutOff,
+            (held, Some(refused)) if held.is_none_or(|held| refused > held) => SyncState::Refusing(refused),
+            (None, _) => SyncState::Empty,
+            (Some(_), _) => SyncState::Current,
         };
         let age = self.current_at.map(|at| now.saturating_sub(at));
-        FollowerStatus { held: self.held, standing, age }
+        FollowerStatus { applied_version: self.applied_version, sync_state: standing, age }
     }
 
     /// Does one bounded piece of work and tells what comes next.
-    pub fn poll(&mut self, now: Duration) -> Step {
+    pub fn next_step(&mut self, now: Duration) -> NextStep {
         if let Some(told) = self.told.take() {
             return told;
         }
         match std::mem::replace(&mut self.phase, Phase::Resting { until: now }) {
             Phase::Resting { until } if now < until => {
                 self.phase = Phase::Resting { until };
-                Step::Wait(until)
+                NextStep::Wait(until)
             }
             Phase::Resting { .. } => self.ask(now),
             Phase::Asked { at } => self.wait_for_answer(now, at),
             Phase::Verifying(staged) => self.verify(now, staged),
             Phase::Judging(staged) => {
                 self.phase = Phase::Judging(staged);
-                Step::Judge
+                NextStep::Judge
             }
             Phase::Committing(staged) => self.commit(staged),
         }
     }
 
-    fn ask(&mut self, now: Duration) -> Step {
+    fn ask(&mut self, now: Duration) -> NextStep {
         self.asked_at = now;
         self.phase = Phase::Asked { at: now };
-        let after = self.held.filter(|_| !self.whole);
-        let past = self.refused.filter(|refused| self.held.is_none_or(|held| *refused > held));
-        Step::Ask(Ask { after, past, wait: self.settings.wait })
+        let after = self.applied_version.filter(|_| !self.whole);
+        let past = self.refused.filter(|refused| self.applied_version.is_none_or(|held| *refused > held));
+        NextStep::Poll(Poll { after, rejected_version: past, wait: self.settings.poll_wait })
     }
 
-    fn wait_for_answer(&mut self, now: Duration, at: Duration) -> Step {
-        let deadline = at + self.settings.wait + self.settings.overdue;
+    fn wait_for_answer(&mut self, now: Duration, at: Duration) -> NextStep {
+        let deadline = at + self.settings.poll_wait + self.settings.poll_timeout;
         if now < deadline {
             self.phase = Phase::Asked { at };
-            return Step::Wait(deadline);
+            return NextStep::Wait(deadline);
         }
-        self.phase = Phase::Resting { until: now + self.pace.failed() };
-        Step::Failed(Failure::Silent)
+        self.phase = Phase::Resting { until: now + self.pace.next_pause() };
+        NextStep::Failed(Failure::Silent)
     }
 
     /// An answer has come; without a question that is out it is dropped.
-    pub fn answered(&mut self, now: Duration, message: Message) {
+    pub fn handle_message(&mut self, now: Duration, message: Message) {
         if !matches!(self.phase, Phase::Asked { .. }) {
             return;
         }
@@ -277,110 +277,110 @@
         match message {
             Message::Unchanged(version) => self.unchanged(now, version),
             Message::Delta(delta) => self.offered_delta(now, delta),
-            Message::Whole(whole) => self.offered_whole(now, whole),
+            Message::FullDocument(whole) => self.offered_whole(now, whole),
         }
     }
 
     /// The question that is out has failed.
-    pub fn failed(&mut self, now: Duration, failure: Failure) {
+    pub fn poll_failed(&mut self, now: Duration, failure: Failure) {
         if matches!(self.phase, Phase::Asked { .. }) {
-            self.phase = Phase::Resting { until: now + self.pace.failed() };
-            self.told = Some(Step::Failed(failure));
+            self.phase = Phase::Resting { until: now + self.pace.next_pause() };
+            self.told = Some(NextStep::Failed(failure));
         }
     }
 
     /// The question that is out is given up by the driver: the next is put at once.
-    pub fn abandoned(&mut self, now: Duration) {
+    pub fn poll_abandoned(&mut self, now: Duration) {
         if matches!(self.phase, Phase::Asked { .. }) {
             self.phase = Phase::Resting { until: now };
         }
     }
 
     fn unchanged(&mut self, now: Duration, version: Version) {
-        let known = self.held.max(self.refused);
+        let known = self.applied_version.max(self.refused);
         match known {
             Some(known) if version < known => {
-                self.refuse(now, Refusal::WentBack { held: known, offered: version })
+                self.refuse(now, Rejection::WentBack { held: known, offered: version })
             }
             Some(known) if version == known => {
-                self.pace.succeeded();
-                if self.held == Some(version) {
+                self.pace.reset();
+                if self.applied_version == Some(version) {
                     self.current_at = Some(self.asked_at);
                 }
             }
             // It has something later and does not say what: the whole document tells.
             _ => {
                 self.whole = true;
-                self.phase = Phase::Resting { until: now + self.pace.failed() };
+                self.phase = Phase::Resting { until: now + self.pace.next_pause() };
             }
         }
     }
 
     fn offered_delta(&mut self, now: Duration, delta: Delta) {
-        match self.held {
-            None => self.refuse(now, Refusal::NothingHeld(delta.from)),
+        match self.applied_version {
+            None => self.refuse(now, Rejection::NothingHeld(delta.from)),
             Some(held) if held != delta.from => {
                 self.whole |= delta.from.epoch != held.epoch || delta.to > held;
-                self.refuse(now, Refusal::OtherBase { held, from: delta.from });
+                self.refuse(now, Rejection::OtherBase { held, from: delta.from });
             }
             Some(held) if delta.to <= held || delta.to.epoch != held.epoch => {
-                self.refuse(now, Refusal::WentBack { held, offered: delta.to });
+                self.refuse(now, Rejection::WentBack { held, offered: delta.to });
             }
             Some(_) if self.refused.is_some_and(|refused| delta.to <= refused) => {
-                self.refuse(now, Refusal::Repeated(delta.to));
+                self.refuse(now, Rejection::Repeated(delta.to));
             }
-            Some(_) => self.phase = Phase::Verifying(Staged::delta(delta, &self.document)),
+            Some(_) => self.phase = Phase::Verifying(StagedUpdate::from_delta(delta, &self.document)),
         }
     }
 
-    fn offered_whole(&mut self, now: Duration, whole: Whole) {
+    fn offered_whole(&mut self, now: Duration, whole: FullDocument) {
         let offered = whole.version;
-        match self.held {
+        match self.applied_version {
             Some(held) if offered < held => {
                 self.whole = false;
-                self.refuse(now, Refusal::WentBack { held, offered });
+                self.refuse(now, Rejection::WentBack { held, offered });
             }
             Some(held) if offered == held && whole.checksum == self.document.checksum().of_version(held) => {
                 self.whole = false;
                 self.current_at = Some(self.asked_at);
-                self.pace.succeeded();
+                self.pace.reset();
             }
             Some(held) if offered == held => {
-                self.refuse(now, Refusal::Forked(held));
+                self.refuse(now, Rejection::Forked(held));
                 self.rest_before_whole(now);
             }
             _ if self.refused.is_some_and(|refused| offered <= refused) => {
-                self.refuse(now, Refusal::Repeated(offered));
+                self.refuse(now, Rejection::Repeated(offered));
                 self.rest_before_whole(now);
             }
-            _ => self.phase = Phase::Verifying(Staged::whole(whole)),
+            _ => self.phase = Phase::Verifying(StagedUpdate::from_full_document(whole)),
         }
     }
 
-    fn refuse(&mut self, now: Duration, refusal: Refusal) {
-        self.phase = Phase::Resting { until: now + self.pace.failed() };
-        self.told = Some(Step::Refused(refusal));
+    fn refuse(&mut self, now: Duration, refusal: Rejection) {
+        self.phase = Phase::Resting { until: now + self.pace.next_pause() };
+        self.told = Some(NextStep::Refused(refusal));
     }
 
     fn rest_before_whole(&mut self, now: Duration) {
-        self.phase = Phase::Resting { until: now + self.pace.spread(self.settings.whole_again) };
+        self.phase = Phase::Resting { until: now + self.pace.jitter(self.settings.full_refetch_after) };
     }
 
-    fn verify(&mut self, now: Duration, mut staged: Staged) -> Step {
-        match staged.verify(&self.document, self.settings.slice) {
+    fn verify(&mut self, now: Duration, mut staged: StagedUpdate) -> NextStep {
+        match staged.verify(&self.document, self.settings.entries_per_slice) {
             Ok(Progress::More) => self.phase = Phase::Verifying(staged),
             Ok(Progress::Done) => self.phase = Phase::Judging(staged),
             Err(error) => {
                 let version = staged.target();
-                self.refuse(now, Refusal::Staging { version, error });
-                if staged.is_whole() {
+                self.refuse(now, Rejection::Staging { version, error });
+                if staged.is_full_document() {
                     self.rest_before_whole(now);
                 }
                 self.whole = true;
-                return self.told.take().unwrap_or(Step::More);
+                return self.told.take().unwrap_or(NextStep::More);
             }
         }
-        Step::More
+        NextStep::More
     }
 
     /// The version that waits to be judged.
@@ -392,30 +392,30 @@
     }
 
     /// Whether the candidate's settings are sound, and why not. Without a candidate nothing is done.
-    pub fn judged(&mut self, now: Duration, verdict: Result<(), String>) {
+    pub fn candidate_judged(&mut self, now: Duration, verdict: Result<(), String>) {
         match (std::mem::replace(&mut self.phase, Phase::Resting { until: now }), verdict) {
             (Phase::Judging(staged), Ok(())) => self.phase = Phase::Committing(staged),
             (Phase::Judging(staged), Err(reason)) => {
                 let version = staged.target();
                 self.refused = Some(version);
                 // The source is in order, so that its next answer is waited for without a pause.
-                self.pace.succeeded();
-                self.told = Some(Step::Refused(Refusal::Unsound { version, reason }));
+                self.pace.reset();
+                self.told = Some(NextStep::Refused(Rejection::Unsound { version, reason }));
             }
             (phase, _) => self.phase = phase,
         }
     }
 
-    fn commit(&mut self, mut staged: Staged) -> Step {
+    fn commit(&mut self, mut staged: StagedUpdate) -> NextStep {
         let version = staged.target();
-        if staged.commit(&mut self.document, self.settings.slice) == Progress::More {
+        if staged.commit(&mut self.document, self.settings.entries_per_slice) == Progress::More {
             self.phase = Phase::Committing(staged);
-            return Step::More;
+            return NextStep::More;
         }
-        self.held = Some(version);
+        self.applied_version = Some(version);
         self.whole = false;
         self.current_at = Some(self.asked_at);
-        self.pace.succeeded();
-        Step::Took(version)
+        self.pace.reset();
+        NextStep::Took(version)
     }
 }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -23,12 +23,12 @@
 }
 
 /// Entries and the values that stood there; `None` where there was no such entry.
-pub type Former = BTreeMap<Key, Option<Box<str>>>;
+pub type PreviousValues = BTreeMap<Key, Option<Box<str>>>;
 
 /// What a version replaced.
 #[derive(Debug)]
 struct Replaced {
-    former: Former,
+    former: PreviousValues,
     bytes: usize,
 }
 
@@ -50,7 +50,7 @@
     }
 
     /// One more version replaced these; the oldest are dropped beyond the bounds.
-    pub fn push(&mut self, former: Former) {
+    pub fn push(&mut self, former: PreviousValues) {
         let text = |(key, value): (&Key, &Option<Box<str>>)| {
             key.name.len() + value.as_ref().map_or(0, |value| value.len()) + PER_ENTRY
         };
@@ -65,10 +65,10 @@
 
     /// What the last `versions` versions replaced, each entry with the value before all of them; `None` where so many
     /// are not kept.
-    pub fn former(&self, versions: u64) -> Option<Former> {
+    pub fn previous_values(&self, versions: u64) -> Option<PreviousValues> {
         let versions = usize::try_from(versions).ok()?;
         let first = self.replaced.len().checked_sub(versions)?;
-        let mut all = Former::new();
+        let mut all = PreviousValues::new();
         for replaced in self.replaced.iter().skip(first) {
             for (key, value) in &replaced.former {
                 if !all.contains_key(key) {
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -9,27 +9,27 @@
 //! - [`delta`]: what a version changes, and a whole document;
 //! - [`message`]: the text of both on the wire;
 //! - [`staging`]: a version that is built beside the one held, in bounded slices;
-//! - [`follower`]: the proxy's side; [`pace`]: its pauses after failures;
-//! - [`history`] and [`source`]: the publishing side; [`desk`]: the bounded buffers for its followers.
+//! - [`follower`]: the proxy's side; [`backoff`]: its pauses after failures;
+//! - [`history`] and [`source`]: the publishing side; [`long_poll`]: the bounded buffers for its followers.
 //!
 //! Time is a span since the process began, by a clock that never steps back; no two processes' clocks are compared.
 
+pub mod backoff;
 pub mod checksum;
 pub mod delta;
-pub mod desk;
 pub mod document;
 pub mod follower;
 pub mod history;
+pub mod long_poll;
 pub mod message;
-pub mod pace;
 pub mod source;
 pub mod staging;
 pub mod version;
 
 pub use checksum::Checksum;
-pub use delta::{Delta, Entry, Whole};
+pub use delta::{Delta, Entry, FullDocument};
 pub use document::{Document, DocumentError, Key, Section};
-pub use follower::{Ask, Failure, Follower, FollowerSettings, Refusal, Standing, Step};
+pub use follower::{Failure, Follower, FollowerSettings, NextStep, Poll, Rejection, SyncState};
 pub use message::{decode, encode, Message, MessageError};
 pub use source::{Publication, PublishError, Source};
 pub use staging::Candidate;
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -10,7 +10,7 @@
 //! an unknown key, a key that its kind does not have, a name told twice.
 
 use crate::checksum::Checksum;
-use crate::delta::{Delta, Entry, Whole};
+use crate::delta::{Delta, Entry, FullDocument};
 use crate::document::{Key, Section, MAX_DOCUMENT, MAX_ENTRIES};
 use crate::version::Version;
 use serde::de::{Error as _, MapAccess, SeqAccess, Visitor};
@@ -30,7 +30,7 @@
     /// A change.
     Delta(Delta),
     /// All of it.
-    Whole(Whole),
+    FullDocument(FullDocument),
 }
 
 /// Why a text is no message.
@@ -231,7 +231,7 @@
             ("removed", self.removed.is_some()),
         ])?;
         let sections = self.entries.ok_or_else(|| MessageError::Missing("entries", self.kind.clone()))?;
-        Ok(Message::Whole(Whole {
+        Ok(Message::FullDocument(FullDocument {
             version: required(self.version, "version", &self.kind)?,
             checksum: required(self.checksum, "checksum", &self.kind)?,
             entries: entries(sections)?,
@@ -297,7 +297,7 @@
             write_keys(&mut text, &delta.removed);
             text.push_str(&format!(r#","checksum":"{}"}}"#, delta.checksum));
         }
-        Message::Whole(whole) => {
+        Message::FullDocument(whole) => {
             text.push_str(&format!(r#"{{"kind":"whole","version":"{}","entries":"#, whole.version));
             write_entries(&mut text, &whole.entries);
             text.push_str(&format!(r#","checksum":"{}"}}"#, whole.checksum));
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,11 +1,11 @@
 //! The publishing side: the one owner of the document, its versions, and the answers to followers.
 
-use crate::delta::{Delta, Entry, Whole};
+use crate::delta::{Delta, Entry, FullDocument};
 use crate::document::{to_settings, Document, DocumentError, Key};
-use crate::follower::Ask;
-use crate::history::{Former, History, HistoryBounds};
+use crate::follower::Poll;
+use crate::history::{History, HistoryBounds, PreviousValues};
 use crate::message::{encode, Message};
-use crate::staging::{Progress, Staged, StagingError};
+use crate::staging::{Progress, StagedUpdate, StagingError};
 use crate::version::Version;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
 
 /// What a question gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum SourceAnswer {
     /// At once.
     Now(Arc<str>),
     /// When there is something later, or with `unchanged` when its wait is over.
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// What is wrong with the settings.
-    pub fn begin(
+    pub fn new(
         epoch: u64, settings: &Value, bounds: HistoryBounds, check: impl FnOnce(&Value) -> Result<(), String>,
     ) -> Result<Source, PublishError> {
         let document = Document::from_settings(settings)?;
@@ -120,7 +120,7 @@
         if changed.is_empty() && removed.is_empty() {
             return Err(PublishError::Nothing);
         }
-        let mut former = Former::new();
+        let mut former = PreviousValues::new();
         for key in changed.iter().map(|entry| &entry.key).chain(&removed) {
             former.insert(key.clone(), self.document.get(key).map(Box::from));
         }
@@ -137,7 +137,9 @@
     }
 
     /// The changes over the document, verified.
-    fn stage(&self, to: Version, changed: Vec<Entry>, removed: Vec<Key>) -> Result<Staged, PublishError> {
+    fn stage(
+        &self, to: Version, changed: Vec<Entry>, removed: Vec<Key>,
+    ) -> Result<StagedUpdate, PublishError> {
         let mut checksum = self.document.checksum();
         for (key, value) in removed.iter().map(|key| (key, None)).chain(changed.iter().map(Entry::parts)) {
             if let Some(old) = self.document.get(key) {
@@ -149,7 +151,7 @@
         }
         let checksum = checksum.of_version(to);
         let delta = Delta { from: self.version, to, changed, removed, checksum };
-        let mut staged = Staged::delta(delta, &self.document);
+        let mut staged = StagedUpdate::from_delta(delta, &self.document);
         staged.verify(&self.document, ALL)?;
         Ok(staged)
     }
@@ -158,7 +160,7 @@
     ///
     /// # Errors
     /// That version is no longer kept, or its settings are unsound by now.
-    pub fn take_back(
+    pub fn revert_to(
         &mut self, version: Version, check: impl FnOnce(&Value) -> Result<(), String>,
     ) -> Result<Publication, PublishError> {
         let former = self.former(version).ok_or(PublishError::NotKept(version))?;
@@ -173,27 +175,27 @@
         self.publish_changes(changed, removed, check)
     }
 
-    fn former(&self, version: Version) -> Option<Former> {
+    fn former(&self, version: Version) -> Option<PreviousValues> {
         if version.epoch != self.version.epoch {
             return None;
         }
-        self.history.former(self.version.number.checked_sub(version.number)?)
+        self.history.previous_values(self.version.number.checked_sub(version.number)?)
     }
 
-    /// What a question gets; see [`Ask`].
-    pub fn answer(&mut self, ask: &Ask) -> Answer {
+    /// What a question gets; see [`Poll`].
+    pub fn answer_poll(&mut self, ask: &Poll) -> SourceAnswer {
         let latest = self.version;
-        let known = ask.after.max(ask.past);
+        let known = ask.after.max(ask.rejected_version);
         match known {
             // A follower knows a later version: this source has gone back, which is theirs to tell.
-            Some(known) if known > latest => Answer::Now(self.unchanged()),
-            Some(known) if known == latest => Answer::Later,
-            _ => Answer::Now(self.text(ask.after)),
+            Some(known) if known > latest => SourceAnswer::Now(self.unchanged_message()),
+            Some(known) if known == latest => SourceAnswer::Later,
+            _ => SourceAnswer::Now(self.text(ask.after)),
         }
     }
 
     /// The answer to a question whose wait is over.
-    pub fn unchanged(&self) -> Arc<str> {
+    pub fn unchanged_message(&self) -> Arc<str> {
         encode(&Message::Unchanged(self.version)).into()
     }
 
@@ -204,7 +206,7 @@
         let text: Arc<str> = match after.and_then(|after| self.delta(after)) {
             Some(delta) => encode(&Message::Delta(delta)).into(),
             None if after.is_some() => self.text(None),
-            None => encode(&Message::Whole(self.whole())).into(),
+            None => encode(&Message::FullDocument(self.full_document())).into(),
         };
         if self.texts.len() >= MOST_TEXTS {
             self.texts.pop_last();
@@ -234,10 +236,10 @@
     }
 
     /// All of the latest version.
-    pub fn whole(&self) -> Whole {
+    pub fn full_document(&self) -> FullDocument {
         let entries = self.document.entries();
         let checksum = self.document.checksum().of_version(self.version);
-        Whole { version: self.version, entries, checksum }
+        FullDocument { version: self.version, entries, checksum }
     }
 }
 
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -4,7 +4,7 @@
 //! touched. From then on nothing can fail, and the entries go into the document held, again in slices.
 
 use crate::checksum::Checksum;
-use crate::delta::{Delta, Entry, Whole};
+use crate::delta::{Delta, Entry, FullDocument};
 use crate::document::{check_entry, check_key, check_size, to_settings, Document, DocumentError, Key};
 use crate::version::Version;
 use serde_json::Value;
@@ -46,7 +46,7 @@
 
 /// A version on its way to be held.
 #[derive(Clone, Debug)]
-pub struct Staged {
+pub struct StagedUpdate {
     target: Version,
     expected: Checksum,
     parts: Parts,
@@ -55,12 +55,12 @@
 #[derive(Clone, Debug)]
 enum Parts {
     /// Laid over the document held; `None` takes an entry out.
-    Over { waiting: std::vec::IntoIter<Step>, overlay: Overlay, size: Size, checksum: Checksum },
+    Eviction { waiting: std::vec::IntoIter<NextStep>, overlay: Overlay, size: Size, checksum: Checksum },
     /// In place of the document held.
     Anew { waiting: std::vec::IntoIter<Entry>, document: Document },
 }
 
-type Step = (Key, Option<Box<str>>);
+type NextStep = (Key, Option<Box<str>>);
 type Overlay = BTreeMap<Key, Option<Box<str>>>;
 
 /// Entries and bytes of the document that is to come.
@@ -70,25 +70,25 @@
     bytes: usize,
 }
 
-impl Staged {
+impl StagedUpdate {
     /// A delta for the document held.
-    pub fn delta(delta: Delta, held: &Document) -> Staged {
+    pub fn from_delta(delta: Delta, held: &Document) -> StagedUpdate {
         let Delta { to, changed, removed, checksum, .. } = delta;
-        let mut steps: Vec<Step> = removed.into_iter().map(|key| (key, None)).collect();
+        let mut steps: Vec<NextStep> = removed.into_iter().map(|key| (key, None)).collect();
         steps.extend(changed.into_iter().map(|entry| (entry.key, Some(entry.value))));
-        let parts = Parts::Over {
+        let parts = Parts::Eviction {
             waiting: steps.into_iter(),
             overlay: Overlay::new(),
             size: Size { entries: held.len(), bytes: held.bytes() },
             checksum: held.checksum(),
         };
-        Staged { target: to, expected: checksum, parts }
+        StagedUpdate { target: to, expected: checksum, parts }
     }
 
     /// A whole document.
-    pub fn whole(whole: Whole) -> Staged {
+    pub fn from_full_document(whole: FullDocument) -> StagedUpdate {
         let parts = Parts::Anew { waiting: whole.entries.into_iter(), document: Document::default() };
-        Staged { target: whole.version, expected: whole.checksum, parts }
+        StagedUpdate { target: whole.version, expected: whole.checksum, parts }
     }
 
     /// The version that it is.
@@ -97,7 +97,7 @@
     }
 
     /// It is a whole document.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_full_document(&self) -> bool {
         matches!(self.parts, Parts::Anew { .. })
     }
 
@@ -107,7 +107,7 @@
     /// What is wrong with the version; nothing of it may be used then.
     pub fn verify(&mut self, held: &Document, most: usize) -> Result<Progress, StagingError> {
         let got = match &mut self.parts {
-            Parts::Over { waiting, overlay, size, checksum } => {
+            Parts::Eviction { waiting, overlay, size, checksum } => {
                 for (key, value) in waiting.by_ref().take(most) {
                     lay(held, overlay, size, checksum, key, value)?;
                 }
@@ -142,7 +142,7 @@
     /// Puts `most` more entries at most into the document held. Only after all were verified.
     pub fn commit(&mut self, held: &mut Document, most: usize) -> Progress {
         match &mut self.parts {
-            Parts::Over { overlay, .. } => {
+            Parts::Eviction { overlay, .. } => {
                 for _ in 0..most {
                     let Some((key, value)) = overlay.pop_first() else { return Progress::Done };
                     match value {
@@ -199,7 +199,7 @@
 /// A version whose checksum holds, before it is in force.
 pub struct Candidate<'a> {
     held: &'a Document,
-    staged: &'a Staged,
+    staged: &'a StagedUpdate,
 }
 
 impl Candidate<'_> {
@@ -215,7 +215,7 @@
     pub fn to_settings(&self) -> Result<Value, DocumentError> {
         match &self.staged.parts {
             Parts::Anew { document, .. } => to_settings(document.iter()),
-            Parts::Over { overlay, .. } => to_settings(Merged {
+            Parts::Eviction { overlay, .. } => to_settings(Merged {
                 under: &mut self.held.iter().peekable(),
                 over: overlay.iter().peekable(),
             }),
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use lotusdeck_configuration::history::HistoryBounds;
 use lotusdeck_configuration::{
-    decode, Ask, Document, Entry, Follower, FollowerSettings, Key, Message, Refusal, Section, Source, Step,
-    Version,
+    decode, Document, Entry, Follower, FollowerSettings, Key, Message, NextStep, Poll, Rejection, Section,
+    Source, Version,
 };
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -38,7 +38,7 @@
 }
 
 pub fn source(profiles: usize, customers: usize) -> Source {
-    Source::begin(EPOCH, &settings(profiles, customers), HistoryBounds::default(), check).unwrap()
+    Source::new(EPOCH, &settings(profiles, customers), HistoryBounds::default(), check).unwrap()
 }
 
 pub fn quota(customer: usize, quota: f64) -> Entry {
@@ -65,7 +65,7 @@
 #[derive(Debug, PartialEq)]
 pub enum End {
     Took(Version),
-    Refused(Refusal),
+    Refused(Rejection),
     /// Nothing to do but to rest or to ask.
     Idle,
 }
@@ -87,11 +87,11 @@
     }
 
     /// Its next question; time goes on to the end of its rest.
-    pub fn ask(&mut self) -> Ask {
+    pub fn ask(&mut self) -> Poll {
         loop {
-            match self.follower.poll(self.now) {
-                Step::Ask(ask) => return ask,
-                Step::Wait(until) => self.now = until,
+            match self.follower.next_step(self.now) {
+                NextStep::Poll(ask) => return ask,
+                NextStep::Wait(until) => self.now = until,
                 _ => {}
             }
         }
@@ -99,29 +99,30 @@
 
     /// Hands an answer in and works on it to its end.
     pub fn answer(&mut self, message: Message) -> End {
-        self.follower.answered(self.now, message);
+        self.follower.handle_message(self.now, message);
         self.work()
     }
 
     pub fn work(&mut self) -> End {
         let mut read = None;
         loop {
-            match self.follower.poll(self.now) {
-                Step::More => self.slices += 1,
-                Step::Judge => {
+            match self.follower.next_step(self.now) {
+                NextStep::More => self.slices += 1,
+                NextStep::Judge => {
                     let candidate = self.follower.candidate().unwrap();
                     let settings = candidate.to_settings().map_err(|error| error.to_string());
                     let verdict = settings.and_then(|settings| check(&settings).map(|()| settings));
-                    self.follower.judged(self.now, verdict.as_ref().map(|_| ()).map_err(String::clone));
+                    self.follower
+                        .candidate_judged(self.now, verdict.as_ref().map(|_| ()).map_err(String::clone));
                     read = verdict.ok();
                 }
-                Step::Took(version) => {
+                NextStep::Took(version) => {
                     self.in_force = read.take().map(|settings| (version, settings));
                     return End::Took(version);
                 }
-                Step::Refused(refusal) => return End::Refused(refusal),
-                Step::Failed(_) => {}
-                Step::Wait(_) | Step::Ask(_) => return End::Idle,
+                NextStep::Refused(refusal) => return End::Refused(refusal),
+                NextStep::Failed(_) => {}
+                NextStep::Wait(_) | NextStep::Poll(_) => return End::Idle,
             }
         }
     }
@@ -129,11 +130,11 @@
     /// Asks the source and works on its answer; `Idle` where it has nothing later.
     pub fn exchange(&mut self, source: &mut Source) -> End {
         let ask = self.ask();
-        match source.answer(&ask) {
-            lotusdeck_configuration::source::Answer::Now(text) => {
+        match source.answer_poll(&ask) {
+            lotusdeck_configuration::source::SourceAnswer::Now(text) => {
                 self.answer(decode(text.as_bytes()).unwrap())
             }
-            lotusdeck_configuration::source::Answer::Later => {
+            lotusdeck_configuration::source::SourceAnswer::Later => {
                 self.now += ask.wait;
                 self.answer(Message::Unchanged(source.version()))
             }
@@ -144,7 +145,7 @@
     pub fn holds(&self, document: &Document) {
         assert_eq!(self.follower.document(), document);
         let (version, settings) = self.in_force.as_ref().unwrap();
-        assert_eq!(Some(*version), self.follower.held());
+        assert_eq!(Some(*version), self.follower.applied_version());
         assert_eq!(&Document::from_settings(settings).unwrap(), document);
     }
 }
--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -1,9 +1,9 @@
 //! A source and its followers in virtual time: lines of bounded speed, questions, answers and pauses as they are. Every
 //! proxy is a real follower of a small document; a whole document counts with the bytes of a large one.
 
-use lotusdeck_configuration::desk::{Desk, DeskBounds, FollowerId, Over, Reply};
+use lotusdeck_configuration::long_poll::{Eviction, FollowerId, LongPollQueue, PollReply, QueueBounds};
 use lotusdeck_configuration::{
-    decode, Ask, Failure, Follower, FollowerSettings, Message, Source, Step, Version,
+    decode, Failure, Follower, FollowerSettings, Message, NextStep, Poll, Source, Version,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,9 +30,9 @@
 
 enum Line {
     Idle,
-    Question { ask: Ask, arrives: Duration },
+    Question { ask: Poll, arrives: Duration },
     Parked,
-    Answer { text: Arc<str>, left: u64, arrives: Duration },
+    SourceAnswer { text: Arc<str>, left: u64, arrives: Duration },
     Reading { message: Message, until: Duration },
 }
 
@@ -51,7 +51,7 @@
 
 pub struct Rollout {
     pub source: Source,
-    pub desk: Desk,
+    pub desk: LongPollQueue,
     pub proxies: Vec<Proxy>,
     pub now: Duration,
     /// The most bytes of answers that the desk held at a time.
@@ -66,7 +66,7 @@
 impl Rollout {
     /// So many proxies, which begin spread evenly over `within`.
     pub fn new(
-        source: Source, proxies: u64, within: Duration, bounds: DeskBounds, conditions: Conditions,
+        source: Source, proxies: u64, within: Duration, bounds: QueueBounds, conditions: Conditions,
     ) -> Rollout {
         let proxy = |at: u64| Proxy {
             follower: Follower::new(FollowerSettings::default(), at + 1),
@@ -79,7 +79,7 @@
         };
         Rollout {
             source,
-            desk: Desk::new(bounds),
+            desk: LongPollQueue::new(bounds),
             proxies: (0..proxies).map(proxy).collect(),
             now: Duration::ZERO,
             most_held: 0,
@@ -110,31 +110,31 @@
 
     pub fn current(&self) -> usize {
         let version = Some(self.source.version());
-        self.proxies.iter().filter(|proxy| proxy.follower.held() == version).count()
+        self.proxies.iter().filter(|proxy| proxy.follower.applied_version() == version).count()
     }
 
     /// The source has published.
     pub fn published(&mut self) {
-        for (id, reply) in self.desk.published(&mut self.source, self.now) {
+        for (id, reply) in self.desk.publish(&mut self.source, self.now) {
             self.reply(id, reply);
         }
     }
 
-    fn reply(&mut self, id: FollowerId, reply: Reply) {
+    fn reply(&mut self, id: FollowerId, reply: PollReply) {
         let arrives = self.now + self.conditions.latency;
         let proxy = &mut self.proxies[id.0 as usize];
         match reply {
-            Reply::Parked => proxy.line = Line::Parked,
-            Reply::Busy => {
+            PollReply::Parked => proxy.line = Line::Parked,
+            PollReply::Busy => {
                 self.busy += 1;
                 proxy.bytes += HEAD;
                 proxy.line = Line::Idle;
-                proxy.follower.failed(self.now, Failure::Busy);
+                proxy.follower.poll_failed(self.now, Failure::Busy);
             }
-            Reply::Write(text) => {
+            PollReply::Write(text) => {
                 let whole = text.starts_with(r#"{"kind":"whole""#);
                 let left = HEAD + if whole { self.conditions.whole } else { text.len() as u64 };
-                proxy.line = Line::Answer { text, left, arrives };
+                proxy.line = Line::SourceAnswer { text, left, arrives };
             }
         }
     }
@@ -142,12 +142,12 @@
     fn step(&mut self) {
         for over in self.desk.expire(&self.source, self.now) {
             match over {
-                Over::Write(id, text) => self.reply(id, Reply::Write(text)),
-                Over::Close(id) => {
+                Eviction::Write(id, text) => self.reply(id, PollReply::Write(text)),
+                Eviction::Close(id) => {
                     self.closed += 1;
                     let proxy = &mut self.proxies[id.0 as usize];
                     proxy.line = Line::Idle;
-                    proxy.follower.failed(self.now, Failure::Broken("closed".into()));
+                    proxy.follower.poll_failed(self.now, Failure::Broken("closed".into()));
                 }
             }
         }
@@ -155,22 +155,24 @@
         for at in 0..self.proxies.len() {
             self.follow(at);
         }
-        self.most_held = self.most_held.max(self.desk.bytes());
+        self.most_held = self.most_held.max(self.desk.buffered_bytes());
     }
 
     /// The source's line is shared evenly by those that take an answer.
     fn send(&mut self) {
-        let taking =
-            self.proxies.iter().filter(|proxy| matches!(proxy.line, Line::Answer { left, .. } if left > 0));
+        let taking = self
+            .proxies
+            .iter()
+            .filter(|proxy| matches!(proxy.line, Line::SourceAnswer { left, .. } if left > 0));
         let per_tick = |speed: u64| speed * TICK.as_millis() as u64 / 1_000;
         let part = per_tick(self.conditions.source_line) / (taking.count() as u64).max(1);
         for (at, proxy) in self.proxies.iter_mut().enumerate() {
-            let Line::Answer { text, left, .. } = &mut proxy.line else { continue };
+            let Line::SourceAnswer { text, left, .. } = &mut proxy.line else { continue };
             let sent = part.min(per_tick(proxy.line_speed)).min(*left);
             proxy.bytes += sent;
             *left -= sent;
             if *left == 0 && sent > 0 {
-                self.desk.written(FollowerId(at as u64), text.len());
+                self.desk.bytes_written(FollowerId(at as u64), text.len());
             }
         }
     }
@@ -184,10 +186,10 @@
         }
         match std::mem::replace(&mut proxy.line, Line::Idle) {
             Line::Question { ask, arrives } if arrives <= now => {
-                let reply = self.desk.asked(&mut self.source, now, id, ask);
+                let reply = self.desk.poll(&mut self.source, now, id, ask);
                 return self.reply(id, reply);
             }
-            Line::Answer { text, left: 0, arrives } if arrives <= now => {
+            Line::SourceAnswer { text, left: 0, arrives } if arrives <= now => {
                 let message = decode(text.as_bytes()).expect("a message of the source");
                 let reading = match message {
                     Message::Unchanged(_) => Duration::ZERO,
@@ -195,24 +197,24 @@
                 };
                 proxy.line = Line::Reading { message, until: now + reading };
             }
-            Line::Reading { message, until } if until <= now => proxy.follower.answered(now, message),
+            Line::Reading { message, until } if until <= now => proxy.follower.handle_message(now, message),
             line => proxy.line = line,
         }
         loop {
-            match proxy.follower.poll(now) {
-                Step::Ask(ask) => {
+            match proxy.follower.next_step(now) {
+                NextStep::Poll(ask) => {
                     proxy.bytes += HEAD;
                     proxy.line = Line::Question { ask, arrives: now + conditions.latency };
                     return;
                 }
-                Step::Judge => proxy.follower.judged(now, Ok(())),
-                Step::Took(version) => proxy.took = Some((version, now)),
-                Step::Failed(Failure::Silent) => {
-                    self.desk.left(id);
+                NextStep::Judge => proxy.follower.candidate_judged(now, Ok(())),
+                NextStep::Took(version) => proxy.took = Some((version, now)),
+                NextStep::Failed(Failure::Silent) => {
+                    self.desk.disconnect(id);
                     proxy.line = Line::Idle;
                 }
-                Step::Wait(_) => return,
-                Step::More | Step::Refused(_) | Step::Failed(_) => {}
+                NextStep::Wait(_) => return,
+                NextStep::More | NextStep::Refused(_) | NextStep::Failed(_) => {}
             }
         }
     }
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -5,9 +5,9 @@
 
 use common::{change, check, quota, seconds, source, Driven, End};
 use lotusdeck_configuration::history::HistoryBounds;
-use lotusdeck_configuration::source::Answer;
+use lotusdeck_configuration::source::SourceAnswer;
 use lotusdeck_configuration::{
-    decode, Ask, Document, Failure, FollowerSettings, Message, Source, Standing, Step, Version,
+    decode, Document, Failure, FollowerSettings, Message, NextStep, Poll, Source, SyncState, Version,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
     /// The source begins anew without its history.
     Anew,
     /// The question goes to the source, and its answer on the way.
-    Ask,
+    Poll,
     /// One of the answers on the way comes in, perhaps not the one asked for, and stays on the way as well.
     Deliver { which: usize },
     /// One of them is lost, and time goes on.
@@ -40,7 +40,7 @@
         1 => (0..12usize).prop_map(|customer| Happening::Remove { customer }),
         1 => (0..6u64).prop_map(|versions| Happening::TakeBack { versions }),
         1 => Just(Happening::Anew),
-        6 => Just(Happening::Ask),
+        6 => Just(Happening::Poll),
         6 => (0..64usize).prop_map(|which| Happening::Deliver { which }),
         3 => (0..64usize, 0..15_000u64).prop_map(|(which, millis)| Happening::Lose { which, millis }),
         6 => Just(Happening::Work),
@@ -52,7 +52,7 @@
     /// Every version that there was.
     published: BTreeMap<Version, Document>,
     follower: Driven,
-    asked: Option<Ask>,
+    asked: Option<Poll>,
     on_the_way: Vec<Message>,
 }
 
@@ -62,9 +62,9 @@
 impl World {
     fn new(seed: u64) -> World {
         let settings = common::settings(2, 10);
-        let source = Source::begin(common::EPOCH, &settings, KEPT, check).unwrap();
+        let source = Source::new(common::EPOCH, &settings, KEPT, check).unwrap();
         let mut follower = Driven::new(seed);
-        let settings = FollowerSettings { slice: 2, ..FollowerSettings::default() };
+        let settings = FollowerSettings { entries_per_slice: 2, ..FollowerSettings::default() };
         follower.follower = lotusdeck_configuration::Follower::new(settings, seed);
         let published = BTreeMap::from([(source.version(), source.document().clone())]);
         World { source, published, follower, asked: None, on_the_way: Vec::new() }
@@ -83,17 +83,17 @@
             Happening::TakeBack { versions } => {
                 let Version { epoch, number } = self.source.version();
                 let version = Version { epoch, number: number.saturating_sub(*versions) };
-                let _ = self.source.take_back(version, |_| Ok(()));
+                let _ = self.source.revert_to(version, |_| Ok(()));
             }
             Happening::Anew => {
                 let settings = common::settings(2, 9);
                 let epoch = self.source.version().epoch + 1;
-                self.source = Source::begin(epoch, &settings, KEPT, check).unwrap();
+                self.source = Source::new(epoch, &settings, KEPT, check).unwrap();
             }
-            Happening::Ask => self.ask(),
+            Happening::Poll => self.ask(),
             Happening::Deliver { which } => {
                 if let Some(message) = self.pick(*which) {
-                    self.follower.follower.answered(self.follower.now, message);
+                    self.follower.follower.handle_message(self.follower.now, message);
                 }
             }
             Happening::Lose { which, millis } => {
@@ -114,27 +114,27 @@
 
     fn ask(&mut self) {
         let Some(ask) = self.asked.take() else { return };
-        let message = match self.source.answer(&ask) {
-            Answer::Now(text) => decode(text.as_bytes()).unwrap(),
-            Answer::Later => Message::Unchanged(self.source.version()),
+        let message = match self.source.answer_poll(&ask) {
+            SourceAnswer::Now(text) => decode(text.as_bytes()).unwrap(),
+            SourceAnswer::Later => Message::Unchanged(self.source.version()),
         };
         self.on_the_way.push(message);
     }
 
     fn work(&mut self) {
-        match self.follower.follower.poll(self.follower.now) {
-            Step::Ask(ask) => self.asked = Some(ask),
-            Step::Judge => {
+        match self.follower.follower.next_step(self.follower.now) {
+            NextStep::Poll(ask) => self.asked = Some(ask),
+            NextStep::Judge => {
                 let candidate = self.follower.follower.candidate().unwrap();
                 let (version, settings) = (candidate.version(), candidate.to_settings().unwrap());
                 let verdict = check(&settings);
-                self.follower.follower.judged(self.follower.now, verdict.clone());
+                self.follower.follower.candidate_judged(self.follower.now, verdict.clone());
                 if verdict.is_ok() {
                     let read = Document::from_settings(&settings).unwrap();
                     assert_eq!(self.published.get(&version), Some(&read), "a mixture passed at {version}");
                 }
             }
-            Step::Took(version) => {
+            NextStep::Took(version) => {
                 assert_eq!(self.follower.follower.document(), &self.published[&version], "{version}");
             }
             _ => {}
@@ -149,13 +149,13 @@
         self.source.publish(&common::settings(3, 11), check).ok();
         self.source.publish_changes(vec![valid], Vec::new(), check).unwrap();
         let begun = self.follower.now;
-        while self.follower.follower.held() != Some(self.source.version()) {
+        while self.follower.follower.applied_version() != Some(self.source.version()) {
             self.follower.work();
-            if self.follower.follower.held() != Some(self.source.version()) {
+            if self.follower.follower.applied_version() != Some(self.source.version()) {
                 let ask = self.follower.ask();
-                match self.source.answer(&ask) {
-                    Answer::Now(text) => drop(self.follower.answer(decode(text.as_bytes()).unwrap())),
-                    Answer::Later => panic!("{ask:?} waits for more than {}", self.source.version()),
+                match self.source.answer_poll(&ask) {
+                    SourceAnswer::Now(text) => drop(self.follower.answer(decode(text.as_bytes()).unwrap())),
+                    SourceAnswer::Later => panic!("{ask:?} waits for more than {}", self.source.version()),
                 }
             }
             // The rest of a silent call, the longest pause, and one before a whole document that was refused.
@@ -210,7 +210,7 @@
             let ask = follower.ask();
             assert_eq!(ask.after, Some(held), "seed {seed}");
             questions += 1;
-            follower.follower.failed(follower.now, Failure::Broken("unreachable".into()));
+            follower.follower.poll_failed(follower.now, Failure::Broken("unreachable".into()));
             let due = (follower.now - cut).as_secs() / 36;
             while source.version().number - held.number < due.min(5) {
                 change(&mut source, due as usize, 1.0 + due as f64);
@@ -218,16 +218,20 @@
             assert_eq!(follower.follower.document(), &document, "seed {seed}");
         }
         let status = follower.follower.status(follower.now);
-        assert_eq!((status.standing, status.held), (Standing::CutOff, Some(held)), "seed {seed}");
+        assert_eq!(
+            (status.sync_state, status.applied_version),
+            (SyncState::CutOff, Some(held)),
+            "seed {seed}"
+        );
         assert!(status.age.unwrap() >= seconds(180), "seed {seed}: {:?}", status.age);
         assert!((90..=200).contains(&questions), "seed {seed}: {questions} questions");
         let healed = follower.now;
         let ask = follower.ask();
-        let Answer::Now(text) = source.answer(&ask) else { panic!("seed {seed}") };
+        let SourceAnswer::Now(text) = source.answer_poll(&ask) else { panic!("seed {seed}") };
         assert!(matches!(decode(text.as_bytes()), Ok(Message::Delta(_))), "seed {seed}: {text}");
         assert_eq!(follower.answer(decode(text.as_bytes()).unwrap()), End::Took(source.version()));
         assert!(follower.now - healed <= seconds(2), "seed {seed}: {:?}", follower.now - healed);
         follower.holds(source.document());
-        assert_eq!(follower.follower.status(follower.now).standing, Standing::Current);
+        assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Current);
     }
 }
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -6,8 +6,8 @@
 use lotusdeck_configuration::history::HistoryBounds;
 use lotusdeck_configuration::staging::StagingError;
 use lotusdeck_configuration::{
-    decode, encode, Document, DocumentError, Failure, Key, Message, PublishError, Refusal, Section, Source,
-    Standing, Version,
+    decode, encode, Document, DocumentError, Failure, Key, Message, PublishError, Rejection, Section, Source,
+    SyncState, Version,
 };
 use serde_json::json;
 
@@ -20,7 +20,7 @@
     assert_eq!(follower.now, before + seconds(10), "nothing later: the question waits");
     let version = change(&mut source, 2, 7.0);
     assert_eq!(follower.ask().after, Some(Version::first(EPOCH)));
-    follower.follower.failed(follower.now, Failure::Busy);
+    follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.exchange(&mut source), End::Took(version));
     follower.holds(source.document());
 }
@@ -33,9 +33,9 @@
     let all = (0..3_000).map(|at| quota(at, 1.0)).collect();
     let first = source.publish_changes(all, Vec::new(), check).unwrap().version;
     let ask = follower.ask();
-    let lotusdeck_configuration::source::Answer::Now(text) = source.answer(&ask) else { panic!() };
-    follower.follower.answered(follower.now, decode(text.as_bytes()).unwrap());
-    follower.follower.poll(follower.now);
+    let lotusdeck_configuration::source::SourceAnswer::Now(text) = source.answer_poll(&ask) else { panic!() };
+    follower.follower.handle_message(follower.now, decode(text.as_bytes()).unwrap());
+    follower.follower.next_step(follower.now);
     let second = change(&mut source, 0, 2.0);
     let late = Message::Delta(source.delta(first).unwrap());
     assert_eq!(follower.answer(late), End::Took(first), "what comes unasked is dropped");
@@ -54,8 +54,8 @@
     source.publish_changes(all, Vec::new(), check).unwrap();
     follower.ask();
     let delta = Message::Delta(source.delta(Version::first(EPOCH)).unwrap());
-    follower.follower.answered(follower.now, delta);
-    while follower.follower.poll(follower.now) != lotusdeck_configuration::Step::Judge {
+    follower.follower.handle_message(follower.now, delta);
+    while follower.follower.next_step(follower.now) != lotusdeck_configuration::NextStep::Judge {
         assert_eq!(follower.follower.document(), &before);
     }
     assert_eq!(follower.follower.document(), &before);
@@ -82,7 +82,7 @@
 #[test]
 fn a_gap_beyond_the_history_is_closed_by_the_whole() {
     let bounds = HistoryBounds { versions: 4, ..HistoryBounds::default() };
-    let mut source = Source::begin(EPOCH, &settings(1, 5), bounds, check).unwrap();
+    let mut source = Source::new(EPOCH, &settings(1, 5), bounds, check).unwrap();
     let mut follower = Driven::new(1);
     follower.exchange(&mut source);
     changes(&mut source, 5);
@@ -90,7 +90,7 @@
     assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
     follower.holds(source.document());
     let bounds = HistoryBounds { bytes: 300, ..HistoryBounds::default() };
-    let mut source = Source::begin(EPOCH, &settings(1, 5), bounds, check).unwrap();
+    let mut source = Source::new(EPOCH, &settings(1, 5), bounds, check).unwrap();
     changes(&mut source, 50);
     assert!(source.history().bytes() <= 300 && source.history().len() < 5, "{}", source.history().bytes());
 }
@@ -104,16 +104,16 @@
     let mut follower = Driven::new(1);
     follower.exchange(&mut newer);
     let (held, offered) = (newer.version(), older.version());
-    let refused = || End::Refused(Refusal::WentBack { held, offered });
+    let refused = || End::Refused(Rejection::WentBack { held, offered });
     assert_eq!(follower.exchange(&mut older), refused());
     assert_eq!(follower.ask().after, Some(held));
-    assert_eq!(follower.answer(Message::Whole(older.whole())), refused());
+    assert_eq!(follower.answer(Message::FullDocument(older.full_document())), refused());
     follower.holds(newer.document());
-    assert_eq!(follower.follower.status(follower.now).standing, Standing::CutOff);
-    let mut before = Source::begin(EPOCH - 1, &settings(1, 5), HistoryBounds::default(), check).unwrap();
+    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::CutOff);
+    let mut before = Source::new(EPOCH - 1, &settings(1, 5), HistoryBounds::default(), check).unwrap();
     changes(&mut before, 9);
-    assert!(matches!(follower.exchange(&mut before), End::Refused(Refusal::WentBack { .. })));
-    let mut anew = Source::begin(EPOCH + 1, &settings(1, 2), HistoryBounds::default(), check).unwrap();
+    assert!(matches!(follower.exchange(&mut before), End::Refused(Rejection::WentBack { .. })));
+    let mut anew = Source::new(EPOCH + 1, &settings(1, 2), HistoryBounds::default(), check).unwrap();
     assert_eq!(follower.exchange(&mut anew), End::Took(Version::first(EPOCH + 1)));
     follower.holds(anew.document());
 }
@@ -128,9 +128,9 @@
     change(&mut source, 2, 2.0);
     follower.ask();
     let late = Message::Delta(source.delta(from).unwrap());
-    assert_eq!(follower.answer(late), End::Refused(Refusal::OtherBase { held, from }));
+    assert_eq!(follower.answer(late), End::Refused(Rejection::OtherBase { held, from }));
     assert_eq!(follower.ask().after, None);
-    follower.follower.failed(follower.now, Failure::Busy);
+    follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
     follower.holds(source.document());
 }
@@ -169,19 +169,19 @@
     delta.changed[0].value = r#"{"quota_rps":1.5}"#.into();
     follower.ask();
     let fails = |end: End| match end {
-        End::Refused(Refusal::Staging { error, .. }) => matches!(error, StagingError::Checksum { .. }),
+        End::Refused(Rejection::Staging { error, .. }) => matches!(error, StagingError::Checksum { .. }),
         _ => false,
     };
     assert!(fails(follower.answer(Message::Delta(delta))));
     assert_eq!(follower.ask().after, None);
-    let mut whole = source.whole();
+    let mut whole = source.full_document();
     whole.entries.pop();
     let before = follower.now;
-    assert!(fails(follower.answer(Message::Whole(whole))));
+    assert!(fails(follower.answer(Message::FullDocument(whole))));
     assert_eq!(follower.follower.document(), &held);
     assert_eq!(follower.ask().after, None);
     assert!(follower.now - before >= seconds(15), "megabytes are not asked for in a hurry");
-    follower.follower.failed(follower.now, Failure::Busy);
+    follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
     follower.holds(source.document());
 }
@@ -220,14 +220,14 @@
     assert_eq!(unsound, Err(PublishError::Unsound(reason.clone())));
     assert_eq!(source.version(), held.0);
     let version = source.publish_changes(vec![quota(1, -1.0)], Vec::new(), |_| Ok(())).unwrap().version;
-    assert_eq!(follower.exchange(&mut source), End::Refused(Refusal::Unsound { version, reason }));
+    assert_eq!(follower.exchange(&mut source), End::Refused(Rejection::Unsound { version, reason }));
     assert_eq!(follower.follower.document(), &held.1);
-    assert_eq!(follower.follower.status(follower.now).standing, Standing::Refusing(version));
+    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Refusing(version));
     let ask = follower.ask();
-    assert_eq!((ask.after, ask.past), (Some(held.0), Some(version)));
-    assert_eq!(source.answer(&ask), lotusdeck_configuration::source::Answer::Later);
+    assert_eq!((ask.after, ask.rejected_version), (Some(held.0), Some(version)));
+    assert_eq!(source.answer_poll(&ask), lotusdeck_configuration::source::SourceAnswer::Later);
     follower.answer(Message::Unchanged(version));
-    let back = source.take_back(held.0, check).unwrap().version;
+    let back = source.revert_to(held.0, check).unwrap().version;
     assert_eq!(back, version.next());
     assert_eq!(source.document(), &held.1);
     assert_eq!(follower.exchange(&mut source), End::Took(back));
@@ -242,10 +242,10 @@
     change(&mut source, 1, 1.0);
     source.publish_changes(vec![quota(77, 1.0)], vec![customer_key(2)], check).unwrap();
     change(&mut source, 1, 2.0);
-    let publication = source.take_back(before.0, check).unwrap();
+    let publication = source.revert_to(before.0, check).unwrap();
     assert_eq!((publication.changed, publication.removed), (2, 1));
     assert_eq!((source.document(), source.version().number), (&before.1, 5));
-    assert_eq!(source.take_back(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::Nothing));
+    assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::Nothing));
 }
 
 /// The order of profiles or customers in a settings object means nothing, that of other arrays does.
@@ -278,7 +278,7 @@
     let end = follower.answer(Message::Delta(delta));
     assert!(matches!(
         end,
-        End::Refused(Refusal::Staging { error: StagingError::Document(DocumentError::Size(..)), .. })
+        End::Refused(Rejection::Staging { error: StagingError::Document(DocumentError::Size(..)), .. })
     ));
 }
 
--- a/crates/configuration/tests/rollout.rs
+++ b/crates/configuration/tests/rollout.rs
@@ -5,7 +5,7 @@
 mod rollout;
 
 use common::{change, seconds, source};
-use lotusdeck_configuration::desk::DeskBounds;
+use lotusdeck_configuration::long_poll::QueueBounds;
 use lotusdeck_configuration::{Entry, Key, Section, Source};
 use rollout::{Conditions, Rollout};
 use std::time::Duration;
@@ -31,14 +31,14 @@
     source
 }
 
-fn rollout(within: Duration, bounds: DeskBounds) -> Rollout {
+fn rollout(within: Duration, bounds: QueueBounds) -> Rollout {
     Rollout::new(large_source(), PROXIES, within, bounds, CONDITIONS)
 }
 
 /// All have a change long before 20 s, and a proxy's part of control stays under 2 KB a second.
 #[test]
 fn a_change_reaches_all_followers_in_time() {
-    let mut world = rollout(seconds(60), DeskBounds::default());
+    let mut world = rollout(seconds(60), QueueBounds::default());
     assert_eq!(world.run(seconds(120)), 1_200);
     world.run_for(seconds(30));
     let (before, since) = (world.bytes(), world.now);
@@ -58,7 +58,7 @@
 /// All proxies restart within a minute: each asks for the whole document, and the last has it soon after.
 #[test]
 fn all_proxies_restarted_within_a_minute_get_the_whole_document() {
-    let mut world = rollout(seconds(60), DeskBounds::default());
+    let mut world = rollout(seconds(60), QueueBounds::default());
     assert_eq!(world.run(seconds(60) + IN_FORCE), 1_200, "of 1,200 have the document at {:?}", world.now);
     let sent = world.bytes();
     assert!(sent < 1_200 * 5_100_000, "{sent} bytes: some were sent in vain");
@@ -68,7 +68,7 @@
 /// is sent in vain.
 #[test]
 fn all_at_once_get_the_whole_document_at_the_speed_of_the_line() {
-    let mut world = rollout(Duration::ZERO, DeskBounds::default());
+    let mut world = rollout(Duration::ZERO, QueueBounds::default());
     let current = world.run(seconds(70));
     assert_eq!(current, 1_200, "of 1,200 have the document at {:?}", world.now);
     assert!(world.bytes() < 1_200 * 5_100_000, "{} bytes", world.bytes());
@@ -78,7 +78,7 @@
 /// Proxies that take an answer at a few bytes a second slow no other, and hold a bounded part of the source's memory.
 #[test]
 fn slow_proxies_slow_no_other() {
-    let mut world = rollout(seconds(60), DeskBounds::default());
+    let mut world = rollout(seconds(60), QueueBounds::default());
     assert_eq!(world.run(seconds(120)), 1_200);
     let slow = 60;
     for (at, proxy) in world.proxies.iter_mut().take(slow).enumerate() {
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -1,6 +1,6 @@
 //! What a core asks of limits that hold for more than this process.
 
-use lotusdeck_fleet::ShareView;
+use lotusdeck_fleet::QuotaStatus;
 use lotusdeck_policy::settings::Names;
 use lotusdeck_policy::{ClassId, Micros, TenantId};
 use serde::Serialize;
@@ -40,5 +40,5 @@
     pub undecodable_datagrams: u64,
     /// One for each limit.
     #[serde(rename = "shares")]
-    pub quotas: Vec<ShareView>,
+    pub quotas: Vec<QuotaStatus>,
 }
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -28,7 +28,7 @@
 use crate::Clock;
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ClassId, Event, Micros, TenantId};
-use lotusdeck_state::Learned;
+use lotusdeck_state::Estimates;
 use state::State;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -139,7 +139,7 @@
     }
 
     /// What was learned so far, by names; `None` where no request came since the last call.
-    pub fn export_estimates(&self) -> Option<Learned> {
+    pub fn export_estimates(&self) -> Option<Estimates> {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         let any_request = std::mem::replace(&mut s.exported_up_to, s.last_request) != s.last_request;
@@ -147,7 +147,7 @@
     }
 
     /// Takes back what was learned before the process began; after the first list, whose names it speaks of.
-    pub fn restore_estimates(self: &Rc<Self>, learned: &Learned) {
+    pub fn restore_estimates(self: &Rc<Self>, learned: &Estimates) {
         let memory = {
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
--- a/crates/core/src/journal.rs
+++ b/crates/core/src/journal.rs
@@ -1,7 +1,7 @@
 //! What a core asks of a journal of requests that must never run twice.
 
+use lotusdeck_ledger::LedgerStatus;
 use lotusdeck_policy::{AttemptNo, Micros, Outcome, RequestId};
-use serde::Serialize;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -34,28 +34,5 @@
     /// The client has its answer, or has left: no attempt follows.
     fn request_finished(&self, request: RequestId);
     /// For operators.
-    fn status(&self) -> JournalStatus;
-}
-
-/// A journal at this moment.
-#[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct JournalStatus {
-    /// Records handed over and not written yet.
-    pub depth: u64,
-    /// Records written.
-    pub records: u64,
-    /// Writes: each took all records that were waiting.
-    pub writes: u64,
-    /// Syncs to the disk.
-    pub syncs: u64,
-    /// Bytes written.
-    pub bytes: u64,
-    /// Records that could not be written.
-    pub failed: u64,
-    /// How long the last write took, us.
-    pub last_write_us: u64,
-    /// Bytes that the disk still takes.
-    pub free_bytes: u64,
-    /// Nothing can be written at present.
-    pub failing: bool,
+    fn status(&self) -> LedgerStatus;
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -22,7 +22,7 @@
 pub use fleet_limits::{Admission, FleetLimitStatus, FleetLimiter};
 pub use host::{Answer, Host, OptionalServices};
 pub use id_usage::IdGuard;
-pub use journal::{Journal, JournalStatus, RequestLabels, SendPermit};
+pub use journal::{Journal, RequestLabels, SendPermit};
 pub use registry::{Endpoint, EndpointUpdate, PartialEndpoint};
 pub use settings_change::{ActiveSettings, Outdated, PreparedSettings};
 pub use status::{BackendStatus, KindStatus, Status};
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::Counts;
 use crate::fleet_limits::FleetLimitStatus;
-use crate::journal::JournalStatus;
+use lotusdeck_ledger::LedgerStatus;
 use serde::Serialize;
 
 /// One document on the whole process.
@@ -19,7 +19,7 @@
     /// Since the start.
     pub counts: Counts,
     /// The journal of requests that must never run twice, where there is one.
-    pub ledger: Option<JournalStatus>,
+    pub ledger: Option<LedgerStatus>,
     /// The fleet's limits, where there are any.
     pub fleet: Option<FleetLimitStatus>,
     /// By kind of machine.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,16 +1,16 @@
 //! What the proxies of one fleet tell each other, sans-IO: who is there ([`membership`], SWIM by the `foca` crate), and
-//! how a limit that holds for the whole fleet is shared among them ([`share`], escrow with leases), and what each holds
-//! at this moment ([`gauge`]). [`node`] joins them behind datagrams and a clock that are handed in; docs/fleet-limits.md holds the bound and the ways weighed.
+//! how a limit that holds for the whole fleet is shared among them ([`quota`], escrow with leases), and what each holds
+//! at this moment ([`load_gossip`]). [`node`] joins them behind datagrams and a clock that are handed in; docs/fleet-limits.md holds the bound and the ways weighed.
 //!
 //! Time is a span since the process began, by a clock that never steps back; no two proxies' clocks are compared, only
 //! the rates at which they run.
 
-pub mod gauge;
+pub mod load_gossip;
 pub mod membership;
 pub mod node;
-pub mod share;
+pub mod quota;
 pub mod wire;
 
 pub use membership::{Identity, Membership};
-pub use node::{Limit, Node, NodeConfig, ShareView};
-pub use share::{Refusal, Share, Terms};
+pub use node::{Limit, Node, NodeConfig, QuotaStatus};
+pub use quota::{Quota, QuotaConfig, QuotaExceeded};
--- a/crates/fleet/src/gauge.rs
+++ b/crates/fleet/src/load_gossip.rs
@@ -13,64 +13,65 @@
 
 /// One member's number.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LoadReport {
     /// Whose.
-    pub position: u32,
+    pub proxy_index: u32,
     /// Rises with every telling, through restarts too: its generation and the time since its start, in us.
-    pub stamp: u64,
+    pub reported_at: u64,
     /// The number.
-    pub value: u32,
+    pub in_flight: u32,
 }
 
 struct Known {
-    told: Told,
+    told: LoadReport,
     /// When it was learned here: no two clocks are compared.
     at: Duration,
 }
 
 /// What is known of all members.
 #[derive(Default)]
-pub struct Gauges {
+pub struct LoadGossip {
     known: BTreeMap<u32, Known>,
     /// Where the next part begins, where not all fit into one datagram.
     next: u32,
 }
 
-impl Gauges {
+impl LoadGossip {
     /// A member's own number, or what another told of it. Whether that was news.
-    pub fn merge(&mut self, now: Duration, told: Told) -> bool {
-        let news = self.known.get(&told.position).is_none_or(|k| told.stamp > k.told.stamp);
+    pub fn merge(&mut self, now: Duration, told: LoadReport) -> bool {
+        let news = self.known.get(&told.proxy_index).is_none_or(|k| told.reported_at > k.told.reported_at);
         if news {
-            self.known.insert(told.position, Known { told, at: now });
+            self.known.insert(told.proxy_index, Known { told, at: now });
         }
         news
     }
 
     /// What to tell: `own`, and the others that are not old, as many as fit, in turn.
-    pub fn part(&mut self, now: Duration, own: Told) -> Vec<Told> {
-        let fresh = |k: &&Known| k.told.position != own.position && now.saturating_sub(k.at) < OLD;
+    pub fn reports_to_send(&mut self, now: Duration, own: LoadReport) -> Vec<LoadReport> {
+        let fresh = |k: &&Known| k.told.proxy_index != own.proxy_index && now.saturating_sub(k.at) < OLD;
         let after = self.known.range(self.next..).chain(self.known.range(..self.next));
         let others = after.map(|(_, k)| k).filter(fresh).map(|k| k.told).take(MOST - 1);
-        let part: Vec<Told> = std::iter::once(own).chain(others).collect();
-        self.next = part.last().map_or(0, |t| t.position.wrapping_add(1));
+        let part: Vec<LoadReport> = std::iter::once(own).chain(others).collect();
+        self.next = part.last().map_or(0, |t| t.proxy_index.wrapping_add(1));
         part
     }
 
     /// The sum over `size - 1` others: those that are not told of for a time count as the mean of those that are, as
     /// a proxy behind a cut link goes on. `None` where nobody is told of.
-    pub fn others(&self, now: Duration, own: u32, size: u32) -> Option<f64> {
-        let fresh = self.known.values().filter(|k| k.told.position != own && now.saturating_sub(k.at) < OLD);
-        let (count, sum) = fresh.fold((0u32, 0.0), |(n, sum), k| (n + 1, sum + f64::from(k.told.value)));
+    pub fn others_in_flight(&self, now: Duration, own: u32, size: u32) -> Option<f64> {
+        let fresh =
+            self.known.values().filter(|k| k.told.proxy_index != own && now.saturating_sub(k.at) < OLD);
+        let (count, sum) = fresh.fold((0u32, 0.0), |(n, sum), k| (n + 1, sum + f64::from(k.told.in_flight)));
         let all = f64::from(size.saturating_sub(1).max(count));
         (count > 0).then(|| sum * all / f64::from(count))
     }
 
     /// How old the numbers known are, from their learning here: the mean and the most.
-    pub fn ages(&self, now: Duration, own: u32) -> (Duration, Duration) {
+    pub fn report_ages(&self, now: Duration, own: u32) -> (Duration, Duration) {
         let ages: Vec<Duration> = self
             .known
             .values()
-            .filter(|k| k.told.position != own)
+            .filter(|k| k.told.proxy_index != own)
             .map(|k| now.saturating_sub(k.at))
             .collect();
         let count = u32::try_from(ages.len()).unwrap_or(u32::MAX).max(1);
@@ -85,35 +86,39 @@
 
     const NOW: Duration = Duration::from_secs(5);
 
-    fn told(position: u32, stamp: u64, value: u32) -> Told {
-        Told { position, stamp, value }
+    fn told(position: u32, stamp: u64, value: u32) -> LoadReport {
+        LoadReport { proxy_index: position, reported_at: stamp, in_flight: value }
     }
 
     #[test]
     fn those_not_told_of_count_as_the_mean_and_old_ones_are_not_counted() {
-        let mut gauges = Gauges::default();
-        assert_eq!(gauges.others(NOW, 0, 10), None);
+        let mut gauges = LoadGossip::default();
+        assert_eq!(gauges.others_in_flight(NOW, 0, 10), None);
         gauges.merge(NOW, told(0, 1, 100)); // its own
         gauges.merge(NOW, told(1, 1, 4));
         gauges.merge(NOW, told(2, 1, 8));
-        assert_eq!(gauges.others(NOW, 0, 3), Some(12.0));
-        assert_eq!(gauges.others(NOW, 0, 10), Some(54.0), "nine others, six each");
+        assert_eq!(gauges.others_in_flight(NOW, 0, 3), Some(12.0));
+        assert_eq!(gauges.others_in_flight(NOW, 0, 10), Some(54.0), "nine others, six each");
         gauges.merge(NOW + OLD / 2, told(1, 2, 6));
-        assert_eq!(gauges.others(NOW + OLD, 0, 3), Some(12.0), "one is old, and counts as the other");
-        assert_eq!(gauges.others(NOW + OLD * 2, 0, 3), None);
+        assert_eq!(
+            gauges.others_in_flight(NOW + OLD, 0, 3),
+            Some(12.0),
+            "one is old, and counts as the other"
+        );
+        assert_eq!(gauges.others_in_flight(NOW + OLD * 2, 0, 3), None);
     }
 
     #[test]
     fn all_are_told_in_turn_where_not_all_fit() {
-        let mut gauges = Gauges::default();
+        let mut gauges = LoadGossip::default();
         for p in 1..=200 {
             assert!(gauges.merge(NOW, told(p, 1, p)));
         }
         let mut seen = std::collections::BTreeSet::new();
         for _ in 0..3 {
-            let part = gauges.part(NOW, told(0, 9, 1));
-            assert!(part.len() == MOST && part[0].position == 0);
-            seen.extend(part.iter().map(|t| t.position));
+            let part = gauges.reports_to_send(NOW, told(0, 9, 1));
+            assert!(part.len() == MOST && part[0].proxy_index == 0);
+            seen.extend(part.iter().map(|t| t.proxy_index));
         }
         assert_eq!(seen.len(), 201);
     }
@@ -127,7 +132,7 @@
             // One stamp is one telling: its value follows from it.
             news.iter_mut().for_each(|n| n.2 = n.0 * 1_000 + n.1 as u32);
             let known = |order: &[(u32, u64, u32)]| {
-                let mut gauges = Gauges::default();
+                let mut gauges = LoadGossip::default();
                 for n in order {
                     gauges.merge(NOW, told(n.0, n.1, n.2));
                 }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -100,7 +100,7 @@
     timer: u64,
     seeds: Vec<(u32, SocketAddr)>,
     call_at: Duration,
-    live: BTreeMap<u32, Identity>,
+    live_members: BTreeMap<u32, Identity>,
     generation: u64,
 }
 
@@ -126,19 +126,19 @@
             timer: 0,
             seeds,
             call_at: Duration::ZERO,
-            live: BTreeMap::new(),
+            live_members: BTreeMap::new(),
             generation: 0,
         }
     }
 
     /// This proxy, as the others know it.
-    pub fn own(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
     /// The others that are taken for alive, by position.
-    pub fn live(&self) -> &BTreeMap<u32, Identity> {
-        &self.live
+    pub fn live_members(&self) -> &BTreeMap<u32, Identity> {
+        &self.live_members
     }
 
     /// Rises with each change of the view.
@@ -166,7 +166,7 @@
         if now >= self.call_at {
             self.call_at = now + CALL_EVERY;
             // Those that were told of and are not seen: at the start, and where all were lost.
-            let unseen = |s: &&(u32, SocketAddr)| !self.live.contains_key(&s.0);
+            let unseen = |s: &&(u32, SocketAddr)| !self.live_members.contains_key(&s.0);
             let calls: Vec<_> = self.seeds.iter().filter(unseen).copied().collect();
             for (position, address) in calls {
                 let _ = self.foca.announce(Identity { position, generation: 0, address }, &mut self.runtime);
@@ -176,12 +176,12 @@
     }
 
     /// When to call [`Membership::tick`].
-    pub fn next(&self) -> Duration {
+    pub fn next_tick_at(&self) -> Duration {
         self.timers.first_key_value().map_or(self.call_at, |(at, _)| at.0.min(self.call_at))
     }
 
     /// The next datagram that has to go out.
-    pub fn to_send(&mut self) -> Option<(SocketAddr, bytes::Bytes)> {
+    pub fn next_datagram(&mut self) -> Option<(SocketAddr, bytes::Bytes)> {
         self.runtime.to_send().map(|(to, data)| (to.address, data))
     }
 
@@ -192,12 +192,12 @@
         }
         while let Some(news) = self.runtime.to_notify() {
             let changed = match news {
-                OwnedNotification::MemberUp(id) => self.live.insert(id.position, id).is_none(),
-                OwnedNotification::MemberDown(id) => self.live.remove(&id.position).is_some(),
+                OwnedNotification::MemberUp(id) => self.live_members.insert(id.position, id).is_none(),
+                OwnedNotification::MemberDown(id) => self.live_members.remove(&id.position).is_some(),
                 OwnedNotification::Rename(_, id) => {
-                    let known = self.live.contains_key(&id.position);
+                    let known = self.live_members.contains_key(&id.position);
                     if known {
-                        self.live.insert(id.position, id);
+                        self.live_members.insert(id.position, id);
                     }
                     known
                 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,8 +1,8 @@
 //! One proxy's part in the fleet: its membership and its shares, behind datagrams and a clock that are handed in.
 
-use crate::gauge::{Gauges, Told, MOST};
+use crate::load_gossip::{LoadGossip, LoadReport, MOST};
 use crate::membership::{Identity, Membership};
-use crate::share::{Refusal, Share, Terms};
+use crate::quota::{Quota, QuotaConfig, QuotaExceeded};
 use crate::wire::{self, Message, WireError};
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -39,24 +39,24 @@
     /// Whose fleet; another site's datagrams are not read.
     pub site: String,
     /// This proxy.
-    pub own: Identity,
+    pub identity: Identity,
     /// Proxies of the fleet.
-    pub size: NonZeroU32,
+    pub fleet_size: NonZeroU32,
     /// Positions and addresses of some of them.
     pub seeds: Vec<(u32, SocketAddr)>,
     /// The limits, the same at every proxy.
     pub limits: Vec<Limit>,
     /// How long a share is lent.
-    pub term: Duration,
+    pub lease_duration: Duration,
     /// No request is open for longer.
-    pub longest: Duration,
+    pub max_request_duration: Duration,
     /// Of the random choice of whom to probe and to ask.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// A share, to be shown.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct ShareView {
+pub struct QuotaStatus {
     /// The limit's name.
     pub limit: String,
     /// Requests a second that this proxy may admit now.
@@ -72,11 +72,13 @@
     /// The same of slots.
     pub borrowed_slots: u32,
     /// Requests taken in and not over.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub in_flight: u32,
     /// Requests admitted.
     pub admitted: u64,
     /// Requests refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 /// One proxy's part in the fleet.
@@ -84,7 +86,7 @@
     tag: u32,
     membership: Membership,
     names: Vec<String>,
-    shares: Vec<Share>,
+    quotas: Vec<Quota>,
     dice: SmallRng,
     round_at: Duration,
     every: Duration,
@@ -94,7 +96,7 @@
     term: Duration,
     size: u32,
     begun: Duration,
-    gauges: Gauges,
+    gauges: LoadGossip,
     /// What this proxy holds; `None` where it does not say.
     held: Option<u32>,
     tell_at: Duration,
@@ -104,22 +106,31 @@
 impl Node {
     /// A node of a process that starts at `now`.
     pub fn new(config: NodeConfig, now: Duration) -> Node {
-        let NodeConfig { site, own, size, seeds, limits, term, longest, seed } = config;
-        let terms = |limit: &Limit| Terms {
+        let NodeConfig {
+            site,
+            identity: own,
+            fleet_size: size,
+            seeds,
+            limits,
+            lease_duration: term,
+            max_request_duration: longest,
+            rng_seed: seed,
+        } = config;
+        let terms = |limit: &Limit| QuotaConfig {
             rate: limit.rate,
             slots: limit.slots,
             burst: limit.burst,
-            term,
-            longest,
-            size: size.get(),
-            position: own.position,
+            lease_duration: term,
+            max_request_duration: longest,
+            fleet_size: size.get(),
+            proxy_index: own.position,
         };
-        let shares = limits.iter().map(|limit| Share::new(terms(limit), now)).collect();
+        let shares = limits.iter().map(|limit| Quota::new(terms(limit), now)).collect();
         let tag = wire::tag(&format!("{site:?} {size} {term:?} {longest:?} {limits:?}"));
         Node {
             tag,
             names: limits.into_iter().map(|limit| limit.name).collect(),
-            shares,
+            quotas: shares,
             dice: SmallRng::seed_from_u64(seed ^ 0x666c_6565_7421),
             membership: Membership::new(own, size, seeds, seed),
             round_at: now,
@@ -129,7 +140,7 @@
             term,
             size: size.get(),
             begun: now,
-            gauges: Gauges::default(),
+            gauges: LoadGossip::default(),
             held: None,
             tell_at: now,
             out: VecDeque::new(),
@@ -150,25 +161,25 @@
         match message {
             Message::Swim(data) => self.membership.receive(now, &data)?,
             Message::Held(told) => {
-                let (own, size) = (self.membership.own().position, self.size);
-                let sound = |t: &&Told| t.position < size && t.position != own;
+                let (own, size) = (self.membership.identity().position, self.size);
+                let sound = |t: &&LoadReport| t.proxy_index < size && t.proxy_index != own;
                 for t in told.iter().take(MOST).filter(sound) {
                     self.gauges.merge(now, *t);
                 }
             }
             Message::Ask { from, generation, reply_to, limit, nonce, want } => {
-                let own = self.membership.own().position;
+                let own = self.membership.identity().position;
                 let member = from != own && from < self.size;
-                let Some(share) = self.shares.get_mut(usize::from(limit)).filter(|_| member) else {
+                let Some(share) = self.quotas.get_mut(usize::from(limit)).filter(|_| member) else {
                     return Err(format!("asked by proxy {from} for limit {limit}"));
                 };
-                let lent = share.lend(now, (from, generation), nonce, want);
+                let lent = share.grant_lease(now, (from, generation), nonce, want);
                 self.say(reply_to, &Message::Grant { from: own, nonce, lent });
             }
             Message::Grant { from, nonce, lent } => {
                 if let Some((limit, _)) = self.open.remove(&nonce) {
-                    if let Some(share) = self.shares.get_mut(usize::from(limit)) {
-                        share.granted(now, from, nonce, lent);
+                    if let Some(share) = self.quotas.get_mut(usize::from(limit)) {
+                        share.lease_granted(now, from, nonce, lent);
                     }
                 }
             }
@@ -186,8 +197,8 @@
         self.round_at = now + self.every;
         self.open.retain(|_, (_, until)| now < *until);
         let mut said = Vec::new();
-        let Node { membership, shares, dice, seq, open, term, .. } = self;
-        let (own, live) = (membership.own(), membership.live());
+        let Node { membership, quotas: shares, dice, seq, open, term, .. } = self;
+        let (own, live) = (membership.identity(), membership.live_members());
         let positions: Vec<u32> = live.keys().copied().collect();
         for (limit, share) in (0u16..).zip(shares.iter_mut()) {
             let mut numbers = SmallRng::seed_from_u64(dice.next_u64());
@@ -197,11 +208,11 @@
                 *seq += 1;
                 *seq << 24 | numbers.next_u64() >> 40
             };
-            for q in share.round(now, pick, number) {
+            for q in share.request_leases(now, pick, number) {
                 let Some(lender) = live.get(&q.lender) else { continue };
                 open.insert(q.seq, (limit, now + *term));
                 let (from, generation, reply_to) = (own.position, own.generation, own.address);
-                let ask = Message::Ask { from, generation, reply_to, limit, nonce: q.seq, want: q.want };
+                let ask = Message::Ask { from, generation, reply_to, limit, nonce: q.seq, want: q.wanted };
                 said.push((lender.address, ask));
             }
         }
@@ -214,35 +225,39 @@
             return;
         }
         self.tell_at = now + TELL_EVERY;
-        let (Some(value), own) = (self.held, self.membership.own()) else { return };
+        let (Some(value), own) = (self.held, self.membership.identity()) else { return };
         let since = u64::try_from(now.saturating_sub(self.begun).as_micros()).unwrap_or(u64::MAX);
-        let own = Told { position: own.position, stamp: own.generation.saturating_add(since), value };
-        let live: Vec<SocketAddr> = self.membership.live().values().map(|m| m.address).collect();
+        let own = LoadReport {
+            proxy_index: own.position,
+            reported_at: own.generation.saturating_add(since),
+            in_flight: value,
+        };
+        let live: Vec<SocketAddr> = self.membership.live_members().values().map(|m| m.address).collect();
         for _ in 0..TELL.min(live.len()) {
             let to = live[self.dice.random_range(0..live.len())];
-            let part = self.gauges.part(now, own);
+            let part = self.gauges.reports_to_send(now, own);
             self.say(to, &Message::Held(part));
         }
     }
 
     /// What this proxy holds at this moment, for the others to know.
-    pub fn hold(&mut self, held: u32) {
+    pub fn set_in_flight(&mut self, held: u32) {
         self.held = Some(held);
     }
 
     /// What all others hold together, as far as is known: those that are not heard of count as the mean.
-    pub fn others_hold(&self, now: Duration) -> Option<f64> {
-        self.gauges.others(now, self.membership.own().position, self.size)
+    pub fn others_in_flight(&self, now: Duration) -> Option<f64> {
+        self.gauges.others_in_flight(now, self.membership.identity().position, self.size)
     }
 
     /// How old what is known of the others is: the mean and the most.
-    pub fn ages(&self, now: Duration) -> (Duration, Duration) {
-        self.gauges.ages(now, self.membership.own().position)
+    pub fn report_ages(&self, now: Duration) -> (Duration, Duration) {
+        self.gauges.report_ages(now, self.membership.identity().position)
     }
 
     /// When to call [`Node::tick`].
-    pub fn next(&self) -> Duration {
-        self.membership.next().min(self.round_at).min(self.tell_at)
+    pub fn next_tick_at(&self) -> Duration {
+        self.membership.next_tick_at().min(self.round_at).min(self.tell_at)
     }
 
     fn say(&mut self, to: SocketAddr, message: &Message) {
@@ -250,10 +265,10 @@
     }
 
     /// The next datagram that has to go out.
-    pub fn to_send(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let own = self.out.pop_front();
         own.or_else(|| {
-            let (to, data) = self.membership.to_send()?;
+            let (to, data) = self.membership.next_datagram()?;
             Some((to, wire::encode(self.tag, &Message::Swim(data.to_vec()))))
         })
     }
@@ -262,36 +277,36 @@
     ///
     /// # Errors
     /// One of them is reached.
-    pub fn enter(&mut self, now: Duration, limits: &[u16]) -> Result<(), Refusal> {
+    pub fn admit(&mut self, now: Duration, limits: &[u16]) -> Result<(), QuotaExceeded> {
         for limit in limits {
-            if let Some(share) = self.shares.get_mut(usize::from(*limit)) {
-                share.check(now)?;
+            if let Some(share) = self.quotas.get_mut(usize::from(*limit)) {
+                share.check_available(now)?;
             }
         }
         for limit in limits {
-            self.shares.get_mut(usize::from(*limit)).into_iter().for_each(Share::enter);
+            self.quotas.get_mut(usize::from(*limit)).into_iter().for_each(Quota::admit);
         }
         Ok(())
     }
 
     /// A request that was taken in under them is over.
-    pub fn leave(&mut self, limits: &[u16]) {
+    pub fn release(&mut self, limits: &[u16]) {
         for limit in limits {
-            self.shares.get_mut(usize::from(*limit)).into_iter().for_each(Share::leave);
+            self.quotas.get_mut(usize::from(*limit)).into_iter().for_each(Quota::release);
         }
     }
 
     /// Another process acts for this proxy beside this one, or does no more.
-    pub fn halve(&mut self, now: Duration, halved: bool) {
-        self.shares.iter_mut().for_each(|share| share.halve(now, halved));
+    pub fn set_halved(&mut self, now: Duration, halved: bool) {
+        self.quotas.iter_mut().for_each(|share| share.set_halved(now, halved));
     }
 
     /// Every share at `now`.
-    pub fn shares(&self, now: Duration) -> impl Iterator<Item = ShareView> + '_ {
-        self.names.iter().zip(&self.shares).map(move |(name, share)| {
+    pub fn quotas(&self, now: Duration) -> impl Iterator<Item = QuotaStatus> + '_ {
+        self.names.iter().zip(&self.quotas).map(move |(name, share)| {
             let (usable, lent, borrowed) = share.amounts(now);
             let (open, admitted, refused) = share.counts();
-            ShareView {
+            QuotaStatus {
                 limit: name.clone(),
                 rate: usable.rate,
                 slots: usable.slots,
@@ -299,9 +314,9 @@
                 lent_slots: lent.slots,
                 borrowed_rate: borrowed.rate,
                 borrowed_slots: borrowed.slots,
-                open,
+                in_flight: open,
                 admitted,
-                refused,
+                rejected: refused,
             }
         })
     }
--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/quota.rs
@@ -33,7 +33,7 @@
 
 /// A limit of the whole fleet and how it is shared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct QuotaConfig {
     /// Requests a second, over all proxies.
     pub rate: Option<f64>,
     /// Requests at once, over all proxies.
@@ -41,22 +41,22 @@
     /// What each share may gather while it is not used, as a span of its rate; one request at least.
     pub burst: Duration,
     /// How long something is lent.
-    pub term: Duration,
+    pub lease_duration: Duration,
     /// No request is open for longer.
-    pub longest: Duration,
+    pub max_request_duration: Duration,
     /// Proxies of the fleet.
-    pub size: u32,
+    pub fleet_size: u32,
     /// Which of them this one is.
-    pub position: u32,
+    pub proxy_index: u32,
 }
 
-impl Terms {
+impl QuotaConfig {
     /// What this proxy owns. Slots are whole: the first proxies have one more where they do not divide.
     fn home(&self) -> Amount {
-        let size = self.size.max(1);
+        let size = self.fleet_size.max(1);
         let rate = self.rate.unwrap_or(0.0) / f64::from(size);
         let slots = self.slots.unwrap_or(0);
-        Amount { rate, slots: slots / size + u32::from(self.position < slots % size) }
+        Amount { rate, slots: slots / size + u32::from(self.proxy_index < slots % size) }
     }
 
     /// What a proxy lends at most. One slot at least stays, so that a process that has just started serves.
@@ -74,14 +74,14 @@
 
     /// How long the lender counts a loan as out.
     fn held(&self) -> Duration {
-        let longest = if self.slots.is_some() { self.longest } else { Duration::ZERO };
-        (self.term + longest).mul_f64(DRIFT)
+        let longest = if self.slots.is_some() { self.max_request_duration } else { Duration::ZERO };
+        (self.lease_duration + longest).mul_f64(DRIFT)
     }
 }
 
 /// Why a request is not admitted: when to come again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct QuotaExceeded {
     /// From now.
     pub retry_after: Duration,
 }
@@ -107,18 +107,18 @@
 
 /// A question to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Question {
+pub struct LeaseRequest {
     /// Whom to ask.
     pub lender: u32,
     /// Named by the answer.
     pub seq: u64,
     /// How much.
-    pub want: Amount,
+    pub wanted: Amount,
 }
 
 /// The share of one proxy.
-pub struct Share {
-    terms: Terms,
+pub struct Quota {
+    terms: QuotaConfig,
     /// By position and generation.
     lent: BTreeMap<(u32, u64), Borrower>,
     /// By lender.
@@ -142,10 +142,10 @@
     refused: u64,
 }
 
-impl Share {
+impl Quota {
     /// Of a process that starts at `now`: with no tokens, as the one before it may have spent them.
-    pub fn new(terms: Terms, now: Duration) -> Share {
-        Share {
+    pub fn new(terms: QuotaConfig, now: Duration) -> Quota {
+        Quota {
             terms,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
@@ -177,7 +177,7 @@
         Amount { rate, slots }
     }
 
-    /// What is lent to others than `but`. Loans that have run out count until [`Share::advance`] drops them.
+    /// What is lent to others than `but`. Loans that have run out count until [`Quota::advance`] drops them.
     fn lent_to_others(&self, but: Option<(u32, u64)>) -> Amount {
         let others = self.lent.iter().filter(|(key, _)| Some(**key) != but);
         others.fold(Amount::default(), |sum, (_, b)| add(sum, b.loan.amount))
@@ -223,21 +223,21 @@
     }
 
     /// Whether a request may come in now; nothing is taken yet. What is refused counts as asked for.
-    pub fn check(&mut self, now: Duration) -> Result<(), Refusal> {
+    pub fn check_available(&mut self, now: Duration) -> Result<(), QuotaExceeded> {
         self.advance(now);
         let gap = now.saturating_sub(self.demand_at).as_secs_f64();
         self.demand = self.demand * (-gap / MEMORY).exp() + 1.0 / MEMORY;
         self.demand_at = self.demand_at.max(now);
         let usable = self.usable(self.at);
         let refuse = |after: f64| {
-            let most = 2.0 * self.terms.term.as_secs_f64();
-            Err(Refusal { retry_after: Duration::from_secs_f64(after.clamp(0.05, most.max(0.05))) })
+            let most = 2.0 * self.terms.lease_duration.as_secs_f64();
+            Err(QuotaExceeded { retry_after: Duration::from_secs_f64(after.clamp(0.05, most.max(0.05))) })
         };
         let refused = if self.terms.rate.is_some() && self.tokens < 1.0 {
             refuse((1.0 - self.tokens) / usable.rate.max(1e-9))
         } else if self.terms.slots.is_some() && self.used >= usable.slots {
             self.short = self.short.saturating_add(1);
-            refuse(self.terms.term.as_secs_f64() / 2.0)
+            refuse(self.terms.lease_duration.as_secs_f64() / 2.0)
         } else {
             Ok(())
         };
@@ -245,8 +245,8 @@
         refused
     }
 
-    /// Takes in a request that [`Share::check`] has just let in.
-    pub fn enter(&mut self) {
+    /// Takes in a request that [`Quota::check`] has just let in.
+    pub fn admit(&mut self) {
         self.tokens -= f64::from(u8::from(self.terms.rate.is_some()));
         self.used += 1;
         self.peak = self.peak.max(self.used);
@@ -254,12 +254,12 @@
     }
 
     /// A request that was taken in is over.
-    pub fn leave(&mut self) {
+    pub fn release(&mut self) {
         self.used = self.used.saturating_sub(1);
     }
 
     /// Another process acts for this proxy, or does no more.
-    pub fn halve(&mut self, now: Duration, halved: bool) {
+    pub fn set_halved(&mut self, now: Duration, halved: bool) {
         self.advance(now);
         self.halved = halved;
         let rate = self.usable(self.at).rate;
@@ -268,7 +268,7 @@
 
     /// What another asks for, in place of all that this generation of it was lent: it has given up what is over this.
     /// How much it is lent.
-    pub fn lend(&mut self, now: Duration, borrower: (u32, u64), seq: u64, want: Amount) -> Amount {
+    pub fn grant_lease(&mut self, now: Duration, borrower: (u32, u64), seq: u64, want: Amount) -> Amount {
         self.advance(now);
         let want = self.terms.worth(want);
         if let Some(known) = self.lent.get_mut(&borrower) {
@@ -329,11 +329,11 @@
     }
 
     /// A round, some times in a term: what to ask of whom. `pick` draws one of the other members that are there.
-    pub fn round(
+    pub fn request_leases(
         &mut self, now: Duration, mut pick: impl FnMut() -> Option<u32>, mut seq: impl FnMut() -> u64,
-    ) -> Vec<Question> {
+    ) -> Vec<LeaseRequest> {
         self.advance(now);
-        let term = self.terms.term;
+        let term = self.terms.lease_duration;
         self.asked.retain(|_, a| now < a.at + term);
         let own = self.own(now);
         let lent = self.lent_to_others(None);
@@ -355,7 +355,7 @@
             // Slots that are not needed go back at once: their lender would count them for the longest request.
             if !waits && (due || keep.slots < loan.amount.slots) {
                 loan.amount = keep;
-                questions.push(Question { lender, seq: seq(), want: add(keep, more) });
+                questions.push(LeaseRequest { lender, seq: seq(), wanted: add(keep, more) });
             }
         }
         for _ in 0..ASKS {
@@ -367,13 +367,13 @@
                 || self.asked.values().any(|a| a.lender == lender)
                 || questions.iter().any(|q| q.lender == lender);
             if !known {
-                questions.push(Question { lender, seq: seq(), want });
+                questions.push(LeaseRequest { lender, seq: seq(), wanted: want });
             }
         }
         for q in &questions {
             // A late answer to an older question would bring back what this one gives up.
             self.asked.retain(|_, a| a.lender != q.lender);
-            self.asked.insert(q.seq, Asked { lender: q.lender, at: now, want: q.want });
+            self.asked.insert(q.seq, Asked { lender: q.lender, at: now, want: q.wanted });
         }
         (self.peak, self.short) = (self.used, 0);
         questions
@@ -381,13 +381,13 @@
 
     /// What a lender answered. Its term counts from when it was asked; more than was asked for, or than any proxy may
     /// lend, is not believed.
-    pub fn granted(&mut self, now: Duration, lender: u32, seq: u64, lent: Amount) {
+    pub fn lease_granted(&mut self, now: Duration, lender: u32, seq: u64, lent: Amount) {
         self.advance(now);
         let Some(asked) = self.asked.get(&seq).filter(|a| a.lender == lender) else { return };
-        let (until, want) = (asked.at + self.terms.term, asked.want);
+        let (until, want) = (asked.at + self.terms.lease_duration, asked.want);
         self.asked.remove(&seq);
         // Those with the most slots own one more than the least: no proxy lends past the first one's part.
-        let most = Terms { position: 0, ..self.terms }.lendable();
+        let most = QuotaConfig { proxy_index: 0, ..self.terms }.lendable();
         let sound = lent.rate.is_finite() && lent.rate >= 0.0;
         let amount = lesser(lesser(lent, want), most);
         if sound && self.at < until && !amount.is_none() {
@@ -422,29 +422,29 @@
     #[test]
     fn ever_new_names_do_not_fill_the_memory() {
         let second = Duration::from_secs(1);
-        let terms = Terms {
+        let terms = QuotaConfig {
             rate: Some(640.0),
             slots: Some(40),
             burst: second,
-            term: second,
-            longest: 30 * second,
-            size: 10,
-            position: 0,
+            lease_duration: second,
+            max_request_duration: 30 * second,
+            fleet_size: 10,
+            proxy_index: 0,
         };
-        let mut share = Share::new(terms, Duration::ZERO);
+        let mut share = Quota::new(terms, Duration::ZERO);
         let now = 60 * second;
         let asks = [Amount { rate: 1.0, slots: 0 }, Amount { rate: 0.0, slots: 1 }];
         for name in 0..10_000u64 {
-            let lent = share.lend(now, (3, name), 1, asks[name as usize % 2]);
+            let lent = share.grant_lease(now, (3, name), 1, asks[name as usize % 2]);
             if name < 2 {
                 assert_eq!(lent, asks[name as usize], "it is lent at all");
             }
-            share.lend(now, (3, name), 2, Amount { rate: 1e-300, slots: 0 });
+            share.grant_lease(now, (3, name), 2, Amount { rate: 1e-300, slots: 0 });
             assert!(share.lent.len() <= 1, "{} names remembered", share.lent.len());
         }
         // Those that keep what they are lent: as many as the least loans go into what may be lent.
         for name in 0..10_000u64 {
-            share.lend(now, (4, name), 1, Amount { rate: 1e9, slots: 9 });
+            share.grant_lease(now, (4, name), 1, Amount { rate: 1e9, slots: 9 });
         }
         assert!(share.lent.len() <= 64 + 4, "{}", share.lent.len());
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -4,7 +4,7 @@
 //! The tag is drawn from the site, the fleet's size and its limits: proxies that were told of other limits do not
 //! understand each other, and each keeps to its own share meanwhile, as one whose links are cut does.
 
-use crate::gauge::Told;
+use crate::load_gossip::LoadReport;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -36,7 +36,7 @@
     /// The membership's own bytes.
     Swim(Vec<u8>),
     /// What members hold, as far as the sender knows.
-    Held(Vec<Told>),
+    Held(Vec<LoadReport>),
     /// Lend me of this limit, for one term; in place of what you lent me of it before.
     Ask {
         /// Who asks, by position.
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -2,7 +2,7 @@
 //! and return, and clients. The oracle counts what all nodes admitted together.
 #![allow(dead_code)]
 
-use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, ShareView};
+use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, QuotaStatus};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -114,13 +114,13 @@
         let size = NonZeroU32::new(self.places.len() as u32).unwrap();
         let config = NodeConfig {
             site: "sim".into(),
-            own: Identity { position: p as u32, generation, address: address(p) },
-            size,
+            identity: Identity { position: p as u32, generation, address: address(p) },
+            fleet_size: size,
             seeds: (0..self.places.len().min(3)).map(|s| (s as u32, address(s))).collect(),
             limits: vec![self.limit.clone()],
-            term: TERM,
-            longest: LONGEST,
-            seed: self.seed ^ (p as u64) << 32 ^ self.places[p].starts,
+            lease_duration: TERM,
+            max_request_duration: LONGEST,
+            rng_seed: self.seed ^ (p as u64) << 32 ^ self.places[p].starts,
         };
         let now = self.clock(p);
         self.places[p].node = Some(Node::new(config, now));
@@ -133,7 +133,7 @@
     }
 
     fn post(&mut self, from: usize) {
-        while let Some((to, bytes)) = self.places[from].node.as_mut().and_then(Node::to_send) {
+        while let Some((to, bytes)) = self.places[from].node.as_mut().and_then(Node::next_datagram) {
             let to = usize::from(to.port()) - 7_000;
             (self.bytes, self.datagrams) = (self.bytes + bytes.len() as u64, self.datagrams + 1);
             if to >= self.places.len() || (self.cut)(from, to) || self.dice.random_bool(self.loss) {
@@ -163,12 +163,12 @@
             let place = &mut self.places[p];
             let Some(node) = place.node.as_mut() else { continue };
             self.asked += 1;
-            if node.enter(clock, &[0]).is_ok() {
+            if node.admit(clock, &[0]).is_ok() {
                 self.admitted.push((now, p));
                 if self.holds > 0.0 {
                     place.open.push((now + hold, place.starts));
                 } else {
-                    node.leave(&[0]);
+                    node.release(&[0]);
                 }
             }
         }
@@ -180,7 +180,7 @@
         let before = place.open.len();
         place.open.retain(|(until, _)| *until > now);
         for _ in place.open.len()..before {
-            place.node.as_mut().into_iter().for_each(|node| node.leave(&[0]));
+            place.node.as_mut().into_iter().for_each(|node| node.release(&[0]));
         }
     }
 
@@ -206,8 +206,8 @@
                 self.end_requests(p);
                 let clock = self.clock(p);
                 let held = self.held.map(|held| held(self.now));
-                if let Some(node) = self.places[p].node.as_mut().filter(|n| n.next() <= clock) {
-                    held.into_iter().for_each(|n| node.hold(n));
+                if let Some(node) = self.places[p].node.as_mut().filter(|n| n.next_tick_at() <= clock) {
+                    held.into_iter().for_each(|n| node.set_in_flight(n));
                     let begun = Instant::now();
                     node.tick(clock);
                     self.spent += begun.elapsed();
@@ -225,10 +225,10 @@
     fn check_shares(&mut self) {
         let (mut rate, mut slots) = (0.0, 0);
         for (p, place) in self.places.iter().enumerate() {
-            let Some(view) = place.node.as_ref().and_then(|n| n.shares(self.clock(p)).next()) else {
+            let Some(view) = place.node.as_ref().and_then(|n| n.quotas(self.clock(p)).next()) else {
                 continue;
             };
-            (rate, slots) = (rate + view.rate, slots + view.slots.max(view.open));
+            (rate, slots) = (rate + view.rate, slots + view.slots.max(view.in_flight));
         }
         self.most_shares = self.most_shares.max(rate);
         let (most_rate, most_slots) = (self.limit.rate.unwrap_or(0.0), self.limit.slots.unwrap_or(0));
@@ -264,17 +264,17 @@
     }
 
     /// What a proxy may use, lent and borrowed.
-    pub fn share(&self, p: usize) -> Option<ShareView> {
-        self.places[p].node.as_ref().and_then(|n| n.shares(self.clock(p)).next())
+    pub fn share(&self, p: usize) -> Option<QuotaStatus> {
+        self.places[p].node.as_ref().and_then(|n| n.quotas(self.clock(p)).next())
     }
 
     /// What a proxy believes that the others hold.
     pub fn others_hold(&self, p: usize) -> Option<f64> {
-        self.places[p].node.as_ref()?.others_hold(self.clock(p))
+        self.places[p].node.as_ref()?.others_in_flight(self.clock(p))
     }
 
     pub fn seen_by(&self, p: usize) -> usize {
-        self.places[p].node.as_ref().map_or(0, |n| n.membership().live().len())
+        self.places[p].node.as_ref().map_or(0, |n| n.membership().live_members().len())
     }
 
     pub fn views(&self) -> BTreeMap<usize, usize> {
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use crate::index::Index;
 use crate::record::{End, Millis, Record};
-use crate::segment::{read_segment, Found, Head, Scan};
+use crate::segment::{read_segment, Scan, SegmentHeader, SegmentKind};
 use std::collections::BTreeMap;
 use std::io;
 use std::ops::Range;
@@ -33,7 +33,8 @@
     /// Where it listened.
     pub address: String,
     /// When it might write its first byte.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub sent_at: Millis,
     /// What became of it.
     pub fate: Fate,
 }
@@ -60,7 +61,8 @@
     /// What it concerned.
     pub key: String,
     /// When it was taken, by that proxy's clock.
-    pub taken: Option<Millis>,
+    #[serde(rename = "taken")]
+    pub taken_at: Option<Millis>,
     /// Which proxy.
     pub proxy: String,
     /// Which start of it.
@@ -68,16 +70,18 @@
     /// In their order.
     pub attempts: Vec<Attempt>,
     /// Records that may have told of further attempts are missing.
-    pub doubt: bool,
+    #[serde(rename = "doubt")]
+    pub is_uncertain: bool,
     /// The client had its final answer.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub is_finished: bool,
 }
 
 impl Request {
     /// What is known of it as a whole.
     pub fn verdict(&self) -> Verdict {
         let any = |wanted: &dyn Fn(Fate) -> bool| self.attempts.iter().any(|a| wanted(a.fate));
-        if self.doubt || any(&|f| f == Fate::PossiblySent) {
+        if self.is_uncertain || any(&|f| f == Fate::PossiblySent) {
             Verdict::PossiblySent
         } else if any(&|f| f != Fate::NeverSent) {
             Verdict::Sent
@@ -102,10 +106,10 @@
 }
 
 impl Generation {
-    fn add(&mut self, head: &Head, scan: Scan) {
+    fn add(&mut self, head: &SegmentHeader, scan: Scan) {
         self.proxy.clone_from(&head.proxy);
-        self.goes_on |= head.goes_on;
-        self.firsts.push(head.first);
+        self.goes_on |= head.continues_previous;
+        self.firsts.push(head.first_sequence);
         // Damage in the middle shows as missing numbers; at the end of a segment nothing else tells of it.
         self.torn |= scan.torn;
         self.frames.extend(scan.frames.into_iter().map(|(_, f)| (f.sequence, f.record)));
@@ -146,12 +150,12 @@
                     id: String::new(),
                     class: String::new(),
                     key: String::new(),
-                    taken: None,
+                    taken_at: None,
                     proxy: self.proxy.clone(),
                     generation,
                     attempts: Vec::new(),
-                    doubt: false,
-                    settled: false,
+                    is_uncertain: false,
+                    is_finished: false,
                 };
                 // Without the record of its coming it may have begun anywhere before.
                 (r, *sequence..u64::MAX)
@@ -159,16 +163,16 @@
             match record {
                 Record::Taken { at, id, class, key, .. } => {
                     (r.id, r.class, r.key) = (id.clone(), class.clone(), key.clone());
-                    r.taken = Some(*at);
+                    r.taken_at = Some(*at);
                 }
                 Record::Intent { attempt, at, id, backend, address, .. } => {
-                    if r.taken.is_none() {
+                    if r.taken_at.is_none() {
                         span.start = 0;
                         r.id.clone_from(id);
                     }
                     let (backend, address) = (backend.clone(), address.clone());
                     let fate = Fate::PossiblySent;
-                    r.attempts.push(Attempt { number: *attempt, backend, address, at: *at, fate });
+                    r.attempts.push(Attempt { number: *attempt, backend, address, sent_at: *at, fate });
                 }
                 Record::Ended { attempt, end, .. } => {
                     if let Some(a) = r.attempts.iter_mut().find(|a| a.number == *attempt) {
@@ -182,7 +186,7 @@
                     }
                 }
                 Record::Settled { .. } => {
-                    r.settled = true;
+                    r.is_finished = true;
                     span.end = *sequence;
                 }
                 Record::Gap { .. } | Record::Closed { .. } => {}
@@ -190,7 +194,7 @@
         }
         let doubtful = |span: &Range<u64>| missing.iter().any(|m| m.start < span.end && m.end > span.start);
         let done = spans.into_values().map(|(mut r, span)| {
-            r.doubt = r.taken.is_none() || doubtful(&span);
+            r.is_uncertain = r.taken_at.is_none() || doubtful(&span);
             r
         });
         done.collect()
@@ -248,18 +252,18 @@
         let named = file.strip_prefix("ledger-").and_then(|f| f.split_once('-'));
         let named = named.and_then(|(g, rest)| Some((u64::from_str_radix(g, 16).ok()?, rest)));
         match &scan.found {
-            Found::Segment(head) => {
+            SegmentKind::Segment(head) => {
                 let head = head.clone();
                 let generation = self.generations.entry(head.generation).or_default();
                 generation.add(&head, scan);
-                generation.spared.extend(spared.map(|last| head.first..last + 1));
+                generation.spared.extend(spared.map(|last| head.first_sequence..last + 1));
             }
-            Found::Blank => {}
-            Found::Newer(version) => {
+            SegmentKind::Blank => {}
+            SegmentKind::Newer(version) => {
                 self.faults.push(format!("{name}/{file}: format {version} is newer than this program"));
                 named.into_iter().for_each(|(g, _)| self.generations.entry(g).or_default().torn = true);
             }
-            Found::Damaged => {
+            SegmentKind::Damaged => {
                 self.faults.push(format!("{name}/{file}: its head cannot be read"));
                 if let Some((g, _)) = named {
                     let generation = self.generations.entry(g).or_default();
--- a/crates/ledger/src/memory.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -47,12 +47,12 @@
 
 /// The disk; clones are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Rc<RefCell<State>>);
+pub struct MemoryDisk(Rc<RefCell<State>>);
 
-impl Memory {
+impl MemoryDisk {
     /// An empty one on which that will go wrong.
-    pub fn with(faults: Faults) -> Memory {
-        let memory = Memory::default();
+    pub fn with_faults(faults: Faults) -> MemoryDisk {
+        let memory = MemoryDisk::default();
         memory.0.borrow_mut().faults = faults;
         memory
     }
@@ -63,18 +63,18 @@
     }
 
     /// As a process would find it that starts after another was killed: all that was written is there.
-    pub fn after_kill(&self) -> Memory {
+    pub fn after_kill(&self) -> MemoryDisk {
         let state = self.0.borrow();
         let files = state
             .files
             .iter()
             .map(|(name, f)| (name.clone(), Stored { synced: f.whole(), pending: Vec::new() }));
-        Memory(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
+        MemoryDisk(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
     }
 
     /// As it is found after a loss of power: of the writes since the last sync of each file the first `kept` are
     /// there, and `torn` bytes of the next one.
-    pub fn after_power_loss(&self, kept: usize, torn: usize) -> Memory {
+    pub fn after_power_loss(&self, kept: usize, torn: usize) -> MemoryDisk {
         let state = self.0.borrow();
         let files = state.files.iter().map(|(name, f)| {
             let mut bytes = f.synced.clone();
@@ -84,7 +84,7 @@
             }
             (name.clone(), Stored { synced: bytes, pending: Vec::new() })
         });
-        Memory(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
+        MemoryDisk(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
     }
 
     /// How many writes are not synced in any file, and the length of the longest.
@@ -114,7 +114,7 @@
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     type File = String;
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -15,22 +15,22 @@
 
 /// Whose segment it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SegmentHeader {
     /// The proxy's name.
     pub proxy: String,
     /// One start of one process: drawn at random.
     pub generation: u64,
     /// When that process started.
-    pub started: Millis,
+    pub started_at: Millis,
     /// Number of the segment within the generation, from 0.
     pub number: u32,
     /// Sequence number of its first frame.
-    pub first: u64,
+    pub first_sequence: u64,
     /// Requests may be sent while nothing can be written.
-    pub goes_on: bool,
+    pub continues_previous: bool,
 }
 
-impl Head {
+impl SegmentHeader {
     /// As the first [`HEAD_LEN`] bytes of the file.
     pub fn encode(&self) -> Vec<u8> {
         let mut body = postcard::to_allocvec(self).unwrap_or_default();
@@ -48,9 +48,9 @@
 
 /// What a head turned out to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum SegmentKind {
     /// A segment of this format.
-    Segment(Head),
+    Segment(SegmentHeader),
     /// A segment of a format that this program does not know.
     Newer(u16),
     /// Created, and not a byte of it written: nothing can have followed.
@@ -59,21 +59,23 @@
     Damaged,
 }
 
-fn head(bytes: &[u8]) -> Found {
+fn head(bytes: &[u8]) -> SegmentKind {
     if bytes.iter().all(|b| *b == 0) {
-        return Found::Blank;
+        return SegmentKind::Blank;
     }
-    let Some(fixed) = bytes.get(..FIXED).filter(|f| f.starts_with(MAGIC)) else { return Found::Damaged };
+    let Some(fixed) = bytes.get(..FIXED).filter(|f| f.starts_with(MAGIC)) else {
+        return SegmentKind::Damaged;
+    };
     let version = u16::from_le_bytes([fixed[8], fixed[9]]);
     if version > VERSION {
-        return Found::Newer(version);
+        return SegmentKind::Newer(version);
     }
     let length = usize::from(u16::from_le_bytes([fixed[10], fixed[11]]));
     let sum = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
     let body = bytes.get(FIXED..FIXED + length).filter(|_| FIXED + length <= HEAD_LEN);
     match body.filter(|b| crc32c::crc32c(b) == sum).and_then(|b| postcard::from_bytes(b).ok()) {
-        Some(head) => Found::Segment(head),
-        None => Found::Damaged,
+        Some(head) => SegmentKind::Segment(head),
+        None => SegmentKind::Damaged,
     }
 }
 
@@ -81,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
     /// Whose it is.
-    pub found: Found,
+    pub found: SegmentKind,
     /// The frames that can be read, in their order, with their offsets.
     pub frames: Vec<(usize, Frame)>,
     /// Stretches that cannot be read and may have held frames.
@@ -95,9 +97,9 @@
 pub fn read_segment(bytes: &[u8]) -> Scan {
     let mut scan = Scan { found: head(bytes), frames: Vec::new(), damaged: Vec::new(), torn: false };
     let mut last = match &scan.found {
-        Found::Segment(head) => head.first.saturating_sub(1),
-        Found::Damaged => 0,
-        Found::Newer(_) | Found::Blank => return scan,
+        SegmentKind::Segment(head) => head.first_sequence.saturating_sub(1),
+        SegmentKind::Damaged => 0,
+        SegmentKind::Newer(_) | SegmentKind::Blank => return scan,
     };
     let mut at = HEAD_LEN.min(bytes.len());
     while at < bytes.len() {
--- a/crates/ledger/src/thread.rs
+++ b/crates/ledger/src/thread.rs
@@ -32,9 +32,9 @@
 
 /// Resolves to whether the record is as safe as the mode asks.
 #[derive(Clone, Default)]
-pub struct Durable(Arc<Mutex<Slot>>);
+pub struct DurableWrite(Arc<Mutex<Slot>>);
 
-impl Durable {
+impl DurableWrite {
     fn end(&self, safe: bool) {
         let mut slot = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         slot.done = Some(safe);
@@ -42,7 +42,7 @@
     }
 }
 
-impl Future for Durable {
+impl Future for DurableWrite {
     type Output = bool;
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<bool> {
         let mut slot = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -57,15 +57,16 @@
 }
 
 enum Job {
-    Write(Record, Option<Durable>),
-    Close(Durable),
+    Write(Record, Option<DurableWrite>),
+    Close(DurableWrite),
 }
 
 /// What the ledger does, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Shown {
+pub struct LedgerStatus {
     /// Records handed over and not written yet.
-    pub depth: u64,
+    #[serde(rename = "depth")]
+    pub queued_records: u64,
     /// Records written.
     pub records: u64,
     /// Writes; each took several records where there were several.
@@ -75,13 +76,15 @@
     /// Bytes of frames.
     pub bytes: u64,
     /// Records that could not be written.
-    pub failed: u64,
+    #[serde(rename = "failed")]
+    pub records_lost: u64,
     /// How long the last write took, us.
     pub last_write_us: u64,
     /// Bytes that the disk still takes.
-    pub free: u64,
+    pub free_bytes: u64,
     /// Nothing can be written at present.
-    pub failing: bool,
+    #[serde(rename = "failing")]
+    pub is_failing: bool,
 }
 
 #[derive(Default)]
@@ -105,14 +108,14 @@
 pub struct Ledger {
     jobs: SyncSender<Job>,
     gauges: Arc<Gauges>,
-    goes_on: bool,
+    is_resumed: bool,
 }
 
 impl Ledger {
     /// Starts the writer of a new generation on `disk`.
     ///
     /// # Errors
-    /// Where no thread can be started. A disk that fails is no error: see [`Shown::failing`].
+    /// Where no thread can be started. A disk that fails is no error: see [`LedgerStatus::failing`].
     pub fn start<D>(disk: D, options: Options, generation: u64) -> std::io::Result<Ledger>
     where
         D: Disk + Send + 'static,
@@ -124,20 +127,20 @@
         let (writer, begun) = Writer::open(disk, options, generation, now());
         gauges.failing.store(begun.is_err(), Relaxed);
         gauges.begun.store(writer.begun(), Relaxed);
-        gauges.free.store(writer.free().unwrap_or(0), Relaxed);
+        gauges.free.store(writer.free_bytes().unwrap_or(0), Relaxed);
         let its = gauges.clone();
         std::thread::Builder::new().name("ledger".into()).spawn(move || work(writer, &queue, &its))?;
-        Ok(Ledger { jobs, gauges, goes_on })
+        Ok(Ledger { jobs, gauges, is_resumed: goes_on })
     }
 
     /// Hands a record over, and forgets it.
-    pub fn note(&self, record: Record) {
+    pub fn record(&self, record: Record) {
         self.hand(Job::Write(record, None));
     }
 
     /// Hands a record over whose request may be sent once it is safe.
-    pub fn before(&self, record: Record) -> Durable {
-        let durable = Durable::default();
+    pub fn record_durably(&self, record: Record) -> DurableWrite {
+        let durable = DurableWrite::default();
         if !self.hand(Job::Write(record, Some(durable.clone()))) {
             durable.end(false); // whether it goes out all the same is its sender's to say
         }
@@ -158,13 +161,13 @@
     }
 
     /// Requests go on while nothing can be written.
-    pub fn goes_on(&self) -> bool {
-        self.goes_on && self.gauges.begun.load(Relaxed)
+    pub fn is_resumed(&self) -> bool {
+        self.is_resumed && self.gauges.begun.load(Relaxed)
     }
 
     /// Ends the generation in order: resolves when that is written.
-    pub fn close(&self) -> Durable {
-        let durable = Durable::default();
+    pub fn close(&self) -> DurableWrite {
+        let durable = DurableWrite::default();
         if !self.hand(Job::Close(durable.clone())) {
             durable.end(false);
         }
@@ -172,23 +175,23 @@
     }
 
     /// What it does at this moment.
-    pub fn shown(&self) -> Shown {
+    pub fn status(&self) -> LedgerStatus {
         let g = &self.gauges;
-        Shown {
-            depth: g.depth.load(Relaxed),
+        LedgerStatus {
+            queued_records: g.depth.load(Relaxed),
             records: g.records.load(Relaxed),
             writes: g.writes.load(Relaxed),
             syncs: g.syncs.load(Relaxed),
             bytes: g.bytes.load(Relaxed),
-            failed: g.failed.load(Relaxed),
+            records_lost: g.failed.load(Relaxed),
             last_write_us: g.last_write_us.load(Relaxed),
-            free: g.free.load(Relaxed),
-            failing: g.failing.load(Relaxed),
+            free_bytes: g.free.load(Relaxed),
+            is_failing: g.failing.load(Relaxed),
         }
     }
 
     /// Segments dropped for their age or the space since the last call.
-    pub fn dropped(&self) -> Vec<String> {
+    pub fn take_dropped(&self) -> Vec<String> {
         std::mem::take(&mut *self.gauges.dropped.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -222,7 +225,7 @@
         }
         let skipped = gauges.skipped.swap(0, Relaxed);
         if skipped > 0 {
-            writer.skipped(now(), skipped);
+            writer.record_lost(now(), skipped);
         }
         if !records.is_empty() {
             let began = std::time::Instant::now();
@@ -232,19 +235,19 @@
             let count = if done.is_ok() { &gauges.records } else { &gauges.failed };
             count.fetch_add(records.len() as u64, Relaxed);
             records.clear();
-            waiting.drain(..).for_each(|w: Durable| w.end(done.is_ok()));
+            waiting.drain(..).for_each(|w: DurableWrite| w.end(done.is_ok()));
         } else {
-            if writer.failing() {
+            if writer.is_failing() {
                 let _ = writer.append(now(), &[]); // whether a segment can be made again
             }
-            gauges.free.store(writer.free().unwrap_or(0), Relaxed);
+            gauges.free.store(writer.free_bytes().unwrap_or(0), Relaxed);
         }
-        let (syncs, bytes) = writer.done();
+        let (syncs, bytes) = writer.write_counts();
         gauges.syncs.store(syncs, Relaxed);
         gauges.bytes.store(bytes, Relaxed);
-        gauges.failing.store(writer.failing(), Relaxed);
+        gauges.failing.store(writer.is_failing(), Relaxed);
         gauges.begun.store(writer.begun(), Relaxed);
-        gauges.dropped.lock().unwrap_or_else(PoisonError::into_inner).extend(writer.dropped());
+        gauges.dropped.lock().unwrap_or_else(PoisonError::into_inner).extend(writer.take_dropped());
         if let Some(durable) = closing {
             durable.end(writer.close(now()).is_ok());
             return;
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -4,7 +4,7 @@
 use crate::frame::{encode, MAX_RECORD};
 use crate::index;
 use crate::record::{Millis, Record};
-use crate::segment::{read_segment, Found, Head, HEAD_LEN};
+use crate::segment::{read_segment, SegmentHeader, SegmentKind, HEAD_LEN};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use thiserror::Error;
@@ -113,7 +113,7 @@
     /// Segments of earlier generations; `None` until the first segment is sealed, as reading them takes time that
     /// a start has not.
     earlier: Option<Vec<Sealed>>,
-    dropped: Vec<String>,
+    take_dropped: Vec<String>,
     syncs: u64,
     bytes: u64,
     begun: bool,
@@ -142,7 +142,7 @@
             requests: HashMap::new(),
             sealed: BTreeMap::new(),
             earlier: None,
-            dropped: Vec::new(),
+            take_dropped: Vec::new(),
             syncs: 0,
             bytes: 0,
             begun: false,
@@ -161,7 +161,7 @@
             let all = self.disk.read(&name).ok()?;
             let scan = read_segment(&all);
             let mut open = BTreeSet::new();
-            let mut until = if let Found::Segment(head) = &scan.found { head.started } else { now };
+            let mut until = if let SegmentKind::Segment(head) = &scan.found { head.started_at } else { now };
             for (_, frame) in &scan.frames {
                 match &frame.record {
                     Record::Taken { request, at, .. } => {
@@ -190,13 +190,13 @@
                 return Err(e);
             }
         };
-        let head = Head {
+        let head = SegmentHeader {
             proxy: self.options.proxy.clone(),
             generation: self.generation,
-            started: self.started,
+            started_at: self.started,
             number: self.number,
-            first: self.sequence + 1,
-            goes_on: self.options.on_failure == OnFailure::GoOn,
+            first_sequence: self.sequence + 1,
+            continues_previous: self.options.on_failure == OnFailure::GoOn,
         };
         self.number += 1;
         self.disk.write(&mut file, 0, &head.encode())?;
@@ -226,7 +226,7 @@
     }
 
     /// Records were lost before they came here: their requests were sent all the same.
-    pub fn skipped(&mut self, now: Millis, records: u64) {
+    pub fn record_lost(&mut self, now: Millis, records: u64) {
         let (since, missing) = self.missing.unwrap_or((now, 0));
         self.missing = Some((since, missing + records));
         self.sequence += records;
@@ -348,7 +348,7 @@
         for name in gone {
             let _ = self.disk.remove(&name);
             let _ = self.disk.remove(&name.replace(".seg", ".idx"));
-            self.dropped.push(name);
+            self.take_dropped.push(name);
         }
     }
 
@@ -363,12 +363,12 @@
     }
 
     /// Segments dropped since the last call, for the log.
-    pub fn dropped(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.dropped)
+    pub fn take_dropped(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.take_dropped)
     }
 
     /// Nothing can be written at present.
-    pub fn failing(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.open.is_none() || self.missing.is_some()
     }
 
@@ -378,12 +378,12 @@
     }
 
     /// Syncs and bytes so far.
-    pub fn done(&self) -> (u64, u64) {
+    pub fn write_counts(&self) -> (u64, u64) {
         (self.syncs, self.bytes)
     }
 
     /// Bytes that the disk still takes.
-    pub fn free(&self) -> Option<u64> {
+    pub fn free_bytes(&self) -> Option<u64> {
         self.disk.free().ok()
     }
 }
--- a/crates/ledger/tests/crash.rs
+++ b/crates/ledger/tests/crash.rs
@@ -1,6 +1,6 @@
 //! Every crash, every tear, every flipped bit of a short history: what is told afterwards is never wrong.
 
-use lotusdeck_ledger::memory::{Faults, Memory};
+use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
 use lotusdeck_ledger::{
     decode, read_segment, Disk, End, Fate, History, Mode, OnFailure, Options, Record, Verdict, Writer,
 };
@@ -43,14 +43,14 @@
 
 /// A history played on a disk.
 struct Play {
-    writer: Writer<Memory>,
+    writer: Writer<MemoryDisk>,
     goes_on: bool,
     truth: Truth,
     now: u64,
 }
 
 impl Play {
-    fn new(disk: Memory, mode: Mode, on_failure: OnFailure, segment_bytes: u64) -> Play {
+    fn new(disk: MemoryDisk, mode: Mode, on_failure: OnFailure, segment_bytes: u64) -> Play {
         let options = Options { segment_bytes, ..Options::new("n0", mode, on_failure) };
         let (writer, _) = Writer::open(disk, options, 0xab, 1000);
         Play { writer, goes_on: on_failure == OnFailure::GoOn, truth: Truth::new(), now: 1000 }
@@ -86,7 +86,7 @@
     }
 }
 
-fn history(disk: &Memory) -> History {
+fn history(disk: &MemoryDisk) -> History {
     let mut history = History::default();
     history.add("memory", disk, None).unwrap();
     history
@@ -159,7 +159,7 @@
 fn a_kill_at_every_step_leaves_the_truth() {
     for (on_failure, room) in FAILURES.iter().flat_map(|f| [(*f, 1 << 16), (*f, 700)]) {
         for steps in 0..=SHORT.len() {
-            let disk = Memory::default();
+            let disk = MemoryDisk::default();
             let mut play = Play::new(disk.clone(), Mode::Process, on_failure, room);
             SHORT[..steps].iter().for_each(|s| play.step(*s));
             let told = history(&disk.after_kill());
@@ -178,7 +178,7 @@
 fn a_loss_of_power_at_every_byte_leaves_the_truth() {
     let mut cases = 0;
     for steps in 0..=SHORT.len() {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::Refuse, 1 << 16);
         SHORT[..steps].iter().for_each(|s| play.step(*s));
         // The next step is written and not synced yet: its attempt has not gone out.
@@ -206,7 +206,7 @@
 #[test]
 fn a_flipped_bit_never_makes_a_wrong_certainty() {
     for (steps, close) in [(SHORT.len(), true), (SHORT.len(), false), (10, false)] {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 700);
         SHORT[..steps].iter().for_each(|s| play.step(*s));
         if close {
@@ -232,7 +232,7 @@
 /// A segment that is missing, one of a newer format, and a clock that steps back.
 #[test]
 fn whole_files_may_be_lost_or_strange() {
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 480);
     for (n, step) in SHORT.iter().enumerate() {
         play.now = 100_000 - 1000 * n as u64;
@@ -256,7 +256,7 @@
 /// Two processes write beside each other during an upgrade, each its own files; both are told of.
 #[test]
 fn two_generations_share_a_folder() {
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     let mut old = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 700);
     SHORT[..5].iter().for_each(|s| old.step(*s));
     let options = Options { segment_bytes: 700, ..Options::new("n0", Mode::Process, OnFailure::Refuse) };
@@ -272,7 +272,7 @@
 /// Old segments go, but never one that holds an unresolved request before its age.
 #[test]
 fn the_unresolved_are_kept() {
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     let room = Options {
         segment_bytes: 700,
         keep_bytes: 3000,
@@ -285,12 +285,15 @@
             writer.append(r, &[record(step, r)]).unwrap();
         }
     }
-    assert!(writer.dropped().is_empty(), "the oldest holds an unresolved request: nothing may go past it");
+    assert!(
+        writer.take_dropped().is_empty(),
+        "the oldest holds an unresolved request: nothing may go past it"
+    );
     writer.append(300, &[record(Step::Settle(0), 300)]).unwrap();
     for r in 200..230 {
         writer.append(r, &[record(Step::Take(r), r), record(Step::Settle(r), r)]).unwrap();
     }
-    assert!(writer.dropped().len() > 10);
+    assert!(writer.take_dropped().len() > 10);
     // The next process knows what the last one left unresolved, and keeps that until it is too old.
     let kept = disk.list().unwrap().len();
     writer.append(300, &[record(Step::Take(999), 300), record(Step::Send(999, 0), 300)]).unwrap();
@@ -299,7 +302,7 @@
     for r in 0..20 {
         next.append(500 + r, &[record(Step::Take(r), 500), record(Step::Settle(r), 500)]).unwrap();
     }
-    let dropped = next.dropped();
+    let dropped = next.take_dropped();
     assert!(!dropped.is_empty() && dropped.len() < kept, "{dropped:?}");
 }
 
@@ -350,7 +353,7 @@
         kept in 0usize..4, torn in 0usize..200, close in any::<bool>(),
     ) {
         let faults = Faults { full_after: full, sync_fails: sync, mended_at: Some(mended) };
-        let disk = Memory::with(faults);
+        let disk = MemoryDisk::with_faults(faults);
         let (mode, on_failure) = (
             if power { Mode::Power } else { Mode::Process },
             if goes_on { OnFailure::GoOn } else { OnFailure::Refuse },
@@ -372,7 +375,7 @@
     fn any_bytes_can_be_read(bytes in proptest::collection::vec(any::<u8>(), 0..2000), at in 0usize..2000) {
         lotusdeck_ledger_any(&bytes);
         // A sound segment with random bytes written over a part of it.
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 1 << 12);
         SHORT.iter().for_each(|s| play.step(*s));
         let name = disk.list().unwrap().remove(0);
@@ -389,7 +392,7 @@
 fn an_intent_whose_sync_failed_is_no_attempt() {
     for at in 0..40 {
         let faults = Faults { full_after: Some(at), sync_fails: None, mended_at: Some(at + 1) };
-        let disk = Memory::with(faults);
+        let disk = MemoryDisk::with_faults(faults);
         let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::Refuse, 641);
         SHORT.iter().for_each(|s| play.step(*s));
         let (pending, longest) = disk.unsynced();
--- a/crates/lotusdeck/src/configuration.rs
+++ b/crates/lotusdeck/src/configuration.rs
@@ -3,7 +3,7 @@
 
 use lotusdeck_configuration::message::MAX_MESSAGE;
 use lotusdeck_configuration::{
-    decode, Ask, DocumentError, Failure, Follower, FollowerSettings, Standing, Step, Version,
+    decode, DocumentError, Failure, Follower, FollowerSettings, NextStep, Poll, SyncState, Version,
 };
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_proxy::admin::ConfigurationStatus;
@@ -73,7 +73,7 @@
 struct Snapshot {
     source: SocketAddr,
     held: Option<Version>,
-    standing: Standing,
+    standing: SyncState,
     /// When the question was put whose answer last said that the version held was the latest.
     current_at: Option<Instant>,
 }
@@ -89,10 +89,10 @@
         let Snapshot { source, held, standing, current_at } = snapshot?;
         let millis = |at: Instant| u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
         let (standing, refused) = match standing {
-            Standing::Empty => ("empty", None),
-            Standing::Current => ("current", None),
-            Standing::Refusing(version) => ("refusing", Some(version)),
-            Standing::CutOff => ("cut off", None),
+            SyncState::Empty => ("empty", None),
+            SyncState::Current => ("current", None),
+            SyncState::Refusing(version) => ("refusing", Some(version)),
+            SyncState::CutOff => ("cut off", None),
         };
         Some(ConfigurationStatus {
             source: source.to_string(),
@@ -238,16 +238,16 @@
     /// One step of the follower; `false` where the program ends.
     async fn follow(&mut self, source: SocketAddr) -> bool {
         let now = self.now();
-        let step = self.follower.poll(now);
+        let step = self.follower.next_step(now);
         self.tell(source);
         match step {
-            Step::Ask(ask) => return self.ask(source, ask).await,
-            Step::Wait(until) => return self.rest(until.saturating_sub(now)).await,
-            Step::More => tokio::task::yield_now().await,
-            Step::Judge => self.judge(),
-            Step::Took(version) => return self.took(version).await,
-            Step::Refused(refusal) => self.trouble("configuration refused", refusal.to_string()),
-            Step::Failed(failure) => self.trouble("no answer from the source", failure.to_string()),
+            NextStep::Poll(ask) => return self.ask(source, ask).await,
+            NextStep::Wait(until) => return self.rest(until.saturating_sub(now)).await,
+            NextStep::More => tokio::task::yield_now().await,
+            NextStep::Judge => self.judge(),
+            NextStep::Took(version) => return self.took(version).await,
+            NextStep::Refused(refusal) => self.trouble("configuration refused", refusal.to_string()),
+            NextStep::Failed(failure) => self.trouble("no answer from the source", failure.to_string()),
         }
         true
     }
@@ -256,7 +256,7 @@
         let now = self.now();
         let status = self.follower.status(now);
         let current_at = status.age.and_then(|age| Instant::now().checked_sub(age));
-        let (held, standing) = (status.held, status.standing);
+        let (held, standing) = (status.applied_version, status.sync_state);
         self.told.tell(Some(Snapshot { source, held, standing, current_at }));
     }
 
@@ -267,10 +267,10 @@
         }
     }
 
-    async fn ask(&mut self, source: SocketAddr, ask: Ask) -> bool {
+    async fn ask(&mut self, source: SocketAddr, ask: Poll) -> bool {
         let settings = FollowerSettings::default();
         let uri = uri(&ask);
-        let patience = ask.wait + settings.overdue;
+        let patience = ask.wait + settings.poll_timeout;
         let ended = tokio::select! {
             answer = call::get(&mut self.link, source, &uri, MAX_MESSAGE, patience) => ended(answer.map(|b| decode(&b))),
             changed = self.orders.changed() => changed.map_or(Ended::Closed, |()| Ended::Ordered),
@@ -278,18 +278,19 @@
         let now = self.now();
         match ended {
             Ended::Answered(message) => {
-                self.follower.answered(now, *message);
-                if self.follower.status(now).standing == Standing::Current && self.trouble.take().is_some() {
+                self.follower.handle_message(now, *message);
+                if self.follower.status(now).sync_state == SyncState::Current && self.trouble.take().is_some()
+                {
                     info!(%source, "the source of configuration is back");
                 }
             }
             Ended::Failed(failure) => {
                 self.link = None;
-                self.follower.failed(now, failure);
+                self.follower.poll_failed(now, failure);
             }
             Ended::Ordered => {
                 self.link = None;
-                self.follower.abandoned(now);
+                self.follower.poll_abandoned(now);
                 return self.obey().await;
             }
             Ended::Closed => return false,
@@ -303,7 +304,7 @@
         let read = candidate.to_settings().map_err(Unsound::from).and_then(|object| self.check(object));
         let verdict = read.as_ref().map(|_| ()).map_err(Unsound::to_string);
         self.read = read.ok();
-        self.follower.judged(self.now(), verdict);
+        self.follower.candidate_judged(self.now(), verdict);
     }
 
     fn check(&self, object: Value) -> Result<(Settings, Outline), Unsound> {
@@ -329,7 +330,7 @@
             return true;
         }
         self.outline = self.outline.with_own(&self.order.file);
-        let Some(version) = self.follower.held() else { return true };
+        let Some(version) = self.follower.applied_version() else { return true };
         let object = lotusdeck_configuration::document::to_settings(self.follower.document().iter());
         match object.map_err(Unsound::from).and_then(|object| self.check(object)) {
             Ok(read) => {
@@ -345,7 +346,7 @@
 
     fn trouble(&mut self, what: &str, reason: String) {
         if self.trouble.as_ref() != Some(&reason) {
-            let held = self.follower.held().map_or("none".into(), |version| version.to_string());
+            let held = self.follower.applied_version().map_or("none".into(), |version| version.to_string());
             warn!(reason, in_force = held, "{what}");
         }
         self.trouble = Some(reason);
@@ -353,12 +354,12 @@
 }
 
 /// `/configuration` with what is asked.
-fn uri(ask: &Ask) -> String {
+fn uri(ask: &Poll) -> String {
     let mut uri = format!("/configuration?wait_ms={}", ask.wait.as_millis());
     if let Some(after) = ask.after {
         uri.push_str(&format!("&after={after}"));
     }
-    if let Some(past) = ask.past {
+    if let Some(past) = ask.rejected_version {
         uri.push_str(&format!("&past={past}"));
     }
     uri
--- a/crates/lotusdeck/src/fleet.rs
+++ b/crates/lotusdeck/src/fleet.rs
@@ -201,13 +201,13 @@
         let longest = node.network.deadlines.iter().max().copied().unwrap_or_default();
         let config = NodeConfig {
             site: settings.site.clone(),
-            own,
-            size,
+            identity: own,
+            fleet_size: size,
             seeds: settings.members.clone(),
             limits: limits.iter().map(LimitSpec::limit).collect(),
-            term: settings.term,
-            longest: to_duration(longest) + MARGIN,
-            seed,
+            lease_duration: settings.term,
+            max_request_duration: to_duration(longest) + MARGIN,
+            rng_seed: seed,
         };
         Ok(Some(Rc::new(Fleet {
             node: RefCell::new(Node::new(config, Duration::ZERO)),
@@ -236,10 +236,12 @@
             let now = self.now();
             if socket.is_some() && now >= told_at {
                 told_at = now + TELL_MODULE;
-                self.node.borrow_mut().hold(u32::try_from(host.attempts_in_flight()).unwrap_or(u32::MAX));
+                self.node
+                    .borrow_mut()
+                    .set_in_flight(u32::try_from(host.attempts_in_flight()).unwrap_or(u32::MAX));
                 // Where nobody is heard of, all are taken to be alike, as without talk.
                 let alike = host.attempts_in_flight() as f64 * f64::from(self.others);
-                let others = self.node.borrow().others_hold(now).unwrap_or(alike);
+                let others = self.node.borrow().others_in_flight(now).unwrap_or(alike);
                 host.set_fleet_load(others);
             }
             self.node.borrow_mut().tick(now);
@@ -247,11 +249,11 @@
             let view = self.node.borrow().membership().generation();
             if std::mem::replace(&mut seen, view) != view {
                 info!(
-                    members = self.node.borrow().membership().live().len(),
+                    members = self.node.borrow().membership().live_members().len(),
                     "proxies of the fleet that are there"
                 );
             }
-            let due = tokio::time::Instant::from_std(self.begun + self.node.borrow().next());
+            let due = tokio::time::Instant::from_std(self.begun + self.node.borrow().next_tick_at());
             let Some(socket) = &socket else {
                 tokio::time::sleep_until(due).await;
                 continue;
@@ -305,7 +307,7 @@
     }
 
     fn post(&self, socket: Option<&UdpSocket>) {
-        while let Some((to, bytes)) = { self.node.borrow_mut().to_send() } {
+        while let Some((to, bytes)) = { self.node.borrow_mut().next_datagram() } {
             if let Some(Err(e)) = socket.map(|s| s.try_send_to(&bytes, to)) {
                 debug!(%to, error = %e, "fleet: datagram not sent"); // lost, as any may be
             }
@@ -330,28 +332,28 @@
             (0u16..).zip(&self.limits).filter(|(_, limit)| of(limit)).map(|(place, _)| place).collect()
         });
         if !pass.is_empty() {
-            let refused = |r: lotusdeck_fleet::Refusal| Micros::from_secs(r.retry_after.as_secs_f64());
-            self.node.borrow_mut().enter(self.now(), pass).map_err(refused)?;
+            let refused = |r: lotusdeck_fleet::QuotaExceeded| Micros::from_secs(r.retry_after.as_secs_f64());
+            self.node.borrow_mut().admit(self.now(), pass).map_err(refused)?;
         }
         Ok(pass.clone())
     }
 
     fn release(&self, pass: &Admission) {
-        self.node.borrow_mut().leave(pass);
+        self.node.borrow_mut().release(pass);
     }
 
     fn set_other_process(&self, with_another: bool) {
-        self.node.borrow_mut().halve(self.now(), with_another);
+        self.node.borrow_mut().set_halved(self.now(), with_another);
     }
 
     fn status(&self) -> FleetLimitStatus {
         let node = self.node.borrow();
         FleetLimitStatus {
-            members: node.membership().live().len(),
-            others_in_flight: node.others_hold(self.now()),
+            members: node.membership().live_members().len(),
+            others_in_flight: node.others_in_flight(self.now()),
             membership_generation: node.membership().generation(),
             undecodable_datagrams: self.unread.get(),
-            quotas: node.shares(self.now()).collect(),
+            quotas: node.quotas(self.now()).collect(),
         }
     }
 }
--- a/crates/lotusdeck/src/journaling.rs
+++ b/crates/lotusdeck/src/journaling.rs
@@ -1,8 +1,8 @@
 //! The ledger as the core's journal.
 
 use crate::operator::LedgerSettings;
-use lotusdeck_core::{Journal, JournalStatus, RequestLabels, SendPermit};
-use lotusdeck_ledger::{End, Folder, Ledger, Mode, OnFailure, Options, Record};
+use lotusdeck_core::{Journal, RequestLabels, SendPermit};
+use lotusdeck_ledger::{End, Folder, Ledger, LedgerStatus, Mode, OnFailure, Options, Record};
 use lotusdeck_policy::{AttemptNo, Micros, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -53,8 +53,8 @@
         // Starts of one proxy differ in their seeds; the time makes sure where a seed is given twice.
         let generation = now() << 20 | seed & 0xf_ffff;
         let ledger = Ledger::start(disk, options, generation)?;
-        let shown = ledger.shown();
-        info!(folder = %folder.display(), generation, free = shown.free, failing = shown.failing, "ledger starts");
+        let shown = ledger.status();
+        info!(folder = %folder.display(), generation, free = shown.free_bytes, failing = shown.is_failing, "ledger starts");
         let journaling = Journaling {
             ledger,
             wait: settings.wait,
@@ -67,21 +67,27 @@
 
     /// Lines for the log on what changed: called every few seconds.
     pub fn report(&self) {
-        for segment in self.ledger.dropped() {
+        for segment in self.ledger.take_dropped() {
             info!(segment, "ledger segment dropped");
         }
-        let shown = self.ledger.shown();
-        let short = shown.failing || shown.free < self.warn_free;
+        let shown = self.ledger.status();
+        let short = shown.is_failing || shown.free_bytes < self.warn_free;
         if short != self.warned.replace(short) {
-            warn!(failing = shown.failing, free = shown.free, failed = shown.failed, short, "ledger space");
+            warn!(
+                failing = shown.is_failing,
+                free = shown.free_bytes,
+                failed = shown.records_lost,
+                short,
+                "ledger space"
+            );
         }
         if shown.records > 0 {
             info!(
                 records = shown.records,
-                depth = shown.depth,
+                depth = shown.queued_records,
                 writes = shown.writes,
                 syncs = shown.syncs,
-                failed = shown.failed,
+                failed = shown.records_lost,
                 "ledger"
             );
         }
@@ -95,14 +101,14 @@
 
 impl Journal for Journaling {
     fn unavailable_for(&self) -> Option<Micros> {
-        (!self.ledger.goes_on() && self.ledger.shown().failing).then_some(COME_AGAIN)
+        (!self.ledger.is_resumed() && self.ledger.status().is_failing).then_some(COME_AGAIN)
     }
 
     fn request_taken(&self, request: RequestId, labels: RequestLabels) {
         let id = Ledger::text(&labels.id);
         self.ids.borrow_mut().insert(request, id.clone());
         let (class, key) = (Ledger::text(&labels.class), Ledger::text(&labels.key));
-        self.ledger.note(Record::Taken { request: request.0, at: now(), id, class, key });
+        self.ledger.record(Record::Taken { request: request.0, at: now(), id, class, key });
     }
 
     fn attempt_intended(
@@ -112,8 +118,8 @@
         let (backend, address) = (Ledger::text(backend), address.to_string());
         let record =
             Record::Intent { request: request.0, attempt: attempt.0, at: now(), id, backend, address };
-        let (durable, wait) = (self.ledger.before(record), self.wait);
-        let goes_on = self.ledger.goes_on();
+        let (durable, wait) = (self.ledger.record_durably(record), self.wait);
+        let goes_on = self.ledger.is_resumed();
         Box::pin(async move { tokio::time::timeout(wait, durable).await.unwrap_or(false) || goes_on })
     }
 
@@ -123,26 +129,15 @@
             (_, Some(status)) => End::Answered(status),
             _ => End::Unanswered,
         };
-        self.ledger.note(Record::Ended { request: request.0, attempt: attempt.0, at: now(), end });
+        self.ledger.record(Record::Ended { request: request.0, attempt: attempt.0, at: now(), end });
     }
 
     fn request_finished(&self, request: RequestId) {
         self.ids.borrow_mut().remove(&request);
-        self.ledger.note(Record::Settled { request: request.0 });
+        self.ledger.record(Record::Settled { request: request.0 });
     }
 
-    fn status(&self) -> JournalStatus {
-        let s = self.ledger.shown();
-        JournalStatus {
-            depth: s.depth,
-            records: s.records,
-            writes: s.writes,
-            syncs: s.syncs,
-            bytes: s.bytes,
-            failed: s.failed,
-            last_write_us: s.last_write_us,
-            free_bytes: s.free,
-            failing: s.failing,
-        }
+    fn status(&self) -> LedgerStatus {
+        self.ledger.status()
     }
 }
--- a/crates/lotusdeck/src/ledger.rs
+++ b/crates/lotusdeck/src/ledger.rs
@@ -82,7 +82,7 @@
 
 impl Wanted {
     fn fits(&self, r: &Request) -> bool {
-        let seconds = r.taken.map(|t| t as f64 / 1e3);
+        let seconds = r.taken_at.map(|t| t as f64 / 1e3);
         let sent = |b: &String| r.attempts.iter().any(|a| a.backend == *b && a.fate != Fate::NeverSent);
         let state = match r.verdict() {
             Verdict::NeverSent => State::NeverSent,
@@ -125,7 +125,7 @@
 fn query(history: &History, wanted: &Wanted, format: Format) {
     let mut found = history.requests();
     found.retain(|r| wanted.fits(r));
-    found.sort_by_key(|r| r.taken);
+    found.sort_by_key(|r| r.taken_at);
     if format == Format::Csv {
         say("proxy,taken_ms,id,class,key,state,attempt,backend,address,sent_ms,fate\n");
     }
@@ -181,13 +181,20 @@
 fn table(r: &Request) -> String {
     let time = |ms: u64| format!("{}.{:03}", ms / 1000, ms % 1000);
     let id = if r.id.is_empty() { "(id lost)" } else { &r.id };
-    let taken = r.taken.map_or("(time lost)".into(), time);
+    let taken = r.taken_at.map_or("(time lost)".into(), time);
     let mut out = format!("{id}  {}/{}  at {}, taken {taken}: {}\n", r.class, r.key, r.proxy, state(r));
     for a in &r.attempts {
-        let _ =
-            writeln!(out, "  {}: {} at {}, {}: {}", a.number, a.backend, a.address, time(a.at), fate(a.fate));
+        let _ = writeln!(
+            out,
+            "  {}: {} at {}, {}: {}",
+            a.number,
+            a.backend,
+            a.address,
+            time(a.sent_at),
+            fate(a.fate)
+        );
     }
-    if r.doubt {
+    if r.is_uncertain {
         out.push_str("  records that may tell of further attempts are missing\n");
     }
     out
@@ -211,7 +218,7 @@
 }
 
 fn csv(r: &Request) -> String {
-    let taken = r.taken.map_or(String::new(), |t| t.to_string());
+    let taken = r.taken_at.map_or(String::new(), |t| t.to_string());
     let own =
         [field(&r.proxy), taken, field(&r.id), field(&r.class), field(&r.key), state(r).replace(' ', "-")];
     let own = own.join(",");
@@ -224,7 +231,7 @@
             a.number,
             field(&a.backend),
             field(&a.address),
-            a.at,
+            a.sent_at,
             field(&fate(a.fate))
         )
     };
--- a/crates/lotusdeck/src/state.rs
+++ b/crates/lotusdeck/src/state.rs
@@ -7,7 +7,8 @@
 use lotusdeck_proxy::list::List;
 use lotusdeck_proxy::mirror::Mirror;
 use lotusdeck_state::{
-    choose, decode, encode, Age, Choice, Kept, Learned, ReadError, Saved, Trust, Weighing,
+    choose, decode, encode, Age, AgeWeighting, Confidence, EndpointSource, Estimates, Persisted, ReadError,
+    SavedEndpoints,
 };
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -73,13 +74,13 @@
     }
 
     /// What was kept, checked whole.
-    fn read<T: Kept>(&self, ending: &str) -> Result<T, Unread> {
+    fn read<T: Persisted>(&self, ending: &str) -> Result<T, Unread> {
         let bytes = match std::fs::read(self.path(ending)) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Err(Unread::Missing),
             read => read.map_err(Unread::Io)?,
         };
         let kept: T = decode(&bytes)?;
-        let (site, proxy) = kept.writer();
+        let (site, proxy) = kept.origin();
         if site != self.site {
             return Err(Unread::Site(site.into(), self.site.clone()));
         }
@@ -89,14 +90,14 @@
         Ok(kept)
     }
 
-    fn read_list(&self) -> Result<(Saved, List), Unread> {
-        let saved: Saved = self.read(LIST)?;
+    fn read_list(&self) -> Result<(SavedEndpoints, List), Unread> {
+        let saved: SavedEndpoints = self.read(LIST)?;
         let list = serde_json::from_slice(&saved.list).map_err(Unread::List)?;
         Ok((saved, list))
     }
 
     /// Writes whole or not at all: a new file beside, made to last, then put in place of the old one.
-    fn write<T: Kept>(&self, ending: &str, kept: &T) -> std::io::Result<()> {
+    fn write<T: Persisted>(&self, ending: &str, kept: &T) -> std::io::Result<()> {
         let path = self.path(ending);
         let fresh = self.path(&format!("{ending}.new"));
         let mut file = File::create(&fresh)?;
@@ -109,7 +110,7 @@
 
     fn write_list(&self, list: &List) -> std::io::Result<()> {
         let body = serde_json::to_vec(list).map_err(std::io::Error::other)?;
-        let saved = Saved {
+        let saved = SavedEndpoints {
             site: self.site.clone(),
             proxy: self.proxy.clone(),
             written_ms: now_ms(),
@@ -119,8 +120,8 @@
         self.write(LIST, &saved)
     }
 
-    fn write_learned(&self, learned: Learned) -> std::io::Result<()> {
-        let learned = Learned { site: self.site.clone(), proxy: self.proxy.clone(), ..learned };
+    fn write_learned(&self, learned: Estimates) -> std::io::Result<()> {
+        let learned = Estimates { site: self.site.clone(), proxy: self.proxy.clone(), ..learned };
         self.write(LEARNED, &learned)
     }
 }
@@ -130,7 +131,7 @@
     /// The platform's list or its own.
     pub list: List,
     /// What is still believed of what it learned; `None` where nothing is.
-    pub learned: Option<Learned>,
+    pub learned: Option<Estimates>,
 }
 
 /// What a proxy begins with: the platform's list or its own, whichever is newer and trusted, and what it learned
@@ -144,9 +145,9 @@
 
 fn begin_learned(
     settings: &StateSettings, place: &Place, list: &List, window: Duration, now_ms: u64,
-) -> Option<Learned> {
+) -> Option<Estimates> {
     let path = place.path(LEARNED);
-    let learned: Learned = match place.read(LEARNED) {
+    let learned: Estimates = match place.read(LEARNED) {
         Ok(learned) => learned,
         Err(Unread::Missing) => return None,
         Err(e) => {
@@ -154,22 +155,22 @@
             return None;
         }
     };
-    let weighing = Weighing {
+    let weighing = AgeWeighting {
         now_ms,
         half_life_ms: millis(settings.half_life),
         window_ms: millis(window),
-        every_ms: millis(settings.every),
+        write_interval_ms: millis(settings.every),
     };
     let since: HashMap<&str, u64> = list.endpoints.iter().filter_map(started).collect();
     let written_ms = learned.written_ms;
-    let left = learned.believed(weighing, |name| since.get(name).copied());
+    let left = learned.discounted(weighing, |name| since.get(name).copied());
     let age = Age::of(written_ms, now_ms);
-    if left.overall.samples <= 0.0 {
+    if left.overall_latency.samples <= 0.0 {
         warn!(?age, "what was learned is not taken: too old, of an age that cannot be told, or nothing");
         return None;
     }
-    let (kinds, ejected, spent) = (left.kinds.len(), left.ejected.len(), left.spent.len());
-    info!(?age, samples = left.overall.samples, kinds, ejected, spent, "what was learned is taken");
+    let (kinds, ejected, spent) = (left.kinds.len(), left.ejected.len(), left.warmup_spend.len());
+    info!(?age, samples = left.overall_latency.samples, kinds, ejected, spent, "what was learned is taken");
     Some(left)
 }
 
@@ -194,18 +195,18 @@
         }
     };
     let age = Age::of(saved.written_ms, now_ms);
-    let trust = Trust::at(age, millis(settings.half_life));
+    let trust = Confidence::at_age(age, millis(settings.half_life));
     let (index, entries) = (saved.index, list.endpoints.len());
     match choose(index, trust, known.index, known.endpoints.len()) {
-        Choice::Saved => {
+        EndpointSource::SavedEndpoints => {
             info!(index, entries, ?age, trust = trust.0, known = known.index, "state taken: the kept list");
             (list, true)
         }
-        Choice::Known => {
+        EndpointSource::Known => {
             info!(index, known = known.index, "state passed over: the platform's list is as new");
             (known, false)
         }
-        Choice::Untrusted(trust) => {
+        EndpointSource::Untrusted(trust) => {
             warn!(index, ?age, trust = trust.0, "state not taken: too old, or of an age that cannot be told");
             (known, false)
         }
@@ -226,7 +227,7 @@
 struct Pending {
     /// The whole list, merged from what discovery tells.
     mirror: Mirror,
-    learned: Option<Learned>,
+    learned: Option<Estimates>,
 }
 
 /// The writer's side: one thread that writes what has changed, at most once in `every`. The event loop only merges
@@ -337,7 +338,7 @@
         loop {
             tokio::time::sleep(self.every).await;
             if let Some(learned) = host.export_estimates() {
-                self.give(|pending| pending.learned = Some(Learned { written_ms: now_ms(), ..learned }));
+                self.give(|pending| pending.learned = Some(Estimates { written_ms: now_ms(), ..learned }));
             }
         }
     }
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -41,7 +41,7 @@
     fn give_whole(&self, question: &str) {
         let (asked, answer) = self.question();
         assert_eq!(asked, format!("GET /configuration?wait_ms=10000{question} HTTP/1.1"));
-        answer.send((200, encode(&Told::Whole(self.source.whole())))).unwrap();
+        answer.send((200, encode(&Told::FullDocument(self.source.full_document())))).unwrap();
     }
 
     /// The next question is after this version, and gets all that came since.
@@ -57,7 +57,7 @@
 }
 
 fn begin(epoch: u64) -> Source {
-    Source::begin(epoch, &settings(), HistoryBounds::default(), |_| Ok(())).unwrap()
+    Source::new(epoch, &settings(), HistoryBounds::default(), |_| Ok(())).unwrap()
 }
 
 fn settings() -> Value {
@@ -163,7 +163,7 @@
     assert!(proxy.logged("configuration refused").contains("checksum over the whole"));
     let (asked, answer) = published.question();
     assert!(!asked.contains("after"), "{asked}");
-    answer.send((200, encode(&Told::Whole(published.source.whole()))[..500].into())).unwrap();
+    answer.send((200, encode(&Told::FullDocument(published.source.full_document()))[..500].into())).unwrap();
     assert!(proxy.logged("no answer from the source").contains("answer not understood"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
     published.give_whole("&past=7-2");
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use lotusdeck_state::{decode, encode, Learned, Saved};
+use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
 use rig::*;
 use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -62,9 +62,9 @@
     kept(&operator, &[entry("b0", backend.address, "SERVING")]);
     let file = folder.join("n0.state");
     let sound = std::fs::read(&file).unwrap();
-    let mut foreign: Saved = decode(&sound).unwrap();
+    let mut foreign: SavedEndpoints = decode(&sound).unwrap();
     foreign.site = "elsewhere".into();
-    let mut other: Saved = decode(&sound).unwrap();
+    let mut other: SavedEndpoints = decode(&sound).unwrap();
     other.proxy = "n7".into();
     let cases = [
         (sound[..sound.len() - 3].to_vec(), "truncated"),
@@ -92,7 +92,7 @@
         let (operator, folder) = keeping("old", half_life_s);
         std::fs::create_dir_all(&folder).unwrap();
         let body = list(9, true, &entries).into_bytes();
-        let saved = Saved {
+        let saved = SavedEndpoints {
             site: "old".into(),
             proxy: "n0".into(),
             written_ms: now - three_hours,
@@ -141,7 +141,7 @@
     let many: Vec<String> = (0..20).map(|i| entry(&format!("b{i}"), backend.address, "SERVING")).collect();
     answer.send((200, list(15, true, &many))).unwrap();
     proxy.logged("state cannot be written");
-    let kept: Saved = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
     assert_eq!(kept.index, 9);
 }
 
@@ -176,7 +176,8 @@
         }
         drop(proxy); // SIGKILL
         torn += usize::from(folder.join("n0.state.new").exists());
-        let kept: Saved = decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
+        let kept: SavedEndpoints =
+            decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
         assert!(kept.index >= last, "seed {seed}: {} after {last}", kept.index);
         last = kept.index;
     }
@@ -202,8 +203,8 @@
     }
     let file = folder.join("n0.learned");
     let sound = std::fs::read(&file).unwrap();
-    let learned: Learned = decode(&sound).unwrap();
-    assert!(learned.overall.samples >= 1.0 && learned.overall.value > 0.0, "{learned:?}");
+    let learned: Estimates = decode(&sound).unwrap();
+    assert!(learned.overall_latency.samples >= 1.0 && learned.overall_latency.value > 0.0, "{learned:?}");
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
     let again = || {
         let proxy = Proxy::operated(&[], &operator);
@@ -242,6 +243,6 @@
     let (_, answer) = second.discovery.call();
     answer.send((200, list(21, true, &known))).unwrap();
     assert!(second.logged("state written").contains("index=21"));
-    let kept: Saved = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
     assert_eq!(kept.index, 21);
 }
--- a/crates/state/src/trust.rs
+++ b/crates/state/src/confidence.rs
@@ -33,44 +33,44 @@
 
 /// The expected share of a list's entries that still hold, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Trust(pub f64);
+pub struct Confidence(pub f64);
 
-impl Trust {
+impl Confidence {
     /// At `age` for a half-life of `half_life_ms`; nothing for an age that cannot be told.
-    pub fn at(age: Age, half_life_ms: u64) -> Trust {
+    pub fn at_age(age: Age, half_life_ms: u64) -> Confidence {
         match age {
-            Age::Known(ms) => Trust((-(ms as f64) / half_life_ms.max(1) as f64).exp2()),
-            Age::Future(_) => Trust(0.0),
+            Age::Known(ms) => Confidence((-(ms as f64) / half_life_ms.max(1) as f64).exp2()),
+            Age::Future(_) => Confidence(0.0),
         }
     }
 
     /// Worth taking.
-    pub fn enough(self) -> bool {
+    pub fn is_sufficient(self) -> bool {
         self.0 >= FLOOR
     }
 }
 
 /// Which list a proxy begins with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Choice {
+pub enum EndpointSource {
     /// Its own saved list: newer than the platform's.
-    Saved,
+    SavedEndpoints,
     /// The list that the platform hands over, perhaps empty: none saved, or the saved one is not newer.
     Known,
     /// The platform's, as the saved one is too old or of unknown age.
-    Untrusted(Trust),
+    Untrusted(Confidence),
 }
 
 /// Between a saved list of version `saved` at `trust` and the platform's of version `known` with `entries`.
 /// Versions are discovery's: the higher is newer, so long as discovery did not begin anew, and either list is
 /// replaced by its first whole answer.
-pub fn choose(saved: u64, trust: Trust, known: u64, entries: usize) -> Choice {
-    if !trust.enough() {
-        Choice::Untrusted(trust)
+pub fn choose(saved: u64, trust: Confidence, known: u64, entries: usize) -> EndpointSource {
+    if !trust.is_sufficient() {
+        EndpointSource::Untrusted(trust)
     } else if entries == 0 || saved > known {
-        Choice::Saved
+        EndpointSource::SavedEndpoints
     } else {
-        Choice::Known
+        EndpointSource::Known
     }
 }
 
@@ -80,26 +80,26 @@
 
     #[test]
     fn trust_halves_with_each_half_life_and_ends_after_two() {
-        let at = |ms: u64| Trust::at(Age::of(100_000_000 - ms, 100_000_000), 60_000);
-        assert_eq!(at(0), Trust(1.0));
+        let at = |ms: u64| Confidence::at_age(Age::of(100_000_000 - ms, 100_000_000), 60_000);
+        assert_eq!(at(0), Confidence(1.0));
         assert!((at(60_000).0 - 0.5).abs() < 1e-12);
-        assert!(at(120_000).enough() && !at(120_001).enough());
-        assert!(!at(3 * 3_600_000).enough(), "hours old");
+        assert!(at(120_000).is_sufficient() && !at(120_001).is_sufficient());
+        assert!(!at(3 * 3_600_000).is_sufficient(), "hours old");
     }
 
     #[test]
     fn a_clock_stepped_back_trusts_nothing_and_small_skews_are_forgiven() {
         assert_eq!(Age::of(5_000, 4_500), Age::Known(0));
         assert_eq!(Age::of(10_000, 4_500), Age::Future(5_500));
-        assert_eq!(Trust::at(Age::Future(5_500), 60_000), Trust(0.0));
+        assert_eq!(Confidence::at_age(Age::Future(5_500), 60_000), Confidence(0.0));
     }
 
     #[test]
     fn the_newer_list_is_taken_and_an_untrusted_one_never() {
-        let full = Trust(1.0);
-        assert_eq!(choose(9, full, 4, 10), Choice::Saved);
-        assert_eq!(choose(4, full, 9, 10), Choice::Known);
-        assert_eq!(choose(4, full, 9, 0), Choice::Saved, "the platform handed nothing");
-        assert_eq!(choose(9, Trust(0.2), 4, 0), Choice::Untrusted(Trust(0.2)));
+        let full = Confidence(1.0);
+        assert_eq!(choose(9, full, 4, 10), EndpointSource::SavedEndpoints);
+        assert_eq!(choose(4, full, 9, 10), EndpointSource::Known);
+        assert_eq!(choose(4, full, 9, 0), EndpointSource::SavedEndpoints, "the platform handed nothing");
+        assert_eq!(choose(9, Confidence(0.2), 4, 0), EndpointSource::Untrusted(Confidence(0.2)));
     }
 }
--- a/crates/state/src/learned.rs
+++ b/crates/state/src/estimates.rs
@@ -1,7 +1,7 @@
 //! What a proxy learned of kinds, classes and backends, as kept, and what of it is believed at an age.
 //!
 //! - Speeds are means. A mean of `n` samples and age `a` is taken as worth `n * 2^(-a / h)` of them: the power prior
-//!   (Ibrahim and Chen, Statistical Science 15, 2000), the old likelihood raised to the trust of [`Trust`]. New
+//!   (Ibrahim and Chen, Statistical Science 15, 2000), the old likelihood raised to the trust of [`Confidence`]. New
 //!   samples soon outweigh an old mean, and a mean of no age is taken as it stood.
 //! - Ejections are taken as trials while the trust is enough: that a backend was ill is the better guess than that it
 //!   was not, and three good answers prove otherwise.
@@ -11,13 +11,13 @@
 //!   that the difference between what it sent in its last unkept moments and that rate: with writes every `e` and a
 //!   window `w`, its whole budget once more at the very worst, and `e / w` of it where it sent evenly.
 
-use crate::frame::Kept;
-use crate::trust::{Age, Trust};
+use crate::confidence::{Age, Confidence};
+use crate::frame::Persisted;
 use serde::{Deserialize, Serialize};
 
 /// A mean and the samples that it is worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Mean {
+pub struct WeightedMean {
     /// The mean.
     pub value: f64,
     /// Samples that it is worth.
@@ -26,7 +26,7 @@
 
 /// Work sent to a cold backend.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct WarmupSpend {
     /// Its name.
     pub backend: String,
     /// How long before the writing, ms.
@@ -37,7 +37,7 @@
 
 /// What a proxy learned, by names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct Estimates {
     /// The site as the operator file names it.
     pub site: String,
     /// The proxy that wrote it.
@@ -45,27 +45,27 @@
     /// When it was written: milliseconds since 1970 by the writer's wall clock.
     pub written_ms: u64,
     /// Seconds from dispatch to answer, all classes.
-    pub overall: Mean,
+    pub overall_latency: WeightedMean,
     /// The same by class.
-    pub classes: Vec<(String, Mean)>,
+    pub class_latency: Vec<(String, WeightedMean)>,
     /// By kind: the same with the class mix taken out, and requests a second that one backend got.
-    pub kinds: Vec<(String, Mean, Mean)>,
+    pub kinds: Vec<(String, WeightedMean, WeightedMean)>,
     /// Backends out of use or on trial, and how often in a row they were put out of use.
     pub ejected: Vec<(String, u32)>,
     /// Cold budget spent inside the fall window.
-    pub spent: Vec<Spent>,
+    pub warmup_spend: Vec<WarmupSpend>,
 }
 
-impl Kept for Learned {
+impl Persisted for Estimates {
     const MAGIC: &'static [u8; 8] = b"LDLEARN\0";
-    fn writer(&self) -> (&str, &str) {
+    fn origin(&self) -> (&str, &str) {
         (&self.site, &self.proxy)
     }
 }
 
 /// What is to be known for weighing a memory.
 #[derive(Clone, Copy, Debug)]
-pub struct Weighing {
+pub struct AgeWeighting {
     /// The reader's wall clock, ms since 1970.
     pub now_ms: u64,
     /// The age at which it is believed half as much, ms.
@@ -73,48 +73,48 @@
     /// The window over which work sent to a cold backend counts, ms.
     pub window_ms: u64,
     /// It was written so often at most, ms.
-    pub every_ms: u64,
+    pub write_interval_ms: u64,
 }
 
-impl Learned {
+impl Estimates {
     /// What is left of it: means worth less, ejections while it is trusted, work spent as long ago as it is now. `since`
     /// tells when a backend started by the list begun with (ms since 1970; `None` where not listed): one that started
     /// after the writing has nothing in common with what is told of its name.
-    pub fn believed(mut self, w: Weighing, since: impl Fn(&str) -> Option<u64>) -> Learned {
+    pub fn discounted(mut self, w: AgeWeighting, since: impl Fn(&str) -> Option<u64>) -> Estimates {
         let age = Age::of(self.written_ms, w.now_ms);
-        let trust = Trust::at(age, w.half_life_ms);
-        let (Age::Known(age_ms), true) = (age, trust.enough()) else {
-            let Learned { site, proxy, written_ms, .. } = self;
-            return Learned { site, proxy, written_ms, ..Learned::default() };
+        let trust = Confidence::at_age(age, w.half_life_ms);
+        let (Age::Known(age_ms), true) = (age, trust.is_sufficient()) else {
+            let Estimates { site, proxy, written_ms, .. } = self;
+            return Estimates { site, proxy, written_ms, ..Estimates::default() };
         };
-        let all = self.classes.iter_mut().map(|c| &mut c.1);
+        let all = self.class_latency.iter_mut().map(|c| &mut c.1);
         let all = all.chain(self.kinds.iter_mut().flat_map(|k| [&mut k.1, &mut k.2]));
-        all.chain([&mut self.overall]).for_each(|m| m.samples *= trust.0);
+        all.chain([&mut self.overall_latency]).for_each(|m| m.samples *= trust.0);
         let written_ms = self.written_ms;
         let same = |name: &str| since(name).is_some_and(|at| at <= written_ms);
         self.ejected.retain(|(name, _)| same(name));
-        self.spent.retain(|s| same(&s.backend));
+        self.warmup_spend.retain(|s| same(&s.backend));
         self.go_on_spending(age_ms, w);
-        self.spent.retain(|s| s.ago_ms < w.window_ms);
+        self.warmup_spend.retain(|s| s.ago_ms < w.window_ms);
         self
     }
 
     /// Moves what was spent by the age, and adds what was spent since at the rate of the window.
-    fn go_on_spending(&mut self, age_ms: u64, w: Weighing) {
-        let unkept_ms = age_ms.min(w.every_ms);
+    fn go_on_spending(&mut self, age_ms: u64, w: AgeWeighting) {
+        let unkept_ms = age_ms.min(w.write_interval_ms);
         let part = unkept_ms as f64 / w.window_ms.max(1) as f64;
-        let mut further: Vec<Spent> = Vec::new();
-        for s in &mut self.spent {
+        let mut further: Vec<WarmupSpend> = Vec::new();
+        for s in &mut self.warmup_spend {
             s.ago_ms = s.ago_ms.saturating_add(age_ms);
             match further.last_mut().filter(|f| f.backend == s.backend) {
                 Some(f) => f.work += s.work * part,
                 None => {
                     let ago_ms = age_ms - unkept_ms;
-                    further.push(Spent { backend: s.backend.clone(), ago_ms, work: s.work * part });
+                    further.push(WarmupSpend { backend: s.backend.clone(), ago_ms, work: s.work * part });
                 }
             }
         }
-        self.spent.extend(further.into_iter().filter(|f| f.work > 0.0));
+        self.warmup_spend.extend(further.into_iter().filter(|f| f.work > 0.0));
     }
 }
 
@@ -122,21 +122,21 @@
 mod tests {
     use super::*;
 
-    const WEIGHING: Weighing =
-        Weighing { now_ms: 1_000_000, half_life_ms: 60_000, window_ms: 2_000, every_ms: 1_000 };
+    const WEIGHING: AgeWeighting =
+        AgeWeighting { now_ms: 1_000_000, half_life_ms: 60_000, window_ms: 2_000, write_interval_ms: 1_000 };
 
-    fn learned(age_ms: u64) -> Learned {
-        let mean = Mean { value: 0.02, samples: 100.0 };
-        let spent = |backend: &str, ago_ms, work| Spent { backend: backend.into(), ago_ms, work };
-        Learned {
+    fn learned(age_ms: u64) -> Estimates {
+        let mean = WeightedMean { value: 0.02, samples: 100.0 };
+        let spent = |backend: &str, ago_ms, work| WarmupSpend { backend: backend.into(), ago_ms, work };
+        Estimates {
             site: "s".into(),
             proxy: "p".into(),
             written_ms: WEIGHING.now_ms - age_ms,
-            overall: mean,
-            classes: vec![("page".into(), mean)],
-            kinds: vec![("big".into(), mean, Mean { value: 30.0, samples: 40.0 })],
+            overall_latency: mean,
+            class_latency: vec![("page".into(), mean)],
+            kinds: vec![("big".into(), mean, WeightedMean { value: 30.0, samples: 40.0 })],
             ejected: vec![("ill".into(), 2), ("anew".into(), 1), ("left".into(), 1)],
-            spent: vec![spent("ill", 100, 4.0), spent("ill", 1_500, 2.0), spent("anew", 100, 9.0)],
+            warmup_spend: vec![spent("ill", 100, 4.0), spent("ill", 1_500, 2.0), spent("anew", 100, 9.0)],
         }
     }
 
@@ -151,19 +151,19 @@
 
     #[test]
     fn means_are_worth_less_with_age_and_nothing_past_two_half_lives() {
-        let at = |age_ms| learned(age_ms).believed(WEIGHING, since);
-        assert_eq!(at(0).overall.samples, 100.0);
+        let at = |age_ms| learned(age_ms).discounted(WEIGHING, since);
+        assert_eq!(at(0).overall_latency.samples, 100.0);
         let half = at(60_000);
         assert!(
             (half.kinds[0].1.samples - 50.0).abs() < 1e-9 && (half.kinds[0].2.samples - 20.0).abs() < 1e-9
         );
         assert_eq!(half.kinds[0].1.value, 0.02, "the mean itself stays");
         assert_eq!(half.ejected, [("ill".to_string(), 2)]);
-        let nothing = Learned { ejected: vec![], ..Learned::default() };
+        let nothing = Estimates { ejected: vec![], ..Estimates::default() };
         let old = at(120_001);
         assert_eq!(
-            (&old.classes, &old.kinds, &old.ejected, &old.spent),
-            (&nothing.classes, &nothing.kinds, &nothing.ejected, &nothing.spent)
+            (&old.class_latency, &old.kinds, &old.ejected, &old.warmup_spend),
+            (&nothing.class_latency, &nothing.kinds, &nothing.ejected, &nothing.warmup_spend)
         );
         assert_eq!(at(0).written_ms, WEIGHING.now_ms);
     }
@@ -171,26 +171,29 @@
     /// A clock stepped back, so that the file comes from the future, leaves nothing of it.
     #[test]
     fn a_memory_from_the_future_is_not_believed() {
-        let early = Weighing { now_ms: WEIGHING.now_ms - 5_000, ..WEIGHING };
-        let left = learned(0).believed(early, since);
-        assert!(left.kinds.is_empty() && left.spent.is_empty() && left.ejected.is_empty());
-        assert_eq!(left.overall, Mean::default());
+        let early = AgeWeighting { now_ms: WEIGHING.now_ms - 5_000, ..WEIGHING };
+        let left = learned(0).discounted(early, since);
+        assert!(left.kinds.is_empty() && left.warmup_spend.is_empty() && left.ejected.is_empty());
+        assert_eq!(left.overall_latency, WeightedMean::default());
     }
 
     /// 6 of work in a window of 2 s, written 0.6 s ago: what is still inside the window, and 0.6 / 2 of it more.
     #[test]
     fn spending_is_taken_to_have_gone_on_between_writing_and_death() {
-        let left = learned(600).believed(WEIGHING, since);
-        let told: Vec<(&str, u64)> = left.spent.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
+        let left = learned(600).discounted(WEIGHING, since);
+        let told: Vec<(&str, u64)> = left.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
         assert_eq!(told, [("ill", 700), ("ill", 0)], "the older slot has left the window");
-        assert!((left.spent[1].work - 1.8).abs() < 1e-9);
-        let late = learned(1_800).believed(WEIGHING, since);
+        assert!((left.warmup_spend[1].work - 1.8).abs() < 1e-9);
+        let late = learned(1_800).discounted(WEIGHING, since);
         assert_eq!(
-            late.spent.iter().map(|s| s.ago_ms).collect::<Vec<_>>(),
+            late.warmup_spend.iter().map(|s| s.ago_ms).collect::<Vec<_>>(),
             [1_900, 800],
             "one interval at most"
         );
-        assert!((late.spent[1].work - 3.0).abs() < 1e-9);
-        assert!(learned(3_100).believed(WEIGHING, since).spent.is_empty(), "no window reaches so far back");
+        assert!((late.warmup_spend[1].work - 3.0).abs() < 1e-9);
+        assert!(
+            learned(3_100).discounted(WEIGHING, since).warmup_spend.is_empty(),
+            "no window reaches so far back"
+        );
     }
 }
--- a/crates/state/src/frame.rs
+++ b/crates/state/src/frame.rs
@@ -6,7 +6,7 @@
 //! | 2 | format version, little-endian; this is 1 |
 //! | 4 | length of the body in bytes, little-endian |
 //! | 4 | CRC-32C of the body (RFC 3720's polynomial), little-endian |
-//! | length | the body, [`Saved`] or [`Learned`](crate::Learned) in postcard |
+//! | length | the body, [`SavedEndpoints`] or [`Estimates`](crate::Learned) in postcard |
 //!
 //! A torn or truncated write, a flipped bit and a file of another version are told apart, so that the log can say
 //! which it was; none of them is ever taken in part.
@@ -16,11 +16,11 @@
 use thiserror::Error;
 
 /// What can be kept in a file of its own.
-pub trait Kept: Serialize + DeserializeOwned {
+pub trait Persisted: Serialize + DeserializeOwned {
     /// The file's first bytes.
     const MAGIC: &'static [u8; 8];
     /// The site and the proxy that wrote it.
-    fn writer(&self) -> (&str, &str);
+    fn origin(&self) -> (&str, &str);
 }
 
 /// Raised whenever the body changes its form; a file of another number is not read.
@@ -31,7 +31,7 @@
 
 /// What a proxy saves of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedEndpoints {
     /// The site as the operator file names it; a state of another site is not taken.
     pub site: String,
     /// The proxy that wrote it.
@@ -44,9 +44,9 @@
     pub list: Vec<u8>,
 }
 
-impl Kept for Saved {
+impl Persisted for SavedEndpoints {
     const MAGIC: &'static [u8; 8] = b"LDSTATE\0";
-    fn writer(&self) -> (&str, &str) {
+    fn origin(&self) -> (&str, &str) {
         (&self.site, &self.proxy)
     }
 }
@@ -78,7 +78,7 @@
 }
 
 /// The bytes of a state.
-pub fn encode<T: Kept>(saved: &T) -> Vec<u8> {
+pub fn encode<T: Persisted>(saved: &T) -> Vec<u8> {
     // A Vec of bytes and strings always serialise; there is no error to carry.
     let body = postcard::to_allocvec(saved).unwrap_or_default();
     let mut out = Vec::with_capacity(HEADER + body.len());
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// Whatever is wrong with them, the first fault met.
-pub fn decode<T: Kept>(bytes: &[u8]) -> Result<T, ReadError> {
+pub fn decode<T: Persisted>(bytes: &[u8]) -> Result<T, ReadError> {
     let short = |wanted| ReadError::Truncated { got: bytes.len(), wanted };
     let begins = bytes.len().min(T::MAGIC.len());
     if bytes[..begins] != T::MAGIC[..begins] {
@@ -134,15 +134,21 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn saved() -> Saved {
+    fn saved() -> SavedEndpoints {
         let list = br#"{"index":7,"snapshot":true,"endpoints":[]}"#.to_vec();
-        Saved { site: "s".into(), proxy: "p-1".into(), written_ms: 1_700_000_000_000, index: 7, list }
+        SavedEndpoints {
+            site: "s".into(),
+            proxy: "p-1".into(),
+            written_ms: 1_700_000_000_000,
+            index: 7,
+            list,
+        }
     }
 
     #[test]
     fn what_is_written_is_read() {
         assert_eq!(decode(&encode(&saved())), Ok(saved()));
-        assert!(matches!(decode::<crate::Learned>(&encode(&saved())), Err(ReadError::Foreign("LDLEARN"))));
+        assert!(matches!(decode::<crate::Estimates>(&encode(&saved())), Err(ReadError::Foreign("LDLEARN"))));
     }
 
     /// Every cut of a write is told as cut, never read as a shorter state.
@@ -150,14 +156,17 @@
     fn every_truncation_is_told() {
         let bytes = encode(&saved());
         for n in 0..bytes.len() {
-            assert!(matches!(decode::<Saved>(&bytes[..n]), Err(ReadError::Truncated { .. })), "cut at {n}");
+            assert!(
+                matches!(decode::<SavedEndpoints>(&bytes[..n]), Err(ReadError::Truncated { .. })),
+                "cut at {n}"
+            );
         }
     }
 
     #[test]
     fn other_files_and_versions_are_told_apart() {
         let mut bytes = encode(&saved());
-        let read = decode::<Saved>;
+        let read = decode::<SavedEndpoints>;
         assert_eq!(read(b"{\"index\": 3}"), Err(ReadError::Foreign("LDSTATE")));
         bytes[8] = 2;
         assert_eq!(read(&bytes), Err(ReadError::Version(2)));
@@ -176,7 +185,7 @@
             let mut bytes = encode(&saved());
             let at = at % bytes.len();
             bytes[at] ^= 1 << bit;
-            prop_assert!(decode::<Saved>(&bytes).is_err());
+            prop_assert!(decode::<SavedEndpoints>(&bytes).is_err());
         }
     }
 }
