--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -72,13 +72,13 @@
         let node = |position: usize| {
             let config = NodeConfig {
                 site: "scale".into(),
-                own: Identity { position: position as u32, generation: 1, address: address(position) },
-                size: NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN),
+                identity: Identity { position: position as u32, generation: 1, address: address(position) },
+                fleet_size: NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN),
                 seeds: seeds.clone(),
                 limits: Vec::new(),
-                term: TERM,
-                longest: TERM,
-                seed: seed ^ (position as u64) << 32,
+                lease_duration: TERM,
+                max_request_duration: TERM,
+                rng_seed: seed ^ (position as u64) << 32,
             };
             Node::new(config, now)
         };
@@ -129,9 +129,9 @@
         let held = (self.now.as_secs_f64() * HELD_PER_SECOND) as u32;
         let node = &mut self.nodes[at];
         if self.tells {
-            node.hold(held);
+            node.set_in_flight(held);
         }
-        if node.next() <= self.now {
+        if node.next_tick_at() <= self.now {
             let began = Instant::now();
             node.tick(self.now);
             self.spent += began.elapsed();
@@ -140,7 +140,7 @@
     }
 
     fn post(&mut self, from: usize) {
-        while let Some((to, bytes)) = self.nodes[from].to_send() {
+        while let Some((to, bytes)) = self.nodes[from].next_datagram() {
             let to = usize::from(to.port() - FIRST_PORT);
             self.bytes += bytes.len() as u64;
             self.sent += 1;
