--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -1,191 +1,164 @@
-//! The backends that operators have taken out, whatever discovery's list says of them: kept in a file, so that
-//! the ban holds across an upgrade and binds both processes while two serve.
+//! The backends that operators have cordoned: no request is sent to them, whatever discovery reports. They are kept
+//! in a file, so that a cordon survives an upgrade and applies to both processes while two serve.
+
+#[cfg(test)]
+mod tests;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
-use std::fmt;
 use std::fs::{File, Metadata, TryLockError};
 use std::io::{self, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 use tracing::warn;
 
-/// How often the file is looked at for what the other process wrote: well inside the time in which sends to
-/// a banned backend have to end.
-pub const LOOK: Duration = Duration::from_millis(50);
-/// The other process holds the lock for a write of some hundred bytes.
-const LOCK_PATIENCE: Duration = Duration::from_millis(500);
-const LOCK_PAUSE: Duration = Duration::from_millis(2);
+/// How often the file is checked for changes by the other process: well inside the time in which sends to a cordoned
+/// backend have to end.
+pub const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The other process holds the lock only while it writes some hundred bytes.
+const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why a change was not saved; nothing has changed then.
-#[derive(Debug)]
+/// Why a change was not saved. Nothing has changed then, neither in the file nor in memory.
+#[derive(Debug, Error)]
 pub enum CordonError {
+    /// The lock was not free within the lock's timeout.
+    #[error("the other process holds the lock")]
     Locked,
-    Io(io::Error),
+    /// The file or its lock could not be opened, locked or written.
+    #[error("{0}")]
+    Io(#[from] io::Error),
 }
 
-impl fmt::Display for CordonError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CordonError::Locked => write!(f, "the other process holds the lock"),
-            CordonError::Io(e) => write!(f, "{e}"),
-        }
-    }
+/// Identifies one version of the file: each write replaces it with a new file.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    modified_seconds: i64,
+    modified_nanoseconds: i64,
+    length: u64,
 }
 
-impl std::error::Error for CordonError {}
-
-impl From<io::Error> for CordonError {
-    fn from(e: io::Error) -> CordonError {
-        CordonError::Io(e)
+impl From<&Metadata> for FileVersion {
+    fn from(metadata: &Metadata) -> FileVersion {
+        FileVersion {
+            inode: metadata.ino(),
+            modified_seconds: metadata.mtime(),
+            modified_nanoseconds: metadata.mtime_nsec(),
+            length: metadata.len(),
+        }
     }
 }
 
-/// What tells one state of the file from another: each is written anew and renamed into place.
-type Stamp = (u64, i64, i64, u64);
-
-fn stamp(of: &Metadata) -> Stamp {
-    (of.ino(), of.mtime(), of.mtime_nsec(), of.len())
-}
-
-/// The banned ids and the file that they lie in. The file is a line for each id; it lies in memory and holds
-/// some hundred bytes, so reading it does not hold up the event loop.
+/// The ids of the cordoned backends, and the file that they are saved in, one id a line.
+///
+/// The file is in memory (`$TMPDIR`) and holds some hundred bytes, so reading it does not block the event loop.
 pub struct Cordon {
     file: PathBuf,
     lock: PathBuf,
-    cordoned: RefCell<BTreeSet<String>>,
-    file_stamp: Cell<Option<Stamp>>,
+    ids: RefCell<BTreeSet<String>>,
+    loaded_version: Cell<Option<FileVersion>>,
 }
 
 impl Cordon {
-    /// As the file has it, if there is one. What cannot be read of it is passed over.
+    /// Loads the file that belongs to `base`, if there is one. Lines that are no ids are ignored with a warning.
     pub fn load(base: &Path) -> Cordon {
         let cordon = Cordon {
             file: base.with_extension("cordon"),
             lock: base.with_extension("cordon.lock"),
-            cordoned: RefCell::default(),
-            file_stamp: Cell::new(None),
+            ids: RefCell::default(),
+            loaded_version: Cell::new(None),
         };
         cordon.refresh();
         cordon
     }
 
+    /// Whether the backend of that id is cordoned.
     pub fn contains(&self, id: &str) -> bool {
-        self.cordoned.borrow().contains(id)
+        self.ids.borrow().contains(id)
     }
 
+    /// How many backends are cordoned.
     pub fn count(&self) -> usize {
-        self.cordoned.borrow().len()
+        self.ids.borrow().len()
     }
 
-    /// Takes in what another process wrote; whether anything changed.
+    /// Loads the file again if another process replaced it; returns whether the set of ids changed.
     pub fn refresh(&self) -> bool {
-        // A file that is not there bans nobody: it is written before the first yes and never removed.
-        let Ok(found) = std::fs::metadata(&self.file) else { return false };
-        if self.file_stamp.replace(Some(stamp(&found))) == Some(stamp(&found)) {
+        // Without a file nothing is cordoned: it is written before the first change is confirmed, and never removed.
+        let Ok(metadata) = std::fs::metadata(&self.file) else { return false };
+        let version = Some(FileVersion::from(&metadata));
+        if self.loaded_version.replace(version) == version {
             return false;
         }
-        match read(&self.file) {
-            Ok(out) => self.cordoned.replace(out.clone()) != out,
-            Err(e) => {
-                warn!(error = %e, "the file of cordons cannot be read; those known stay");
+        match read_ids(&self.file) {
+            Ok(ids) => self.ids.replace(ids.clone()) != ids,
+            Err(error) => {
+                warn!(%error, "cordon file cannot be read, known cordons stay");
                 false
             }
         }
     }
 
-    /// Bans a backend or lifts its ban; saved when it returns. Whether anything changed.
-    pub async fn set(&self, id: &str, out: bool) -> Result<bool, CordonError> {
-        let _lock = self.locked().await?;
+    /// Cordons a backend or lifts its cordon, and saves that before it returns; returns whether anything changed.
+    ///
+    /// # Errors
+    /// The change could not be saved, and has not taken effect.
+    pub async fn set(&self, id: &str, cordoned: bool) -> Result<bool, CordonError> {
+        let _lock = self.acquire_lock().await?;
         self.refresh();
-        let mut set = self.cordoned.borrow().clone();
-        let changed = if out { set.insert(id.into()) } else { set.remove(id) };
+        let mut ids = self.ids.borrow().clone();
+        let changed = if cordoned { ids.insert(id.into()) } else { ids.remove(id) };
         if changed {
-            self.save(&set)?;
-            self.cordoned.replace(set);
+            self.save(&ids)?;
+            self.ids.replace(ids);
         }
         Ok(changed)
     }
 
-    /// Held while the file is read and written anew, so that two processes lose neither's change.
-    async fn locked(&self) -> Result<File, CordonError> {
+    /// Takes the lock under which the file is read and replaced, so that two processes lose neither's change. It is
+    /// released when the returned file is dropped.
+    async fn acquire_lock(&self) -> Result<File, CordonError> {
         let file = File::options().create(true).append(true).open(&self.lock)?;
-        let tries = LOCK_PATIENCE.as_millis() / LOCK_PAUSE.as_millis();
-        for _ in 0..tries {
+        let attempts = LOCK_TIMEOUT.as_millis() / LOCK_RETRY_INTERVAL.as_millis();
+        for _ in 0..attempts {
             match file.try_lock() {
                 Ok(()) => return Ok(file),
-                Err(TryLockError::WouldBlock) => tokio::time::sleep(LOCK_PAUSE).await,
-                Err(TryLockError::Error(e)) => return Err(e.into()),
+                Err(TryLockError::WouldBlock) => tokio::time::sleep(LOCK_RETRY_INTERVAL).await,
+                Err(TryLockError::Error(error)) => return Err(error.into()),
             }
         }
         Err(CordonError::Locked)
     }
 
-    /// A reader, and a process that starts after a kill, finds the old file or the new one, whole.
-    fn save(&self, set: &BTreeSet<String>) -> io::Result<()> {
-        let beside = self.file.with_extension("cordon.new");
-        let mut file = File::create(&beside)?;
-        let text: String = set.iter().flat_map(|id| [id.as_str(), "\n"]).collect();
+    /// Replaces the file by a rename: a reader, or a process that starts after a kill, finds the old or the new one
+    /// complete.
+    fn save(&self, ids: &BTreeSet<String>) -> io::Result<()> {
+        let temporary = self.file.with_extension("cordon.new");
+        let mut file = File::create(&temporary)?;
+        let text: String = ids.iter().flat_map(|id| [id.as_str(), "\n"]).collect();
         file.write_all(text.as_bytes())?;
-        let written = stamp(&file.metadata()?);
-        std::fs::rename(&beside, &self.file)?;
-        self.file_stamp.set(Some(written));
+        let version = FileVersion::from(&file.metadata()?);
+        std::fs::rename(&temporary, &self.file)?;
+        self.loaded_version.set(Some(version));
         Ok(())
     }
 }
 
-fn read(path: &Path) -> io::Result<BTreeSet<String>> {
+fn read_ids(path: &Path) -> io::Result<BTreeSet<String>> {
     let bytes = std::fs::read(path)?;
-    let plain = |id: &&str| !id.chars().any(|c| c.is_control() || c.is_whitespace() || c == '\u{fffd}');
     let text = String::from_utf8_lossy(&bytes);
-    let lines = text.lines().filter(|l| !l.is_empty());
-    let (good, bad): (Vec<&str>, Vec<&str>) = lines.partition(plain);
-    if !bad.is_empty() {
-        warn!(lines = bad.len(), "lines of the file of cordons passed over");
+    let lines = text.lines().filter(|line| !line.is_empty());
+    let (valid, invalid): (Vec<&str>, Vec<&str>) = lines.partition(|line| is_valid_id(line));
+    if !invalid.is_empty() {
+        warn!(lines = invalid.len(), "invalid lines of the cordon file ignored");
     }
-    Ok(good.into_iter().map(String::from).collect())
+    Ok(valid.into_iter().map(String::from).collect())
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn base(name: &str) -> PathBuf {
-        let dir = std::env::temp_dir().join(format!("lotusdeck-cordon-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&dir).unwrap();
-        dir.join("n0")
-    }
-
-    /// Two processes on one file: neither loses the other's change, and each hears of it.
-    #[tokio::test]
-    async fn two_processes_are_one() {
-        let base = base("two");
-        let (a, b) = (Cordon::load(&base), Cordon::load(&base));
-        assert!(a.set("s-1", true).await.unwrap() && b.set("s-2", true).await.unwrap());
-        assert!(!b.set("s-1", true).await.unwrap(), "it is out already");
-        assert!(a.refresh() && !a.refresh());
-        assert!(a.contains("s-1") && a.contains("s-2") && b.contains("s-1"));
-        assert!(a.set("s-1", false).await.unwrap(), "one call back undoes two calls out");
-        assert!(b.refresh() && !b.contains("s-1") && b.contains("s-2"));
-        assert_eq!(Cordon::load(&base).count(), 1);
-    }
-
-    /// What is left of a damaged file holds, and changing it mends it.
-    #[tokio::test]
-    async fn a_damaged_file_bans_whom_it_still_names() {
-        let base = base("damaged");
-        std::fs::write(base.with_extension("cordon"), b"s-1\n\xff\xfe\0\ns-2\nhalf a line").unwrap();
-        let cordon = Cordon::load(&base);
-        assert!(cordon.contains("s-1") && cordon.contains("s-2") && cordon.count() == 2);
-        cordon.set("s-3", true).await.unwrap();
-        assert_eq!(Cordon::load(&base).count(), 3);
-    }
-
-    /// Where nothing can be written the answer is no, and nothing has changed.
-    #[tokio::test]
-    async fn what_cannot_be_saved_is_not_taken() {
-        let cordon = Cordon::load(Path::new("/nowhere/at/all"));
-        assert!(cordon.set("s-1", true).await.is_err() && !cordon.contains("s-1"));
-    }
+/// Whether a line can be an id; what was not UTF-8 shows as the replacement character.
+fn is_valid_id(line: &str) -> bool {
+    !line.chars().any(|c| c.is_control() || c.is_whitespace() || c == char::REPLACEMENT_CHARACTER)
 }
--- a/crates/core/src/host/membership.rs
+++ b/crates/core/src/host/membership.rs
@@ -1,7 +1,7 @@
 //! Which backends there are and which of them operators have taken out: lists and cordons.
 
 use super::{Host, LOG_TARGET};
-use crate::cordon::{CordonError, LOOK};
+use crate::cordon::{CordonError, FILE_CHECK_INTERVAL};
 use crate::registry::EndpointUpdate;
 use lotusdeck_policy::{BackendId, Event, ListUpdate};
 use std::collections::HashSet;
@@ -36,7 +36,7 @@
     /// Follows what another process of this proxy is told, for as long as the program runs.
     pub async fn follow_cordon_file(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(FILE_CHECK_INTERVAL).await;
             if self.cordon.refresh() {
                 info!(target: LOG_TARGET, cordoned = self.cordon.count(), "cordons changed by another process");
                 self.apply_cordons();
--- a/crates/core/src/retired.rs
+++ b/crates/core/src/retired.rs
@@ -1,53 +1,44 @@
-//! The ids of backends that have left the list.
+//! The ids of backends that have left the endpoint list.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Ids that are remembered: operators may still name them. All of the largest list that is planned for, 11,000
-/// backends, may be replaced at once; at 100 bytes an id these take some 4 MB.
-const MOST: usize = 16_384;
+/// Ids remembered at most. The largest list planned for, 11,000 backends, may be replaced at once; at 100 bytes an id
+/// these take some 4 MB.
+const MAX_RETIRED_IDS: usize = 16_384;
 
-/// Those that left last.
+/// The ids of the backends that left last: operators may still name them.
 #[derive(Default)]
 pub(crate) struct RetiredBackends {
-    /// By when they left.
-    names: BTreeMap<u64, String>,
-    left_at: HashMap<String, u64>,
-    next: u64,
+    /// Ids in the order in which they left.
+    by_departure: BTreeMap<u64, String>,
+    /// The key in `by_departure` of each id.
+    departures: HashMap<String, u64>,
+    next_departure: u64,
 }
 
 impl RetiredBackends {
-    /// One leaves now, be it once more; beyond the bound the one is forgotten that left first.
+    /// Adds an id as the latest that left, whether or not it had left before; beyond the limit the earliest is
+    /// forgotten.
     pub(crate) fn add(&mut self, name: &str) {
-        if let Some(before) = self.left_at.insert(name.into(), self.next) {
-            self.names.remove(&before);
+        let departure = self.next_departure;
+        self.next_departure += 1;
+        if let Some(earlier) = self.departures.insert(name.into(), departure) {
+            self.by_departure.remove(&earlier);
         }
-        self.names.insert(self.next, name.into());
-        self.next += 1;
-        if self.names.len() > MOST {
-            let oldest = self.names.pop_first();
-            oldest.map(|(_, name)| self.left_at.remove(&name));
+        self.by_departure.insert(departure, name.into());
+        if self.by_departure.len() <= MAX_RETIRED_IDS {
+            return;
+        }
+        if let Some((_, forgotten)) = self.by_departure.pop_first() {
+            self.departures.remove(&forgotten);
         }
     }
 
-    /// Whether it is among them.
+    /// Whether the id is remembered.
     pub(crate) fn contains(&self, name: &str) -> bool {
-        self.left_at.contains_key(name)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_one_that_left_first_is_forgotten_first() {
-        let mut former = RetiredBackends::default();
-        former.add("first");
-        former.add("second");
-        former.add("first");
-        (2..MOST).for_each(|n| former.add(&n.to_string()));
-        assert!(former.contains("first") && former.contains("second"));
-        former.add("one more");
-        assert!(former.contains("first") && !former.contains("second"), "the first left once more");
+        self.departures.contains_key(name)
     }
 }
