--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,13 +1,14 @@
-//! The module's time.
+//! The clock shared by the host, the balancer and the protocols.
 
 use lotusdeck_policy::{Micros, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The monotonic clock, set once to Unix time so that start times in lists fit it.
+/// A monotonic clock whose origin is Unix time, so that it compares with the start times in endpoint lists.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    unix: u64,
+    started_at: Instant,
+    /// Unix time at `started_at`, µs.
+    unix_start_us: u64,
 }
 
 impl Default for Clock {
@@ -17,22 +18,25 @@
 }
 
 impl Clock {
-    /// Its two clocks are read now, and the wall clock never again.
+    /// Reads the wall clock once; later steps of the wall clock have no effect.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as u64 }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: Instant::now(), unix_start_us: unix_start.as_micros() as u64 }
     }
-    /// Microseconds of Unix time.
+
+    /// The present time, in microseconds of Unix time.
     pub fn now(&self) -> Time {
-        Time(self.unix + self.start.elapsed().as_micros() as u64)
+        Time(self.unix_start_us + self.started_at.elapsed().as_micros() as u64)
     }
-    /// When the monotonic clock shows that time.
-    pub fn instant(&self, at: Time) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at.0.saturating_sub(self.unix))).into()
+
+    /// The instant of the runtime's clock at which this clock shows `time`.
+    pub fn instant(&self, time: Time) -> tokio::time::Instant {
+        let since_start = Duration::from_micros(time.0.saturating_sub(self.unix_start_us));
+        (self.started_at + since_start).into()
     }
 }
 
-/// The module's span as the standard library's.
-pub fn to_duration(of: Micros) -> Duration {
-    Duration::from_micros(of.0)
+/// Converts the balancer's time span to the standard library's.
+pub fn to_duration(span: Micros) -> Duration {
+    Duration::from_micros(span.0)
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,4 +1,4 @@
-//! The module's timers, and how late they fire.
+//! The balancer's timers, and how late they fire.
 
 use lotusdeck_policy::{Micros, Time, TimerToken};
 use std::cell::{Cell, RefCell};
@@ -6,46 +6,62 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// A timer's lateness fades by this part with each later one, in sixteenths.
-const FADE: u64 = 15;
+/// With each timer that fires, the lag seen before counts 15/16 of what it did.
+const LAG_DECAY_NUMERATOR: u64 = 15;
+const LAG_DECAY_DENOMINATOR: u64 = 16;
 
+/// A timer that is set; the order of the fields is the order in which timers fire.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingTimer {
+    due_at: Time,
+    token: TimerToken,
+}
+
+/// All timers that are set.
 #[derive(Default)]
 pub(crate) struct Timers {
-    heap: RefCell<BinaryHeap<Reverse<(Time, TimerToken)>>>,
+    pending: RefCell<BinaryHeap<Reverse<PendingTimer>>>,
     earlier_timer_set: Notify,
-    /// How late timers fire: the largest of late, fading.
-    lag: Cell<u64>,
+    /// The greatest recent lag, decaying, µs.
+    lag_us: Cell<u64>,
 }
 
 impl Timers {
-    pub(crate) fn set(&self, at: Time, token: TimerToken) {
-        let mut heap = self.heap.borrow_mut();
-        if heap.peek().is_none_or(|first| at < first.0 .0) {
+    /// Sets a timer that fires at `due_at` with `token`.
+    pub(crate) fn set(&self, due_at: Time, token: TimerToken) {
+        let mut pending = self.pending.borrow_mut();
+        if pending.peek().is_none_or(|Reverse(first)| due_at < first.due_at) {
             self.earlier_timer_set.notify_one();
         }
-        heap.push(Reverse((at, token)));
+        pending.push(Reverse(PendingTimer { due_at, token }));
     }
 
-    /// When the next one is due.
+    /// When the next timer is due.
     pub(crate) fn next_due(&self) -> Option<Time> {
-        self.heap.borrow().peek().map(|t| t.0 .0)
+        self.pending.borrow().peek().map(|Reverse(first)| first.due_at)
     }
 
-    /// One that is due at `now`.
+    /// Removes the first timer that is due at `now`, and returns its token.
     pub(crate) fn take_due(&self, now: Time) -> Option<TimerToken> {
-        let mut heap = self.heap.borrow_mut();
-        let Reverse((at, token)) = heap.peek().copied().filter(|t| t.0 .0 <= now)?;
-        heap.pop();
-        self.lag.set((now - at).0.max(self.lag.get() * FADE / 16));
-        Some(token)
+        let mut pending = self.pending.borrow_mut();
+        let Reverse(first) = pending.peek().copied()?;
+        if first.due_at > now {
+            return None;
+        }
+        pending.pop();
+        let decayed_lag_us = self.lag_us.get() * LAG_DECAY_NUMERATOR / LAG_DECAY_DENOMINATOR;
+        let lag = now - first.due_at;
+        self.lag_us.set(lag.0.max(decayed_lag_us));
+        Some(first.token)
     }
 
-    /// Until one is set that is due before all others.
+    /// Waits until a timer is set that is due before all others.
     pub(crate) async fn earlier_timer_set(&self) {
         self.earlier_timer_set.notified().await;
     }
 
+    /// How late timers fire at present.
     pub(crate) fn lag(&self) -> Micros {
-        Micros(self.lag.get())
+        Micros(self.lag_us.get())
     }
 }
