--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -1,56 +1,67 @@
-//! What the module learned, between its numbers and the names under which it outlives the process.
+//! Converts the balancer's estimates between ids, which last as long as the process, and names, which outlive it.
 
 use crate::registry::Registry;
 use lotusdeck_policy::settings::Names;
 use lotusdeck_policy::{Estimate, KindEstimates, Micros, Snapshot, WarmupSpend};
 use lotusdeck_state::estimates::{self, Estimates, WeightedMean};
 
-fn mean(e: Estimate) -> WeightedMean {
-    WeightedMean { value: e.value, samples: e.samples }
+fn to_mean(estimate: Estimate) -> WeightedMean {
+    WeightedMean { value: estimate.value, samples: estimate.samples }
 }
 
-fn estimate(m: WeightedMean) -> Estimate {
-    Estimate { value: m.value, samples: m.samples }
+fn to_estimate(mean: WeightedMean) -> Estimate {
+    Estimate { value: mean.value, samples: mean.samples }
 }
 
-/// By names; who wrote it and when is the keeper's to say.
-pub(crate) fn named(memory: &Snapshot, names: &Names, registry: &Registry) -> Estimates {
-    let name = |id| registry.get(id).map(|b| b.name.clone());
-    let classes = memory.class_latency.iter().filter(|c| c.1.samples > 0.0);
-    let kinds = memory.kinds.iter().filter(|k| k.1.latency.samples > 0.0);
-    let ejected = memory.ejected.iter().filter_map(|(id, strikes)| Some((name(*id)?, *strikes)));
-    let spent = memory.warmup_spend.iter().filter_map(|s| {
-        Some(estimates::WarmupSpend { backend: name(s.backend)?, ago_ms: s.ago.0 / 1_000, work: s.work })
+/// The snapshot by names. Its origin and time of writing are left for the writer of the file to fill in.
+pub(crate) fn by_name(snapshot: &Snapshot, names: &Names, registry: &Registry) -> Estimates {
+    let backend_name = |id| registry.get(id).map(|backend| backend.name.clone());
+    let classes = snapshot.class_latency.iter().filter(|c| c.1.samples > 0.0);
+    let kinds = snapshot.kinds.iter().filter(|k| k.1.latency.samples > 0.0);
+    let ejected = snapshot.ejected.iter().filter_map(|(id, strikes)| Some((backend_name(*id)?, *strikes)));
+    let warmup_spend = snapshot.warmup_spend.iter().filter_map(|spend| {
+        Some(estimates::WarmupSpend {
+            backend: backend_name(spend.backend)?,
+            ago_ms: spend.ago.0 / 1_000,
+            work: spend.work,
+        })
     });
     Estimates {
-        overall_latency: mean(memory.overall_latency),
-        class_latency: classes.map(|(id, e)| (names.class_name(*id).into(), mean(*e))).collect(),
-        kinds: kinds.map(|(id, k)| (names.kind(*id).into(), mean(k.latency), mean(k.flow))).collect(),
+        overall_latency: to_mean(snapshot.overall_latency),
+        class_latency: classes.map(|(id, e)| (names.class_name(*id).into(), to_mean(*e))).collect(),
+        kinds: kinds.map(|(id, k)| (names.kind(*id).into(), to_mean(k.latency), to_mean(k.flow))).collect(),
         ejected: ejected.collect(),
-        warmup_spend: spent.collect(),
+        warmup_spend: warmup_spend.collect(),
         ..Estimates::default()
     }
 }
 
-/// By this process's numbers; what bears a name unknown here is left out, but kinds, which lists may bring later.
-pub(crate) fn numbered(learned: &Estimates, names: &mut Names, registry: &Registry) -> Snapshot {
-    let classes =
-        learned.class_latency.iter().filter_map(|(name, m)| Some((names.class(name)?, estimate(*m))));
-    let classes = classes.collect();
-    let kinds = learned.kinds.iter().map(|(name, latency, flow)| {
-        (names.kind_id(name), KindEstimates { latency: estimate(*latency), flow: estimate(*flow) })
+/// The estimates by this process's ids. Classes and backends that are unknown here are left out; kinds are not, as
+/// later lists may bring them.
+pub(crate) fn by_id(estimates: &Estimates, names: &mut Names, registry: &Registry) -> Snapshot {
+    let class_latency = estimates
+        .class_latency
+        .iter()
+        .filter_map(|(name, mean)| Some((names.class(name)?, to_estimate(*mean))))
+        .collect();
+    let kinds = estimates.kinds.iter().map(|(name, latency, flow)| {
+        (names.kind_id(name), KindEstimates { latency: to_estimate(*latency), flow: to_estimate(*flow) })
     });
+    let kinds = kinds.collect();
     let ejected =
-        learned.ejected.iter().filter_map(|(name, strikes)| Some((registry.id_of(name)?, *strikes)));
-    let spent = learned.warmup_spend.iter().filter_map(|s| {
-        let ago = Micros(s.ago_ms.saturating_mul(1_000));
-        Some(WarmupSpend { backend: registry.id_of(&s.backend)?, ago, work: s.work })
+        estimates.ejected.iter().filter_map(|(name, strikes)| Some((registry.id_of(name)?, *strikes)));
+    let warmup_spend = estimates.warmup_spend.iter().filter_map(|spend| {
+        Some(WarmupSpend {
+            backend: registry.id_of(&spend.backend)?,
+            ago: Micros(spend.ago_ms.saturating_mul(1_000)),
+            work: spend.work,
+        })
     });
     Snapshot {
-        overall_latency: estimate(learned.overall_latency),
-        class_latency: classes,
-        kinds: kinds.collect(),
+        overall_latency: to_estimate(estimates.overall_latency),
+        class_latency,
+        kinds,
         ejected: ejected.collect(),
-        warmup_spend: spent.collect(),
+        warmup_spend: warmup_spend.collect(),
     }
 }
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a protocol brings to the core.
+//! The interface between the core and a protocol: exchanges that send themselves, and the connections they use.
 
 use crate::journal::SendPermit;
 use lotusdeck_policy::settings::NetworkSettings;
@@ -11,68 +11,70 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An attempt under way. Dropping it gives the attempt up: what it was sent on has to be closed with it.
+/// An attempt in flight. Dropping it gives the attempt up, and has to close the connection that it was sent on.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = Outcome>>>;
 
-/// One request, as its protocol sends it. It may be sent several times, by [`AttemptContext::attempt`] told apart; a served
-/// answer stays with the work until its front fetches it.
+/// One request and its answer, in its protocol. It may be sent several times, as attempts that
+/// [`AttemptContext::attempt`] tells apart; the answer of the served attempt stays with it until it is fetched.
 pub trait Exchange {
-    /// Sends it once and waits for the answer, or for its beginning where it is large. [`AttemptContext::cleared`] has to be
-    /// awaited and [`AttemptContext::may_send`] asked at the moment of the first byte, and nothing sent where either says no:
+    /// Sends the request once and waits for the answer, or for the beginning of a large one.
+    ///
+    /// Once a connection is up, [`AttemptContext::journaled`] has to be awaited, and [`AttemptContext::may_send`]
+    /// called right before the first byte. If either returns false, nothing is sent and the outcome is
     /// [`Outcome::NeverSent`].
-    fn send_attempt(self: Rc<Self>, leg: AttemptContext) -> AttemptFuture;
+    fn send_attempt(self: Rc<Self>, context: AttemptContext) -> AttemptFuture;
 
-    /// Part of it is gone: no other attempt can send it.
+    /// Part of the request's body is no longer available: no further attempt can send it.
     fn body_consumed(&self) -> bool;
 
-    /// The status of the answer that ended an attempt, as its protocol counts; `None` where there was no answer.
+    /// The protocol's status of the answer to an attempt; `None` where there was no answer.
     fn answer_status(&self, attempt: AttemptNo) -> Option<u16>;
 }
 
-/// Where and until when an attempt goes.
+/// Where and until when an attempt is sent, and what has to hold before its first byte.
 pub struct AttemptContext {
     /// Which attempt of its request this is.
     pub attempt: AttemptNo,
-    /// The backend, and where it listens.
+    /// The backend that it is sent to.
     pub backend: BackendId,
-    /// Where it listens.
+    /// Where the backend listens.
     pub address: SocketAddr,
     /// When the client gives up.
     pub deadline: Instant,
-    /// Asked at the moment of the first byte.
-    pub(crate) gate: Box<dyn Fn() -> bool>,
-    /// What has to be written down before it.
-    pub(crate) clearance: RefCell<Option<SendPermit>>,
+    /// Whether the attempt may still be sent.
+    pub(crate) send_check: Box<dyn Fn() -> bool>,
+    /// Resolves when the attempt is in the journal; taken by the first call of [`AttemptContext::journaled`].
+    pub(crate) send_permit: RefCell<Option<SendPermit>>,
 }
 
 impl AttemptContext {
-    /// Waits until the attempt is written down, where that has to be. To be awaited once a connection stands, before
-    /// [`AttemptContext::may_send`] is asked; the wait is bounded. No means that not a byte may be sent.
+    /// Waits, for a bounded time, until the attempt is in the journal if it has to be; returns whether it may be sent.
+    /// To be awaited once a connection is up and before [`AttemptContext::may_send`] is called.
     pub fn journaled(&self) -> impl Future<Output = bool> + use<> {
-        let clearance = self.clearance.take();
+        let permit = self.send_permit.take();
         async {
-            match clearance {
-                Some(clearance) => clearance.await,
+            match permit {
+                Some(permit) => permit.await,
                 None => true,
             }
         }
     }
 
-    /// The backend may still be sent to, the request still waits, and a repeat is still one that is dropped. It may
-    /// have become otherwise while a connection came up.
+    /// Whether the backend may still be sent requests, the request still waits for its answer, and a retry still
+    /// falls in the idempotency window: each may have changed while the connection came up.
     pub fn may_send(&self) -> bool {
-        (self.gate)()
+        (self.send_check)()
     }
 }
 
-/// The connections of a protocol to backends.
+/// One protocol's connections to backends.
 pub trait ConnectionPools {
-    /// These backends may be sent requests: nothing is kept of any other.
+    /// Closes idle connections to all backends but these, and keeps none of theirs from now on.
     fn retain_backends(&self, backends: &HashSet<BackendId>);
 
-    /// An attempt sent at that time was given up unanswered.
+    /// An attempt handed over for sending at `sent` was given up before its answer.
     fn attempt_unanswered(&self, backend: BackendId, sent: Instant);
 
-    /// Other figures hold from now on.
+    /// Applies new timeouts from now on.
     fn apply_settings(&self, network: &NetworkSettings);
 }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! What a core asks of limits that hold for more than this process.
+//! The interface between the core and limits that the whole fleet shares.
 
 use lotusdeck_fleet::QuotaStatus;
 use lotusdeck_policy::settings::Names;
@@ -6,36 +6,36 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// The limits under which a request was taken in, by their places; handed back when it is over.
+/// The limits under which a request was admitted, by their indices; handed back when the request is over.
 pub type Admission = Rc<[u16]>;
 
-/// Asked before a request comes to the module. No call waits for anything.
+/// Limits requests before the balancer sees them. No call blocks.
 pub trait FleetLimiter {
-    /// Takes a request in under every limit that it is of.
+    /// Admits a request under every limit that applies to it.
     ///
     /// # Errors
-    /// One of them is reached: when the client had better come again.
+    /// A limit is reached: after this time the client may retry.
     fn admit(&self, class: ClassId, tenant: Option<TenantId>, names: &Names) -> Result<Admission, Micros>;
-    /// A request that was taken in is over.
-    fn release(&self, pass: &Admission);
-    /// Another process acts for this proxy beside this one, or does no more.
-    fn set_other_process(&self, with_another: bool);
-    /// For operators.
+    /// An admitted request is over.
+    fn release(&self, admission: &Admission);
+    /// Whether a second process serves for this proxy, as during an upgrade.
+    fn set_other_process(&self, is_running: bool);
+    /// The present state, for operators.
     fn status(&self) -> FleetLimitStatus;
 }
 
 /// The fleet's limits at this moment, as this proxy sees them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FleetLimitStatus {
-    /// Other proxies that are taken for alive.
+    /// Other proxies that are considered alive.
     pub members: usize,
-    /// How often that has changed.
+    /// How often the membership has changed.
     #[serde(rename = "view")]
     pub membership_generation: u64,
-    /// Attempts that the others together have out, as far as they told.
+    /// Attempts in flight at the other proxies together, as far as they have reported.
     #[serde(rename = "others_hold")]
     pub others_in_flight: Option<f64>,
-    /// Datagrams that were not understood.
+    /// Datagrams that could not be decoded.
     #[serde(rename = "unread")]
     pub undecodable_datagrams: u64,
     /// One for each limit.
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -48,7 +48,14 @@
         // The journal writes while the connection comes up.
         let journal = self.services.journal.as_ref().filter(|_| request.journaled);
         let clearance = journal.map(|journal| journal.attempt_intended(id, attempt, &known.name, address));
-        Some(AttemptContext { attempt, backend, address, deadline, gate, clearance: clearance.into() })
+        Some(AttemptContext {
+            attempt,
+            backend,
+            address,
+            deadline,
+            send_check: gate,
+            send_permit: clearance.into(),
+        })
     }
 
     /// At the moment of the first byte: the list still allows it and still has the backend at that address, where
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -123,7 +123,7 @@
     /// A request that is read speaks of these numbers, found in [`Host::settings`] at this moment: they keep their
     /// meaning until the pin is dropped, whatever settings come meanwhile.
     pub fn hold_ids(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
-        self.id_usage.hold(class, tenant)
+        self.id_usage.reserve(class, tenant)
     }
 
     /// What is held back of a client's time.
@@ -143,7 +143,7 @@
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         let any_request = std::mem::replace(&mut s.exported_up_to, s.last_request) != s.last_request;
-        any_request.then(|| estimates::named(&s.balancer.snapshot(self.clock.now()), &s.names, &s.registry))
+        any_request.then(|| estimates::by_name(&s.balancer.snapshot(self.clock.now()), &s.names, &s.registry))
     }
 
     /// Takes back what was learned before the process began; after the first list, whose names it speaks of.
@@ -151,7 +151,7 @@
         let memory = {
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
-            estimates::numbered(learned, &mut s.names, &s.registry)
+            estimates::by_id(learned, &mut s.names, &s.registry)
         };
         self.handle_event(Event::Restored(Box::new(memory)));
     }
--- a/crates/core/src/id_usage.rs
+++ b/crates/core/src/id_usage.rs
@@ -1,4 +1,4 @@
-//! Numbers of classes and tenants that open requests speak of: no later settings give these to other names.
+//! The ids of classes and tenants that open requests use: later settings must not reassign these to other names.
 
 use lotusdeck_policy::settings::IdsInUse;
 use lotusdeck_policy::{ClassId, TenantId};
@@ -7,17 +7,17 @@
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// How many requests speak of each number. There are no more entries than open requests.
+/// Counts the requests that use each id. There are no more entries than open requests.
 #[derive(Clone, Default)]
-pub(crate) struct IdUsage(Rc<RefCell<Counts>>);
+pub(crate) struct IdUsage(Rc<RefCell<UsageCounts>>);
 
 #[derive(Default)]
-struct Counts {
+struct UsageCounts {
     classes: HashMap<ClassId, usize>,
     tenants: HashMap<TenantId, usize>,
 }
 
-/// Keeps what numbers mean for one request, until it is dropped.
+/// Keeps the ids of one request from being reassigned until it is dropped.
 pub struct IdGuard {
     usage: IdUsage,
     class: ClassId,
@@ -25,8 +25,8 @@
 }
 
 impl IdUsage {
-    /// A request speaks of these from now on.
-    pub(crate) fn hold(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
+    /// Counts a request that uses these ids, until the guard is dropped.
+    pub(crate) fn reserve(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
         let mut counts = self.0.borrow_mut();
         *counts.classes.entry(class).or_default() += 1;
         if let Some(tenant) = tenant {
@@ -35,7 +35,7 @@
         IdGuard { usage: self.clone(), class, tenant }
     }
 
-    /// All that any request speaks of.
+    /// The ids that any request uses.
     pub(crate) fn ids_in_use(&self) -> IdsInUse {
         let counts = self.0.borrow();
         IdsInUse {
@@ -49,15 +49,16 @@
     fn drop(&mut self) {
         let mut counts = self.usage.0.borrow_mut();
         release(&mut counts.classes, self.class);
-        self.tenant.into_iter().for_each(|tenant| release(&mut counts.tenants, tenant));
+        if let Some(tenant) = self.tenant {
+            release(&mut counts.tenants, tenant);
+        }
     }
 }
 
-fn release<K: Eq + Hash>(counts: &mut HashMap<K, usize>, number: K) {
-    if let Some(count) = counts.get_mut(&number) {
-        *count -= 1;
-        if *count == 0 {
-            counts.remove(&number);
-        }
+fn release<Id: Eq + Hash>(counts: &mut HashMap<Id, usize>, id: Id) {
+    let Some(count) = counts.get_mut(&id) else { return };
+    *count -= 1;
+    if *count == 0 {
+        counts.remove(&id);
     }
 }
--- a/crates/core/src/registry.rs
+++ b/crates/core/src/registry.rs
@@ -1,4 +1,4 @@
-//! Who the backends are: their names, numbers and addresses, and which of them operators have taken out.
+//! The known backends: their names, ids, addresses and states, and which of them the balancer knows to be cordoned.
 
 use crate::retired::RetiredBackends;
 use lotusdeck_policy::settings::{EndpointRecord, Names};
@@ -7,154 +7,196 @@
 use std::net::SocketAddr;
 use tracing::{debug, info};
 
-/// An entry of the list of backends.
+/// An entry of the endpoint list.
 pub struct Endpoint {
-    /// The same at every proxy.
+    /// The backend's name, the same at every proxy.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// What it may be sent.
+    /// Whether it may be sent requests.
     pub state: BackendState,
-    /// What the module is told of it.
+    /// What the balancer is notified of.
     pub row: EndpointRecord,
 }
 
-/// What an entry says that is not understood whole.
+/// An entry that could be decoded only in part.
 pub struct PartialEndpoint {
-    /// Whom it names.
+    /// The backend's name.
     pub name: String,
-    /// `None`: as it was.
+    /// Its new state; `None` leaves the state as it was.
     pub state: Option<BackendState>,
 }
 
-/// What a list says, or the changes to one.
+/// An endpoint list, or the changes to one.
 #[derive(Default)]
 pub struct EndpointUpdate {
-    /// The entries that were understood.
+    /// The entries that were decoded completely.
     pub complete: Vec<Endpoint>,
-    /// The others, behind those: a backend that is known keeps all else that is known of it, one that is not stays
-    /// unknown.
+    /// The others, applied after those: a known backend keeps everything else that is known of it, an unknown one
+    /// stays unknown.
     pub partial: Vec<PartialEndpoint>,
 }
 
 impl From<Vec<Endpoint>> for EndpointUpdate {
-    fn from(entries: Vec<Endpoint>) -> EndpointUpdate {
-        EndpointUpdate { complete: entries, partial: Vec::new() }
+    fn from(complete: Vec<Endpoint>) -> EndpointUpdate {
+        EndpointUpdate { complete, partial: Vec::new() }
     }
 }
 
+/// A backend of the list, or one removed from it that is still referred to.
 pub(crate) struct KnownBackend {
-    pub name: String,
-    pub address: SocketAddr,
-    pub state: BackendState,
-    /// As the module was last told of it.
+    pub(crate) name: String,
+    pub(crate) address: SocketAddr,
+    pub(crate) state: BackendState,
+    /// What the balancer was last notified of.
     notified: Backend,
 }
 
+/// A state that a partial entry leaves or gives a backend.
+struct StateChange {
+    name: String,
+    state: BackendState,
+}
+
+/// All backends by id.
 #[derive(Default)]
 pub(crate) struct Registry {
-    /// Those on the list, and those gone that still hold an attempt.
+    /// Those on the list, and those removed that still have an attempt in flight or are cordoned.
     backends: HashMap<BackendId, KnownBackend>,
-    numbers: HashMap<String, BackendId>,
+    ids: HashMap<String, BackendId>,
     /// Operators may still name them.
     retired: RetiredBackends,
-    /// Those that the module knows to be cordoned.
+    /// The cordoned backends as of the last [`Registry::cordon_change`], sorted.
     cordoned: Vec<BackendId>,
-    /// How many have ever been met.
     next_id: u32,
 }
 
 impl Registry {
-    /// Takes news of the list; the entries as the module knows them. Nothing is forgotten of those that hold an
-    /// attempt or are banned: a ban outlasts an absence, and so has the number that the module knows it by.
+    /// Applies an update of the endpoint list and returns the entries that the balancer is to be notified of.
+    ///
+    /// A removed backend is forgotten, with its id, unless it is `in_flight` or cordoned: a cordon outlasts an
+    /// absence, and the balancer knows the cordoned backends by id.
     pub(crate) fn update(
-        &mut self, update: ListUpdate, EndpointUpdate { complete: entries, partial }: EndpointUpdate,
-        names: &mut Names, holds: &HashSet<BackendId>, banned: impl Fn(&str) -> bool,
+        &mut self, update: ListUpdate, endpoints: EndpointUpdate, names: &mut Names,
+        in_flight: &HashSet<BackendId>, is_cordoned: impl Fn(&str) -> bool,
     ) -> Vec<Backend> {
-        // What was sound of them stays in force, unless they leave or a sound entry says otherwise.
-        let few = if partial.is_empty() { &[] } else { entries.as_slice() };
-        let named: HashSet<&str> = few.iter().map(|e| e.name.as_str()).collect();
-        let was = |name: &str| Some(self.backends.get(&self.id_of(name)?)?.state);
-        let held = |p: PartialEndpoint| {
-            let state = p.state.or_else(|| was(&p.name).filter(|_| !named.contains(p.name.as_str())))?;
-            Some((p.name, state))
-        };
-        let held: Vec<(String, BackendState)> = partial.into_iter().filter_map(held).collect();
+        let EndpointUpdate { complete, partial } = endpoints;
+        // Before the complete entries are applied: a partial one may keep the state from before this update.
+        let state_changes = self.resolve_states(partial, &complete);
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            self.backends.values_mut().for_each(|b| b.state = BackendState::Removed);
+            self.backends.values_mut().for_each(|backend| backend.state = BackendState::Removed);
         }
-        let mut told = Vec::with_capacity(entries.len());
-        for e in entries {
-            let id = *self.numbers.entry(e.name.clone()).or_insert_with(|| {
-                self.next_id += 1;
-                let id = BackendId(self.next_id - 1);
-                // The module's lines speak of numbers.
-                info!(backend = id.0, name = %e.name, address = %e.address, "backend met");
-                id
-            });
-            if update != ListUpdate::Cached {
-                debug!(backend = id.0, name = %e.name, address = %e.address, state = ?e.state, "backend listed");
-            }
-            let entry = names.resolve(&e.row, id);
-            told.push(entry.clone());
-            self.backends.insert(
-                id,
-                KnownBackend { name: e.name, address: e.address, state: e.state, notified: entry },
-            );
+        let mut notifications = Vec::with_capacity(complete.len());
+        for endpoint in complete {
+            notifications.push(self.apply_endpoint(endpoint, update, names));
         }
-        for (name, state) in held {
-            let known = self.id_of(&name).and_then(|id| self.backends.get_mut(&id));
-            told.extend(known.map(|known| {
-                (known.state, known.notified.state) = (state, state);
-                known.notified.clone()
-            }));
+        for change in state_changes {
+            notifications.extend(self.apply_state(&change));
         }
-        self.backends.retain(|id, b| {
-            let keep = b.state != BackendState::Removed || holds.contains(id) || banned(&b.name);
+        self.retire_removed(in_flight, is_cordoned);
+        notifications
+    }
+
+    /// The states that partial entries give: their own or, unless a complete entry of the same name overrides it, the
+    /// present one.
+    fn resolve_states(&self, partial: Vec<PartialEndpoint>, complete: &[Endpoint]) -> Vec<StateChange> {
+        if partial.is_empty() {
+            return Vec::new();
+        }
+        let overridden: HashSet<&str> = complete.iter().map(|endpoint| endpoint.name.as_str()).collect();
+        let resolve = |entry: PartialEndpoint| {
+            let state = match entry.state {
+                Some(state) => state,
+                None if overridden.contains(entry.name.as_str()) => return None,
+                None => self.backends.get(&self.id_of(&entry.name)?)?.state,
+            };
+            Some(StateChange { name: entry.name, state })
+        };
+        partial.into_iter().filter_map(resolve).collect()
+    }
+
+    /// Inserts or replaces a backend; returns what the balancer is to be notified of.
+    fn apply_endpoint(&mut self, endpoint: Endpoint, update: ListUpdate, names: &mut Names) -> Backend {
+        let Endpoint { name, address, state, row } = endpoint;
+        let id = self.id_or_assign(&name, address);
+        if update != ListUpdate::Cached {
+            debug!(backend = id.0, name = %name, %address, ?state, "backend listed");
+        }
+        let notified = names.resolve(&row, id);
+        self.backends.insert(id, KnownBackend { name, address, state, notified: notified.clone() });
+        notified
+    }
+
+    fn id_or_assign(&mut self, name: &str, address: SocketAddr) -> BackendId {
+        if let Some(id) = self.id_of(name) {
+            return id;
+        }
+        let id = BackendId(self.next_id);
+        self.next_id += 1;
+        self.ids.insert(name.into(), id);
+        // The balancer's log lines name backends by id alone.
+        info!(backend = id.0, name = %name, %address, "backend discovered");
+        id
+    }
+
+    /// Sets the state of a backend, if it is known; returns what the balancer is to be notified of.
+    fn apply_state(&mut self, change: &StateChange) -> Option<Backend> {
+        let id = self.id_of(&change.name)?;
+        let backend = self.backends.get_mut(&id)?;
+        backend.state = change.state;
+        backend.notified.state = change.state;
+        Some(backend.notified.clone())
+    }
+
+    fn retire_removed(&mut self, in_flight: &HashSet<BackendId>, is_cordoned: impl Fn(&str) -> bool) {
+        self.backends.retain(|id, backend| {
+            let is_listed = backend.state != BackendState::Removed;
+            let keep = is_listed || in_flight.contains(id) || is_cordoned(&backend.name);
             if !keep {
-                self.numbers.remove(&b.name);
-                self.retired.add(&b.name);
+                self.ids.remove(&backend.name);
+                self.retired.add(&backend.name);
             }
             keep
         });
-        told
     }
 
-    /// Whether the list has or had a backend of that name.
+    /// Whether the list has or recently had a backend of that name.
     pub(crate) fn knows(&self, name: &str) -> bool {
-        self.numbers.contains_key(name) || self.retired.contains(name)
+        self.ids.contains_key(name) || self.retired.contains(name)
     }
 
-    /// The number of the backend of that name.
+    /// The id of the backend of that name.
     pub(crate) fn id_of(&self, name: &str) -> Option<BackendId> {
-        self.numbers.get(name).copied()
+        self.ids.get(name).copied()
     }
 
+    /// The backend of that id.
     pub(crate) fn get(&self, id: BackendId) -> Option<&KnownBackend> {
         self.backends.get(&id)
     }
 
-    /// Those that may be sent requests: the list allows it and no operator forbids it.
-    pub(crate) fn usable(&self, banned: impl Fn(&str) -> bool) -> HashSet<BackendId> {
-        let usable = |b: &KnownBackend| b.state == BackendState::Ready && !banned(&b.name);
-        self.backends.iter().filter(|(_, b)| usable(b)).map(|(id, _)| *id).collect()
+    /// The backends that may be sent requests: ready by the list and not cordoned.
+    pub(crate) fn usable(&self, is_cordoned: impl Fn(&str) -> bool) -> HashSet<BackendId> {
+        let is_usable =
+            |backend: &KnownBackend| backend.state == BackendState::Ready && !is_cordoned(&backend.name);
+        self.backends.iter().filter(|(_, backend)| is_usable(backend)).map(|(id, _)| *id).collect()
     }
 
-    /// All that are banned, where that is another set than at the last call.
-    pub(crate) fn cordon_change(&mut self, banned: impl Fn(&str) -> bool) -> Option<Vec<BackendId>> {
-        let now = self.backends.iter().filter(|(_, b)| banned(&b.name));
-        let mut now: Vec<BackendId> = now.map(|(id, _)| *id).collect();
-        now.sort();
-        if now == self.cordoned {
+    /// All cordoned backends, if they are not the same as at the last call.
+    pub(crate) fn cordon_change(&mut self, is_cordoned: impl Fn(&str) -> bool) -> Option<Vec<BackendId>> {
+        let cordoned = self.backends.iter().filter(|(_, backend)| is_cordoned(&backend.name));
+        let mut cordoned: Vec<BackendId> = cordoned.map(|(id, _)| *id).collect();
+        cordoned.sort();
+        if cordoned == self.cordoned {
             return None;
         }
-        self.cordoned = now.clone();
-        Some(now)
+        self.cordoned.clone_from(&cordoned);
+        Some(cordoned)
     }
 
-    /// None is known and none is remembered by a number.
+    /// Whether neither a backend nor an id is left.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
-        self.backends.is_empty() && self.numbers.is_empty()
+        self.backends.is_empty() && self.ids.is_empty()
     }
 }
