--- a/crates/core/src/host/answers.rs
+++ b/crates/core/src/host/answers.rs
@@ -5,27 +5,27 @@
 use lotusdeck_policy::{Micros, RequestId};
 
 impl Host {
-    /// Gives the final answer; nothing where the request is over.
-    pub(super) fn finish(&self, s: &mut State, id: RequestId, answer: Answer) {
-        if let Some(request) = s.requests.remove(&id) {
-            self.release_request(id, &request);
-            let _ = request.answer.send(answer);
-        }
+    /// Gives the final answer, unless the request is over already.
+    pub(super) fn finish(&self, state: &mut State, id: RequestId, answer: Answer) {
+        let Some(request) = state.requests.remove(&id) else { return };
+        self.release_request(id, &request);
+        // The receiver is gone where the client has disconnected.
+        let _ = request.answer.send(answer);
     }
 
-    /// Refuses a request: the client may come again after that time.
-    pub(super) fn reject(&self, s: &mut State, id: RequestId, retry_after: Micros) {
-        s.counts.rejected += 1;
-        self.finish(s, id, Answer::Rejected(retry_after));
+    /// Rejects a request: the client may retry after that time.
+    pub(super) fn reject(&self, state: &mut State, id: RequestId, retry_after: Micros) {
+        state.counts.rejected += 1;
+        self.finish(state, id, Answer::Rejected(retry_after));
     }
 
-    /// Tells journal and limits that a request is over.
+    /// Notifies the journal and the fleet's limits that a request is over.
     pub(super) fn release_request(&self, id: RequestId, request: &OpenRequest) {
         if let Some(journal) = self.services.journal.as_ref().filter(|_| request.journaled) {
             journal.request_finished(id);
         }
-        if let Some((gate, pass)) = self.services.fleet_limiter.as_ref().zip(request.admission.as_ref()) {
-            gate.release(pass);
+        if let (Some(limiter), Some(admission)) = (&self.services.fleet_limiter, &request.admission) {
+            limiter.release(admission);
         }
     }
 }
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts: how they are sent, what is asked at their first byte, and how they are closed.
+//! Attempts: how they are sent, what is checked before their first byte, and how they are closed.
 
-use super::state::{Answer, OpenAttempt, State};
+use super::state::{Answer, AttemptKey, OpenAttempt, State};
 use super::{Host, LOG_TARGET};
 use crate::exchange::AttemptContext;
 use crate::registry::KnownBackend;
@@ -9,115 +9,131 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Takes the end of an attempt whose task ran to its end. It is handed in: what follows from an end is decided above.
-pub(super) type OnEnd = fn(&Rc<Host>, RequestId, AttemptNo, Outcome);
+/// Called with the outcome of an attempt whose task ran to its end. A parameter, as `actions`, which handles the end,
+/// comes after this module in the order.
+pub(super) type OnAttemptEnd = fn(&Rc<Host>, AttemptKey, Outcome);
+
+/// What has to hold right before the first byte of an attempt.
+pub(super) struct SendCondition {
+    pub(super) request: RequestId,
+    pub(super) backend: BackendId,
+    /// Where the backend listened when the attempt was dispatched.
+    pub(super) address: SocketAddr,
+    /// The end of the idempotency window of a retry.
+    pub(super) send_by: Option<Time>,
+}
 
 impl Host {
-    /// Sends the next attempt of a request; nothing where the request is over or the backend unknown.
+    /// Sends the next attempt of a request, unless the request is over or the backend unknown.
     pub(super) fn dispatch(
-        self: &Rc<Self>, s: &mut State, now: Time, id: RequestId, backend: BackendId, on_end: OnEnd,
+        self: &Rc<Self>, state: &mut State, now: Time, id: RequestId, backend: BackendId,
+        on_end: OnAttemptEnd,
     ) {
-        let Some(request) = s.requests.get_mut(&id) else { return };
-        let attempt = AttemptNo(request.attempts);
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let key = AttemptKey { request: id, attempt: AttemptNo(request.attempts) };
         request.attempts += 1;
-        s.counts.attempts += 1;
-        let work = request.work.clone();
-        let journaled = request.journaled.then(|| work.clone());
-        let Some(leg) = self.leg(s, id, attempt, backend) else { return };
+        state.counts.attempts += 1;
+        let exchange = request.exchange.clone();
+        let journaled = request.journaled.then(|| exchange.clone());
+        let Some(context) = self.attempt_context(state, key, backend) else { return };
         let host = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let outcome = work.send_attempt(leg).await;
-            on_end(&host, id, attempt, outcome);
+            let outcome = exchange.send_attempt(context).await;
+            on_end(&host, key, outcome);
         });
-        let open =
+        let attempt =
             OpenAttempt { backend, sent_at: now, time_runs_from: now, task: task.abort_handle(), journaled };
-        s.attempts.insert((id, attempt), open);
+        state.attempts.insert(key, attempt);
     }
 
-    /// Where and until when an attempt goes, and what has to hold before its first byte.
-    fn leg(
-        self: &Rc<Self>, s: &State, id: RequestId, attempt: AttemptNo, backend: BackendId,
+    fn attempt_context(
+        self: &Rc<Self>, state: &State, key: AttemptKey, backend: BackendId,
     ) -> Option<AttemptContext> {
-        let request = s.requests.get(&id)?;
-        let known = s.registry.get(backend)?;
+        let request = state.requests.get(&key.request)?;
+        let known = state.registry.get(backend)?;
         let address = known.address;
-        let deadline = self.clock.instant(request.deadline);
-        let send_by = s.send_by(id, request, attempt);
+        let send_by = state.send_by(request, key);
+        let condition = SendCondition { request: key.request, backend, address, send_by };
         let host = self.clone();
-        let gate = Box::new(move || host.may_send(id, (backend, address), send_by));
         // The journal writes while the connection comes up.
         let journal = self.services.journal.as_ref().filter(|_| request.journaled);
-        let clearance = journal.map(|journal| journal.attempt_intended(id, attempt, &known.name, address));
+        let send_permit =
+            journal.map(|journal| journal.attempt_intended(key.request, key.attempt, &known.name, address));
         Some(AttemptContext {
-            attempt,
+            attempt: key.attempt,
             backend,
             address,
-            deadline,
-            send_check: gate,
-            send_permit: clearance.into(),
+            deadline: self.clock.instant(request.deadline),
+            send_check: Box::new(move || host.may_send(&condition)),
+            send_permit: send_permit.into(),
         })
     }
 
-    /// At the moment of the first byte: the list still allows it and still has the backend at that address, where
-    /// another may be by now; the request still waits for it, and a repeat is still one that is dropped.
-    pub(super) fn may_send(
-        &self, request: RequestId, (backend, to): (BackendId, SocketAddr), send_by: Option<Time>,
-    ) -> bool {
-        let s = self.state.borrow();
-        let usable = |b: &KnownBackend| {
-            b.state == BackendState::Ready && b.address == to && !self.cordon.contains(&b.name)
+    /// Whether the backend is still usable and still at the address that the connection goes to, where another may
+    /// listen by now, the request still waits, and a retry still falls in the idempotency window.
+    pub(super) fn may_send(&self, condition: &SendCondition) -> bool {
+        let state = self.state.borrow();
+        let is_usable = |backend: &KnownBackend| {
+            backend.state == BackendState::Ready
+                && backend.address == condition.address
+                && !self.cordon.contains(&backend.name)
         };
-        s.registry.get(backend).is_some_and(usable)
-            && s.requests.contains_key(&request)
-            && send_by.is_none_or(|at| self.clock.now() < at)
+        state.registry.get(condition.backend).is_some_and(is_usable)
+            && state.requests.contains_key(&condition.request)
+            && condition.send_by.is_none_or(|send_by| self.clock.now() < send_by)
     }
 
-    /// Closes an attempt, and its request where that is served; `None` where it is not out.
+    /// Closes an attempt, and answers its request if it was served; `None` if it is not in flight.
     pub(super) fn close_attempt(
-        &self, s: &mut State, id: RequestId, attempt: AttemptNo, outcome: Outcome,
+        &self, state: &mut State, key: AttemptKey, outcome: Outcome,
     ) -> Option<AttemptEnd> {
-        let open = s.attempts.remove(&(id, attempt))?;
-        open.task.abort(); // closes its connection, if it is still on one
-        s.counts.count_attempt_end(outcome);
-        self.journal_end(id, attempt, outcome, &open);
+        let open = state.attempts.remove(&key)?;
+        open.task.abort(); // closes its connection, if it still has one
+        state.counts.count_attempt_end(outcome);
+        self.journal_end(key, outcome, &open);
         if outcome == Outcome::TimedOut {
             self.notify_unanswered(&open);
         }
         if !outcome.never_ran() {
-            s.note_run(id, open.sent_at);
+            state.record_possible_run(key.request, open.sent_at);
         }
-        if outcome == Outcome::Success && s.requests.contains_key(&id) {
-            s.counts.served += 1;
-            self.finish(s, id, Answer::Served(attempt));
+        if outcome == Outcome::Success && state.requests.contains_key(&key.request) {
+            state.counts.served += 1;
+            self.finish(state, key.request, Answer::Served(key.attempt));
         }
         if !matches!(outcome, Outcome::Success | Outcome::Cancelled) {
-            let backend = open.backend.0;
-            debug!(target: LOG_TARGET, request = id.0, attempt = attempt.0, backend, ?outcome, "attempt ended");
+            debug!(
+                target: LOG_TARGET,
+                request = key.request.0,
+                attempt = key.attempt.0,
+                backend = open.backend.0,
+                ?outcome,
+                "attempt ended"
+            );
         }
-        Some(s.attempt_end(id, attempt, outcome, self.clock.now() - open.time_runs_from))
+        Some(state.attempt_end(key, outcome, self.clock.now() - open.time_runs_from))
     }
 
-    /// Gives up an attempt that the module cancels; `None` where it is not out. Counts are of ends that came otherwise.
-    pub(super) fn cancel_attempt(
-        &self, s: &mut State, now: Time, id: RequestId, attempt: AttemptNo,
-    ) -> Option<AttemptEnd> {
-        let open = s.attempts.remove(&(id, attempt))?;
+    /// Gives up an attempt that the balancer cancels; `None` if it is not in flight. Such ends are not counted.
+    pub(super) fn cancel_attempt(&self, state: &mut State, now: Time, key: AttemptKey) -> Option<AttemptEnd> {
+        let open = state.attempts.remove(&key)?;
         open.task.abort();
-        self.journal_end(id, attempt, Outcome::Cancelled, &open);
+        self.journal_end(key, Outcome::Cancelled, &open);
         self.notify_unanswered(&open);
-        Some(s.attempt_end(id, attempt, Outcome::Cancelled, now - open.time_runs_from))
+        Some(state.attempt_end(key, Outcome::Cancelled, now - open.time_runs_from))
     }
 
-    /// Tells the journal of the end of an attempt that it was told of.
-    fn journal_end(&self, id: RequestId, attempt: AttemptNo, outcome: Outcome, open: &OpenAttempt) {
-        if let Some((journal, work)) = self.services.journal.as_ref().zip(open.journaled.as_ref()) {
-            journal.attempt_ended(id, attempt, outcome, work.answer_status(attempt));
+    /// Notifies the journal of the end of an attempt that it was notified of.
+    fn journal_end(&self, key: AttemptKey, outcome: Outcome, open: &OpenAttempt) {
+        if let (Some(journal), Some(exchange)) = (&self.services.journal, &open.journaled) {
+            let status = exchange.answer_status(key.attempt);
+            journal.attempt_ended(key.request, key.attempt, outcome, status);
         }
     }
 
-    /// Tells the connections of an attempt that was given up unanswered.
+    /// Notifies the connection pools of an attempt that was given up before its answer.
     fn notify_unanswered(&self, open: &OpenAttempt) {
         let sent = self.clock.instant(open.sent_at);
-        self.pools.iter().for_each(|lines| lines.attempt_unanswered(open.backend, sent));
+        self.pools.iter().for_each(|pools| pools.attempt_unanswered(open.backend, sent));
     }
 }
--- a/crates/core/src/host/membership.rs
+++ b/crates/core/src/host/membership.rs
@@ -1,4 +1,4 @@
-//! Which backends there are and which of them operators have taken out: lists and cordons.
+//! Which backends there are and which are cordoned: endpoint lists and operators.
 
 use super::{Host, LOG_TARGET};
 use crate::cordon::{CordonError, FILE_CHECK_INTERVAL};
@@ -9,31 +9,36 @@
 use tracing::info;
 
 impl Host {
-    /// News of the list.
-    pub fn update_endpoints(self: &Rc<Self>, update: ListUpdate, news: impl Into<EndpointUpdate>) {
+    /// Applies an endpoint list or the changes to one.
+    pub fn update_endpoints(self: &Rc<Self>, update: ListUpdate, endpoints: impl Into<EndpointUpdate>) {
         let backends = {
-            let mut s = self.state.borrow_mut();
-            let s = &mut *s;
-            let holds: HashSet<BackendId> = s.attempts.values().map(|open| open.backend).collect();
-            s.registry.update(update, news.into(), &mut s.names, &holds, |name| self.cordon.contains(name))
+            let mut state = self.state.borrow_mut();
+            let state = &mut *state;
+            let in_flight: HashSet<BackendId> =
+                state.attempts.values().map(|attempt| attempt.backend).collect();
+            let is_cordoned = |name: &str| self.cordon.contains(name);
+            state.registry.update(update, endpoints.into(), &mut state.active.names, &in_flight, is_cordoned)
         };
         self.apply_cordons();
         self.handle_event(Event::EndpointsUpdated { update, backends });
     }
 
-    /// Whether the list has or had a backend of that id.
+    /// Whether the list has or recently had a backend of that id, or one is cordoned under it.
     pub fn knows_backend(&self, id: &str) -> bool {
         self.state.borrow().registry.knows(id) || self.cordon.contains(id)
     }
 
-    /// An operator takes a backend out or gives it back; whether that changed anything.
-    pub async fn set_cordon(self: &Rc<Self>, id: &str, out: bool) -> Result<bool, CordonError> {
-        let changed = self.cordon.set(id, out).await;
+    /// Cordons a backend or lifts its cordon; returns whether that changed anything.
+    ///
+    /// # Errors
+    /// The change could not be saved, and has not taken effect.
+    pub async fn set_cordon(self: &Rc<Self>, id: &str, cordoned: bool) -> Result<bool, CordonError> {
+        let changed = self.cordon.set(id, cordoned).await;
         self.apply_cordons();
         changed
     }
 
-    /// Follows what another process of this proxy is told, for as long as the program runs.
+    /// Applies what another process of this proxy writes to the cordon file, for as long as the program runs.
     pub async fn follow_cordon_file(self: Rc<Self>) {
         loop {
             tokio::time::sleep(FILE_CHECK_INTERVAL).await;
@@ -44,15 +49,15 @@
         }
     }
 
-    /// Keeps connections only to backends that may be sent requests, and tells the module of a change.
+    /// Keeps connections only to usable backends, and notifies the balancer if the cordoned ones changed.
     fn apply_cordons(self: &Rc<Self>) {
-        let banned = {
-            let mut s = self.state.borrow_mut();
-            let usable = s.registry.usable(|name| self.cordon.contains(name));
-            self.pools.iter().for_each(|lines| lines.retain_backends(&usable));
-            s.registry.cordon_change(|name| self.cordon.contains(name))
+        let changed = {
+            let mut state = self.state.borrow_mut();
+            let usable = state.registry.usable(|name| self.cordon.contains(name));
+            self.pools.iter().for_each(|pools| pools.retain_backends(&usable));
+            state.registry.cordon_change(|name| self.cordon.contains(name))
         };
-        if let Some(backends) = banned {
+        if let Some(backends) = changed {
             self.handle_event(Event::Cordoned { backends });
         }
     }
--- a/crates/core/src/host/report.rs
+++ b/crates/core/src/host/report.rs
@@ -1,4 +1,4 @@
-//! What the host tells of itself: the regular line on its counts, and the status for operators.
+//! What the host reports of itself: the regular log line on its counts, and the status for operators.
 
 use super::state::State;
 use super::{Host, LOG_TARGET};
@@ -7,68 +7,69 @@
 use tracing::info;
 
 impl Host {
-    /// One line on what went on since the last.
+    /// Logs the counts since the last call.
     pub fn log_counts(&self) {
-        let mut s = self.state.borrow_mut();
-        let counts = std::mem::take(&mut s.counts);
-        s.counts_before += counts;
+        let mut state = self.state.borrow_mut();
+        let counts = std::mem::take(&mut state.counts);
+        state.logged_counts += counts;
         info!(
             target: LOG_TARGET,
             requests = counts.requests,
             served = counts.served,
-            refused = counts.rejected,
+            rejected = counts.rejected,
             failed = counts.failed,
-            overdue = counts.timed_out,
-            gone = counts.client_disconnects,
+            timed_out = counts.timed_out,
+            client_disconnects = counts.client_disconnects,
             attempts = counts.attempts,
-            full = counts.attempts_rejected,
-            errors = counts.attempts_with_error_answer,
-            resets = counts.attempts_reset,
-            unconnected = counts.attempts_not_connected,
-            unsent = counts.attempts_not_sent,
-            open = s.requests.len(),
-            lag_us = self.timers.lag().0,
+            attempts_rejected = counts.attempts_rejected,
+            attempts_with_error_answer = counts.attempts_with_error_answer,
+            attempts_reset = counts.attempts_reset,
+            attempts_not_connected = counts.attempts_not_connected,
+            attempts_not_sent = counts.attempts_not_sent,
+            open_requests = state.requests.len(),
+            timer_lag_us = self.timers.lag().0,
             "requests"
         );
     }
 
-    /// All that is known and done at this moment.
+    /// The present state of the whole process.
     pub fn status(&self) -> Status {
-        let s = self.state.borrow();
-        let mut counts = s.counts_before;
-        counts += s.counts;
+        let state = self.state.borrow();
+        let mut counts = state.logged_counts;
+        counts += state.counts;
+        let backends = state.balancer.backends();
         Status {
-            settings_generation: s.generation,
-            open_requests: s.requests.len(),
-            open_attempts: s.attempts.len(),
+            settings_generation: state.active.number,
+            open_requests: state.requests.len(),
+            open_attempts: state.attempts.len(),
             timer_lag_us: self.timers.lag().0,
             counts,
             ledger: self.services.journal.as_ref().map(|journal| journal.status()),
-            fleet: self.services.fleet_limiter.as_ref().map(|gate| gate.status()),
-            kinds: s.balancer.kinds().map(|kind| kind_status(&s, kind)).collect(),
-            backends: s.balancer.backends().filter_map(|backend| backend_status(&s, backend)).collect(),
+            fleet: self.services.fleet_limiter.as_ref().map(|limiter| limiter.status()),
+            kinds: state.balancer.kinds().map(|kind| kind_status(&state, kind)).collect(),
+            backends: backends.filter_map(|backend| backend_status(&state, backend)).collect(),
         }
     }
 }
 
-fn kind_status(s: &State, kind: KindView) -> KindStatus {
+fn kind_status(state: &State, kind: KindView) -> KindStatus {
     KindStatus {
-        name: s.names.kind(kind.id).into(),
+        name: state.active.names.kind(kind.id).into(),
         readiness: kind.readiness,
         service_rate_rps: kind.service_rate,
         traffic_share: kind.traffic_share,
     }
 }
 
-/// `None` for a backend that the list has forgotten.
-fn backend_status(s: &State, backend: BackendView) -> Option<BackendStatus> {
-    let known = s.registry.get(backend.id)?;
+/// `None` for a backend that the registry has forgotten.
+fn backend_status(state: &State, backend: BackendView) -> Option<BackendStatus> {
+    let known = state.registry.get(backend.id)?;
     Some(BackendStatus {
         name: known.name.clone(),
         address: known.address.to_string(),
         state: state_name(backend.state),
         cordoned: backend.cordoned,
-        kind: s.names.kind(backend.kind).into(),
+        kind: state.active.names.kind(backend.kind).into(),
         readiness: backend.readiness,
         traffic_share: backend.traffic_share,
         in_flight: backend.in_flight,
@@ -78,6 +79,7 @@
     })
 }
 
+/// The state's name in the status document.
 fn state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Ready => "ready",
--- a/crates/core/src/host/request.rs
+++ b/crates/core/src/host/request.rs
@@ -1,4 +1,4 @@
-//! A request's life as its front and its client see it: taken, uploaded, given up, out of time.
+//! A request's life as its front and its client see it: submitted, received completely, given up, timed out.
 
 use super::state::{Answer, OpenRequest, State};
 use super::{Host, LOG_TARGET};
@@ -10,91 +10,98 @@
 use tracing::warn;
 
 impl Host {
-    /// Takes a request; `arrival.request` is given here. `labels` name it in the journal, where there is one and
-    /// the request must never run twice.
+    /// Accepts a request and assigns `arrival.request`; the receiver gets its final answer. `labels` identify it in
+    /// the journal, where there is one and the request is not idempotent.
     pub fn submit(
-        self: &Rc<Self>, mut arrival: Arrival, work: Rc<dyn Exchange>, effect: SideEffects,
+        self: &Rc<Self>, mut arrival: Arrival, exchange: Rc<dyn Exchange>, side_effects: SideEffects,
         labels: impl FnOnce() -> RequestLabels,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
-        let (answer, wait) = oneshot::channel();
-        let window = match effect {
+        let (answer, receiver) = oneshot::channel();
+        let window = match side_effects {
             SideEffects::IdempotencyKey { window, .. } => Some(window),
             _ => None,
         };
         let deadline = self.clock.now() + arrival.time_left;
         {
-            let mut s = self.state.borrow_mut();
-            arrival.request = s.open(OpenRequest::new(work, window, answer, deadline));
-            if let Err(retry_after) = self.admit(&mut s, &arrival, effect, labels) {
-                self.reject(&mut s, arrival.request, retry_after);
-                return (arrival.request, wait);
+            let mut state = self.state.borrow_mut();
+            arrival.request = state.open(OpenRequest::new(exchange, window, answer, deadline));
+            if let Err(retry_after) = self.admit(&mut state, &arrival, side_effects, labels) {
+                self.reject(&mut state, arrival.request, retry_after);
+                return (arrival.request, receiver);
             }
         }
         let id = arrival.request;
         self.handle_event(Event::Request(arrival));
-        (id, wait)
+        (id, receiver)
     }
 
-    /// Asks the limits, and the journal where the request must never run twice.
+    /// Checks the fleet's limits and, for a non-idempotent request, the journal.
     ///
     /// # Errors
-    /// One of them refuses it: when the client had better come again.
+    /// One of them rejects it: after this time the client may retry.
     fn admit(
-        &self, s: &mut State, arrival: &Arrival, effect: SideEffects, labels: impl FnOnce() -> RequestLabels,
+        &self, state: &mut State, arrival: &Arrival, side_effects: SideEffects,
+        labels: impl FnOnce() -> RequestLabels,
     ) -> Result<(), Micros> {
         let id = arrival.request;
-        if let Some(gate) = &self.services.fleet_limiter {
-            let pass = gate.admit(arrival.class, arrival.tenant, &s.names)?;
-            s.requests.entry(id).and_modify(|request| request.admission = Some(pass));
+        if let Some(limiter) = &self.services.fleet_limiter {
+            let admission = limiter.admit(arrival.class, arrival.tenant, &state.active.names)?;
+            state.requests.entry(id).and_modify(|request| request.admission = Some(admission));
+        }
+        if side_effects != SideEffects::NonIdempotent {
+            return Ok(());
         }
-        let journal = self.services.journal.as_ref().filter(|_| effect == SideEffects::NonIdempotent);
-        let Some(journal) = journal else { return Ok(()) };
+        let Some(journal) = &self.services.journal else { return Ok(()) };
         if let Some(retry_after) = journal.unavailable_for() {
             return Err(retry_after);
         }
         journal.request_taken(id, labels());
-        s.requests.entry(id).and_modify(|request| request.journaled = true);
+        state.requests.entry(id).and_modify(|request| request.journaled = true);
         Ok(())
     }
 
-    /// The client left before its answer.
+    /// The client disconnected before its answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
-            let mut s = self.state.borrow_mut();
-            let Some(request) = s.requests.remove(&id) else { return };
+            let mut state = self.state.borrow_mut();
+            let Some(request) = state.requests.remove(&id) else { return };
             self.release_request(id, &request);
-            s.counts.client_disconnects += 1;
+            state.counts.client_disconnects += 1;
         }
         self.handle_event(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
-    /// The request's time is up. Attempts that are out have timed out, on which the module gives its final
-    /// answer; should it stay silent, the request still gets one.
+    /// The request's deadline has passed. Its attempts in flight time out, upon which the balancer gives its final
+    /// answer; if it does not, the request is answered as timed out.
     pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
-        let out = self.state.borrow().attempts_of(id);
-        for attempt in out {
-            self.attempt_ended(id, attempt, Outcome::TimedOut);
+        let in_flight = self.state.borrow().attempts_of(id);
+        for key in in_flight {
+            self.attempt_ended(key, Outcome::TimedOut);
         }
-        let silent = self.state.borrow_mut().requests.remove(&id);
-        let Some(request) = silent else { return };
+        let undecided = self.state.borrow_mut().requests.remove(&id);
+        let Some(request) = undecided else { return };
         warn!(target: LOG_TARGET, request = id.0, attempts = request.attempts, "no decision by the deadline");
         self.release_request(id, &request);
         self.state.borrow_mut().counts.timed_out += 1;
+        // The receiver is gone where the client has disconnected.
         let _ = request.answer.send(Answer::TimedOut);
         self.handle_event(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
-    /// A request's body is whole: its time begins.
+    /// The request's body was received completely: its time counts from now.
     pub fn body_received(self: &Rc<Self>, id: RequestId, time_left: Micros) {
         {
-            let mut s = self.state.borrow_mut();
+            let mut state = self.state.borrow_mut();
             let now = self.clock.now();
-            let Some(live) = s.requests.get_mut(&id) else { return };
-            live.deadline = now + time_left;
-            let out = s.attempts.iter_mut().filter(|(key, _)| key.0 == id);
-            out.for_each(|(_, flight)| flight.time_runs_from = now);
+            let Some(request) = state.requests.get_mut(&id) else { return };
+            request.deadline = now + time_left;
+            for (key, attempt) in &mut state.attempts {
+                if key.request == id {
+                    attempt.time_runs_from = now;
+                }
+            }
         }
         self.handle_event(Event::BodyReceived { request: id, time_left });
     }
--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -1,4 +1,4 @@
-//! What the host owns: the module, the list of backends, the open requests and attempts.
+//! What the host owns and changes while it runs: the balancer, the backends, the open requests and attempts.
 
 use crate::counts::Counts;
 use crate::exchange::Exchange;
@@ -17,44 +17,45 @@
 /// The final answer to a request: there is exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// By this attempt: its answer lies with the work.
+    /// Served by this attempt: the exchange has its answer.
     Served(AttemptNo),
-    /// With the time after which the client had better come again.
+    /// Rejected without effect; after this time the client may retry.
     Rejected(Micros),
-    /// Nothing is promised.
+    /// Failed: it may or may not have taken effect.
     Failed,
-    /// The module stayed silent to the deadline.
+    /// The balancer did not decide by the deadline.
     TimedOut,
 }
 
 /// A request that waits for its final answer.
 pub(super) struct OpenRequest {
     /// What its attempts send.
-    pub work: Rc<dyn Exchange>,
-    /// How long after the first send that may have run backends still drop a repeat, for a keyed class.
-    pub idempotency_window: Option<Micros>,
+    pub(super) exchange: Rc<dyn Exchange>,
+    /// With an idempotency key: how long after the first send that may have run backends still drop a retry.
+    pub(super) idempotency_window: Option<Micros>,
     /// When the first attempt that may have run was sent, of those that have ended.
-    pub first_may_have_run: Option<Time>,
+    pub(super) first_may_have_run: Option<Time>,
     /// Takes the final answer.
-    pub answer: oneshot::Sender<Answer>,
+    pub(super) answer: oneshot::Sender<Answer>,
     /// When the client gives up.
-    pub deadline: Time,
-    /// How many attempts were begun.
-    pub attempts: u32,
-    /// The journal is told of it.
-    pub journaled: bool,
-    /// What it was taken in under.
-    pub admission: Option<Admission>,
+    pub(super) deadline: Time,
+    /// How many attempts were started.
+    pub(super) attempts: u32,
+    /// Whether the journal is notified of it.
+    pub(super) journaled: bool,
+    /// The fleet's limits that it was admitted under.
+    pub(super) admission: Option<Admission>,
 }
 
 impl OpenRequest {
-    /// One of which no attempt was begun.
+    /// A request without attempts, not yet admitted or journaled.
     pub(super) fn new(
-        work: Rc<dyn Exchange>, window: Option<Micros>, answer: oneshot::Sender<Answer>, deadline: Time,
+        exchange: Rc<dyn Exchange>, idempotency_window: Option<Micros>, answer: oneshot::Sender<Answer>,
+        deadline: Time,
     ) -> OpenRequest {
         OpenRequest {
-            work,
-            idempotency_window: window,
+            exchange,
+            idempotency_window,
             first_may_have_run: None,
             answer,
             deadline,
@@ -65,58 +66,67 @@
     }
 }
 
-/// An attempt that is out.
+/// Identifies an attempt among those of all requests.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct AttemptKey {
+    pub(super) request: RequestId,
+    pub(super) attempt: AttemptNo,
+}
+
+/// An attempt in flight.
 pub(super) struct OpenAttempt {
     /// Where it was sent.
-    pub backend: BackendId,
+    pub(super) backend: BackendId,
     /// When it was handed to its protocol.
-    pub sent_at: Time,
-    /// When its last byte came: its time counts from then.
-    pub time_runs_from: Time,
+    pub(super) sent_at: Time,
+    /// When its time began to count: with the last byte of the request's body.
+    pub(super) time_runs_from: Time,
     /// The task that sends it.
-    pub task: AbortHandle,
-    /// The journal is told of its end, and the work knows how that was.
-    pub journaled: Option<Rc<dyn Exchange>>,
+    pub(super) task: AbortHandle,
+    /// If the journal is to be notified of its end: the exchange, which knows the answer's status.
+    pub(super) journaled: Option<Rc<dyn Exchange>>,
+}
+
+/// The settings that are active.
+pub(super) struct ActiveGeneration {
+    /// How many settings have been active so far, these included.
+    pub(super) number: u64,
+    pub(super) settings: Arc<Settings>,
+    /// The names of the settings, with those that endpoint lists have added since.
+    pub(super) names: Names,
 }
 
 /// All that changes while the host runs.
 pub(super) struct State {
-    /// The decision module.
-    pub balancer: Balancer,
-    /// Those of the generation, with what lists have added.
-    pub names: Names,
-    /// The settings in force.
-    pub settings: Arc<Settings>,
-    /// How many settings were in force so far.
-    pub generation: u64,
+    pub(super) balancer: Balancer,
+    pub(super) active: ActiveGeneration,
     /// The backends.
-    pub registry: Registry,
+    pub(super) registry: Registry,
     /// Requests that wait for their answer.
-    pub requests: HashMap<RequestId, OpenRequest>,
-    /// Attempts that are out.
-    pub attempts: HashMap<(RequestId, AttemptNo), OpenAttempt>,
-    /// Events that the module is not told of yet.
-    pub events: VecDeque<Event>,
-    /// Room for the module's actions, kept between events.
-    pub actions: Vec<Action>,
-    /// The number of the last request.
-    pub last_request: u64,
-    /// The number of the last request when what was learned was last handed out.
-    pub exported_up_to: u64,
-    /// Counts since the last line about them.
-    pub counts: Counts,
-    /// Counts of all lines before.
-    pub counts_before: Counts,
+    pub(super) requests: HashMap<RequestId, OpenRequest>,
+    /// Attempts in flight.
+    pub(super) attempts: HashMap<AttemptKey, OpenAttempt>,
+    /// Events that the balancer has not handled yet.
+    pub(super) events: VecDeque<Event>,
+    /// The buffer for the balancer's actions, reused for each event.
+    pub(super) actions: Vec<Action>,
+    /// The id of the last request.
+    pub(super) last_request: u64,
+    /// The id of the last request when the estimates were last exported.
+    pub(super) exported_up_to: u64,
+    /// Counts since the last log line on them.
+    pub(super) counts: Counts,
+    /// Counts of all log lines so far.
+    pub(super) logged_counts: Counts,
 }
 
 impl State {
-    /// That of a host that has taken no request yet.
+    /// The state of a host that has received no request yet.
     pub(super) fn new(balancer: Balancer, settings: Settings) -> State {
+        let names = settings.names.clone();
         State {
             balancer,
-            names: settings.names.clone(),
-            settings: Arc::new(settings),
-            generation: 1,
+            active: ActiveGeneration { number: 1, settings: Arc::new(settings), names },
             registry: Registry::default(),
             requests: HashMap::new(),
             attempts: HashMap::new(),
@@ -125,11 +135,11 @@
             last_request: 0,
             exported_up_to: 0,
             counts: Counts::default(),
-            counts_before: Counts::default(),
+            logged_counts: Counts::default(),
         }
     }
 
-    /// Numbers a request and keeps it open.
+    /// Assigns a request its id and keeps it open.
     pub(super) fn open(&mut self, request: OpenRequest) -> RequestId {
         self.last_request += 1;
         let id = RequestId(self.last_request);
@@ -138,46 +148,44 @@
         id
     }
 
-    /// The attempts of an open request that are out, in their order.
-    pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNo> {
-        let count = self.requests.get(&id).map_or(0, |request| request.attempts);
-        (0..count).map(AttemptNo).filter(|attempt| self.attempts.contains_key(&(id, *attempt))).collect()
+    /// The attempts in flight of an open request, in their order.
+    pub(super) fn attempts_of(&self, request: RequestId) -> Vec<AttemptKey> {
+        let count = self.requests.get(&request).map_or(0, |open| open.attempts);
+        let keys = (0..count).map(|number| AttemptKey { request, attempt: AttemptNo(number) });
+        keys.filter(|key| self.attempts.contains_key(key)).collect()
     }
 
-    /// The attempts that are out for a request which is over.
-    pub(super) fn attempts_left(&self, id: RequestId) -> Vec<AttemptNo> {
-        let of_it = self.attempts.keys().filter(|(request, _)| *request == id);
-        of_it.map(|(_, attempt)| *attempt).collect()
+    /// The attempts still in flight of a request that is over.
+    pub(super) fn attempts_left(&self, request: RequestId) -> Vec<AttemptKey> {
+        self.attempts.keys().filter(|key| key.request == request).copied().collect()
     }
 
-    /// Until when `attempt` may be sent: a keyed repeat that leaves after the window, its connection being slow to
-    /// come up, would run again. `None` where there is no such end.
-    pub(super) fn send_by(&self, id: RequestId, request: &OpenRequest, attempt: AttemptNo) -> Option<Time> {
-        let earlier = (0..attempt.0).filter_map(|no| self.attempts.get(&(id, AttemptNo(no))));
-        let first_sent = earlier.map(|earlier| earlier.sent_at).chain(request.first_may_have_run).min();
-        first_sent.zip(request.idempotency_window).map(|(sent, window)| sent + window)
+    /// Until when an attempt may be sent: a retry with an idempotency key that leaves after the window, as its
+    /// connection was slow to come up, would run again. `None` where there is no such limit.
+    pub(super) fn send_by(&self, request: &OpenRequest, key: AttemptKey) -> Option<Time> {
+        let earlier_keys = (0..key.attempt.0).map(|number| AttemptKey { attempt: AttemptNo(number), ..key });
+        let earlier = earlier_keys.filter_map(|key| self.attempts.get(&key));
+        let first_sent = earlier.map(|attempt| attempt.sent_at).chain(request.first_may_have_run).min()?;
+        Some(first_sent + request.idempotency_window?)
     }
 
-    /// Notes that an attempt which may have run, sent at that time, has ended.
-    pub(super) fn note_run(&mut self, id: RequestId, sent: Time) {
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.first_may_have_run = Some(request.first_may_have_run.map_or(sent, |ran| ran.min(sent)));
-        }
+    /// Records that an attempt which may have run, sent at `sent_at`, has ended.
+    pub(super) fn record_possible_run(&mut self, request: RequestId, sent_at: Time) {
+        let Some(request) = self.requests.get_mut(&request) else { return };
+        let first = request.first_may_have_run.map_or(sent_at, |earlier| earlier.min(sent_at));
+        request.first_may_have_run = Some(first);
     }
 
-    /// What the module is told of an attempt's end.
-    pub(super) fn attempt_end(
-        &self, id: RequestId, attempt: AttemptNo, outcome: Outcome, latency: Micros,
-    ) -> AttemptEnd {
-        let request = self.requests.get(&id);
-        let spent = request.is_some_and(|request| request.work.body_consumed());
+    /// What the balancer is notified of when an attempt ends.
+    pub(super) fn attempt_end(&self, key: AttemptKey, outcome: Outcome, latency: Micros) -> AttemptEnd {
+        let request = self.requests.get(&key.request);
         AttemptEnd {
-            request: id,
-            attempt,
+            request: key.request,
+            attempt: key.attempt,
             outcome,
             latency,
             request_answered: request.is_none(),
-            body_consumed: spent,
+            body_consumed: request.is_some_and(|request| request.exchange.body_consumed()),
         }
     }
 }
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -1,6 +1,7 @@
-//! What is asked at the first byte of an attempt, and what is left of a request and a backend that are over.
+//! What is checked before the first byte of an attempt, and what is left of a request and a backend that are over.
 
-use super::{Host, OptionalServices};
+use super::attempts::SendCondition;
+use super::{Answer, Host, OptionalServices};
 use crate::cordon::Cordon;
 use crate::exchange::{AttemptContext, AttemptFuture, Exchange};
 use crate::registry::Endpoint;
@@ -8,15 +9,16 @@
 use lotusdeck_policy::settings::{EndpointRecord, Names, NetworkSettings, Settings};
 use lotusdeck_policy::{
     Arrival, AttemptNo, Backend, BackendId, BackendState, Balancer, ClassId, Config, ListUpdate, Micros,
-    RequestId, SideEffects,
+    RequestId, SideEffects, Time,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
+use tokio::sync::oneshot::Receiver;
 
-/// A request that stays out until it is given up.
-struct Endless;
+/// An exchange whose attempts stay in flight until they are given up.
+struct NeverAnswered;
 
-impl Exchange for Endless {
+impl Exchange for NeverAnswered {
     fn send_attempt(self: Rc<Self>, _: AttemptContext) -> AttemptFuture {
         Box::pin(std::future::pending())
     }
@@ -28,67 +30,80 @@
     }
 }
 
-/// Each thing that may change while a connection comes up stops the send: the list, the request's end,
-/// and the end of the time in which a keyed repeat is dropped.
-#[tokio::test]
-async fn the_first_byte_waits_for_list_request_and_window() {
-    let second = Micros(1_000_000);
+const SECOND: Micros = Micros(1_000_000);
+const MINUTE: Micros = Micros(60_000_000);
+const PORT: u16 = 9;
+const OTHER_PORT: u16 = 10;
+
+fn host() -> Rc<Host> {
     let settings = Settings {
         config: Config::example(),
         names: Names::default(),
         network: NetworkSettings {
-            connect_timeout: second,
-            idle_timeout: second,
-            max_retry_after: Some(second),
-            deadlines: vec![second],
+            connect_timeout: SECOND,
+            idle_timeout: SECOND,
+            max_retry_after: Some(SECOND),
+            deadlines: vec![SECOND],
         },
     };
     let balancer = Balancer::new(Config::example(), 1).unwrap();
-    let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-    let host = Host::new(
-        balancer,
-        settings,
-        Clock::new(),
-        Vec::new(),
-        Cordon::load(&none),
-        OptionalServices::default(),
-    );
-    let at = |state, port: u16| {
-        let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let row =
-            EndpointRecord::new("b", &address.to_string(), "", "", Backend { state, ..Backend::default() });
-        vec![Endpoint { name: "b".into(), address, state, row }]
+    let cordon = Cordon::load(&std::env::temp_dir().join("lotusdeck-no-such-proxy"));
+    Host::new(balancer, settings, Clock::new(), Vec::new(), cordon, OptionalServices::default())
+}
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+/// The list's only backend changes to this state at this port.
+fn change_backend(host: &Rc<Host>, state: BackendState, port: u16) {
+    let address = address(port);
+    let backend = Backend { state, ..Backend::default() };
+    let row = EndpointRecord::new("b", &address.to_string(), "", "", backend);
+    let endpoint = Endpoint { name: "b".into(), address, state, row };
+    host.update_endpoints(ListUpdate::Changes, vec![endpoint]);
+}
+
+fn submit(host: &Rc<Host>) -> (RequestId, Receiver<Answer>) {
+    let arrival = Arrival {
+        request: RequestId(0),
+        class: ClassId(0),
+        tenant: None,
+        time_left: MINUTE,
+        work_hint: None,
+        is_client_retry: false,
+        body_incomplete: false,
+    };
+    host.submit(arrival, Rc::new(NeverAnswered), SideEffects::None, || unreachable!())
+}
+
+/// Whether an attempt of this request may be sent to the backend at the first port.
+fn may_send(host: &Host, request: RequestId, send_by: Option<Time>) -> bool {
+    host.may_send(&SendCondition { request, backend: BackendId(0), address: address(PORT), send_by })
+}
+
+/// Each change that may happen while a connection comes up stops the send: of the list, of the request, and the end
+/// of the idempotency window. Nothing is left of a request and a backend that are over.
+#[tokio::test]
+async fn attempt_is_sent_only_while_list_request_and_idempotency_window_allow_it() {
+    let check = async {
+        let host = host();
+        change_backend(&host, BackendState::Ready, PORT);
+        let (id, _answer) = submit(&host);
+        let now = host.clock.now();
+        assert!(may_send(&host, id, None) && may_send(&host, id, Some(now + MINUTE)));
+        assert!(!may_send(&host, id, Some(now)), "the window is over");
+        assert!(!may_send(&host, RequestId(99), None), "the request is over");
+        change_backend(&host, BackendState::Ready, OTHER_PORT);
+        assert!(!may_send(&host, id, None), "the backend moved, and another may listen at its old address");
+        change_backend(&host, BackendState::Ready, PORT);
+        assert!(may_send(&host, id, None));
+        change_backend(&host, BackendState::Draining, PORT);
+        assert!(!may_send(&host, id, None), "the backend drains");
+        host.client_disconnected(id);
+        assert!(host.state.borrow().attempts.is_empty(), "nothing is in flight for a client that left");
+        change_backend(&host, BackendState::Removed, PORT);
+        assert!(host.state.borrow().registry.is_empty(), "a removed backend is forgotten");
     };
-    let news = |state| at(state, 9);
-    let scope = tokio::task::LocalSet::new();
-    scope
-        .run_until(async {
-            host.update_endpoints(ListUpdate::Changes, news(BackendState::Ready));
-            let arrival = Arrival {
-                request: RequestId(0),
-                class: ClassId(0),
-                tenant: None,
-                time_left: Micros(60_000_000),
-                work_hint: None,
-                is_client_retry: false,
-                body_incomplete: false,
-            };
-            let (id, _wait) = host.submit(arrival, Rc::new(Endless), SideEffects::None, || unreachable!());
-            let (now, b) = (host.clock.now(), (BackendId(0), SocketAddr::from(([127, 0, 0, 1], 9))));
-            assert!(host.may_send(id, b, None) && host.may_send(id, b, Some(now + Micros(60_000_000))));
-            assert!(!host.may_send(id, b, Some(now)), "the window is over");
-            assert!(!host.may_send(RequestId(99), b, None), "the request is over");
-            host.update_endpoints(ListUpdate::Changes, at(BackendState::Ready, 10));
-            assert!(!host.may_send(id, b, None), "the backend is elsewhere, and another may be there");
-            host.update_endpoints(ListUpdate::Changes, news(BackendState::Ready));
-            assert!(host.may_send(id, b, None));
-            host.update_endpoints(ListUpdate::Changes, news(BackendState::Draining));
-            assert!(!host.may_send(id, b, None), "the backend drains");
-            host.client_disconnected(id);
-            assert!(host.state.borrow().attempts.is_empty(), "nothing is out for a client that left");
-            host.update_endpoints(ListUpdate::Changes, news(BackendState::Removed));
-            let s = host.state.borrow();
-            assert!(s.registry.is_empty(), "one that is gone is forgotten");
-        })
-        .await;
+    tokio::task::LocalSet::new().run_until(check).await;
 }
