--- a/crates/core/examples/reload.rs
+++ b/crates/core/examples/reload.rs
@@ -1,11 +1,5 @@
-//! How long the event loop is held when settings of many classes and tenants follow upon others.
+//! Measures how long the event loop is blocked when settings of many classes and tenants are replaced.
 //! `cargo run --release -p lotusdeck-core --example reload`.
-#![allow(
-    clippy::unwrap_used,
-    clippy::expect_used,
-    clippy::too_many_lines,
-    reason = "a test stops at what it did not expect"
-)]
 
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_core::{Clock, Endpoint, Host, OptionalServices};
@@ -14,15 +8,26 @@
 use serde_json::{json, Value};
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
 use std::time::Instant;
 
-/// Classes and tenants, from what is served today to what is expected in two years.
-const SIZES: [(usize, usize); 3] = [(1_000, 1_000), (4_000, 4_000), (16_000, 34_000)];
-/// Backends that the module knows.
+/// How many names settings hold.
+struct Size {
+    classes: usize,
+    tenants: usize,
+}
+
+/// From a common size to the largest that is planned for.
+const SIZES: [Size; 3] = [
+    Size { classes: 1_000, tenants: 1_000 },
+    Size { classes: 4_000, tenants: 4_000 },
+    Size { classes: 16_000, tenants: 34_000 },
+];
 const BACKENDS: u16 = 1_000;
-/// Changes of settings; each replaces one name in so many.
+/// Changes of settings that are measured.
 const CHANGES: usize = 21;
-const REPLACED: usize = 20;
+/// Each change replaces one name in so many.
+const REPLACED_EVERY: usize = 20;
 
 /// Settings of so many classes and tenants, whose names are numbered from `first` on.
 fn settings(classes: usize, tenants: usize, first: usize) -> Value {
@@ -45,34 +50,47 @@
 }
 
 fn endpoint(n: u16) -> Endpoint {
-    let (name, address) = (format!("b{n}"), SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + n)));
+    let name = format!("b{n}");
+    let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + n));
     let entry = Backend { state: BackendState::Ready, ..Backend::default() };
     let row = EndpointRecord::new(&name, &address.to_string(), "east", "big", entry);
     Endpoint { name, address, state: BackendState::Ready, row }
 }
 
+/// A host that knows all backends, under settings of so many classes and tenants.
+fn host(classes: usize, tenants: usize) -> Result<Rc<Host>, Box<dyn Error>> {
+    let settings = Settings::read(&settings(classes, tenants, 0))?;
+    let balancer = Balancer::new(settings.config.clone(), 1)?;
+    let cordon = Cordon::load(&std::env::temp_dir().join("reload-example"));
+    let host = Host::new(balancer, settings, Clock::new(), Vec::new(), cordon, OptionalServices::default());
+    host.update_endpoints(ListUpdate::Full, (0..BACKENDS).map(endpoint).collect::<Vec<_>>());
+    Ok(host)
+}
+
+/// How long one change of settings blocks the event loop at most, µs. The merge itself runs on another thread.
+fn blocked_us(host: &Rc<Host>, new: Settings) -> Result<f64, Box<dyn Error>> {
+    let copy_started = Instant::now();
+    let active = host.active_settings();
+    let copy_time = copy_started.elapsed();
+    let prepared = active.prepare(new);
+    let apply_started = Instant::now();
+    host.apply_settings(prepared)?;
+    Ok(copy_time.max(apply_started.elapsed()).as_secs_f64() * 1e6)
+}
+
 fn main() -> Result<(), Box<dyn Error>> {
     println!("{:>8} {:>8} {:>14} {:>14}", "classes", "tenants", "median, us", "worst, us");
-    for (classes, tenants) in SIZES {
-        let first = Settings::read(&settings(classes, tenants, 0))?;
-        let balancer = Balancer::new(first.config.clone(), 1)?;
-        let cordon = Cordon::load(&std::env::temp_dir().join("reload-example"));
-        let host = Host::new(balancer, first, Clock::new(), Vec::new(), cordon, OptionalServices::default());
-        host.update_endpoints(ListUpdate::Full, (0..BACKENDS).map(endpoint).collect::<Vec<_>>());
-        let mut holds = Vec::new();
+    for Size { classes, tenants } in SIZES {
+        let host = host(classes, tenants)?;
+        let mut blocked = Vec::new();
         for change in 1..=CHANGES {
-            let first = change * classes.max(tenants).div_ceil(REPLACED);
-            let new = Settings::read(&settings(classes, tenants, first))?;
-            let began = Instant::now();
-            let in_force = host.active_settings();
-            let before = began.elapsed();
-            let successor = in_force.prepare(new); // on another thread
-            let began = Instant::now();
-            host.apply_settings(successor)?;
-            holds.push(before.max(began.elapsed()).as_secs_f64() * 1e6);
+            let first = change * classes.max(tenants).div_ceil(REPLACED_EVERY);
+            blocked.push(blocked_us(&host, Settings::read(&settings(classes, tenants, first))?)?);
         }
-        holds.sort_unstable_by(f64::total_cmp);
-        println!("{classes:>8} {tenants:>8} {:>14.0} {:>14.0}", holds[CHANGES / 2], holds[CHANGES - 1]);
+        blocked.sort_unstable_by(f64::total_cmp);
+        let median = blocked[CHANGES / 2];
+        let worst = blocked[CHANGES - 1];
+        println!("{classes:>8} {tenants:>8} {median:>14.0} {worst:>14.0}");
     }
     Ok(())
 }
--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -16,7 +16,7 @@
 
 /// How often the file is checked for changes by the other process: well inside the time in which sends to a cordoned
 /// backend have to end.
-pub const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+pub(crate) const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The other process holds the lock only while it writes some hundred bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -1,15 +1,15 @@
-//! Counts of what happened, since the last line about it and in all.
+//! Counts of requests and attempts.
 
 use lotusdeck_policy::Outcome;
 use serde::Serialize;
 use std::ops::AddAssign;
 
 macro_rules! counts {
-    ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// What happened.
+    ($($(#[$attribute:meta])* $name:ident,)*) => {
+        /// Counts of what happened to requests and attempts.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
         pub struct Counts {
-            $($(#[$doc])* pub $name: u64,)*
+            $($(#[$attribute])* pub $name: u64,)*
         }
 
         impl AddAssign for Counts {
@@ -21,42 +21,42 @@
 }
 
 counts! {
-    /// Taken from clients.
+    /// Requests received from clients.
     requests,
-    /// Final answers: served.
+    /// Requests answered: served.
     served,
-    /// Refused, harmless to repeat.
+    /// Requests answered: rejected without effect, the client may retry.
     #[serde(rename = "refused")]
     rejected,
-    /// Failed, nothing promised.
+    /// Requests answered: failed, with or without effect.
     failed,
-    /// The module stayed silent to the deadline.
+    /// Requests that the balancer did not decide by the deadline.
     timed_out,
-    /// The client left first.
+    /// Requests whose client disconnected before the answer.
     #[serde(rename = "gone")]
     client_disconnects,
-    /// Sent to backends.
+    /// Attempts sent to backends.
     attempts,
-    /// Turned away unseen.
+    /// Attempts that the backend rejected unprocessed.
     #[serde(rename = "full")]
     attempts_rejected,
-    /// Answered with an error.
+    /// Attempts answered with an error.
     #[serde(rename = "errors")]
     attempts_with_error_answer,
-    /// Broken off.
+    /// Attempts whose connection broke.
     #[serde(rename = "resets")]
     attempts_reset,
-    /// No connection came up.
+    /// Attempts for which no connection came up.
     #[serde(rename = "unconnected")]
     attempts_not_connected,
-    /// Given up before the first byte.
+    /// Attempts given up before the first byte.
     #[serde(rename = "unsent")]
     attempts_not_sent,
 }
 
 impl Counts {
-    /// An attempt ended.
-    pub fn count_attempt_end(&mut self, outcome: Outcome) {
+    /// Counts the end of an attempt by its outcome.
+    pub(crate) fn count_attempt_end(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Rejected => self.attempts_rejected += 1,
             Outcome::Error => self.attempts_with_error_answer += 1,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,18 +1,6 @@
-//! The core of the proxy: it owns the decision module, and with it requests, attempts, deadlines and the promise of
-//! exactly one final answer. It knows no protocol: a front hands it [`Exchange`], which sends itself, and keeps the
-//! connections that attempts go out on behind [`ConnectionPools`].
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::expect_used,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc,
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::unwrap_used,
-    reason = "not revised yet"
-)]
+//! The core of the proxy: it owns the balancer, and with it requests, attempts, deadlines and the promise of exactly
+//! one final answer to each request. It knows no protocol: a front hands it an [`Exchange`], which sends itself, and
+//! keeps the connections that attempts are sent on behind [`ConnectionPools`].
 
 mod clock;
 pub mod cordon;
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -1,34 +1,34 @@
-//! What the proxy knows and does at this moment, for operators.
+//! The present state of the proxy, for operators.
 
 use crate::counts::Counts;
 use crate::fleet_limits::FleetLimitStatus;
 use lotusdeck_ledger::LedgerStatus;
 use serde::Serialize;
 
-/// One document on the whole process.
+/// The state of the whole process.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// How often settings were taken since the start.
+    /// How many settings have been active since the start.
     pub settings_generation: u64,
     /// Requests that wait for their answer.
     pub open_requests: usize,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub open_attempts: usize,
-    /// How late timers fire, us.
+    /// How late timers fire, µs.
     pub timer_lag_us: u64,
-    /// Since the start.
+    /// Counts since the start.
     pub counts: Counts,
-    /// The journal of requests that must never run twice, where there is one.
+    /// The journal of non-idempotent requests, where there is one.
     pub ledger: Option<LedgerStatus>,
     /// The fleet's limits, where there are any.
     pub fleet: Option<FleetLimitStatus>,
-    /// By kind of machine.
+    /// One for each kind of machine.
     pub kinds: Vec<KindStatus>,
-    /// In the order in which they were met.
+    /// In the order in which they were discovered.
     pub backends: Vec<BackendStatus>,
 }
 
-/// What is learned of a kind of machine.
+/// The estimates of a kind of machine.
 #[derive(Clone, Debug, Serialize)]
 pub struct KindStatus {
     /// Its name.
@@ -36,10 +36,10 @@
     /// Sum of the readiness of its backends.
     #[serde(rename = "ready")]
     pub readiness: f64,
-    /// Requests a second that one backend could serve, as learned; 0 before anything was.
+    /// Requests per second that one backend can serve, as estimated; 0 without an estimate.
     #[serde(rename = "speed_rps")]
     pub service_rate_rps: f64,
-    /// Part of the traffic that it is due.
+    /// Fraction of the traffic that it should get.
     #[serde(rename = "share")]
     pub traffic_share: f64,
 }
@@ -47,31 +47,31 @@
 /// One backend.
 #[derive(Clone, Debug, Serialize)]
 pub struct BackendStatus {
-    /// Its id in the list.
+    /// Its name in the endpoint list.
     pub name: String,
     /// Where it listens.
     pub address: String,
-    /// What the list says: `ready`, `draining` or `gone`.
+    /// Its state in the endpoint list: `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Operators have taken it out.
+    /// Whether operators have cordoned it.
     pub cordoned: bool,
-    /// Its kind.
+    /// The name of its kind of machine.
     pub kind: String,
-    /// From 0 (nothing is sent) to 1 (healthy and warm).
+    /// From 0 (nothing is sent) to 1 (healthy and warmed up).
     #[serde(rename = "ready")]
     pub readiness: f64,
-    /// Its part of this proxy's traffic.
+    /// Its fraction of this proxy's traffic.
     #[serde(rename = "share")]
     pub traffic_share: f64,
-    /// Attempts that it holds, of this proxy.
+    /// This proxy's attempts in flight to it.
     #[serde(rename = "held")]
     pub in_flight: u32,
-    /// ... and may hold.
+    /// How many of these may be in flight.
     #[serde(rename = "room")]
     pub in_flight_limit: f64,
-    /// Running share of error answers.
+    /// Moving average of the fraction of error answers.
     #[serde(rename = "errors")]
     pub error_rate: f64,
-    /// It is out of use for its failures.
+    /// Whether it is ejected for its failures.
     pub ejected: bool,
 }
