--- a/crates/state/src/confidence.rs
+++ b/crates/state/src/confidence.rs
@@ -7,6 +7,9 @@
 //! gone backend costs one connection refused and its ejection, while a blank start serves nobody until discovery
 //! answers. Whatever is taken is only what was true before: the first whole list from discovery replaces it.
 
+#[cfg(test)]
+mod tests;
+
 /// A saved list's age, as the clocks tell it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Age {
@@ -73,33 +76,3 @@
         EndpointSource::Known
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn trust_halves_with_each_half_life_and_ends_after_two() {
-        let at = |ms: u64| Confidence::at_age(Age::of(100_000_000 - ms, 100_000_000), 60_000);
-        assert_eq!(at(0), Confidence(1.0));
-        assert!((at(60_000).0 - 0.5).abs() < 1e-12);
-        assert!(at(120_000).is_sufficient() && !at(120_001).is_sufficient());
-        assert!(!at(3 * 3_600_000).is_sufficient(), "hours old");
-    }
-
-    #[test]
-    fn a_clock_stepped_back_trusts_nothing_and_small_skews_are_forgiven() {
-        assert_eq!(Age::of(5_000, 4_500), Age::Known(0));
-        assert_eq!(Age::of(10_000, 4_500), Age::Future(5_500));
-        assert_eq!(Confidence::at_age(Age::Future(5_500), 60_000), Confidence(0.0));
-    }
-
-    #[test]
-    fn the_newer_list_is_taken_and_an_untrusted_one_never() {
-        let full = Confidence(1.0);
-        assert_eq!(choose(9, full, 4, 10), EndpointSource::SavedEndpoints);
-        assert_eq!(choose(4, full, 9, 10), EndpointSource::Known);
-        assert_eq!(choose(4, full, 9, 0), EndpointSource::SavedEndpoints, "the platform handed nothing");
-        assert_eq!(choose(9, Confidence(0.2), 4, 0), EndpointSource::Untrusted(Confidence(0.2)));
-    }
-}
