--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -2,8 +2,10 @@
 
 use crate::registry::Registry;
 use lotusdeck_policy::settings::Names;
-use lotusdeck_policy::{Estimate, KindEstimates, Micros, Snapshot, WarmupSpend};
-use lotusdeck_state::estimates::{self, Estimates, WeightedMean};
+use lotusdeck_policy::{self as policy, Estimate, Micros, Snapshot};
+use lotusdeck_state::estimates::{
+    ClassLatency, EjectedBackend, Estimates, KindEstimates, WarmupSpend, WeightedMean,
+};
 
 fn to_mean(estimate: Estimate) -> WeightedMean {
     WeightedMean { value: estimate.value, samples: estimate.samples }
@@ -16,11 +18,22 @@
 /// The snapshot by names. Its origin and time of writing are left for the writer of the file to fill in.
 pub(crate) fn by_name(snapshot: &Snapshot, names: &Names, registry: &Registry) -> Estimates {
     let backend_name = |id| registry.get(id).map(|backend| backend.name.clone());
-    let classes = snapshot.class_latency.iter().filter(|c| c.1.samples > 0.0);
-    let kinds = snapshot.kinds.iter().filter(|k| k.1.latency.samples > 0.0);
-    let ejected = snapshot.ejected.iter().filter_map(|(id, strikes)| Some((backend_name(*id)?, *strikes)));
+    let classes = snapshot.class_latency.iter().filter(|(_, latency)| latency.samples > 0.0);
+    let class_latency = classes.map(|(id, latency)| ClassLatency {
+        class: names.class_name(*id).into(),
+        latency: to_mean(*latency),
+    });
+    let kinds = snapshot.kinds.iter().filter(|(_, kind)| kind.latency.samples > 0.0);
+    let kinds = kinds.map(|(id, kind)| KindEstimates {
+        kind: names.kind(*id).into(),
+        latency: to_mean(kind.latency),
+        flow: to_mean(kind.flow),
+    });
+    let ejected = snapshot.ejected.iter().filter_map(|(id, consecutive_ejections)| {
+        Some(EjectedBackend { backend: backend_name(*id)?, consecutive_ejections: *consecutive_ejections })
+    });
     let warmup_spend = snapshot.warmup_spend.iter().filter_map(|spend| {
-        Some(estimates::WarmupSpend {
+        Some(WarmupSpend {
             backend: backend_name(spend.backend)?,
             ago_ms: spend.ago.0 / 1_000,
             work: spend.work,
@@ -28,8 +41,8 @@
     });
     Estimates {
         overall_latency: to_mean(snapshot.overall_latency),
-        class_latency: classes.map(|(id, e)| (names.class_name(*id).into(), to_mean(*e))).collect(),
-        kinds: kinds.map(|(id, k)| (names.kind(*id).into(), to_mean(k.latency), to_mean(k.flow))).collect(),
+        class_latency: class_latency.collect(),
+        kinds: kinds.collect(),
         ejected: ejected.collect(),
         warmup_spend: warmup_spend.collect(),
         ..Estimates::default()
@@ -39,19 +52,21 @@
 /// The estimates by this process's ids. Classes and backends that are unknown here are left out; kinds are not, as
 /// later lists may bring them.
 pub(crate) fn by_id(estimates: &Estimates, names: &mut Names, registry: &Registry) -> Snapshot {
-    let class_latency = estimates
-        .class_latency
-        .iter()
-        .filter_map(|(name, mean)| Some((names.class(name)?, to_estimate(*mean))))
-        .collect();
-    let kinds = estimates.kinds.iter().map(|(name, latency, flow)| {
-        (names.kind_id(name), KindEstimates { latency: to_estimate(*latency), flow: to_estimate(*flow) })
+    let classes = estimates.class_latency.iter();
+    let class_latency =
+        classes.filter_map(|class| Some((names.class(&class.class)?, to_estimate(class.latency)))).collect();
+    let kinds = estimates.kinds.iter().map(|kind| {
+        let by_id =
+            policy::KindEstimates { latency: to_estimate(kind.latency), flow: to_estimate(kind.flow) };
+        (names.kind_id(&kind.kind), by_id)
     });
     let kinds = kinds.collect();
-    let ejected =
-        estimates.ejected.iter().filter_map(|(name, strikes)| Some((registry.id_of(name)?, *strikes)));
+    let ejected = estimates
+        .ejected
+        .iter()
+        .filter_map(|ejected| Some((registry.id_of(&ejected.backend)?, ejected.consecutive_ejections)));
     let warmup_spend = estimates.warmup_spend.iter().filter_map(|spend| {
-        Some(WarmupSpend {
+        Some(policy::WarmupSpend {
             backend: registry.id_of(&spend.backend)?,
             ago: Micros(spend.ago_ms.saturating_mul(1_000)),
             work: spend.work,
--- a/crates/state/src/estimates.rs
+++ b/crates/state/src/estimates.rs
@@ -1,15 +1,15 @@
-//! What a proxy learned of kinds, classes and backends, as kept, and what of it is believed at an age.
+//! A proxy's estimates of classes, kinds and backends, as they are persisted, and what remains of them at an age.
 //!
-//! - Speeds are means. A mean of `n` samples and age `a` is taken as worth `n * 2^(-a / h)` of them: the power prior
-//!   (Ibrahim and Chen, Statistical Science 15, 2000), the old likelihood raised to the trust of [`Confidence`]. New
-//!   samples soon outweigh an old mean, and a mean of no age is taken as it stood.
-//! - Ejections are taken as trials while the trust is enough: that a backend was ill is the better guess than that it
-//!   was not, and three good answers prove otherwise.
-//! - Cold budget spent counts until the fall window has passed. What was sent after the last write is not in the file:
-//!   it is taken to have gone on at the rate of the window before, for the time between two writes at most. So a
-//!   process killed and started again sends a cold backend at most what it would have sent had it lived, and beyond
-//!   that the difference between what it sent in its last unkept moments and that rate: with writes every `e` and a
-//!   window `w`, its whole budget once more at the very worst, and `e / w` of it where it sent evenly.
+//! - Latencies and rates are means. A mean of `n` samples and age `a` counts as `n * 2^(-a / h)` samples: the power prior
+//!   (Ibrahim and Chen, Statistical Science 15, 2000), the old likelihood raised to the [`Confidence`] in it. New
+//!   samples soon outweigh an old mean, and a mean of age 0 is restored as it was.
+//! - Ejected backends are restored, on probation, while the confidence is sufficient: it is more likely that they are
+//!   still unhealthy than that they have recovered, and a few good answers prove otherwise.
+//! - Work sent to backends that warm up counts until the warm-up window has passed. What was sent after the last write
+//!   is not in the file: it is assumed to have continued at the window's rate, for at most the time between two writes.
+//!   So a process that is killed and restarted sends such a backend at most what it would have sent without the
+//!   restart, plus the difference between that rate and what it really sent after the last write. With writes every `e`
+//!   and a window `w` that is the whole budget once more in the worst case, and `e / w` of it if it was sent evenly.
 
 #[cfg(test)]
 mod tests;
@@ -18,44 +18,73 @@
 use crate::frame::Persisted;
 use serde::{Deserialize, Serialize};
 
-/// A mean and the samples that it is worth.
+/// A mean and the number of samples that it counts as.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightedMean {
     /// The mean.
     pub value: f64,
-    /// Samples that it is worth.
+    /// The samples that it counts as.
     pub samples: f64,
 }
 
-/// Work sent to a cold backend.
+/// The latency of a class of requests.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ClassLatency {
+    /// The name of the class.
+    pub class: String,
+    /// Seconds from dispatch to answer.
+    pub latency: WeightedMean,
+}
+
+/// The estimates of a kind of machine.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct KindEstimates {
+    /// The name of the kind.
+    pub kind: String,
+    /// Seconds from dispatch to answer, with the effect of the class mix removed.
+    pub latency: WeightedMean,
+    /// Requests per second that one backend received.
+    pub flow: WeightedMean,
+}
+
+/// A backend that is ejected or on probation.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EjectedBackend {
+    /// Its name.
+    pub backend: String,
+    /// How often in a row it was ejected.
+    pub consecutive_ejections: u32,
+}
+
+/// Work sent to a backend that warms up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmupSpend {
     /// Its name.
     pub backend: String,
-    /// How long before the writing, ms.
+    /// How long before the time of writing it was sent, ms.
     pub ago_ms: u64,
-    /// In requests of mean work.
+    /// The amount, in requests of mean work.
     pub work: f64,
 }
 
-/// What a proxy learned, by names.
+/// A proxy's estimates, by names. The order of the fields, here and in the parts, is the order of the bytes in the file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimates {
-    /// The site as the operator file names it.
+    /// The site, as the operator file names it.
     pub site: String,
-    /// The proxy that wrote it.
+    /// The proxy that wrote the file.
     pub proxy: String,
-    /// When it was written: milliseconds since 1970 by the writer's wall clock.
+    /// When the file was written: milliseconds since 1970 by the writer's wall clock.
     pub written_ms: u64,
-    /// Seconds from dispatch to answer, all classes.
+    /// Seconds from dispatch to answer, over all classes.
     pub overall_latency: WeightedMean,
-    /// The same by class.
-    pub class_latency: Vec<(String, WeightedMean)>,
-    /// By kind: the same with the class mix taken out, and requests a second that one backend got.
-    pub kinds: Vec<(String, WeightedMean, WeightedMean)>,
-    /// Backends out of use or on trial, and how often in a row they were put out of use.
-    pub ejected: Vec<(String, u32)>,
-    /// Cold budget spent inside the fall window.
+    /// The same for each class.
+    pub class_latency: Vec<ClassLatency>,
+    /// The estimates of each kind of machine.
+    pub kinds: Vec<KindEstimates>,
+    /// The backends that are ejected or on probation.
+    pub ejected: Vec<EjectedBackend>,
+    /// Warm-up work sent within the warm-up window; one backend's entries are adjacent.
     pub warmup_spend: Vec<WarmupSpend>,
 }
 
@@ -66,57 +95,71 @@
     }
 }
 
-/// What is to be known for weighing a memory.
+/// How estimates are discounted by their age.
 #[derive(Clone, Copy, Debug)]
 pub struct AgeWeighting {
     /// The reader's wall clock, ms since 1970.
     pub now_ms: u64,
-    /// The age at which it is believed half as much, ms.
+    /// The age at which the confidence in them is one half, ms.
     pub half_life_ms: u64,
-    /// The window over which work sent to a cold backend counts, ms.
+    /// The window in which work sent to a backend that warms up counts, ms.
     pub window_ms: u64,
-    /// It was written so often at most, ms.
+    /// The greatest time between two writes, ms.
     pub write_interval_ms: u64,
 }
 
 impl Estimates {
-    /// What is left of it: means worth less, ejections while it is trusted, work spent as long ago as it is now. `since`
-    /// tells when a backend started by the list begun with (ms since 1970; `None` where not listed): one that started
-    /// after the writing has nothing in common with what is told of its name.
-    pub fn discounted(mut self, w: AgeWeighting, since: impl Fn(&str) -> Option<u64>) -> Estimates {
-        let age = Age::of(self.written_ms, w.now_ms);
-        let trust = Confidence::at_age(age, w.half_life_ms);
-        let (Age::Known(age_ms), true) = (age, trust.is_sufficient()) else {
-            let Estimates { site, proxy, written_ms, .. } = self;
-            return Estimates { site, proxy, written_ms, ..Estimates::default() };
+    /// What remains of the estimates: means with fewer samples, ejections while the confidence is sufficient, warm-up
+    /// work as long ago as it is now.
+    ///
+    /// `started_at_ms` returns when a backend of the restored endpoint list started (ms since 1970; `None` if it is not
+    /// listed): what was persisted under the name of one that started after the writing concerns another backend.
+    pub fn discounted(
+        mut self, weighting: AgeWeighting, started_at_ms: impl Fn(&str) -> Option<u64>,
+    ) -> Estimates {
+        let age = Age::of(self.written_ms, weighting.now_ms);
+        let confidence = Confidence::at_age(age, weighting.half_life_ms);
+        let age_ms = match age {
+            Age::Known(age_ms) if confidence.is_sufficient() => age_ms,
+            _ => return self.without_estimates(),
         };
-        let all = self.class_latency.iter_mut().map(|c| &mut c.1);
-        let all = all.chain(self.kinds.iter_mut().flat_map(|k| [&mut k.1, &mut k.2]));
-        all.chain([&mut self.overall_latency]).for_each(|m| m.samples *= trust.0);
+        self.means_mut().for_each(|mean| mean.samples *= confidence.0);
         let written_ms = self.written_ms;
-        let same = |name: &str| since(name).is_some_and(|at| at <= written_ms);
-        self.ejected.retain(|(name, _)| same(name));
-        self.warmup_spend.retain(|s| same(&s.backend));
-        self.go_on_spending(age_ms, w);
-        self.warmup_spend.retain(|s| s.ago_ms < w.window_ms);
+        let is_same_backend = |name: &str| started_at_ms(name).is_some_and(|at| at <= written_ms);
+        self.ejected.retain(|ejected| is_same_backend(&ejected.backend));
+        self.warmup_spend.retain(|spend| is_same_backend(&spend.backend));
+        self.continue_spending(age_ms, weighting);
+        self.warmup_spend.retain(|spend| spend.ago_ms < weighting.window_ms);
         self
     }
 
-    /// Moves what was spent by the age, and adds what was spent since at the rate of the window.
-    fn go_on_spending(&mut self, age_ms: u64, w: AgeWeighting) {
-        let unkept_ms = age_ms.min(w.write_interval_ms);
-        let part = unkept_ms as f64 / w.window_ms.max(1) as f64;
-        let mut further: Vec<WarmupSpend> = Vec::new();
-        for s in &mut self.warmup_spend {
-            s.ago_ms = s.ago_ms.saturating_add(age_ms);
-            match further.last_mut().filter(|f| f.backend == s.backend) {
-                Some(f) => f.work += s.work * part,
+    /// The origin and time of writing alone.
+    fn without_estimates(self) -> Estimates {
+        Estimates { site: self.site, proxy: self.proxy, written_ms: self.written_ms, ..Estimates::default() }
+    }
+
+    fn means_mut(&mut self) -> impl Iterator<Item = &mut WeightedMean> {
+        let classes = self.class_latency.iter_mut().map(|class| &mut class.latency);
+        let kinds = self.kinds.iter_mut().flat_map(|kind| [&mut kind.latency, &mut kind.flow]);
+        classes.chain(kinds).chain([&mut self.overall_latency])
+    }
+
+    /// Ages the warm-up work, and adds what is assumed to have been sent after the writing.
+    fn continue_spending(&mut self, age_ms: u64, weighting: AgeWeighting) {
+        let unrecorded_ms = age_ms.min(weighting.write_interval_ms);
+        let unrecorded_fraction = unrecorded_ms as f64 / weighting.window_ms.max(1) as f64;
+        let mut assumed: Vec<WarmupSpend> = Vec::new();
+        for spend in &mut self.warmup_spend {
+            spend.ago_ms = spend.ago_ms.saturating_add(age_ms);
+            let work = spend.work * unrecorded_fraction;
+            match assumed.last_mut().filter(|last| last.backend == spend.backend) {
+                Some(last) => last.work += work,
                 None => {
-                    let ago_ms = age_ms - unkept_ms;
-                    further.push(WarmupSpend { backend: s.backend.clone(), ago_ms, work: s.work * part });
+                    let backend = spend.backend.clone();
+                    assumed.push(WarmupSpend { backend, ago_ms: age_ms - unrecorded_ms, work });
                 }
             }
         }
-        self.warmup_spend.extend(further.into_iter().filter(|f| f.work > 0.0));
+        self.warmup_spend.extend(assumed.into_iter().filter(|spend| spend.work > 0.0));
     }
 }
--- a/crates/state/src/estimates/tests.rs
+++ b/crates/state/src/estimates/tests.rs
@@ -1,66 +1,82 @@
-use super::*;
+use super::{
+    AgeWeighting, ClassLatency, EjectedBackend, Estimates, KindEstimates, WarmupSpend, WeightedMean,
+};
 
-const WEIGHING: AgeWeighting =
+const WEIGHTING: AgeWeighting =
     AgeWeighting { now_ms: 1_000_000, half_life_ms: 60_000, window_ms: 2_000, write_interval_ms: 1_000 };
 
-fn learned(age_ms: u64) -> Estimates {
+fn ejected(backend: &str, consecutive_ejections: u32) -> EjectedBackend {
+    EjectedBackend { backend: backend.into(), consecutive_ejections }
+}
+
+fn spend(backend: &str, ago_ms: u64, work: f64) -> WarmupSpend {
+    WarmupSpend { backend: backend.into(), ago_ms, work }
+}
+
+/// Estimates written `age_ms` ago.
+fn estimates(age_ms: u64) -> Estimates {
     let mean = WeightedMean { value: 0.02, samples: 100.0 };
-    let spent = |backend: &str, ago_ms, work| WarmupSpend { backend: backend.into(), ago_ms, work };
+    let flow = WeightedMean { value: 30.0, samples: 40.0 };
     Estimates {
         site: "s".into(),
         proxy: "p".into(),
-        written_ms: WEIGHING.now_ms - age_ms,
+        written_ms: WEIGHTING.now_ms - age_ms,
         overall_latency: mean,
-        class_latency: vec![("page".into(), mean)],
-        kinds: vec![("big".into(), mean, WeightedMean { value: 30.0, samples: 40.0 })],
-        ejected: vec![("ill".into(), 2), ("anew".into(), 1), ("left".into(), 1)],
-        warmup_spend: vec![spent("ill", 100, 4.0), spent("ill", 1_500, 2.0), spent("anew", 100, 9.0)],
+        class_latency: vec![ClassLatency { class: "page".into(), latency: mean }],
+        kinds: vec![KindEstimates { kind: "big".into(), latency: mean, flow }],
+        ejected: vec![ejected("unhealthy", 2), ejected("restarted", 1), ejected("removed", 1)],
+        warmup_spend: vec![
+            spend("unhealthy", 100, 4.0),
+            spend("unhealthy", 1_500, 2.0),
+            spend("restarted", 100, 9.0),
+        ],
     }
 }
 
-/// `anew` started after the writing, `left` is not on the list.
-fn since(name: &str) -> Option<u64> {
-    match name {
-        "ill" => Some(0),
-        "anew" => Some(WEIGHING.now_ms),
+/// `restarted` started after the writing, `removed` is not on the list.
+fn started_at_ms(backend: &str) -> Option<u64> {
+    match backend {
+        "unhealthy" => Some(0),
+        "restarted" => Some(WEIGHTING.now_ms),
         _ => None,
     }
 }
 
 #[test]
-fn means_are_worth_less_with_age_and_nothing_past_two_half_lives() {
-    let at = |age_ms| learned(age_ms).discounted(WEIGHING, since);
+fn samples_halve_with_each_half_life_and_estimates_end_after_two() {
+    let at = |age_ms| estimates(age_ms).discounted(WEIGHTING, started_at_ms);
     assert_eq!(at(0).overall_latency.samples, 100.0);
     let half = at(60_000);
-    assert!((half.kinds[0].1.samples - 50.0).abs() < 1e-9 && (half.kinds[0].2.samples - 20.0).abs() < 1e-9);
-    assert_eq!(half.kinds[0].1.value, 0.02, "the mean itself stays");
-    assert_eq!(half.ejected, [("ill".to_string(), 2)]);
+    let kind = &half.kinds[0];
+    assert!((kind.latency.samples - 50.0).abs() < 1e-9 && (kind.flow.samples - 20.0).abs() < 1e-9);
+    assert_eq!(kind.latency.value, 0.02, "the mean itself stays");
+    assert_eq!(half.ejected, [ejected("unhealthy", 2)]);
     let nothing = Estimates { ejected: vec![], ..Estimates::default() };
     let old = at(120_001);
     assert_eq!(
         (&old.class_latency, &old.kinds, &old.ejected, &old.warmup_spend),
         (&nothing.class_latency, &nothing.kinds, &nothing.ejected, &nothing.warmup_spend)
     );
-    assert_eq!(at(0).written_ms, WEIGHING.now_ms);
+    assert_eq!(at(0).written_ms, WEIGHTING.now_ms);
 }
 
-/// A clock stepped back, so that the file comes from the future, leaves nothing of it.
+/// After the clock was stepped back the file appears to come from the future.
 #[test]
-fn a_memory_from_the_future_is_not_believed() {
-    let early = AgeWeighting { now_ms: WEIGHING.now_ms - 5_000, ..WEIGHING };
-    let left = learned(0).discounted(early, since);
+fn estimates_from_the_future_are_discarded() {
+    let early = AgeWeighting { now_ms: WEIGHTING.now_ms - 5_000, ..WEIGHTING };
+    let left = estimates(0).discounted(early, started_at_ms);
     assert!(left.kinds.is_empty() && left.warmup_spend.is_empty() && left.ejected.is_empty());
     assert_eq!(left.overall_latency, WeightedMean::default());
 }
 
-/// 6 of work in a window of 2 s, written 0.6 s ago: what is still inside the window, and 0.6 / 2 of it more.
+/// Work of 6 in a window of 2 s, written 0.6 s ago: what is still inside the window, and 0.6 / 2 of it more.
 #[test]
-fn spending_is_taken_to_have_gone_on_between_writing_and_death() {
-    let left = learned(600).discounted(WEIGHING, since);
-    let told: Vec<(&str, u64)> = left.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
-    assert_eq!(told, [("ill", 700), ("ill", 0)], "the older slot has left the window");
+fn warmup_work_is_assumed_to_continue_for_at_most_one_write_interval() {
+    let left = estimates(600).discounted(WEIGHTING, started_at_ms);
+    let sent: Vec<(&str, u64)> = left.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
+    assert_eq!(sent, [("unhealthy", 700), ("unhealthy", 0)], "the older entry has left the window");
     assert!((left.warmup_spend[1].work - 1.8).abs() < 1e-9);
-    let late = learned(1_800).discounted(WEIGHING, since);
+    let late = estimates(1_800).discounted(WEIGHTING, started_at_ms);
     assert_eq!(
         late.warmup_spend.iter().map(|s| s.ago_ms).collect::<Vec<_>>(),
         [1_900, 800],
@@ -68,7 +84,7 @@
     );
     assert!((late.warmup_spend[1].work - 3.0).abs() < 1e-9);
     assert!(
-        learned(3_100).discounted(WEIGHING, since).warmup_spend.is_empty(),
-        "no window reaches so far back"
+        estimates(3_100).discounted(WEIGHTING, started_at_ms).warmup_spend.is_empty(),
+        "all of it has left the window"
     );
 }
--- a/crates/state/tests/format.rs
+++ b/crates/state/tests/format.rs
@@ -1,6 +1,6 @@
 //! The bytes of the persisted files are a format: a program of another version reads them.
 
-use lotusdeck_state::estimates::{WarmupSpend, WeightedMean};
+use lotusdeck_state::estimates::{ClassLatency, EjectedBackend, KindEstimates, WarmupSpend, WeightedMean};
 use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
 
 /// The file of [`saved_endpoints`], in hexadecimal.
@@ -28,18 +28,30 @@
     WeightedMean { value, samples }
 }
 
+fn class(class: &str, latency: WeightedMean) -> ClassLatency {
+    ClassLatency { class: class.into(), latency }
+}
+
+fn kind(kind: &str, latency: WeightedMean, flow: WeightedMean) -> KindEstimates {
+    KindEstimates { kind: kind.into(), latency, flow }
+}
+
+fn ejected(backend: &str, consecutive_ejections: u32) -> EjectedBackend {
+    EjectedBackend { backend: backend.into(), consecutive_ejections }
+}
+
 fn estimates() -> Estimates {
     Estimates {
         site: "s".into(),
         proxy: "p-1".into(),
         written_ms: 1_700_000_000_000,
         overall_latency: mean(0.02, 100.0),
-        class_latency: vec![("page".into(), mean(0.5, 3.0)), ("print".into(), mean(0.25, 7.0))],
+        class_latency: vec![class("page", mean(0.5, 3.0)), class("print", mean(0.25, 7.0))],
         kinds: vec![
-            ("big".into(), mean(0.02, 100.0), mean(30.0, 40.0)),
-            ("small".into(), mean(0.0, 1.0), mean(2.0, 0.0)),
+            kind("big", mean(0.02, 100.0), mean(30.0, 40.0)),
+            kind("small", mean(0.0, 1.0), mean(2.0, 0.0)),
         ],
-        ejected: vec![("b-1".into(), 2), ("b-2".into(), 300)],
+        ejected: vec![ejected("b-1", 2), ejected("b-2", 300)],
         warmup_spend: vec![WarmupSpend { backend: "b-1".into(), ago_ms: 1_500, work: 4.0 }],
     }
 }
