--- a/crates/state/src/confidence.rs
+++ b/crates/state/src/confidence.rs
@@ -1,76 +1,79 @@
-//! How much a saved list is worth by its age, and whether it or the platform's is taken at a start.
+//! How far a saved endpoint list can be trusted at its age, and whether a proxy starts with it or with the platform's.
 //!
-//! The curve: backends come and go, and where each outlives a list for a time drawn without memory (a Poisson
-//! process of replacements, the usual model of churn), an entry of age `a` still holds with chance
-//! `exp(-a / L)` for a mean life `L`, that is `2^(-a / h)` for the half-life `h = L ln 2`. The operator sets `h`;
-//! a list is taken while at least a quarter of it is expected to hold (two half-lives), as a failed attempt at a
-//! gone backend costs one connection refused and its ejection, while a blank start serves nobody until discovery
-//! answers. Whatever is taken is only what was true before: the first whole list from discovery replaces it.
+//! Backends are replaced over time. If replacements are a Poisson process, the usual model of churn, an entry of age
+//! `a` is still valid with probability `exp(-a / L)` for a mean lifetime `L`, which is `2^(-a / h)` for the half-life
+//! `h = L ln 2`. The operator sets `h`. A list is used while at least a quarter of it is expected to be valid (two
+//! half-lives): an attempt at a removed backend costs a refused connection and the backend's ejection, while a start
+//! without a list serves nobody until discovery answers. The first full list from discovery replaces either.
 
 #[cfg(test)]
 mod tests;
 
-/// A saved list's age, as the clocks tell it.
+/// The age of a saved file by the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Age {
     /// Milliseconds since it was written.
     Known(u64),
-    /// Written later than now by more than the slack: the clock was stepped back, and its age cannot be told.
+    /// Written this many milliseconds after now: the clock was stepped back, and the age is unknown.
     Future(u64),
 }
 
-/// Clocks of one machine read a moment apart may disagree by this much (ms) without being stepped.
-const SLACK_MS: u64 = 1_000;
-/// A list is taken while this share of it is expected to hold: two half-lives.
-const FLOOR: f64 = 0.25;
+/// Two readings of one machine's clock may differ by this much (ms) without a step.
+const CLOCK_TOLERANCE_MS: u64 = 1_000;
+/// The least confidence at which a list is used: two half-lives.
+const MIN_CONFIDENCE: f64 = 0.25;
 
 impl Age {
-    /// Of a state written at `written_ms` read at `now_ms`, both by the wall clock.
+    /// The age of what was written at `written_ms` and is read at `now_ms`, both by the wall clock.
     pub fn of(written_ms: u64, now_ms: u64) -> Age {
         match written_ms.checked_sub(now_ms) {
-            Some(ahead) if ahead > SLACK_MS => Age::Future(ahead),
+            Some(ahead_ms) if ahead_ms > CLOCK_TOLERANCE_MS => Age::Future(ahead_ms),
             _ => Age::Known(now_ms.saturating_sub(written_ms)),
         }
     }
 }
 
-/// The expected share of a list's entries that still hold, from 0 to 1.
+/// The expected fraction of a list's entries that are still valid, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Confidence(pub f64);
 
 impl Confidence {
-    /// At `age` for a half-life of `half_life_ms`; nothing for an age that cannot be told.
+    /// The confidence at `age` with a half-life of `half_life_ms`; 0 at an unknown age.
     pub fn at_age(age: Age, half_life_ms: u64) -> Confidence {
         match age {
-            Age::Known(ms) => Confidence((-(ms as f64) / half_life_ms.max(1) as f64).exp2()),
+            Age::Known(age_ms) => Confidence((-(age_ms as f64) / half_life_ms.max(1) as f64).exp2()),
             Age::Future(_) => Confidence(0.0),
         }
     }
 
-    /// Worth taking.
+    /// Whether a list or estimates of this confidence are used.
     pub fn is_sufficient(self) -> bool {
-        self.0 >= FLOOR
+        self.0 >= MIN_CONFIDENCE
     }
 }
 
-/// Which list a proxy begins with.
+/// Which endpoint list a proxy starts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointSource {
-    /// Its own saved list: newer than the platform's.
+    /// Its own saved list, which is newer than the platform's, or the platform's is empty.
     SavedEndpoints,
-    /// The list that the platform hands over, perhaps empty: none saved, or the saved one is not newer.
+    /// The list that the platform hands over: the saved one is not newer.
     Known,
-    /// The platform's, as the saved one is too old or of unknown age.
+    /// The list that the platform hands over: the confidence in the saved one is insufficient.
     Untrusted(Confidence),
 }
 
-/// Between a saved list of version `saved` at `trust` and the platform's of version `known` with `entries`.
-/// Versions are discovery's: the higher is newer, so long as discovery did not begin anew, and either list is
-/// replaced by its first whole answer.
-pub fn choose(saved: u64, trust: Confidence, known: u64, entries: usize) -> EndpointSource {
-    if !trust.is_sufficient() {
-        EndpointSource::Untrusted(trust)
-    } else if entries == 0 || saved > known {
+/// Chooses between a saved list of version `saved_version` and the platform's of version `platform_version` with
+/// `platform_entries` entries.
+///
+/// Versions are discovery's: the higher is newer, unless discovery was reset, and either list is replaced by its first
+/// full answer.
+pub fn choose(
+    saved_version: u64, confidence: Confidence, platform_version: u64, platform_entries: usize,
+) -> EndpointSource {
+    if !confidence.is_sufficient() {
+        EndpointSource::Untrusted(confidence)
+    } else if platform_entries == 0 || saved_version > platform_version {
         EndpointSource::SavedEndpoints
     } else {
         EndpointSource::Known
--- a/crates/state/src/confidence/tests.rs
+++ b/crates/state/src/confidence/tests.rs
@@ -1,7 +1,7 @@
-use super::*;
+use super::{choose, Age, Confidence, EndpointSource};
 
 #[test]
-fn trust_halves_with_each_half_life_and_ends_after_two() {
+fn confidence_halves_with_each_half_life_and_is_insufficient_after_two() {
     let at = |ms: u64| Confidence::at_age(Age::of(100_000_000 - ms, 100_000_000), 60_000);
     assert_eq!(at(0), Confidence(1.0));
     assert!((at(60_000).0 - 0.5).abs() < 1e-12);
@@ -10,17 +10,17 @@
 }
 
 #[test]
-fn a_clock_stepped_back_trusts_nothing_and_small_skews_are_forgiven() {
+fn clock_stepped_back_leaves_no_confidence_and_small_differences_are_tolerated() {
     assert_eq!(Age::of(5_000, 4_500), Age::Known(0));
     assert_eq!(Age::of(10_000, 4_500), Age::Future(5_500));
     assert_eq!(Confidence::at_age(Age::Future(5_500), 60_000), Confidence(0.0));
 }
 
 #[test]
-fn the_newer_list_is_taken_and_an_untrusted_one_never() {
+fn newer_list_is_chosen_and_a_saved_one_never_without_confidence() {
     let full = Confidence(1.0);
     assert_eq!(choose(9, full, 4, 10), EndpointSource::SavedEndpoints);
     assert_eq!(choose(4, full, 9, 10), EndpointSource::Known);
-    assert_eq!(choose(4, full, 9, 0), EndpointSource::SavedEndpoints, "the platform handed nothing");
+    assert_eq!(choose(4, full, 9, 0), EndpointSource::SavedEndpoints, "the platform's list is empty");
     assert_eq!(choose(9, Confidence(0.2), 4, 0), EndpointSource::Untrusted(Confidence(0.2)));
 }
--- a/crates/state/src/frame.rs
+++ b/crates/state/src/frame.rs
@@ -1,15 +1,15 @@
-//! The bytes of a kept file: a fixed header with a format version and a checksum, then the body.
+//! The format of a persisted file: a fixed header with a format version and a checksum, then the body.
 //!
 //! | bytes | what |
 //! | --- | --- |
-//! | 8 | what is kept: `LDSTATE` or `LDLEARN`, and a zero byte |
+//! | 8 | the type of the file: `LDSTATE` or `LDLEARN`, and a zero byte |
 //! | 2 | format version, little-endian; this is 1 |
 //! | 4 | length of the body in bytes, little-endian |
 //! | 4 | CRC-32C of the body (RFC 3720's polynomial), little-endian |
-//! | length | the body, [`SavedEndpoints`] or [`Estimates`](crate::Learned) in postcard |
+//! | length | the body, [`SavedEndpoints`] or [`Estimates`](crate::Estimates) in postcard |
 //!
-//! A torn or truncated write, a flipped bit and a file of another version are told apart, so that the log can say
-//! which it was; none of them is ever taken in part.
+//! A truncated write, a flipped bit and a file of another version give different errors, so that the log can name the
+//! fault; no file is ever decoded in part.
 
 #[cfg(test)]
 mod tests;
@@ -18,32 +18,36 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What can be kept in a file of its own.
+/// What is persisted in a file of its own.
 pub trait Persisted: Serialize + DeserializeOwned {
     /// The file's first bytes.
     const MAGIC: &'static [u8; 8];
-    /// The site and the proxy that wrote it.
+    /// The site and the proxy that wrote the file.
     fn origin(&self) -> (&str, &str);
 }
 
-/// Raised whenever the body changes its form; a file of another number is not read.
+/// The format version, raised whenever the form of a body changes; files of other versions are not read.
 pub const VERSION: u16 = 1;
-const HEADER: usize = 8 + 2 + 4 + 4;
-/// A list is at most 16 MiB as discovery sends it (the proxy's own bound, `MAX_LIST`); the rest is small.
+/// The greatest length of a body, bytes: a list of at most 16 MiB, as discovery sends it, and some small fields.
 pub const MAX_BODY: usize = 17 * 1024 * 1024;
 
-/// What a proxy saves of itself.
+const VERSION_OFFSET: usize = 8;
+const LENGTH_OFFSET: usize = 10;
+const CHECKSUM_OFFSET: usize = 14;
+const HEADER_LENGTH: usize = 18;
+
+/// The last endpoint list of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedEndpoints {
-    /// The site as the operator file names it; a state of another site is not taken.
+    /// The site, as the operator file names it; a list of another site is not used.
     pub site: String,
-    /// The proxy that wrote it.
+    /// The proxy that wrote the file.
     pub proxy: String,
-    /// When it was written: milliseconds since 1970 by the writer's wall clock.
+    /// When the file was written: milliseconds since 1970 by the writer's wall clock.
     pub written_ms: u64,
     /// Discovery's version of the list.
     pub index: u64,
-    /// The whole list, as discovery's JSON, opaque here.
+    /// The full list in discovery's JSON, which is opaque here.
     pub list: Vec<u8>,
 }
 
@@ -54,80 +58,93 @@
     }
 }
 
-/// Why a file's bytes are not taken.
+/// Why a file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// Shorter than the header says: a write that was cut off, or an empty file.
-    #[error("truncated: {got} bytes, {wanted} expected")]
-    Truncated { got: usize, wanted: usize },
-    /// The first bytes are not a state file's.
+    /// Shorter than the header says: a truncated write, or an empty file.
+    #[error("truncated: {found} bytes, {expected} expected")]
+    Truncated {
+        /// Bytes in the file.
+        found: usize,
+        /// Bytes of the header, or of header and body.
+        expected: usize,
+    },
+    /// The first bytes are not the magic of this type of file.
     #[error("not a state file: the first bytes are not {0}")]
     Foreign(&'static str),
-    /// Written by a program of another format.
+    /// Written in another format version.
     #[error("format version {0}, this program reads {VERSION}")]
     Version(u16),
-    /// The header claims more than any state may be.
-    #[error("a body of {0} bytes is told, {MAX_BODY} at most")]
+    /// The length in the header exceeds [`MAX_BODY`].
+    #[error("a body of {0} bytes, {MAX_BODY} at most")]
     TooLong(usize),
     /// The body is not what was written.
     #[error("checksum: {found:08x} read, {computed:08x} computed")]
-    Checksum { found: u32, computed: u32 },
-    /// Bytes after the body: two writes ran into one another.
+    Checksum {
+        /// The checksum in the header.
+        found: u32,
+        /// The checksum of the body.
+        computed: u32,
+    },
+    /// There are bytes after the body: two writes were mixed.
     #[error("{0} bytes after the body")]
     Trailing(usize),
-    /// The checksum holds but the body cannot be read: another program's.
+    /// The checksum is right, but the body is not of this type: another program wrote it.
     #[error("body: {0}")]
-    Body(String),
+    Body(#[source] postcard::Error),
 }
 
-/// The bytes of a state.
-pub fn encode<T: Persisted>(saved: &T) -> Vec<u8> {
-    // A Vec of bytes and strings always serialise; there is no error to carry.
-    let body = postcard::to_allocvec(saved).unwrap_or_default();
-    let mut out = Vec::with_capacity(HEADER + body.len());
-    out.extend_from_slice(T::MAGIC);
-    out.extend_from_slice(&VERSION.to_le_bytes());
-    out.extend_from_slice(&u32::try_from(body.len()).unwrap_or(u32::MAX).to_le_bytes());
-    out.extend_from_slice(&crc32c::crc32c(&body).to_le_bytes());
-    out.extend_from_slice(&body);
-    out
+/// Encodes a file.
+pub fn encode<T: Persisted>(value: &T) -> Vec<u8> {
+    // Serializing numbers, strings and vectors to memory cannot fail.
+    let body = postcard::to_allocvec(value).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(HEADER_LENGTH + body.len());
+    bytes.extend_from_slice(T::MAGIC);
+    bytes.extend_from_slice(&VERSION.to_le_bytes());
+    bytes.extend_from_slice(&u32::try_from(body.len()).unwrap_or(u32::MAX).to_le_bytes());
+    bytes.extend_from_slice(&crc32c::crc32c(&body).to_le_bytes());
+    bytes.extend_from_slice(&body);
+    bytes
 }
 
-fn word<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
-    let mut out = [0; N];
-    out.copy_from_slice(&bytes[at..at + N]);
-    out
+/// The `N` bytes at `offset`, which lie inside `bytes`.
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    let mut array = [0; N];
+    array.copy_from_slice(&bytes[offset..offset + N]);
+    array
 }
 
-/// A state from its bytes.
+/// Decodes a file.
 ///
 /// # Errors
-/// Whatever is wrong with them, the first fault met.
+/// The first fault found in the bytes.
 pub fn decode<T: Persisted>(bytes: &[u8]) -> Result<T, ReadError> {
-    let short = |wanted| ReadError::Truncated { got: bytes.len(), wanted };
-    let begins = bytes.len().min(T::MAGIC.len());
-    if bytes[..begins] != T::MAGIC[..begins] {
-        return Err(ReadError::Foreign(std::str::from_utf8(&T::MAGIC[..7]).unwrap_or_default()));
+    let truncated = |expected| ReadError::Truncated { found: bytes.len(), expected };
+    let magic_length = bytes.len().min(T::MAGIC.len());
+    if bytes[..magic_length] != T::MAGIC[..magic_length] {
+        let name = std::str::from_utf8(&T::MAGIC[..7]).unwrap_or_default();
+        return Err(ReadError::Foreign(name));
     }
-    if bytes.len() < HEADER {
-        return Err(short(HEADER));
+    if bytes.len() < HEADER_LENGTH {
+        return Err(truncated(HEADER_LENGTH));
     }
-    let version = u16::from_le_bytes(word(bytes, 8));
+    let version = u16::from_le_bytes(bytes_at(bytes, VERSION_OFFSET));
     if version != VERSION {
         return Err(ReadError::Version(version));
     }
-    let length = u32::from_le_bytes(word(bytes, 10)) as usize;
-    if length > MAX_BODY {
-        return Err(ReadError::TooLong(length));
+    let body_length = u32::from_le_bytes(bytes_at(bytes, LENGTH_OFFSET)) as usize;
+    if body_length > MAX_BODY {
+        return Err(ReadError::TooLong(body_length));
     }
-    let body = bytes.get(HEADER..HEADER + length).ok_or(short(HEADER + length))?;
-    if bytes.len() > HEADER + length {
-        return Err(ReadError::Trailing(bytes.len() - HEADER - length));
+    let length = HEADER_LENGTH + body_length;
+    let body = bytes.get(HEADER_LENGTH..length).ok_or(truncated(length))?;
+    if bytes.len() > length {
+        return Err(ReadError::Trailing(bytes.len() - length));
     }
-    let found = u32::from_le_bytes(word(bytes, 14));
+    let found = u32::from_le_bytes(bytes_at(bytes, CHECKSUM_OFFSET));
     let computed = crc32c::crc32c(body);
     if found != computed {
         return Err(ReadError::Checksum { found, computed });
     }
-    postcard::from_bytes(body).map_err(|e| ReadError::Body(e.to_string()))
+    postcard::from_bytes(body).map_err(ReadError::Body)
 }
--- a/crates/state/src/frame/tests.rs
+++ b/crates/state/src/frame/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{decode, encode, ReadError, SavedEndpoints};
 use proptest::prelude::*;
 
 fn saved() -> SavedEndpoints {
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn encoded_file_decodes_to_the_same_value_and_not_as_another_type() {
     assert_eq!(decode(&encode(&saved())), Ok(saved()));
     assert!(matches!(decode::<crate::Estimates>(&encode(&saved())), Err(ReadError::Foreign("LDLEARN"))));
 }
 
-/// Every cut of a write is told as cut, never read as a shorter state.
+/// A truncated write is never decoded as a shorter file.
 #[test]
-fn every_truncation_is_told() {
+fn file_cut_anywhere_is_reported_as_truncated() {
     let bytes = encode(&saved());
     for n in 0..bytes.len() {
         assert!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn other_files_and_versions_are_told_apart() {
+fn other_files_versions_and_lengths_give_errors_of_their_own() {
     let mut bytes = encode(&saved());
     let read = decode::<SavedEndpoints>;
     assert_eq!(read(b"{\"index\": 3}"), Err(ReadError::Foreign("LDSTATE")));
@@ -40,9 +40,9 @@
 }
 
 proptest! {
-    /// A flipped bit anywhere after the magic is never taken for a state.
+    /// Anywhere after the magic.
     #[test]
-    fn a_flipped_bit_is_never_taken(at in 8usize..200, bit in 0u8..8) {
+    fn file_with_a_flipped_bit_is_never_decoded(at in 8usize..200, bit in 0u8..8) {
         let mut bytes = encode(&saved());
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
