--- a/crates/configuration/examples/size.rs
+++ b/crates/configuration/examples/size.rs
@@ -98,17 +98,17 @@
         let step = follower.next_step(now);
         let spent = begun.elapsed();
         match step {
-            NextStep::More | NextStep::Took(_) => {
+            NextStep::Continue | NextStep::Applied(_) => {
                 *(if judged { &mut cost.commit } else { &mut cost.verify }) += spent;
                 cost.slice = cost.slice.max(spent);
-                if matches!(step, NextStep::Took(_)) {
+                if matches!(step, NextStep::Applied(_)) {
                     return cost;
                 }
             }
-            NextStep::Judge => {
+            NextStep::Validate => {
                 let candidate = follower.candidate().expect("a candidate");
                 (cost.object, cost.read) = judge(&candidate, read_settings);
-                follower.candidate_judged(now, Ok(()));
+                follower.candidate_validated(now, Ok(()));
                 judged = true;
             }
             other => panic!("{other:?}"),
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -12,12 +12,12 @@
 use thiserror::Error;
 
 /// The longest name of an entry, bytes; the longest in use are under 64.
-pub const MAX_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// The longest value of an entry, bytes: lists of zones or kinds are the longest in use, some 20 KB at 1,000 zones.
-pub const MAX_VALUE: usize = 256 * 1024;
+pub const MAX_VALUE_BYTES: usize = 256 * 1024;
 /// Bytes that all names and values may have together. At 16,000 profiles and 34,000 customers they have under 6 MB; the
 /// memory that a proxy spends on control (64 MB) holds such a document, its successor and the settings read from it.
-pub const MAX_DOCUMENT: usize = 16 * 1024 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 /// Entries of a document: four times the 50,000 that are planned for.
 pub const MAX_ENTRIES: usize = 200_000;
 
@@ -79,28 +79,28 @@
 pub enum DocumentError {
     /// Settings are an object.
     #[error("expected an object as the settings")]
-    NoObject,
+    NotAnObject,
     /// A section of named objects is an array.
     #[error("{0}: expected an array")]
-    NoArray(&'static str),
+    NotAnArray(&'static str),
     /// Its items are objects with a name each.
     #[error("{0}[{1}]: expected an object with a name")]
-    Nameless(&'static str, usize),
+    MissingName(&'static str, usize),
     /// Rules find an entry by its name.
     #[error("{0}: named twice")]
-    Twice(Key),
+    DuplicateEntry(Key),
     /// The name is empty or too long.
-    #[error("{0}: expected a name of 1 to {MAX_NAME} bytes")]
-    Name(&'static str),
+    #[error("{0}: expected a name of 1 to {MAX_NAME_BYTES} bytes")]
+    NameLength(&'static str),
     /// A value is longer than any that makes sense.
-    #[error("{0}: expected a value of at most {MAX_VALUE} bytes, got {1}")]
-    Value(Key, usize),
+    #[error("{0}: expected a value of at most {MAX_VALUE_BYTES} bytes, got {1}")]
+    ValueTooLong(Key, usize),
     /// A value cannot be read, or is no object where one is expected.
     #[error("{0}: expected {1}")]
-    Unreadable(Key, &'static str),
+    InvalidValue(Key, &'static str),
     /// All entries together are too large.
-    #[error("expected at most {MAX_ENTRIES} entries of {MAX_DOCUMENT} bytes, got {0} of {1}")]
-    Size(usize, usize),
+    #[error("expected at most {MAX_ENTRIES} entries of {MAX_DOCUMENT_BYTES} bytes, got {0} of {1}")]
+    TooLarge(usize, usize),
 }
 
 /// One state of the settings.
@@ -117,7 +117,7 @@
     /// # Errors
     /// The first thing that no document can hold.
     pub fn from_settings(settings: &Value) -> Result<Document, DocumentError> {
-        let settings = settings.as_object().ok_or(DocumentError::NoObject)?;
+        let settings = settings.as_object().ok_or(DocumentError::NotAnObject)?;
         let mut document = Document::default();
         let named = |key: &str| Section::NAMED.into_iter().find(|section| section.label() == key);
         for (key, value) in settings {
@@ -131,9 +131,9 @@
     }
 
     fn insert_named(&mut self, section: Section, value: &Value) -> Result<(), DocumentError> {
-        let items = value.as_array().ok_or(DocumentError::NoArray(section.label()))?;
+        let items = value.as_array().ok_or(DocumentError::NotAnArray(section.label()))?;
         for (at, item) in items.iter().enumerate() {
-            let nameless = || DocumentError::Nameless(section.label(), at);
+            let nameless = || DocumentError::MissingName(section.label(), at);
             let mut object = item.as_object().cloned().ok_or_else(nameless)?;
             let Some(Value::String(name)) = object.remove(NAME) else { return Err(nameless()) };
             self.insert_new(Key::new(section, &name), Value::Object(object).to_string())?;
@@ -144,7 +144,7 @@
     fn insert_new(&mut self, key: Key, value: String) -> Result<(), DocumentError> {
         check_entry(&key, &value)?;
         if self.entries.contains_key(&key) {
-            return Err(DocumentError::Twice(key));
+            return Err(DocumentError::DuplicateEntry(key));
         }
         self.set(key, value.into());
         Ok(())
@@ -210,28 +210,28 @@
 /// The entry is one that a document may hold.
 pub(crate) fn check_entry(key: &Key, value: &str) -> Result<(), DocumentError> {
     check_key(key)?;
-    if value.len() > MAX_VALUE {
-        return Err(DocumentError::Value(key.clone(), value.len()));
+    if value.len() > MAX_VALUE_BYTES {
+        return Err(DocumentError::ValueTooLong(key.clone(), value.len()));
     }
     Ok(())
 }
 
 /// The name is one that an entry may have.
 pub(crate) fn check_key(key: &Key) -> Result<(), DocumentError> {
-    if key.name.is_empty() || key.name.len() > MAX_NAME {
-        return Err(DocumentError::Name(key.section.label()));
+    if key.name.is_empty() || key.name.len() > MAX_NAME_BYTES {
+        return Err(DocumentError::NameLength(key.section.label()));
     }
     let of_named = |section: Section| section.label() == &*key.name;
     if key.section == Section::Base && Section::NAMED.into_iter().any(of_named) {
-        return Err(DocumentError::Unreadable(key.clone(), "a key that is no section of its own"));
+        return Err(DocumentError::InvalidValue(key.clone(), "a key that is no section of its own"));
     }
     Ok(())
 }
 
 /// So many entries of so many bytes may be held.
 pub(crate) fn check_size(entries: usize, bytes: usize) -> Result<(), DocumentError> {
-    if entries > MAX_ENTRIES || bytes > MAX_DOCUMENT {
-        return Err(DocumentError::Size(entries, bytes));
+    if entries > MAX_ENTRIES || bytes > MAX_DOCUMENT_BYTES {
+        return Err(DocumentError::TooLarge(entries, bytes));
     }
     Ok(())
 }
@@ -248,7 +248,7 @@
     }
     for (key, text) in entries {
         let value: Value =
-            serde_json::from_str(text).map_err(|_| DocumentError::Unreadable(key.clone(), "JSON"))?;
+            serde_json::from_str(text).map_err(|_| DocumentError::InvalidValue(key.clone(), "JSON"))?;
         match named.get_mut(&key.section) {
             None => {
                 settings.insert(key.name.to_string(), value);
@@ -268,6 +268,6 @@
             object.insert(NAME.into(), Value::String(key.name.to_string()));
             Ok(Value::Object(object))
         }
-        _ => Err(DocumentError::Unreadable(key.clone(), "an object without a key `name`")),
+        _ => Err(DocumentError::InvalidValue(key.clone(), "an object without a key `name`")),
     }
 }
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -8,6 +8,7 @@
 use crate::backoff::Backoff;
 use crate::delta::{Delta, FullDocument};
 use crate::document::Document;
+use crate::invalid_settings::InvalidSettings;
 use crate::message::Message;
 use crate::staging::{Candidate, Progress, StagedUpdate, StagingError};
 use crate::version::Version;
@@ -59,10 +60,10 @@
 pub enum Failure {
     /// No connection, or it broke.
     #[error("no answer: {0}")]
-    Broken(String),
+    ConnectionFailed(String),
     /// The time for an answer is over.
     #[error("silent")]
-    Silent,
+    TimedOut,
     /// The source has no room for the question.
     #[error("the source is busy")]
     Busy,
@@ -76,7 +77,7 @@
 pub enum Rejection {
     /// A delta for another version than the one held.
     #[error("a delta from version {from}, while {held} is held")]
-    OtherBase {
+    BaseMismatch {
         /// What is held.
         held: Version,
         /// What the delta changes.
@@ -84,10 +85,10 @@
     },
     /// A delta, and nothing is held.
     #[error("a delta from version {0}, while none is held")]
-    NothingHeld(Version),
+    NoBase(Version),
     /// The source has gone back.
     #[error("the source is at version {offered}, which is before {held}")]
-    WentBack {
+    VersionRollback {
         /// What is held, or was refused.
         held: Version,
         /// What the source is at.
@@ -95,26 +96,28 @@
     },
     /// Two documents of one version.
     #[error("version {0} is held with another content")]
-    Forked(Version),
+    ContentConflict(Version),
     /// It cannot be built, or its checksum does not hold.
     #[error("version {version}: {error}")]
     Staging {
         /// What was to be built.
         version: Version,
         /// Why it was not.
+        #[source]
         error: StagingError,
     },
     /// The settings that come of it are unsound.
-    #[error("version {version}: {reason}")]
-    Unsound {
+    #[error("version {version}: {error}")]
+    InvalidSettings {
         /// The version refused.
         version: Version,
         /// What is wrong with it.
-        reason: String,
+        #[source]
+        error: InvalidSettings,
     },
     /// The source repeats a version that was refused here.
     #[error("version {0} was refused already")]
-    Repeated(Version),
+    AlreadyRejected(Version),
 }
 
 /// What the driver does next.
@@ -125,15 +128,15 @@
     /// Nothing before that time, or before an answer.
     Wait(Duration),
     /// Call again at once, or after something else had its turn: a slice is done, and more are to come.
-    More,
+    Continue,
     /// Read the [`Follower::candidate`] and tell what came of it by [`Follower::judged`].
-    Judge,
+    Validate,
     /// This version is held now: what was read of it comes into force.
-    Took(Version),
+    Applied(Version),
     /// Tell the operators.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// The question is given up; tell the operators.
-    Failed(Failure),
+    PollFailed(Failure),
 }
 
 /// How the document held stands to the source's.
@@ -144,9 +147,9 @@
     /// The source's latest, as far as the last answer tells.
     Current,
     /// The source has a later one that is refused here.
-    Refusing(Version),
+    Rejecting(Version),
     /// The source does not answer, or with what cannot be taken.
-    CutOff,
+    Disconnected,
 }
 
 /// How a follower stands.
@@ -220,8 +223,8 @@
     /// How it stands.
     pub fn status(&self, now: Duration) -> FollowerStatus {
         let standing = match (self.applied_version, self.refused) {
-            _ if self.pace.failures() > 0 => SyncState::CutOff,
-            (held, Some(refused)) if held.is_none_or(|held| refused > held) => SyncState::Refusing(refused),
+            _ if self.pace.failures() > 0 => SyncState::Disconnected,
+            (held, Some(refused)) if held.is_none_or(|held| refused > held) => SyncState::Rejecting(refused),
             (None, _) => SyncState::Empty,
             (Some(_), _) => SyncState::Current,
         };
@@ -244,7 +247,7 @@
             Phase::Verifying(staged) => self.verify(now, staged),
             Phase::Judging(staged) => {
                 self.phase = Phase::Judging(staged);
-                NextStep::Judge
+                NextStep::Validate
             }
             Phase::Committing(staged) => self.commit(staged),
         }
@@ -265,7 +268,7 @@
             return NextStep::Wait(deadline);
         }
         self.phase = Phase::Resting { until: now + self.pace.next_pause() };
-        NextStep::Failed(Failure::Silent)
+        NextStep::PollFailed(Failure::TimedOut)
     }
 
     /// An answer has come; without a question that is out it is dropped.
@@ -285,7 +288,7 @@
     pub fn poll_failed(&mut self, now: Duration, failure: Failure) {
         if matches!(self.phase, Phase::Asked { .. }) {
             self.phase = Phase::Resting { until: now + self.pace.next_pause() };
-            self.told = Some(NextStep::Failed(failure));
+            self.told = Some(NextStep::PollFailed(failure));
         }
     }
 
@@ -300,7 +303,7 @@
         let known = self.applied_version.max(self.refused);
         match known {
             Some(known) if version < known => {
-                self.refuse(now, Rejection::WentBack { held: known, offered: version });
+                self.refuse(now, Rejection::VersionRollback { held: known, offered: version });
             }
             Some(known) if version == known => {
                 self.pace.reset();
@@ -318,16 +321,16 @@
 
     fn offered_delta(&mut self, now: Duration, delta: Delta) {
         match self.applied_version {
-            None => self.refuse(now, Rejection::NothingHeld(delta.from)),
+            None => self.refuse(now, Rejection::NoBase(delta.from)),
             Some(held) if held != delta.from => {
                 self.whole |= delta.from.epoch != held.epoch || delta.to > held;
-                self.refuse(now, Rejection::OtherBase { held, from: delta.from });
+                self.refuse(now, Rejection::BaseMismatch { held, from: delta.from });
             }
             Some(held) if delta.to <= held || delta.to.epoch != held.epoch => {
-                self.refuse(now, Rejection::WentBack { held, offered: delta.to });
+                self.refuse(now, Rejection::VersionRollback { held, offered: delta.to });
             }
             Some(_) if self.refused.is_some_and(|refused| delta.to <= refused) => {
-                self.refuse(now, Rejection::Repeated(delta.to));
+                self.refuse(now, Rejection::AlreadyRejected(delta.to));
             }
             Some(_) => self.phase = Phase::Verifying(StagedUpdate::from_delta(delta, &self.document)),
         }
@@ -338,7 +341,7 @@
         match self.applied_version {
             Some(held) if offered < held => {
                 self.whole = false;
-                self.refuse(now, Rejection::WentBack { held, offered });
+                self.refuse(now, Rejection::VersionRollback { held, offered });
             }
             Some(held) if offered == held && whole.checksum == self.document.checksum().of_version(held) => {
                 self.whole = false;
@@ -346,11 +349,11 @@
                 self.pace.reset();
             }
             Some(held) if offered == held => {
-                self.refuse(now, Rejection::Forked(held));
+                self.refuse(now, Rejection::ContentConflict(held));
                 self.rest_before_whole(now);
             }
             _ if self.refused.is_some_and(|refused| offered <= refused) => {
-                self.refuse(now, Rejection::Repeated(offered));
+                self.refuse(now, Rejection::AlreadyRejected(offered));
                 self.rest_before_whole(now);
             }
             _ => self.phase = Phase::Verifying(StagedUpdate::from_full_document(whole)),
@@ -359,7 +362,7 @@
 
     fn refuse(&mut self, now: Duration, refusal: Rejection) {
         self.phase = Phase::Resting { until: now + self.pace.next_pause() };
-        self.told = Some(NextStep::Refused(refusal));
+        self.told = Some(NextStep::Rejected(refusal));
     }
 
     fn rest_before_whole(&mut self, now: Duration) {
@@ -377,10 +380,10 @@
                     self.rest_before_whole(now);
                 }
                 self.whole = true;
-                return self.told.take().unwrap_or(NextStep::More);
+                return self.told.take().unwrap_or(NextStep::Continue);
             }
         }
-        NextStep::More
+        NextStep::Continue
     }
 
     /// The version that waits to be judged.
@@ -392,15 +395,15 @@
     }
 
     /// Whether the candidate's settings are sound, and why not. Without a candidate nothing is done.
-    pub fn candidate_judged(&mut self, now: Duration, verdict: Result<(), String>) {
+    pub fn candidate_validated(&mut self, now: Duration, verdict: Result<(), InvalidSettings>) {
         match (std::mem::replace(&mut self.phase, Phase::Resting { until: now }), verdict) {
             (Phase::Judging(staged), Ok(())) => self.phase = Phase::Committing(staged),
-            (Phase::Judging(staged), Err(reason)) => {
+            (Phase::Judging(staged), Err(error)) => {
                 let version = staged.target();
                 self.refused = Some(version);
                 // The source is in order, so that its next answer is waited for without a pause.
                 self.pace.reset();
-                self.told = Some(NextStep::Refused(Rejection::Unsound { version, reason }));
+                self.told = Some(NextStep::Rejected(Rejection::InvalidSettings { version, error }));
             }
             (phase, _) => self.phase = phase,
         }
@@ -410,12 +413,12 @@
         let version = staged.target();
         if staged.commit(&mut self.document, self.settings.entries_per_slice) == Progress::More {
             self.phase = Phase::Committing(staged);
-            return NextStep::More;
+            return NextStep::Continue;
         }
         self.applied_version = Some(version);
         self.whole = false;
         self.current_at = Some(self.asked_at);
         self.pace.reset();
-        NextStep::Took(version)
+        NextStep::Applied(version)
     }
 }
--- a/crates/configuration/src/long_poll.rs
+++ b/crates/configuration/src/long_poll.rs
@@ -18,7 +18,7 @@
     pub answer_within: Duration,
     /// Bytes of all answers that are on their way; one that many followers take counts once.
     pub bytes: usize,
-    /// Followers that take an answer of over [`LARGE`] bytes at a time; the others are told to come again. Without
+    /// Followers that take an answer of over [`LARGE_ANSWER_BYTES`] bytes at a time; the others are told to come again. Without
     /// it, where all ask for the whole document at once, each gets so small a part of the source's line that none
     /// has all of it in time, and every byte of it is sent in vain.
     pub max_large: usize,
@@ -39,7 +39,7 @@
 }
 
 /// Beyond so many bytes an answer counts as large: a delta of hundreds of entries is smaller.
-pub const LARGE: usize = 64 * 1024;
+pub const LARGE_ANSWER_BYTES: usize = 64 * 1024;
 
 /// A connection of a follower, as the driver numbers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -129,9 +129,10 @@
 
     /// One more follower may take this answer; it counts as being on its way from now on.
     fn room_for(&mut self, answer: &Arc<str>) -> bool {
-        let large =
-            |turn: &&PollState| matches!(turn, PollState::Writing { answer, .. } if answer.len() > LARGE);
-        if answer.len() > LARGE && self.turns.values().filter(large).count() >= self.bounds.max_large {
+        let large = |turn: &&PollState| matches!(turn, PollState::Writing { answer, .. } if answer.len() > LARGE_ANSWER_BYTES);
+        if answer.len() > LARGE_ANSWER_BYTES
+            && self.turns.values().filter(large).count() >= self.bounds.max_large
+        {
             return false;
         }
         if self.answers.iter().any(|known| std::ptr::addr_eq(known.as_ptr(), Arc::as_ptr(answer))) {
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -11,7 +11,7 @@
 
 use crate::checksum::Checksum;
 use crate::delta::{Delta, Entry, FullDocument};
-use crate::document::{Key, Section, MAX_DOCUMENT, MAX_ENTRIES};
+use crate::document::{Key, Section, MAX_DOCUMENT_BYTES, MAX_ENTRIES};
 use crate::version::Version;
 use serde::de::{Error as _, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -20,7 +20,7 @@
 use thiserror::Error;
 
 /// The longest message, bytes: the largest document, with quotes and escapes around its names.
-pub const MAX_MESSAGE: usize = MAX_DOCUMENT + MAX_DOCUMENT / 2;
+pub const MAX_MESSAGE_BYTES: usize = MAX_DOCUMENT_BYTES + MAX_DOCUMENT_BYTES / 2;
 
 /// What the source says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,26 +37,26 @@
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// It is longer than any message.
-    #[error("expected at most {MAX_MESSAGE} bytes, got {0}")]
-    Long(usize),
+    #[error("expected at most {MAX_MESSAGE_BYTES} bytes, got {0}")]
+    TooLong(usize),
     /// It is not of the form.
     #[error("expected a message: {0}")]
     Malformed(#[from] serde_json::Error),
     /// It lacks a key that its kind has.
     #[error("{0}: missing in a message of kind {1}")]
-    Missing(&'static str, String),
+    MissingKey(&'static str, String),
     /// It has a key that its kind has not.
     #[error("{0}: not a key of a message of kind {1}")]
-    Foreign(&'static str, String),
+    UnexpectedKey(&'static str, String),
     /// No such kind.
     #[error("kind: expected unchanged, delta or whole, got {0:?}")]
-    Kind(String),
+    UnknownKind(String),
     /// It tells an entry twice.
     #[error("{0}: told twice")]
-    Twice(Key),
+    DuplicateEntry(Key),
     /// It tells more entries than a document holds.
     #[error("expected at most {MAX_ENTRIES} entries, got {0}")]
-    Entries(usize),
+    TooManyEntries(usize),
 }
 
 /// The keys of all kinds.
@@ -174,15 +174,15 @@
 /// # Errors
 /// The first thing that is wrong with it; nothing of it may be used then.
 pub fn decode(text: &[u8]) -> Result<Message, MessageError> {
-    if text.len() > MAX_MESSAGE {
-        return Err(MessageError::Long(text.len()));
+    if text.len() > MAX_MESSAGE_BYTES {
+        return Err(MessageError::TooLong(text.len()));
     }
     let form: Form = serde_json::from_slice(text)?;
     match form.kind.as_str() {
         "unchanged" => form.unchanged(),
         "delta" => form.delta(),
         "whole" => form.whole(),
-        _ => Err(MessageError::Kind(form.kind.chars().take(MOST_QUOTED).collect())),
+        _ => Err(MessageError::UnknownKind(form.kind.chars().take(MOST_QUOTED).collect())),
     }
 }
 
@@ -192,7 +192,7 @@
 impl Form {
     fn foreign(&self, keys: &[(&'static str, bool)]) -> Result<(), MessageError> {
         let found = keys.iter().find(|(_, present)| *present);
-        found.map_or(Ok(()), |(key, _)| Err(MessageError::Foreign(key, self.kind.clone())))
+        found.map_or(Ok(()), |(key, _)| Err(MessageError::UnexpectedKey(key, self.kind.clone())))
     }
 
     fn unchanged(self) -> Result<Message, MessageError> {
@@ -230,7 +230,7 @@
             ("changed", self.changed.is_some()),
             ("removed", self.removed.is_some()),
         ])?;
-        let sections = self.entries.ok_or_else(|| MessageError::Missing("entries", self.kind.clone()))?;
+        let sections = self.entries.ok_or_else(|| MessageError::MissingKey("entries", self.kind.clone()))?;
         Ok(Message::FullDocument(FullDocument {
             version: required(self.version, "version", &self.kind)?,
             checksum: required(self.checksum, "checksum", &self.kind)?,
@@ -240,7 +240,7 @@
 }
 
 fn required<T>(value: Option<Text<T>>, key: &'static str, kind: &str) -> Result<T, MessageError> {
-    value.map(|text| text.0).ok_or_else(|| MessageError::Missing(key, kind.into()))
+    value.map(|text| text.0).ok_or_else(|| MessageError::MissingKey(key, kind.into()))
 }
 
 /// Ordered by key, each once.
@@ -251,7 +251,7 @@
         entries.extend(values.0.into_iter().map(entry));
     }
     if entries.len() > MAX_ENTRIES {
-        return Err(MessageError::Entries(entries.len()));
+        return Err(MessageError::TooManyEntries(entries.len()));
     }
     entries.sort_unstable_by(|a, b| a.key.cmp(&b.key));
     each_once(entries.iter().map(|entry| &entry.key))?;
@@ -264,7 +264,7 @@
         keys.extend(names.0.into_iter().map(|name| Key { section, name }));
     }
     if keys.len() > MAX_ENTRIES {
-        return Err(MessageError::Entries(keys.len()));
+        return Err(MessageError::TooManyEntries(keys.len()));
     }
     keys.sort_unstable();
     each_once(keys.iter())?;
@@ -275,7 +275,7 @@
     let Some(mut before) = ordered.next() else { return Ok(()) };
     for key in ordered {
         if key == before {
-            return Err(MessageError::Twice(key.clone()));
+            return Err(MessageError::DuplicateEntry(key.clone()));
         }
         before = key;
     }
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -4,6 +4,7 @@
 use crate::document::{to_settings, Document, DocumentError, Key};
 use crate::follower::Poll;
 use crate::history::{History, HistoryBounds, PreviousValues};
+use crate::invalid_settings::InvalidSettings;
 use crate::message::{encode, Message};
 use crate::staging::{Progress, StagedUpdate, StagingError};
 use crate::version::Version;
@@ -33,14 +34,14 @@
     #[error(transparent)]
     Staging(#[from] StagingError),
     /// The settings are unsound, as the check tells.
-    #[error("unsound: {0}")]
-    Unsound(String),
+    #[error("invalid settings: {0}")]
+    InvalidSettings(#[from] InvalidSettings),
     /// Nothing differs from the latest version.
     #[error("nothing changes")]
-    Nothing,
+    NoChange,
     /// A version that is to be restored is no longer kept.
     #[error("version {0} is not kept")]
-    NotKept(Version),
+    VersionNotRetained(Version),
 }
 
 /// What a question gets.
@@ -73,10 +74,11 @@
     /// # Errors
     /// What is wrong with the settings.
     pub fn new(
-        epoch: u64, settings: &Value, bounds: HistoryBounds, check: impl FnOnce(&Value) -> Result<(), String>,
+        epoch: u64, settings: &Value, bounds: HistoryBounds,
+        check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Source, PublishError> {
         let document = Document::from_settings(settings)?;
-        check(&to_settings(document.iter())?).map_err(PublishError::Unsound)?;
+        check(&to_settings(document.iter())?)?;
         let version = Version::first(epoch);
         Ok(Source { version, document, history: History::new(bounds), texts: BTreeMap::new() })
     }
@@ -101,7 +103,7 @@
     /// # Errors
     /// What is wrong with them, or that nothing changes.
     pub fn publish(
-        &mut self, settings: &Value, check: impl FnOnce(&Value) -> Result<(), String>,
+        &mut self, settings: &Value, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
         let new = Document::from_settings(settings)?;
         let differs = |key: &Key, value: &str| self.document.get(key) != Some(value);
@@ -115,10 +117,11 @@
     /// # Errors
     /// What is wrong with them, or that nothing changes.
     pub fn publish_changes(
-        &mut self, changed: Vec<Entry>, removed: Vec<Key>, check: impl FnOnce(&Value) -> Result<(), String>,
+        &mut self, changed: Vec<Entry>, removed: Vec<Key>,
+        check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
         if changed.is_empty() && removed.is_empty() {
-            return Err(PublishError::Nothing);
+            return Err(PublishError::NoChange);
         }
         let mut former = PreviousValues::new();
         for key in changed.iter().map(|entry| &entry.key).chain(&removed) {
@@ -128,7 +131,7 @@
         let publication = Publication { version, changed: changed.len(), removed: removed.len() };
         let mut staged = self.stage(version, changed, removed)?;
         let settings = staged.candidate(&self.document).to_settings()?;
-        check(&settings).map_err(PublishError::Unsound)?;
+        check(&settings)?;
         while staged.commit(&mut self.document, ALL) == Progress::More {}
         self.version = version;
         self.history.push(former);
@@ -161,9 +164,9 @@
     /// # Errors
     /// That version is no longer kept, or its settings are unsound by now.
     pub fn revert_to(
-        &mut self, version: Version, check: impl FnOnce(&Value) -> Result<(), String>,
+        &mut self, version: Version, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
-        let former = self.former(version).ok_or(PublishError::NotKept(version))?;
+        let former = self.former(version).ok_or(PublishError::VersionNotRetained(version))?;
         let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for (key, value) in former {
             match (self.document.get(&key), value) {
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -18,16 +18,16 @@
 pub enum StagingError {
     /// An entry is told twice, or both changed and removed.
     #[error("{0}: told twice")]
-    Twice(Key),
+    DuplicateEntry(Key),
     /// An entry is removed that is not there.
     #[error("{0}: removed, and not there")]
-    Absent(Key),
+    MissingEntry(Key),
     /// An entry, or all together, are beyond what a document holds.
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// The whole that came of it is another than the source's.
     #[error("checksum over the whole: expected {expected}, got {got}")]
-    Checksum {
+    ChecksumMismatch {
         /// The source's.
         expected: Checksum,
         /// Of what came of it here.
@@ -121,7 +121,7 @@
                 for Entry { key, value } in waiting.by_ref().take(most) {
                     check_entry(&key, &value)?;
                     if document.get(&key).is_some() {
-                        return Err(StagingError::Twice(key));
+                        return Err(StagingError::DuplicateEntry(key));
                     }
                     document.set(key, value);
                     check_size(document.len(), document.bytes())?;
@@ -134,7 +134,7 @@
         };
         let got = got.of_version(self.target);
         if got != self.expected {
-            return Err(StagingError::Checksum { expected: self.expected, got });
+            return Err(StagingError::ChecksumMismatch { expected: self.expected, got });
         }
         Ok(Progress::Done)
     }
@@ -175,7 +175,7 @@
 ) -> Result<(), StagingError> {
     check_key(&key)?;
     if overlay.contains_key(&key) {
-        return Err(StagingError::Twice(key));
+        return Err(StagingError::DuplicateEntry(key));
     }
     match held.get(&key) {
         Some(old) => {
@@ -183,7 +183,7 @@
             size.entries -= 1;
             size.bytes -= key.name.len() + old.len();
         }
-        None if value.is_none() => return Err(StagingError::Absent(key)),
+        None if value.is_none() => return Err(StagingError::MissingEntry(key)),
         None => {}
     }
     if let Some(value) = &value {
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use lotusdeck_configuration::history::HistoryBounds;
 use lotusdeck_configuration::{
-    decode, Document, Entry, Follower, FollowerSettings, Key, Message, NextStep, Poll, Rejection, Section,
-    Source, Version,
+    decode, Document, Entry, Follower, FollowerSettings, InvalidSettings, Key, Message, NextStep, Poll,
+    Rejection, Section, Source, Version,
 };
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -28,11 +28,14 @@
 }
 
 /// Unsound is only what has a customer of a quota below 0.
-pub(crate) fn check(settings: &Value) -> Result<(), String> {
-    let customers = settings["customers"].as_array().ok_or("customers: missing")?;
+pub(crate) fn check(settings: &Value) -> Result<(), InvalidSettings> {
+    let customers =
+        settings["customers"].as_array().ok_or_else(|| InvalidSettings::new("customers: missing"))?;
     let quota = |customer: &Value| customer["quota_rps"].as_f64().is_some_and(|quota| quota >= 0.0);
     match customers.iter().find(|customer| !quota(customer)) {
-        Some(wrong) => Err(format!("customer {}: expected a quota of at least 0", wrong["name"])),
+        Some(wrong) => {
+            Err(InvalidSettings::new(format!("customer {}: expected a quota of at least 0", wrong["name"])))
+        }
         None => Ok(()),
     }
 }
@@ -107,21 +110,24 @@
         let mut read = None;
         loop {
             match self.follower.next_step(self.now) {
-                NextStep::More => self.slices += 1,
-                NextStep::Judge => {
+                NextStep::Continue => self.slices += 1,
+                NextStep::Validate => {
                     let candidate = self.follower.candidate().unwrap();
-                    let settings = candidate.to_settings().map_err(|error| error.to_string());
+                    let settings =
+                        candidate.to_settings().map_err(|error| InvalidSettings::new(error.to_string()));
                     let verdict = settings.and_then(|settings| check(&settings).map(|()| settings));
-                    self.follower
-                        .candidate_judged(self.now, verdict.as_ref().map(|_| ()).map_err(String::clone));
+                    self.follower.candidate_validated(
+                        self.now,
+                        verdict.as_ref().map(|_| ()).map_err(InvalidSettings::clone),
+                    );
                     read = verdict.ok();
                 }
-                NextStep::Took(version) => {
+                NextStep::Applied(version) => {
                     self.in_force = read.take().map(|settings| (version, settings));
                     return End::Took(version);
                 }
-                NextStep::Refused(refusal) => return End::Refused(refusal),
-                NextStep::Failed(_) => {}
+                NextStep::Rejected(refusal) => return End::Refused(refusal),
+                NextStep::PollFailed(_) => {}
                 NextStep::Wait(_) | NextStep::Poll(_) => return End::Idle,
             }
         }
--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -147,7 +147,7 @@
                     self.closed += 1;
                     let proxy = &mut self.proxies[id.0 as usize];
                     proxy.line = Line::Idle;
-                    proxy.follower.poll_failed(self.now, Failure::Broken("closed".into()));
+                    proxy.follower.poll_failed(self.now, Failure::ConnectionFailed("closed".into()));
                 }
             }
         }
@@ -207,14 +207,14 @@
                     proxy.line = Line::Question { ask, arrives: now + conditions.latency };
                     return;
                 }
-                NextStep::Judge => proxy.follower.candidate_judged(now, Ok(())),
-                NextStep::Took(version) => proxy.took = Some((version, now)),
-                NextStep::Failed(Failure::Silent) => {
+                NextStep::Validate => proxy.follower.candidate_validated(now, Ok(())),
+                NextStep::Applied(version) => proxy.took = Some((version, now)),
+                NextStep::PollFailed(Failure::TimedOut) => {
                     self.desk.disconnect(id);
                     proxy.line = Line::Idle;
                 }
                 NextStep::Wait(_) => return,
-                NextStep::More | NextStep::Refused(_) | NextStep::Failed(_) => {}
+                NextStep::Continue | NextStep::Rejected(_) | NextStep::PollFailed(_) => {}
             }
         }
     }
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -130,17 +130,17 @@
     fn work(&mut self) {
         match self.follower.follower.next_step(self.follower.now) {
             NextStep::Poll(ask) => self.asked = Some(ask),
-            NextStep::Judge => {
+            NextStep::Validate => {
                 let candidate = self.follower.follower.candidate().unwrap();
                 let (version, settings) = (candidate.version(), candidate.to_settings().unwrap());
                 let verdict = check(&settings);
-                self.follower.follower.candidate_judged(self.follower.now, verdict.clone());
+                self.follower.follower.candidate_validated(self.follower.now, verdict.clone());
                 if verdict.is_ok() {
                     let read = Document::from_settings(&settings).unwrap();
                     assert_eq!(self.published.get(&version), Some(&read), "a mixture passed at {version}");
                 }
             }
-            NextStep::Took(version) => {
+            NextStep::Applied(version) => {
                 assert_eq!(self.follower.follower.document(), &self.published[&version], "{version}");
             }
             _ => {}
@@ -216,7 +216,7 @@
             let ask = follower.ask();
             assert_eq!(ask.after, Some(held), "seed {seed}");
             questions += 1;
-            follower.follower.poll_failed(follower.now, Failure::Broken("unreachable".into()));
+            follower.follower.poll_failed(follower.now, Failure::ConnectionFailed("unreachable".into()));
             let due = (follower.now - cut).as_secs() / 36;
             while source.version().number - held.number < due.min(5) {
                 change(&mut source, due as usize, 1.0 + due as f64);
@@ -226,7 +226,7 @@
         let status = follower.follower.status(follower.now);
         assert_eq!(
             (status.sync_state, status.applied_version),
-            (SyncState::CutOff, Some(held)),
+            (SyncState::Disconnected, Some(held)),
             "seed {seed}"
         );
         assert!(status.age.unwrap() >= seconds(180), "seed {seed}: {:?}", status.age);
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -12,8 +12,8 @@
 use lotusdeck_configuration::history::HistoryBounds;
 use lotusdeck_configuration::staging::StagingError;
 use lotusdeck_configuration::{
-    decode, encode, Document, DocumentError, Failure, Key, Message, PublishError, Rejection, Section, Source,
-    SyncState, Version,
+    decode, encode, Document, DocumentError, Failure, InvalidSettings, Key, Message, PublishError, Rejection,
+    Section, Source, SyncState, Version,
 };
 use serde_json::json;
 
@@ -61,7 +61,7 @@
     follower.ask();
     let delta = Message::Delta(source.delta(Version::first(EPOCH)).unwrap());
     follower.follower.handle_message(follower.now, delta);
-    while follower.follower.next_step(follower.now) != lotusdeck_configuration::NextStep::Judge {
+    while follower.follower.next_step(follower.now) != lotusdeck_configuration::NextStep::Validate {
         assert_eq!(follower.follower.document(), &before);
     }
     assert_eq!(follower.follower.document(), &before);
@@ -110,15 +110,15 @@
     let mut follower = Driven::new(1);
     follower.exchange(&mut newer);
     let (held, offered) = (newer.version(), older.version());
-    let refused = || End::Refused(Rejection::WentBack { held, offered });
+    let refused = || End::Refused(Rejection::VersionRollback { held, offered });
     assert_eq!(follower.exchange(&mut older), refused());
     assert_eq!(follower.ask().after, Some(held));
     assert_eq!(follower.answer(Message::FullDocument(older.full_document())), refused());
     follower.holds(newer.document());
-    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::CutOff);
+    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Disconnected);
     let mut before = Source::new(EPOCH - 1, &settings(1, 5), HistoryBounds::default(), check).unwrap();
     changes(&mut before, 9);
-    assert!(matches!(follower.exchange(&mut before), End::Refused(Rejection::WentBack { .. })));
+    assert!(matches!(follower.exchange(&mut before), End::Refused(Rejection::VersionRollback { .. })));
     let mut anew = Source::new(EPOCH + 1, &settings(1, 2), HistoryBounds::default(), check).unwrap();
     assert_eq!(follower.exchange(&mut anew), End::Took(Version::first(EPOCH + 1)));
     follower.holds(anew.document());
@@ -134,7 +134,7 @@
     change(&mut source, 2, 2.0);
     follower.ask();
     let late = Message::Delta(source.delta(from).unwrap());
-    assert_eq!(follower.answer(late), End::Refused(Rejection::OtherBase { held, from }));
+    assert_eq!(follower.answer(late), End::Refused(Rejection::BaseMismatch { held, from }));
     assert_eq!(follower.ask().after, None);
     follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
@@ -175,7 +175,9 @@
     delta.changed[0].value = r#"{"quota_rps":1.5}"#.into();
     follower.ask();
     let fails = |end: End| match end {
-        End::Refused(Rejection::Staging { error, .. }) => matches!(error, StagingError::Checksum { .. }),
+        End::Refused(Rejection::Staging { error, .. }) => {
+            matches!(error, StagingError::ChecksumMismatch { .. })
+        }
         _ => false,
     };
     assert!(fails(follower.answer(Message::Delta(delta))));
@@ -196,7 +198,7 @@
 fn a_tenant_named_twice_is_refused_at_the_source_and_on_the_wire() {
     let twice = json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
     let north = Key::new(Section::Customers, "north");
-    assert_eq!(Document::from_settings(&twice), Err(DocumentError::Twice(north)));
+    assert_eq!(Document::from_settings(&twice), Err(DocumentError::DuplicateEntry(north)));
     let mut source = source(1, 1);
     assert!(matches!(source.publish(&twice, check), Err(PublishError::Document(_))));
     let sum = "0".repeat(32);
@@ -222,13 +224,13 @@
     follower.exchange(&mut source);
     let held = (source.version(), source.document().clone());
     let unsound = source.publish_changes(vec![quota(1, -1.0)], Vec::new(), check);
-    let reason = "customer \"tenant-1\": expected a quota of at least 0".to_string();
-    assert_eq!(unsound, Err(PublishError::Unsound(reason.clone())));
+    let error = InvalidSettings::new("customer \"tenant-1\": expected a quota of at least 0");
+    assert_eq!(unsound, Err(PublishError::InvalidSettings(error.clone())));
     assert_eq!(source.version(), held.0);
     let version = source.publish_changes(vec![quota(1, -1.0)], Vec::new(), |_| Ok(())).unwrap().version;
-    assert_eq!(follower.exchange(&mut source), End::Refused(Rejection::Unsound { version, reason }));
+    assert_eq!(follower.exchange(&mut source), End::Refused(Rejection::InvalidSettings { version, error }));
     assert_eq!(follower.follower.document(), &held.1);
-    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Refusing(version));
+    assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Rejecting(version));
     let ask = follower.ask();
     assert_eq!((ask.after, ask.rejected_version), (Some(held.0), Some(version)));
     assert_eq!(source.answer_poll(&ask), lotusdeck_configuration::source::SourceAnswer::Later);
@@ -251,7 +253,7 @@
     let publication = source.revert_to(before.0, check).unwrap();
     assert_eq!((publication.changed, publication.removed), (2, 1));
     assert_eq!((source.document(), source.version().number), (&before.1, 5));
-    assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::Nothing));
+    assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::NoChange));
 }
 
 /// The order of profiles or customers in a settings object means nothing, that of other arrays does.
@@ -277,14 +279,17 @@
     };
     let changed = (0..80).map(large).collect();
     let refused = source.publish_changes(changed, Vec::new(), |_| Ok(()));
-    assert!(matches!(refused, Err(PublishError::Staging(StagingError::Document(DocumentError::Size(..))))));
+    assert!(matches!(
+        refused,
+        Err(PublishError::Staging(StagingError::Document(DocumentError::TooLarge(..))))
+    ));
     let changed = (0..80).map(large).collect();
     let delta = lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty(&source) };
     follower.ask();
     let end = follower.answer(Message::Delta(delta));
     assert!(matches!(
         end,
-        End::Refused(Rejection::Staging { error: StagingError::Document(DocumentError::Size(..)), .. })
+        End::Refused(Rejection::Staging { error: StagingError::Document(DocumentError::TooLarge(..)), .. })
     ));
 }
 
--- a/crates/lotusdeck/src/configuration.rs
+++ b/crates/lotusdeck/src/configuration.rs
@@ -1,9 +1,10 @@
 //! Follows a source of configuration (docs/configuration-distribution.md) on a thread of its own: asking, decoding,
 //! verifying and reading megabytes never hold the event loop, which gets settings that were read and checked.
 
-use lotusdeck_configuration::message::MAX_MESSAGE;
+use lotusdeck_configuration::message::MAX_MESSAGE_BYTES;
 use lotusdeck_configuration::{
-    decode, DocumentError, Failure, Follower, FollowerSettings, NextStep, Poll, SyncState, Version,
+    decode, DocumentError, Failure, Follower, FollowerSettings, InvalidSettings, NextStep, Poll, SyncState,
+    Version,
 };
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_proxy::admin::ConfigurationStatus;
@@ -91,8 +92,8 @@
         let (standing, refused) = match standing {
             SyncState::Empty => ("empty", None),
             SyncState::Current => ("current", None),
-            SyncState::Refusing(version) => ("refusing", Some(version)),
-            SyncState::CutOff => ("cut off", None),
+            SyncState::Rejecting(version) => ("refusing", Some(version)),
+            SyncState::Disconnected => ("cut off", None),
         };
         Some(ConfigurationStatus {
             source: source.to_string(),
@@ -243,11 +244,11 @@
         match step {
             NextStep::Poll(ask) => return self.ask(source, ask).await,
             NextStep::Wait(until) => return self.rest(until.saturating_sub(now)).await,
-            NextStep::More => tokio::task::yield_now().await,
-            NextStep::Judge => self.judge(),
-            NextStep::Took(version) => return self.took(version).await,
-            NextStep::Refused(refusal) => self.trouble("configuration refused", refusal.to_string()),
-            NextStep::Failed(failure) => self.trouble("no answer from the source", failure.to_string()),
+            NextStep::Continue => tokio::task::yield_now().await,
+            NextStep::Validate => self.judge(),
+            NextStep::Applied(version) => return self.took(version).await,
+            NextStep::Rejected(refusal) => self.trouble("configuration refused", refusal.to_string()),
+            NextStep::PollFailed(failure) => self.trouble("no answer from the source", failure.to_string()),
         }
         true
     }
@@ -272,7 +273,7 @@
         let uri = uri(&ask);
         let patience = ask.wait + settings.poll_timeout;
         let ended = tokio::select! {
-            answer = call::get(&mut self.link, source, &uri, MAX_MESSAGE, patience) => ended(answer.map(|b| decode(&b))),
+            answer = call::get(&mut self.link, source, &uri, MAX_MESSAGE_BYTES, patience) => ended(answer.map(|b| decode(&b))),
             changed = self.orders.changed() => changed.map_or(Ended::Closed, |()| Ended::Ordered),
         };
         let now = self.now();
@@ -302,9 +303,9 @@
     fn judge(&mut self) {
         let Some(candidate) = self.follower.candidate() else { return };
         let read = candidate.to_settings().map_err(Unsound::from).and_then(|object| self.check(object));
-        let verdict = read.as_ref().map(|_| ()).map_err(Unsound::to_string);
+        let verdict = read.as_ref().map(|_| ()).map_err(|unsound| InvalidSettings::new(unsound.to_string()));
         self.read = read.ok();
-        self.follower.candidate_judged(self.now(), verdict);
+        self.follower.candidate_validated(self.now(), verdict);
     }
 
     fn check(&self, object: Value) -> Result<(Settings, Outline), Unsound> {
@@ -375,7 +376,7 @@
         Ok(Ok(message)) => Ended::Answered(Box::new(message)),
         Ok(Err(error)) => Ended::Failed(Failure::Malformed(error.to_string())),
         Err(CallError::Status(BUSY)) => Ended::Failed(Failure::Busy),
-        Err(CallError::Silent) => Ended::Failed(Failure::Silent),
-        Err(error) => Ended::Failed(Failure::Broken(error.to_string())),
+        Err(CallError::Silent) => Ended::Failed(Failure::TimedOut),
+        Err(error) => Ended::Failed(Failure::ConnectionFailed(error.to_string())),
     }
 }
