--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod quota;
 pub mod wire;
 
-pub use membership::{Identity, Membership};
-pub use node::{Limit, Node, NodeConfig, QuotaStatus};
+pub use membership::{Identity, Membership, MembershipError, Seed};
+pub use node::{Limit, Node, NodeConfig, QuotaStatus, ReceiveError};
 pub use quota::{Quota, QuotaConfig, QuotaExceeded};
--- a/crates/fleet/src/load_gossip.rs
+++ b/crates/fleet/src/load_gossip.rs
@@ -9,7 +9,7 @@
 /// A number older than this is not counted: some rounds of gossip through a thousand proxies.
 const OLD: Duration = Duration::from_millis(1_500);
 /// Numbers in one datagram: 14 bytes each at most.
-pub const MOST: usize = 80;
+pub const MAX_REPORTS_PER_DATAGRAM: usize = 80;
 
 /// One member's number.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -22,6 +22,15 @@
     pub in_flight: u32,
 }
 
+/// How old the reports of the other members are.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReportAges {
+    /// Over all known members.
+    pub mean: Duration,
+    /// Of the oldest report.
+    pub max: Duration,
+}
+
 struct Known {
     told: LoadReport,
     /// When it was learned here: no two clocks are compared.
@@ -50,7 +59,7 @@
     pub fn reports_to_send(&mut self, now: Duration, own: LoadReport) -> Vec<LoadReport> {
         let fresh = |k: &&Known| k.told.proxy_index != own.proxy_index && now.saturating_sub(k.at) < OLD;
         let after = self.known.range(self.next..).chain(self.known.range(..self.next));
-        let others = after.map(|(_, k)| k).filter(fresh).map(|k| k.told).take(MOST - 1);
+        let others = after.map(|(_, k)| k).filter(fresh).map(|k| k.told).take(MAX_REPORTS_PER_DATAGRAM - 1);
         let part: Vec<LoadReport> = std::iter::once(own).chain(others).collect();
         self.next = part.last().map_or(0, |t| t.proxy_index.wrapping_add(1));
         part
@@ -67,7 +76,7 @@
     }
 
     /// How old the numbers known are, from their learning here: the mean and the most.
-    pub fn report_ages(&self, now: Duration, own: u32) -> (Duration, Duration) {
+    pub fn report_ages(&self, now: Duration, own: u32) -> ReportAges {
         let ages: Vec<Duration> = self
             .known
             .values()
@@ -75,7 +84,10 @@
             .map(|k| now.saturating_sub(k.at))
             .collect();
         let count = u32::try_from(ages.len()).unwrap_or(u32::MAX).max(1);
-        (ages.iter().sum::<Duration>() / count, ages.iter().max().copied().unwrap_or_default())
+        ReportAges {
+            mean: ages.iter().sum::<Duration>() / count,
+            max: ages.iter().max().copied().unwrap_or_default(),
+        }
     }
 }
 
@@ -117,7 +129,7 @@
         let mut seen = std::collections::BTreeSet::new();
         for _ in 0..3 {
             let part = gauges.reports_to_send(NOW, told(0, 9, 1));
-            assert!(part.len() == MOST && part[0].proxy_index == 0);
+            assert!(part.len() == MAX_REPORTS_PER_DATAGRAM && part[0].proxy_index == 0);
             seen.extend(part.iter().map(|t| t.proxy_index));
         }
         assert_eq!(seen.len(), 201);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Bytes of a datagram at most, under an Ethernet's 1,500 with headers and this crate's own.
-pub const MAX_PACKET: usize = 1_400;
+pub const MAX_PACKET_BYTES: usize = 1_400;
 /// How often a proxy that sees nobody calls at those it was told of, and one that sees some calls at one taken for
 /// dead: a healed partition is found within some of these.
 const CALL_EVERY: Duration = Duration::from_secs(1);
@@ -23,13 +23,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Its place in the fleet, from 0: the platform's own number for it.
-    pub position: u32,
+    pub proxy_index: u32,
     /// Rises with each start of the process and each return after it was taken for dead.
     pub generation: u64,
     /// Where it is reached.
     pub address: SocketAddr,
 }
 
+/// A proxy of the fleet that a new one announces itself to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Seed {
+    /// Its place in the fleet.
+    pub proxy_index: u32,
+    /// Where it is reached.
+    pub address: SocketAddr,
+}
+
 impl foca::Identity for Identity {
     type Addr = u32;
 
@@ -38,7 +47,7 @@
     }
 
     fn addr(&self) -> u32 {
-        self.position
+        self.proxy_index
     }
 
     fn win_addr_conflict(&self, adversary: &Identity) -> bool {
@@ -58,13 +67,20 @@
     #[error(transparent)]
     Bytes(#[from] postcard::Error),
     /// A position that the fleet does not have.
-    #[error("position {0} in a fleet of {1}")]
-    Position(u32, u32),
+    #[error("position {proxy_index} in a fleet of {fleet_size}")]
+    ProxyIndexOutOfRange {
+        /// Of the datagram.
+        proxy_index: u32,
+        /// Proxies of this fleet.
+        fleet_size: u32,
+    },
 }
 
 impl Checked {
     fn fits(&self, id: &Identity) -> Result<(), CodecError> {
-        (id.position < self.size).then_some(()).ok_or(CodecError::Position(id.position, self.size))
+        (id.proxy_index < self.size)
+            .then_some(())
+            .ok_or(CodecError::ProxyIndexOutOfRange { proxy_index: id.proxy_index, fleet_size: self.size })
     }
 }
 
@@ -92,13 +108,18 @@
     }
 }
 
+/// Why a datagram of the membership protocol is not taken.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct MembershipError(foca::Error);
+
 /// The members that are taken for alive, and the protocol that keeps them so.
 pub struct Membership {
     foca: Foca<Identity, Checked, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
     timers: BTreeMap<(Duration, u64), Timer<Identity>>,
     timer: u64,
-    seeds: Vec<(u32, SocketAddr)>,
+    seeds: Vec<Seed>,
     call_at: Duration,
     live_members: BTreeMap<u32, Identity>,
     generation: u64,
@@ -107,17 +128,17 @@
 impl Membership {
     /// `seeds` are positions and addresses to call at; this one's own place among them is passed over. `seed` is of
     /// the random choice whom to probe.
-    pub fn new(own: Identity, size: NonZeroU32, seeds: Vec<(u32, SocketAddr)>, seed: u64) -> Membership {
+    pub fn new(own: Identity, size: NonZeroU32, seeds: Vec<Seed>, seed: u64) -> Membership {
         let some =
             |frequency, n| NonZeroUsize::new(n).map(|num_members| PeriodicParams { frequency, num_members });
         // The crate's own settings for a LAN (one probe a second, answered within half of it) but for how soon a
         // healed partition is found.
         let config = Config {
-            max_packet_size: NonZeroUsize::new(MAX_PACKET).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN),
             periodic_announce_to_down_members: some(CALL_EVERY, 2),
             ..Config::new_lan(size)
         };
-        let seeds = seeds.into_iter().filter(|s| s.0 != own.position).collect();
+        let seeds = seeds.into_iter().filter(|seed| seed.proxy_index != own.proxy_index).collect();
         let checked = Checked { size: size.get() };
         Membership {
             foca: Foca::new(own, config, SmallRng::seed_from_u64(seed), checked),
@@ -150,8 +171,8 @@
     ///
     /// # Errors
     /// They make no sense; nothing changed.
-    pub fn receive(&mut self, now: Duration, data: &[u8]) -> Result<(), String> {
-        let told = self.foca.handle_data(data, &mut self.runtime).map_err(|e| e.to_string());
+    pub fn receive(&mut self, now: Duration, data: &[u8]) -> Result<(), MembershipError> {
+        let told = self.foca.handle_data(data, &mut self.runtime).map_err(MembershipError);
         self.heed(now);
         told
     }
@@ -166,10 +187,11 @@
         if now >= self.call_at {
             self.call_at = now + CALL_EVERY;
             // Those that were told of and are not seen: at the start, and where all were lost.
-            let unseen = |s: &&(u32, SocketAddr)| !self.live_members.contains_key(&s.0);
+            let unseen = |seed: &&Seed| !self.live_members.contains_key(&seed.proxy_index);
             let calls: Vec<_> = self.seeds.iter().filter(unseen).copied().collect();
-            for (position, address) in calls {
-                let _ = self.foca.announce(Identity { position, generation: 0, address }, &mut self.runtime);
+            for Seed { proxy_index, address } in calls {
+                let _ =
+                    self.foca.announce(Identity { proxy_index, generation: 0, address }, &mut self.runtime);
             }
             self.heed(now);
         }
@@ -192,12 +214,12 @@
         }
         while let Some(news) = self.runtime.to_notify() {
             let changed = match news {
-                OwnedNotification::MemberUp(id) => self.live_members.insert(id.position, id).is_none(),
-                OwnedNotification::MemberDown(id) => self.live_members.remove(&id.position).is_some(),
+                OwnedNotification::MemberUp(id) => self.live_members.insert(id.proxy_index, id).is_none(),
+                OwnedNotification::MemberDown(id) => self.live_members.remove(&id.proxy_index).is_some(),
                 OwnedNotification::Rename(_, id) => {
-                    let known = self.live_members.contains_key(&id.position);
+                    let known = self.live_members.contains_key(&id.proxy_index);
                     if known {
-                        self.live_members.insert(id.position, id);
+                        self.live_members.insert(id.proxy_index, id);
                     }
                     known
                 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,8 +1,8 @@
 //! One proxy's part in the fleet: its membership and its shares, behind datagrams and a clock that are handed in.
 
-use crate::load_gossip::{LoadGossip, LoadReport, MOST};
-use crate::membership::{Identity, Membership};
-use crate::quota::{Quota, QuotaConfig, QuotaExceeded};
+use crate::load_gossip::{LoadGossip, LoadReport, ReportAges, MAX_REPORTS_PER_DATAGRAM};
+use crate::membership::{Identity, Membership, MembershipError, Seed};
+use crate::quota::{Quota, QuotaAmounts, QuotaConfig, QuotaCounts, QuotaExceeded};
 use crate::wire::{self, Message, WireError};
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -11,6 +11,7 @@
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Rounds of shares in a term: a need is asked for within one, and kept up with five tries before it runs out.
 const ROUNDS: u32 = 10;
@@ -43,7 +44,7 @@
     /// Proxies of the fleet.
     pub fleet_size: NonZeroU32,
     /// Positions and addresses of some of them.
-    pub seeds: Vec<(u32, SocketAddr)>,
+    pub seeds: Vec<Seed>,
     /// The limits, the same at every proxy.
     pub limits: Vec<Limit>,
     /// How long a share is lent.
@@ -54,6 +55,25 @@
     pub rng_seed: u64,
 }
 
+/// Why a datagram is not taken; nothing changed.
+#[derive(Debug, Error)]
+pub enum ReceiveError {
+    /// It is no datagram of this fleet.
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    /// The membership protocol does not accept it.
+    #[error(transparent)]
+    Membership(#[from] MembershipError),
+    /// A lease is requested of a limit that there is not, or by a proxy that there is not.
+    #[error("lease request by proxy {from} for limit {limit}: no such proxy or limit")]
+    UnknownLeaseRequest {
+        /// The proxy that requests it, as the datagram says.
+        from: u32,
+        /// The limit, by its place.
+        limit: u16,
+    },
+}
+
 /// A share, to be shown.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct QuotaStatus {
@@ -123,7 +143,7 @@
             lease_duration: term,
             max_request_duration: longest,
             fleet_size: size.get(),
-            proxy_index: own.position,
+            proxy_index: own.proxy_index,
         };
         let shares = limits.iter().map(|limit| Quota::new(terms(limit), now)).collect();
         let tag = wire::tag(&format!("{site:?} {size} {term:?} {longest:?} {limits:?}"));
@@ -156,30 +176,30 @@
     ///
     /// # Errors
     /// They are no message of this fleet; nothing changed.
-    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), String> {
-        let message = wire::decode(self.tag, bytes).map_err(|e: WireError| e.to_string())?;
+    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
+        let message = wire::decode(self.tag, bytes)?;
         match message {
             Message::Swim(data) => self.membership.receive(now, &data)?,
-            Message::Held(told) => {
-                let (own, size) = (self.membership.identity().position, self.size);
+            Message::LoadReports(told) => {
+                let (own, size) = (self.membership.identity().proxy_index, self.size);
                 let sound = |t: &&LoadReport| t.proxy_index < size && t.proxy_index != own;
-                for t in told.iter().take(MOST).filter(sound) {
+                for t in told.iter().take(MAX_REPORTS_PER_DATAGRAM).filter(sound) {
                     self.gauges.merge(now, *t);
                 }
             }
-            Message::Ask { from, generation, reply_to, limit, nonce, want } => {
-                let own = self.membership.identity().position;
+            Message::LeaseRequest { from, generation, reply_to, limit, nonce, wanted } => {
+                let own = self.membership.identity().proxy_index;
                 let member = from != own && from < self.size;
                 let Some(share) = self.quotas.get_mut(usize::from(limit)).filter(|_| member) else {
-                    return Err(format!("asked by proxy {from} for limit {limit}"));
+                    return Err(ReceiveError::UnknownLeaseRequest { from, limit });
                 };
-                let lent = share.grant_lease(now, (from, generation), nonce, want);
-                self.say(reply_to, &Message::Grant { from: own, nonce, lent });
+                let granted = share.grant_lease(now, (from, generation), nonce, wanted);
+                self.say(reply_to, &Message::LeaseGrant { from: own, nonce, granted });
             }
-            Message::Grant { from, nonce, lent } => {
+            Message::LeaseGrant { from, nonce, granted } => {
                 if let Some((limit, _)) = self.open.remove(&nonce) {
                     if let Some(share) = self.quotas.get_mut(usize::from(limit)) {
-                        share.lease_granted(now, from, nonce, lent);
+                        share.lease_granted(now, from, nonce, granted);
                     }
                 }
             }
@@ -211,8 +231,15 @@
             for q in share.request_leases(now, pick, number) {
                 let Some(lender) = live.get(&q.lender) else { continue };
                 open.insert(q.seq, (limit, now + *term));
-                let (from, generation, reply_to) = (own.position, own.generation, own.address);
-                let ask = Message::Ask { from, generation, reply_to, limit, nonce: q.seq, want: q.wanted };
+                let (from, generation, reply_to) = (own.proxy_index, own.generation, own.address);
+                let ask = Message::LeaseRequest {
+                    from,
+                    generation,
+                    reply_to,
+                    limit,
+                    nonce: q.seq,
+                    wanted: q.wanted,
+                };
                 said.push((lender.address, ask));
             }
         }
@@ -228,7 +255,7 @@
         let (Some(value), own) = (self.held, self.membership.identity()) else { return };
         let since = u64::try_from(now.saturating_sub(self.begun).as_micros()).unwrap_or(u64::MAX);
         let own = LoadReport {
-            proxy_index: own.position,
+            proxy_index: own.proxy_index,
             reported_at: own.generation.saturating_add(since),
             in_flight: value,
         };
@@ -236,7 +263,7 @@
         for _ in 0..TELL.min(live.len()) {
             let to = live[self.dice.random_range(0..live.len())];
             let part = self.gauges.reports_to_send(now, own);
-            self.say(to, &Message::Held(part));
+            self.say(to, &Message::LoadReports(part));
         }
     }
 
@@ -247,12 +274,12 @@
 
     /// What all others hold together, as far as is known: those that are not heard of count as the mean.
     pub fn others_in_flight(&self, now: Duration) -> Option<f64> {
-        self.gauges.others_in_flight(now, self.membership.identity().position, self.size)
+        self.gauges.others_in_flight(now, self.membership.identity().proxy_index, self.size)
     }
 
     /// How old what is known of the others is: the mean and the most.
-    pub fn report_ages(&self, now: Duration) -> (Duration, Duration) {
-        self.gauges.report_ages(now, self.membership.identity().position)
+    pub fn report_ages(&self, now: Duration) -> ReportAges {
+        self.gauges.report_ages(now, self.membership.identity().proxy_index)
     }
 
     /// When to call [`Node::tick`].
@@ -304,8 +331,8 @@
     /// Every share at `now`.
     pub fn quotas(&self, now: Duration) -> impl Iterator<Item = QuotaStatus> + '_ {
         self.names.iter().zip(&self.quotas).map(move |(name, share)| {
-            let (usable, lent, borrowed) = share.amounts(now);
-            let (open, admitted, refused) = share.counts();
+            let QuotaAmounts { usable, lent, borrowed } = share.amounts(now);
+            let QuotaCounts { in_flight, admitted, rejected } = share.counts();
             QuotaStatus {
                 limit: name.clone(),
                 rate: usable.rate,
@@ -314,9 +341,9 @@
                 lent_slots: lent.slots,
                 borrowed_rate: borrowed.rate,
                 borrowed_slots: borrowed.slots,
-                in_flight: open,
+                in_flight,
                 admitted,
-                rejected: refused,
+                rejected,
             }
         })
     }
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -105,6 +105,28 @@
     want: Amount,
 }
 
+/// What a quota amounts to at a moment.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QuotaAmounts {
+    /// What this proxy may use.
+    pub usable: Amount,
+    /// Of its own, lent to others.
+    pub lent: Amount,
+    /// Borrowed from others.
+    pub borrowed: Amount,
+}
+
+/// Requests that a quota has decided on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct QuotaCounts {
+    /// Admitted and not released.
+    pub in_flight: u32,
+    /// Admitted since the start.
+    pub admitted: u64,
+    /// Rejected since the start.
+    pub rejected: u64,
+}
+
 /// A question to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseRequest {
@@ -279,7 +301,7 @@
             known.loan.amount = lesser(known.loan.amount, want);
         }
         // One that gave all up is not remembered: whoever asks under ever new names must not fill the memory.
-        self.lent.retain(|_, b| !b.loan.amount.is_none());
+        self.lent.retain(|_, b| !b.loan.amount.is_zero());
         let before = self.lent.get(&borrower).map_or(Amount::default(), |b| b.loan.amount);
         let spare = self.spare(self.at, borrower);
         // What it had it keeps; of the rest half, so that one that asks for all leaves something to the next.
@@ -288,7 +310,7 @@
             rate: want.rate.min(kept.rate + (spare.rate - kept.rate) / 2.0),
             slots: want.slots.min(kept.slots + (spare.slots - kept.slots).div_ceil(2)),
         });
-        if lent.is_none() {
+        if lent.is_zero() {
             // What it still uses of the last loan runs out by itself.
             return lent;
         }
@@ -362,7 +384,7 @@
             let want = Amount { rate: need.rate / ASKS as f64, slots: need.slots.div_ceil(ASKS as u32) };
             let want = self.terms.worth(want);
             let busy = self.borrowed.len() + questions.len() >= MOST_LENDERS;
-            let Some(lender) = pick().filter(|_| !busy && !want.is_none()) else { break };
+            let Some(lender) = pick().filter(|_| !busy && !want.is_zero()) else { break };
             let known = self.borrowed.contains_key(&lender)
                 || self.asked.values().any(|a| a.lender == lender)
                 || questions.iter().any(|q| q.lender == lender);
@@ -390,19 +412,23 @@
         let most = QuotaConfig { proxy_index: 0, ..self.terms }.lendable();
         let sound = lent.rate.is_finite() && lent.rate >= 0.0;
         let amount = lesser(lesser(lent, want), most);
-        if sound && self.at < until && !amount.is_none() {
+        if sound && self.at < until && !amount.is_zero() {
             self.borrowed.insert(lender, Loan { amount, until });
         }
     }
 
-    /// At a moment not before the last that it was told of: what it may use, what it lent and what it borrowed.
-    pub fn amounts(&self, now: Duration) -> (Amount, Amount, Amount) {
-        (self.usable(now), self.lent_to_others(None), self.borrowed_at(now))
+    /// What it may use, what it lent and what it borrowed, at a moment not before the last that it was told of.
+    pub fn amounts(&self, now: Duration) -> QuotaAmounts {
+        QuotaAmounts {
+            usable: self.usable(now),
+            lent: self.lent_to_others(None),
+            borrowed: self.borrowed_at(now),
+        }
     }
 
-    /// Requests that are taken in and not over, that were admitted so far, and that were refused.
-    pub fn counts(&self) -> (u32, u64, u64) {
-        (self.used, self.admitted, self.refused)
+    /// How many requests it admitted and rejected.
+    pub fn counts(&self) -> QuotaCounts {
+        QuotaCounts { in_flight: self.used, admitted: self.admitted, rejected: self.refused }
     }
 }
 
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -12,7 +12,7 @@
 /// Magic and tag.
 const HEADER: usize = 8;
 /// The longest datagram that is read: a membership's longest, and this crate's header around it.
-pub const MAX_DATAGRAM: usize = crate::membership::MAX_PACKET + HEADER + 8;
+pub const MAX_DATAGRAM_BYTES: usize = crate::membership::MAX_PACKET_BYTES + HEADER + 8;
 
 /// How much of a limit is asked for or lent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
 
 impl Amount {
     /// Neither.
-    pub fn is_none(&self) -> bool {
+    pub fn is_zero(&self) -> bool {
         self.rate <= 0.0 && self.slots == 0
     }
 }
@@ -36,9 +36,9 @@
     /// The membership's own bytes.
     Swim(Vec<u8>),
     /// What members hold, as far as the sender knows.
-    Held(Vec<LoadReport>),
+    LoadReports(Vec<LoadReport>),
     /// Lend me of this limit, for one term; in place of what you lent me of it before.
-    Ask {
+    LeaseRequest {
         /// Who asks, by position.
         from: u32,
         /// Its generation.
@@ -50,16 +50,16 @@
         /// Named by the answer; drawn at random, so that a stranger cannot answer.
         nonce: u64,
         /// How much.
-        want: Amount,
+        wanted: Amount,
     },
     /// So much is lent, from when it was asked for to one term later; nothing, where there is nothing to spare.
-    Grant {
+    LeaseGrant {
         /// Who lends, by position.
         from: u32,
         /// Of the question.
         nonce: u64,
         /// How much, at most what was asked for.
-        lent: Amount,
+        granted: Amount,
     },
 }
 
@@ -68,13 +68,18 @@
 pub enum WireError {
     /// Not of this protocol.
     #[error("not a proxy's datagram")]
-    Foreign,
+    ForeignProtocol,
     /// Another site, another size of the fleet, or other limits.
-    #[error("another site, fleet or set of limits: tag {0:08x}, this proxy's is {1:08x}")]
-    Tag(u32, u32),
+    #[error("another site, fleet or set of limits: tag {received:08x}, this proxy's is {own:08x}")]
+    TagMismatch {
+        /// Of the datagram.
+        received: u32,
+        /// Of this proxy.
+        own: u32,
+    },
     /// It makes no sense.
     #[error("message: {0}")]
-    Message(postcard::Error),
+    Malformed(#[source] postcard::Error),
 }
 
 /// The tag of a text that holds all that has to be the same.
@@ -97,16 +102,16 @@
 /// # Errors
 /// Whatever is wrong with them.
 pub fn decode(own: u32, bytes: &[u8]) -> Result<Message, WireError> {
-    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(WireError::Foreign)?;
-    let (tag, body) = rest.split_first_chunk::<4>().ok_or(WireError::Foreign)?;
+    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
+    let (tag, body) = rest.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
     if *magic != MAGIC {
-        return Err(WireError::Foreign);
+        return Err(WireError::ForeignProtocol);
     }
     let tag = u32::from_le_bytes(*tag);
     if tag != own {
-        return Err(WireError::Tag(tag, own));
+        return Err(WireError::TagMismatch { received: tag, own });
     }
-    postcard::from_bytes(body).map_err(WireError::Message)
+    postcard::from_bytes(body).map_err(WireError::Malformed)
 }
 
 #[cfg(test)]
@@ -116,11 +121,11 @@
 
     #[test]
     fn a_message_comes_back_and_another_fleets_does_not() {
-        let grant = Message::Grant { from: 3, nonce: 9, lent: Amount { rate: 2.5, slots: 4 } };
+        let grant = Message::LeaseGrant { from: 3, nonce: 9, granted: Amount { rate: 2.5, slots: 4 } };
         let bytes = encode(7, &grant);
         assert_eq!(decode(7, &bytes), Ok(grant));
-        assert_eq!(decode(8, &bytes), Err(WireError::Tag(7, 8)));
-        assert_eq!(decode(7, b"GET / HTTP/1.1"), Err(WireError::Foreign));
+        assert_eq!(decode(8, &bytes), Err(WireError::TagMismatch { received: 7, own: 8 }));
+        assert_eq!(decode(7, b"GET / HTTP/1.1"), Err(WireError::ForeignProtocol));
     }
 
     proptest! {
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -2,7 +2,7 @@
 //! and return, and clients. The oracle counts what all nodes admitted together.
 #![allow(dead_code)]
 
-use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, QuotaStatus};
+use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, QuotaStatus, Seed};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -114,9 +114,11 @@
         let size = NonZeroU32::new(self.places.len() as u32).unwrap();
         let config = NodeConfig {
             site: "sim".into(),
-            identity: Identity { position: p as u32, generation, address: address(p) },
+            identity: Identity { proxy_index: p as u32, generation, address: address(p) },
             fleet_size: size,
-            seeds: (0..self.places.len().min(3)).map(|s| (s as u32, address(s))).collect(),
+            seeds: (0..self.places.len().min(3))
+                .map(|at| Seed { proxy_index: at as u32, address: address(at) })
+                .collect(),
             limits: vec![self.limit.clone()],
             lease_duration: TERM,
             max_request_duration: LONGEST,
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -4,7 +4,7 @@
 
 use lotusdeck_fleet::load_gossip::LoadReport;
 use lotusdeck_fleet::wire::{decode, encode, tag, Amount, Message};
-use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig};
+use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, Seed};
 use std::time::Duration;
 
 const TAG: u32 = 0x0102_0304;
@@ -30,28 +30,28 @@
         LoadReport { proxy_index: 3, reported_at: 1_700_000_000_000_000, in_flight: 42 },
         LoadReport { proxy_index: 200, reported_at: 5, in_flight: 300 },
     ];
-    assert_bytes(&Message::Held(reports), "4c444631040302010102038080f9c0c1c482032ac80105ac02");
+    assert_bytes(&Message::LoadReports(reports), "4c444631040302010102038080f9c0c1c482032ac80105ac02");
 }
 
 #[test]
 fn lease_request_datagram_has_its_fixed_bytes() {
-    let request = Message::Ask {
+    let request = Message::LeaseRequest {
         from: 7,
         generation: 1_700_000_000_000_001,
         reply_to: "10.1.2.3:7400".parse().unwrap(),
         limit: 258,
         nonce: 0xab_cdef,
-        want: Amount { rate: 12.5, slots: 6 },
+        wanted: Amount { rate: 12.5, slots: 6 },
     };
     let expected = "4c4446310403020102078180f9c0c1c48203000a010203e8398202ef9baf05000000000000294006";
     assert_bytes(&request, expected);
-    let request = Message::Ask {
+    let request = Message::LeaseRequest {
         from: 7,
         generation: 9,
         reply_to: "[2001:db8::1]:7400".parse().unwrap(),
         limit: 1,
         nonce: 1,
-        want: Amount { rate: 0.0, slots: 1 },
+        wanted: Amount { rate: 0.0, slots: 1 },
     };
     let expected = "4c444631040302010207090120010db8000000000000000000000001e8390101000000000000000001";
     assert_bytes(&request, expected);
@@ -59,7 +59,7 @@
 
 #[test]
 fn lease_grant_datagram_has_its_fixed_bytes() {
-    let grant = Message::Grant { from: 3, nonce: 0xab_cdef, lent: Amount { rate: 2.5, slots: 4 } };
+    let grant = Message::LeaseGrant { from: 3, nonce: 0xab_cdef, granted: Amount { rate: 2.5, slots: 4 } };
     assert_bytes(&grant, "4c444631040302010303ef9baf05000000000000044004");
 }
 
@@ -75,12 +75,12 @@
     let config = NodeConfig {
         site: "shop".into(),
         identity: Identity {
-            position: 1,
+            proxy_index: 1,
             generation: 1_700_000_000_000_000,
             address: "10.0.0.2:7400".parse().unwrap(),
         },
         fleet_size: 3.try_into().unwrap(),
-        seeds: vec![(0, "10.0.0.1:7400".parse().unwrap())],
+        seeds: vec![Seed { proxy_index: 0, address: "10.0.0.1:7400".parse().unwrap() }],
         limits: vec![Limit {
             name: "all".into(),
             rate: Some(100.0),
--- a/crates/lotusdeck/src/fleet.rs
+++ b/crates/lotusdeck/src/fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::operator::Fault;
 use lotusdeck_core::{to_duration, Admission, FleetLimitStatus, FleetLimiter, Host};
-use lotusdeck_fleet::wire::MAX_DATAGRAM;
-use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig};
+use lotusdeck_fleet::wire::MAX_DATAGRAM_BYTES;
+use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, Seed};
 use lotusdeck_policy::settings::{Names, Settings};
 use lotusdeck_policy::{ClassId, Micros, TenantId};
 use serde::Deserialize;
@@ -193,7 +193,7 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let own = Identity {
-            position: node.config.proxy_index,
+            proxy_index: node.config.proxy_index,
             // Later than that of the process before: it lived for more than a microsecond.
             generation: u64::try_from(since.as_micros()).unwrap_or(u64::MAX),
             address: settings.advertise.or(settings.listen).unwrap_or(nowhere),
@@ -203,7 +203,11 @@
             site: settings.site.clone(),
             identity: own,
             fleet_size: size,
-            seeds: settings.members.clone(),
+            seeds: settings
+                .members
+                .iter()
+                .map(|&(proxy_index, address)| Seed { proxy_index, address })
+                .collect(),
             limits: limits.iter().map(LimitSpec::limit).collect(),
             lease_duration: settings.term,
             max_request_duration: to_duration(longest) + MARGIN,
@@ -230,7 +234,7 @@
             Some(at) => Some(self.bind(at).await),
             None => None,
         };
-        let mut buffer = vec![0; MAX_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let (mut seen, mut told_at) = (0, Duration::ZERO);
         loop {
             let now = self.now();
@@ -299,7 +303,7 @@
             if let Err(e) = told {
                 // The first, and then each thousandth: a stranger must not fill the log.
                 if self.unread.replace(self.unread.get() + 1).is_multiple_of(1_000) {
-                    warn!(%from, error = e, unread = self.unread.get(), "fleet: datagram not understood");
+                    warn!(%from, error = %e, unread = self.unread.get(), "fleet: datagram not understood");
                 }
             }
             self.post(Some(socket));
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -4,7 +4,7 @@
 use super::record::{Gathered, Metric};
 use super::Rig;
 use crate::world::dice::Dice;
-use lotusdeck_fleet::{Identity, Node, NodeConfig};
+use lotusdeck_fleet::{Identity, Node, NodeConfig, Seed};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -67,12 +67,17 @@
 impl Talk {
     fn new(members: usize, seed: u64, tells: bool) -> Talk {
         let now = Duration::from_secs(1);
-        let seeds: Vec<(u32, SocketAddr)> =
-            (0..members.min(SEEDS)).map(|position| (position as u32, address(position))).collect();
+        let seeds: Vec<Seed> = (0..members.min(SEEDS))
+            .map(|position| Seed { proxy_index: position as u32, address: address(position) })
+            .collect();
         let node = |position: usize| {
             let config = NodeConfig {
                 site: "scale".into(),
-                identity: Identity { position: position as u32, generation: 1, address: address(position) },
+                identity: Identity {
+                    proxy_index: position as u32,
+                    generation: 1,
+                    address: address(position),
+                },
                 fleet_size: NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN),
                 seeds: seeds.clone(),
                 limits: Vec::new(),
