--- a/crates/lotusdeck/src/configuration.rs
+++ b/crates/lotusdeck/src/configuration.rs
@@ -7,8 +7,8 @@
 };
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_proxy::admin::ConfigurationStatus;
-use lotusdeck_proxy::call::{self, CallError, Link};
-use lotusdeck_proxy::config::{NodeError, Outline};
+use lotusdeck_proxy::config::{NodeConfigError, SettingsOutline};
+use lotusdeck_proxy::http_client::{self, IdleConnection, RequestError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -33,7 +33,7 @@
     /// Where the source is; `None` where none is followed.
     pub source: Option<SocketAddr>,
     /// Of the settings in the node configuration.
-    pub file: Outline,
+    pub file: SettingsOutline,
 }
 
 /// Settings of a version, read and checked.
@@ -52,7 +52,7 @@
     #[error(transparent)]
     Document(#[from] DocumentError),
     #[error(transparent)]
-    Node(#[from] NodeError),
+    Node(#[from] NodeConfigError),
 }
 
 /// The program's side of the thread, which there is from the first order on that names a source.
@@ -97,8 +97,8 @@
         Some(ConfigurationStatus {
             source: source.to_string(),
             version: held.map(|version| version.to_string()),
-            standing,
-            refused: refused.map(|version| version.to_string()),
+            state: standing,
+            rejected_version: refused.map(|version| version.to_string()),
             age_ms: current_at.map(millis),
         })
     }
@@ -189,10 +189,10 @@
     begun: Instant,
     follower: Follower,
     /// Of the settings in force; before the first version, of those in the file.
-    outline: Outline,
+    outline: SettingsOutline,
     /// Read of the candidate, until it is held.
-    read: Option<(Settings, Outline)>,
-    link: Option<Link>,
+    read: Option<(Settings, SettingsOutline)>,
+    link: Option<IdleConnection>,
     /// The last trouble told, so that one that lasts is told once.
     trouble: Option<String>,
 }
@@ -272,7 +272,7 @@
         let uri = uri(&ask);
         let patience = ask.wait + settings.poll_timeout;
         let ended = tokio::select! {
-            answer = call::get(&mut self.link, source, &uri, MAX_MESSAGE, patience) => ended(answer.map(|b| decode(&b))),
+            answer = http_client::get(&mut self.link, source, &uri, MAX_MESSAGE, patience) => ended(answer.map(|b| decode(&b))),
             changed = self.orders.changed() => changed.map_or(Ended::Closed, |()| Ended::Ordered),
         };
         let now = self.now();
@@ -307,8 +307,8 @@
         self.follower.candidate_judged(self.now(), verdict);
     }
 
-    fn check(&self, object: Value) -> Result<(Settings, Outline), Unsound> {
-        Ok(self.outline.succeed(object)?)
+    fn check(&self, object: Value) -> Result<(Settings, SettingsOutline), Unsound> {
+        Ok(self.outline.read_successor(object)?)
     }
 
     async fn took(&mut self, version: Version) -> bool {
@@ -329,7 +329,7 @@
             self.told.tell(None);
             return true;
         }
-        self.outline = self.outline.with_own(&self.order.file);
+        self.outline = self.outline.with_own_keys(&self.order.file);
         let Some(version) = self.follower.applied_version() else { return true };
         let object = lotusdeck_configuration::document::to_settings(self.follower.document().iter());
         match object.map_err(Unsound::from).and_then(|object| self.check(object)) {
@@ -368,14 +368,14 @@
 fn ended(
     answer: Result<
         Result<lotusdeck_configuration::Message, lotusdeck_configuration::MessageError>,
-        CallError,
+        RequestError,
     >,
 ) -> Ended {
     match answer {
         Ok(Ok(message)) => Ended::Answered(Box::new(message)),
         Ok(Err(error)) => Ended::Failed(Failure::Malformed(error.to_string())),
-        Err(CallError::Status(BUSY)) => Ended::Failed(Failure::Busy),
-        Err(CallError::Silent) => Ended::Failed(Failure::Silent),
+        Err(RequestError::Status(BUSY)) => Ended::Failed(Failure::Busy),
+        Err(RequestError::Silent) => Ended::Failed(Failure::Silent),
         Err(error) => Ended::Failed(Failure::Broken(error.to_string())),
     }
 }
--- a/crates/lotusdeck/src/operator/mod.rs
+++ b/crates/lotusdeck/src/operator/mod.rs
@@ -20,7 +20,7 @@
 use crate::postgres::{self, Spec};
 use faults::{type_name, unknown};
 use keys::tables;
-use lotusdeck_proxy::pauses::Pauses;
+use lotusdeck_proxy::stall_timeouts::StallTimeouts;
 use std::path::Path;
 use toml::de::{DeString, DeTable, DeValue};
 use toml::Spanned;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Operator {
     /// `[http]`.
-    pub pauses: Pauses,
+    pub pauses: StallTimeouts,
     /// `[ledger]`.
     pub ledger: LedgerSettings,
     /// `[[postgres]]`, one for each front.
--- a/crates/lotusdeck/src/operator/sections.rs
+++ b/crates/lotusdeck/src/operator/sections.rs
@@ -6,7 +6,7 @@
 use super::Operator;
 use crate::configuration::ConfigurationSettings;
 use crate::fleet::{self, FleetSettings};
-use lotusdeck_proxy::pauses::Pauses;
+use lotusdeck_proxy::stall_timeouts::StallTimeouts;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -92,12 +92,12 @@
 }
 
 /// `[http]`.
-fn set_http(pauses: &mut Pauses, key: &str, value: Value) {
+fn set_http(pauses: &mut StallTimeouts, key: &str, value: Value) {
     match (key, value) {
-        ("answer_gap_ms", Value::Number(ms)) => pauses.answer_gap = Duration::from_millis(ms),
-        ("answer_silence_ms", Value::Number(ms)) => pauses.answer_silence = Duration::from_millis(ms),
+        ("answer_gap_ms", Value::Number(ms)) => pauses.answer_stall = Duration::from_millis(ms),
+        ("answer_silence_ms", Value::Number(ms)) => pauses.relayed_answer_stall = Duration::from_millis(ms),
         ("upload_stall_ms", Value::Number(ms)) => pauses.upload_stall = Duration::from_millis(ms),
-        ("upload_unread_ms", Value::Number(ms)) => pauses.upload_unread = Duration::from_millis(ms),
+        ("upload_unread_ms", Value::Number(ms)) => pauses.backend_stall = Duration::from_millis(ms),
         _ => unread(key),
     }
 }
--- a/crates/lotusdeck/src/serve.rs
+++ b/crates/lotusdeck/src/serve.rs
@@ -11,14 +11,14 @@
 use lotusdeck_core::{to_duration, Clock, ConnectionPools, FleetLimiter, Host, Journal, OptionalServices};
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, DiscoveryMode, ListUpdate};
-use lotusdeck_proxy::admin::{Admin, MAX_CALLERS};
-use lotusdeck_proxy::body::Budget;
-use lotusdeck_proxy::config::{Change, FileInForce, Node, NodeError};
-use lotusdeck_proxy::pauses::Shared;
-use lotusdeck_proxy::peer::{self, Peer};
-use lotusdeck_proxy::pool::Pool;
+use lotusdeck_proxy::admin::{Admin, MAX_CONCURRENT_CALLS};
+use lotusdeck_proxy::body_budget::BodyBudget;
+use lotusdeck_proxy::config::{ActiveConfigFile, ConfigChange, NodeConfig, NodeConfigError};
+use lotusdeck_proxy::connection_pool::ConnectionPool;
+use lotusdeck_proxy::process_slot::{self, ProcessSlot};
 use lotusdeck_proxy::server::{self, Server};
-use lotusdeck_proxy::{age, discovery, handover};
+use lotusdeck_proxy::stall_timeouts::SharedStallTimeouts;
+use lotusdeck_proxy::{discovery, listener_handover, queueing_delay};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -31,7 +31,7 @@
 use tracing::{debug, info, warn};
 
 /// Descriptors that are kept for all but clients and upstreams, operators' callers among them.
-const RESERVE: usize = 52 + MAX_CALLERS;
+const RESERVE: usize = 52 + MAX_CONCURRENT_CALLS;
 /// Client connections over their bound, out of the reserve: each is closed after its answer.
 const OVER_BOUND: usize = 24;
 /// Bodies that are kept whole may take this part of the memory, for two processes at a time.
@@ -64,7 +64,7 @@
 #[derive(Debug, Error)]
 enum ServeError {
     #[error(transparent)]
-    Node(#[from] NodeError),
+    NodeConfig(#[from] NodeConfigError),
     #[error(transparent)]
     Operator(#[from] OperatorError),
     #[error("{0}")]
@@ -103,7 +103,7 @@
     /// Refused input, or a failure.
     fn code(&self) -> ExitCode {
         match self {
-            ServeError::Node(_) | ServeError::Operator(_) | ServeError::Fleet(_) => {
+            ServeError::NodeConfig(_) | ServeError::Operator(_) | ServeError::Fleet(_) => {
                 ExitCode::from(crate::REFUSED)
             }
             _ => ExitCode::FAILURE,
@@ -114,7 +114,8 @@
 /// Serves until it is told to stop.
 pub(crate) fn main(args: Args) -> ExitCode {
     logging::start(args.log_format, args.log);
-    let runtime = age::note_looks(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
+    let runtime =
+        queueing_delay::record_polls(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
     let local = tokio::task::LocalSet::new();
     match runtime.map_err(ServeError::Loop).and_then(|r| local.block_on(&r, run(args))) {
         Ok(()) => ExitCode::SUCCESS,
@@ -126,12 +127,12 @@
 }
 
 /// What a process may hold, alone or beside another that counts against the same limit.
-fn share(sockets: usize, peer: bool, pool: &Pool, server: &Server) {
+fn share(sockets: usize, peer: bool, pool: &ConnectionPool, server: &Server) {
     let processes = 1 + usize::from(peer);
     let room = (sockets.saturating_sub(RESERVE) / processes).max(2);
     let backends = (room * 2 / 5).max(1);
-    pool.bound(backends);
-    server.bound(room - backends, OVER_BOUND / processes);
+    pool.set_connection_limit(backends);
+    server.set_client_limits(room - backends, OVER_BOUND / processes);
 }
 
 /// What may not change while the program runs.
@@ -165,10 +166,10 @@
 /// What SIGHUP and versions of a source may change.
 struct Adoption {
     host: Rc<Host>,
-    file: FileInForce,
+    file: ActiveConfigFile,
     operator: Option<PathBuf>,
     fixed: Arc<Fixed>,
-    pauses: Shared,
+    pauses: SharedStallTimeouts,
     moved: watch::Sender<(SocketAddr, DiscoveryMode)>,
     following: Following,
     /// Settings of the source are in force.
@@ -182,7 +183,7 @@
 
 impl Adoption {
     /// Both files, read and checked.
-    async fn read(&self) -> Result<(Operator, Change), ServeError> {
+    async fn read(&self) -> Result<(Operator, ConfigChange), ServeError> {
         let (file, operator, fixed) = (self.file.clone(), self.operator.clone(), self.fixed.clone());
         let read = move || {
             let operator = Operator::load(operator.as_deref())?;
@@ -272,11 +273,12 @@
 
 /// Follows whether another process of this proxy serves, and shares the limits with it.
 async fn heed_peer(
-    peer: Peer, sockets: usize, mut shared: bool, host: Rc<Host>, pool: Rc<Pool>, server: Rc<Server>,
+    peer: ProcessSlot, sockets: usize, mut shared: bool, host: Rc<Host>, pool: Rc<ConnectionPool>,
+    server: Rc<Server>,
 ) {
     loop {
-        tokio::time::sleep(peer::LOOK).await;
-        if std::mem::replace(&mut shared, peer.alive()) != shared {
+        tokio::time::sleep(process_slot::CHECK_INTERVAL).await;
+        if std::mem::replace(&mut shared, peer.other_is_running()) != shared {
             share(sockets, shared, &pool, &server);
             host.set_other_process(shared);
         }
@@ -284,8 +286,8 @@
 }
 
 /// What to begin with, and the writer of what is kept, where the operator file names a folder.
-fn kept(settings: &StateSettings, node: &mut Node) -> Result<(Beginning, Option<Keeper>), ServeError> {
-    let known = std::mem::take(&mut node.known);
+fn kept(settings: &StateSettings, node: &mut NodeConfig) -> Result<(Beginning, Option<Keeper>), ServeError> {
+    let known = std::mem::take(&mut node.cached_endpoints);
     let Some(folder) = &settings.folder else {
         return Ok((Beginning { list: known, learned: None }, None));
     };
@@ -303,36 +305,38 @@
     let (mut term, mut interrupt) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
     // A file that grows past its limit is an error to be told, not the end of the program.
     let _file_size = on(SignalKind::from_raw(SIGXFSZ))?;
-    let inherited = handover::listener().map_err(|e| ServeError::Inherited(e.to_string()))?;
+    let inherited =
+        listener_handover::inherited_listener().map_err(|e| ServeError::Inherited(e.to_string()))?;
     let operator = Operator::load(args.operator.as_deref())?;
-    let mut node = Node::read(&args.config, args.admin)?;
+    let mut node = NodeConfig::read(&args.config, args.admin)?;
     let (Beginning { list: known, learned }, keeper) = kept(&operator.state, &mut node)?;
-    let cordon = Cordon::load(&node.state());
+    let cordon = Cordon::load(&node.state_path_prefix());
     if cordon.count() > 0 {
         info!(cordoned = cordon.count(), "backends are cordoned from before");
     }
     let clock = Clock::new();
-    let budget = Budget::new(node.memory / BODIES_PART);
-    let pauses = Shared::new(operator.pauses.into());
-    let peer = Peer::join(&node.state()).await;
-    let pool = Rc::new(Pool::new(&node.settings.network, budget.clone(), pauses.clone()));
+    let budget = BodyBudget::new(node.memory_bytes / BODIES_PART);
+    let pauses = SharedStallTimeouts::new(operator.pauses.into());
+    let peer = ProcessSlot::acquire(&node.state_path_prefix()).await;
+    let pool = Rc::new(ConnectionPool::new(&node.settings.network, budget.clone(), pauses.clone()));
     let mode = node.settings.config.discovery;
-    let balancer = Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeError::Unsound)?;
+    let balancer =
+        Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeConfigError::Unsound)?;
     let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
     let ledger = Journaling::start(&operator.ledger, &node.name, node.seed).map_err(ServeError::Ledger)?;
     let journal = ledger.clone().map(|l| l as Rc<dyn Journal>);
     // What the other fronts may hold is no longer HTTP's.
     let fronted: usize = operator.postgres.iter().map(Spec::descriptors).sum();
-    let left = node.sockets.checked_sub(fronted).filter(|left| fronted == 0 || *left >= 2 * RESERVE);
-    let sockets = left.ok_or(ServeError::Descriptors(fronted, node.sockets, 2 * RESERVE))?;
-    let start = |spec| postgres::start(spec, &node.settings, node.seed, clock, &node.state());
+    let left = node.max_descriptors.checked_sub(fronted).filter(|left| fronted == 0 || *left >= 2 * RESERVE);
+    let sockets = left.ok_or(ServeError::Descriptors(fronted, node.max_descriptors, 2 * RESERVE))?;
+    let start = |spec| postgres::start(spec, &node.settings, node.seed, clock, &node.state_path_prefix());
     let fronts: Vec<Running> = operator.postgres.iter().map(start).collect::<Result<_, _>>()?;
     let fleet = Fleet::new(&operator.fleet, &operator.limits, &node.settings, node.seed)?;
     let beside =
         OptionalServices { journal, fleet_limiter: fleet.clone().map(|f| f as Rc<dyn FleetLimiter>) };
     let host = Host::new(balancer, node.settings, clock, lines, cordon, beside);
     // The list from before the restart is in place before anything is served.
-    host.update_endpoints(ListUpdate::Cached, known.news());
+    host.update_endpoints(ListUpdate::Cached, known.to_update());
     learned.iter().for_each(|learned| host.restore_estimates(learned));
     let handed_down = inherited.is_some();
     let listener = match inherited {
@@ -345,18 +349,18 @@
     let address = listener.local_addr().unwrap_or(node.listen);
     info!(name = node.name, %address, known = known.endpoints.len(), "listens");
     tokio::task::spawn_local(host.clone().run_timers());
-    tokio::task::spawn_local(pool.clone().sweep());
+    tokio::task::spawn_local(pool.clone().close_idle_periodically());
     let (moved, discovery) = watch::channel((node.discovery, mode));
     if let Some(keeper) = &keeper {
         tokio::task::spawn_local(keeper.clone().learn(host.clone()));
     }
-    let kept = keeper.map(|keeper| Box::new(move |list| keeper.keep(list)) as discovery::Kept);
-    let watch = discovery::watch(host.clone(), discovery, known.index, kept);
+    let kept = keeper.map(|keeper| Box::new(move |list| keeper.keep(list)) as discovery::EndpointListSink);
+    let watch = discovery::watch(host.clone(), discovery, known.version, kept);
     if let Some(fleet) = fleet {
         tokio::task::spawn_local(fleet.run(operator.fleet.listen, host.clone()));
     }
     let Operator { ledger: ledger_settings, postgres, state, fleet, limits, configuration, .. } = operator;
-    let (file, operator) = (node.file, args.operator);
+    let (file, operator) = (node.active_file, args.operator);
     let fixed = Arc::new(Fixed { ledger: ledger_settings, postgres, state, fleet, limits });
     let order = Order { source: configuration.source, file: file.outline() };
     let following = Following::new(order, node.seed).map_err(ServeError::Configuration)?;
@@ -365,7 +369,7 @@
         Adoption { host: host.clone(), file, operator, fixed, pauses, moved, following, followed: false };
     tokio::task::spawn_local(adoption.heed(hangup));
     let server = Server::new(host.clone(), pool.clone(), budget);
-    let shared = peer.alive();
+    let shared = peer.other_is_running();
     share(sockets, shared, &pool, &server);
     if shared {
         host.set_other_process(true);
@@ -386,7 +390,7 @@
         loop {
             tokio::time::sleep(REPORT_EVERY).await;
             reported.log_counts();
-            reporter.report();
+            reporter.log_counts();
             ledgered.iter().for_each(|l| l.report());
             fronted.iter().for_each(Running::report);
         }
--- a/crates/lotusdeck/src/state.rs
+++ b/crates/lotusdeck/src/state.rs
@@ -4,8 +4,8 @@
 
 use crate::operator::StateSettings;
 use lotusdeck_core::Host;
-use lotusdeck_proxy::list::List;
-use lotusdeck_proxy::mirror::Mirror;
+use lotusdeck_proxy::cached_endpoint_list::CachedEndpointList;
+use lotusdeck_proxy::endpoint_list::EndpointList;
 use lotusdeck_state::{
     choose, decode, encode, Age, AgeWeighting, Confidence, EndpointSource, Estimates, Persisted, ReadError,
     SavedEndpoints,
@@ -34,7 +34,7 @@
     #[error("kept by proxy {0:?}")]
     Proxy(String),
     #[error("the list in it: {0}")]
-    List(serde_json::Error),
+    EndpointList(serde_json::Error),
 }
 
 /// A file name of the proxy's name: a name may hold what a path must not.
@@ -90,9 +90,9 @@
         Ok(kept)
     }
 
-    fn read_list(&self) -> Result<(SavedEndpoints, List), Unread> {
+    fn read_list(&self) -> Result<(SavedEndpoints, EndpointList), Unread> {
         let saved: SavedEndpoints = self.read(LIST)?;
-        let list = serde_json::from_slice(&saved.list).map_err(Unread::List)?;
+        let list = serde_json::from_slice(&saved.list).map_err(Unread::EndpointList)?;
         Ok((saved, list))
     }
 
@@ -108,13 +108,13 @@
         File::open(&self.folder).and_then(|f| f.sync_all())
     }
 
-    fn write_list(&self, list: &List) -> std::io::Result<()> {
+    fn write_list(&self, list: &EndpointList) -> std::io::Result<()> {
         let body = serde_json::to_vec(list).map_err(std::io::Error::other)?;
         let saved = SavedEndpoints {
             site: self.site.clone(),
             proxy: self.proxy.clone(),
             written_ms: now_ms(),
-            index: list.index,
+            index: list.version,
             list: body,
         };
         self.write(LIST, &saved)
@@ -129,14 +129,16 @@
 /// What a proxy begins with.
 pub(crate) struct Beginning {
     /// The platform's list or its own.
-    pub list: List,
+    pub list: EndpointList,
     /// What is still believed of what it learned; `None` where nothing is.
     pub learned: Option<Estimates>,
 }
 
 /// What a proxy begins with: the platform's list or its own, whichever is newer and trusted, and what it learned
 /// before; every way that a kept file is passed over is told in one line, and it starts as it would without.
-pub(crate) fn begin(settings: &StateSettings, place: &Place, known: List, window: Duration) -> Beginning {
+pub(crate) fn begin(
+    settings: &StateSettings, place: &Place, known: EndpointList, window: Duration,
+) -> Beginning {
     let now_ms = now_ms();
     let (list, kept) = begin_list(settings, place, known, now_ms);
     let learned = begin_learned(settings, place, &list, window, now_ms);
@@ -144,7 +146,7 @@
 }
 
 fn begin_learned(
-    settings: &StateSettings, place: &Place, list: &List, window: Duration, now_ms: u64,
+    settings: &StateSettings, place: &Place, list: &EndpointList, window: Duration, now_ms: u64,
 ) -> Option<Estimates> {
     let path = place.path(LEARNED);
     let learned: Estimates = match place.read(LEARNED) {
@@ -181,7 +183,9 @@
 }
 
 /// The list to begin with, and whether it is the kept one.
-fn begin_list(settings: &StateSettings, place: &Place, known: List, now_ms: u64) -> (List, bool) {
+fn begin_list(
+    settings: &StateSettings, place: &Place, known: EndpointList, now_ms: u64,
+) -> (EndpointList, bool) {
     let path = place.path(LIST);
     let (saved, list) = match place.read_list() {
         Ok(read) => read,
@@ -197,13 +201,13 @@
     let age = Age::of(saved.written_ms, now_ms);
     let trust = Confidence::at_age(age, millis(settings.half_life));
     let (index, entries) = (saved.index, list.endpoints.len());
-    match choose(index, trust, known.index, known.endpoints.len()) {
+    match choose(index, trust, known.version, known.endpoints.len()) {
         EndpointSource::SavedEndpoints => {
-            info!(index, entries, ?age, trust = trust.0, known = known.index, "state taken: the kept list");
+            info!(index, entries, ?age, trust = trust.0, known = known.version, "state taken: the kept list");
             (list, true)
         }
         EndpointSource::Known => {
-            info!(index, known = known.index, "state passed over: the platform's list is as new");
+            info!(index, known = known.version, "state passed over: the platform's list is as new");
             (known, false)
         }
         EndpointSource::Untrusted(trust) => {
@@ -216,7 +220,7 @@
 /// The kept list with every backend taken as started now. It is used where the platform hands nothing newer, as
 /// after a loss of power of the platform, when the backends are likely to have started anew as well: each is then
 /// ramped from cold by the module's own rule until discovery tells its true start (docs/recovery.md).
-fn cooled(mut list: List, now_ms: u64) -> List {
+fn cooled(mut list: EndpointList, now_ms: u64) -> EndpointList {
     for entry in list.endpoints.iter_mut().filter_map(|e| e.as_object_mut()) {
         entry.insert("since_ms".into(), now_ms.into());
     }
@@ -226,7 +230,7 @@
 /// What is to be written next.
 struct Pending {
     /// The whole list, merged from what discovery tells.
-    mirror: Mirror,
+    mirror: CachedEndpointList,
     learned: Option<Estimates>,
 }
 
@@ -271,7 +275,7 @@
 impl Keeper {
     /// Starts the writer from the list begun with. While another process holds the same state, as the old one does
     /// during an upgrade, this one writes nothing and waits for its end.
-    pub(crate) fn start(place: Place, every: Duration, begun: &List) -> std::io::Result<Keeper> {
+    pub(crate) fn start(place: Place, every: Duration, begun: &EndpointList) -> std::io::Result<Keeper> {
         std::fs::create_dir_all(&place.folder)?;
         let lock_path = place.path("lock");
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(&lock_path)?;
@@ -283,7 +287,7 @@
             }
             Err(TryLockError::Error(e)) => return Err(e),
         };
-        let pending = Pending { mirror: Mirror::new(begun), learned: None };
+        let pending = Pending { mirror: CachedEndpointList::new(begun), learned: None };
         let shared = Arc::new((Mutex::new(pending), Condvar::new()));
         let theirs = shared.clone();
         std::thread::Builder::new().name("state".into()).spawn(move || {
@@ -304,14 +308,14 @@
                     let (pending, woken) = &*theirs;
                     let mut pending = pending.lock().unwrap_or_else(|e| e.into_inner());
                     loop {
-                        match (pending.mirror.changed(), pending.learned.take()) {
+                        match (pending.mirror.take_changed(), pending.learned.take()) {
                             (None, None) => pending = woken.wait(pending).unwrap_or_else(|e| e.into_inner()),
                             some => break some,
                         }
                     }
                 };
                 if let Some(list) = list {
-                    lists.took(place.write_list(&list), Some(list.index));
+                    lists.took(place.write_list(&list), Some(list.version));
                 }
                 if let Some(learned) = learned {
                     learning.took(place.write_learned(learned), None);
@@ -329,8 +333,8 @@
     }
 
     /// Merges what discovery told; the thread is woken to write it.
-    pub(crate) fn keep(&self, list: List) {
-        self.give(|pending| pending.mirror.take(list));
+    pub(crate) fn keep(&self, list: EndpointList) {
+        self.give(|pending| pending.mirror.apply(list));
     }
 
     /// Hands over what was learned, once in the time between two writes, for as long as the program runs.
@@ -352,7 +356,7 @@
     #[test]
     fn a_kept_list_is_taken_as_started_now() {
         let endpoints = vec![json!({"name": "a", "since_ms": 5}), json!({"name": "b"}), json!(3)];
-        let list = cooled(List { index: 2, snapshot: true, endpoints }, 9_000);
+        let list = cooled(EndpointList { version: 2, snapshot: true, endpoints }, 9_000);
         let since: Vec<Option<u64>> = list.endpoints.iter().map(|e| e.get("since_ms")?.as_u64()).collect();
         assert_eq!(since, [Some(9_000), Some(9_000), None], "what is no entry stays as it was");
     }
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -14,11 +14,11 @@
 use lotusdeck_core::{Clock, ConnectionPools, Host, OptionalServices};
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ListUpdate};
-use lotusdeck_proxy::body::Budget;
-use lotusdeck_proxy::list::List;
-use lotusdeck_proxy::pauses::Shared;
-use lotusdeck_proxy::pool::Pool;
+use lotusdeck_proxy::body_budget::BodyBudget;
+use lotusdeck_proxy::connection_pool::ConnectionPool;
+use lotusdeck_proxy::endpoint_list::EndpointList;
 use lotusdeck_proxy::server::{self, Server};
+use lotusdeck_proxy::stall_timeouts::SharedStallTimeouts;
 use rig::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -60,7 +60,11 @@
 impl Running {
     fn start(backend: SocketAddr) -> Running {
         let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
-        let pool = Rc::new(Pool::new(&settings.network, Budget::new(1 << 20), Shared::default()));
+        let pool = Rc::new(ConnectionPool::new(
+            &settings.network,
+            BodyBudget::new(1 << 20),
+            SharedStallTimeouts::default(),
+        ));
         let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
         let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
         let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
@@ -72,10 +76,11 @@
             Cordon::load(&none),
             OptionalServices::default(),
         );
-        let listed: List = serde_json::from_str(&list(1, true, &[entry("b0", backend, "SERVING")])).unwrap();
-        host.update_endpoints(ListUpdate::Full, listed.news());
-        let server = Server::new(host, pool, Budget::new(1 << 20));
-        server.bound(500, 24);
+        let listed: EndpointList =
+            serde_json::from_str(&list(1, true, &[entry("b0", backend, "SERVING")])).unwrap();
+        host.update_endpoints(ListUpdate::Full, listed.to_update());
+        let server = Server::new(host, pool, BodyBudget::new(1 << 20));
+        server.set_client_limits(500, 24);
         let listener = server::listen(([127, 0, 0, 1], 0).into()).unwrap();
         let address = listener.local_addr().unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
@@ -139,7 +144,7 @@
 async fn a_request_that_meets_the_end_of_its_connections_patience_is_answered() {
     with_kept_clients(async |running, mut clients| {
         clients.extend((0..MANY).map(|_| Client::connect(running.address)));
-        running.until(|server| server.clients() == 2 * MANY).await;
+        running.until(|server| server.client_count() == 2 * MANY).await;
         tokio::time::advance(PATIENCE_OF_THE_PROXY + TURN).await;
         // The timers have gone off, and none of the connections has had its turn.
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
@@ -155,7 +160,7 @@
     with_kept_clients(async |running, mut clients| {
         let Running { server, stop, ended, .. } = running;
         stop.send(()).unwrap();
-        while server.accepting() {
+        while server.is_accepting() {
             yield_now().await;
         }
         tokio::time::advance(LINGER + TURN).await;
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -13,12 +13,12 @@
 use lotusdeck_core::{Clock, ConnectionPools, Host, OptionalServices};
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Balancer, ListUpdate};
-use lotusdeck_proxy::age::{self, Arrivals};
-use lotusdeck_proxy::body::Budget;
-use lotusdeck_proxy::list::List;
-use lotusdeck_proxy::pauses::Shared;
-use lotusdeck_proxy::pool::Pool;
+use lotusdeck_proxy::body_budget::BodyBudget;
+use lotusdeck_proxy::connection_pool::ConnectionPool;
+use lotusdeck_proxy::endpoint_list::EndpointList;
+use lotusdeck_proxy::queueing_delay::{self, QueueingDelay};
 use lotusdeck_proxy::server::{self, Server};
+use lotusdeck_proxy::stall_timeouts::SharedStallTimeouts;
 use rig::*;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
@@ -41,14 +41,19 @@
 
 /// Runs it on a thread of its own kind: one that notes its looks, as the program's does.
 fn on_the_loop(what: impl Future<Output = ()>) {
-    let runtime = age::note_looks(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
+    let runtime =
+        queueing_delay::record_polls(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
     LocalSet::new().block_on(&runtime.unwrap(), what);
 }
 
 /// A server before these backends.
 async fn start(backends: &[&BackendServer]) -> SocketAddr {
     let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
-    let pool = Rc::new(Pool::new(&settings.network, Budget::new(1 << 20), Shared::default()));
+    let pool = Rc::new(ConnectionPool::new(
+        &settings.network,
+        BodyBudget::new(1 << 20),
+        SharedStallTimeouts::default(),
+    ));
     let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
     let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
     let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
@@ -56,14 +61,14 @@
         Host::new(balancer, settings, Clock::new(), lines, Cordon::load(&none), OptionalServices::default());
     let named = |(n, b): (usize, &&BackendServer)| entry(&format!("b{n}"), b.address, "SERVING");
     let entries: Vec<String> = backends.iter().enumerate().map(named).collect();
-    let listed: List = serde_json::from_str(&list(1, true, &entries)).unwrap();
-    host.update_endpoints(ListUpdate::Full, listed.news());
-    let server = Server::new(host, pool, Budget::new(1 << 20));
-    server.bound(500, 24);
+    let listed: EndpointList = serde_json::from_str(&list(1, true, &entries)).unwrap();
+    host.update_endpoints(ListUpdate::Full, listed.to_update());
+    let server = Server::new(host, pool, BodyBudget::new(1 << 20));
+    server.set_client_limits(500, 24);
     let listener = server::listen(([127, 0, 0, 1], 0).into()).unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(server.clone().run(listener, false, std::future::pending()));
-    while !server.accepting() {
+    while !server.is_accepting() {
         tokio::task::yield_now().await;
     }
     address
@@ -194,7 +199,7 @@
         let mut client = kept(start(&[&backend]).await).await;
         let busy = spawn_local(async {
             loop {
-                age::yield_to_a_look().await;
+                queueing_delay::yield_to_poll().await;
             }
         });
         tokio::time::sleep(REST).await;
@@ -228,15 +233,15 @@
         let a_look = || tokio::time::sleep(Duration::from_millis(1));
         a_look().await;
         let long_ago = Instant::now() - REST;
-        let arrivals = Arrivals::new(long_ago);
+        let arrivals = QueueingDelay::new(long_ago);
         // What the event loop does where a socket has become readable.
         let readable = || {
             poll_fn(|cx| {
-                let _ = arrivals.wait(cx, |cx| {
+                let _ = arrivals.poll_ready(cx, |cx| {
                     cx.waker().wake_by_ref();
                     Poll::Ready(())
                 });
-                arrivals.wait(cx, |_| Poll::Ready(arrivals.since()))
+                arrivals.poll_ready(cx, |_| Poll::Ready(arrivals.earliest_arrival()))
             })
         };
         assert_eq!(readable().await, long_ago);
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -23,7 +23,7 @@
 use tracing::{info, warn};
 
 /// Callers at a time. Beyond it the oldest goes: a call is over within milliseconds, so that one is silent.
-pub const MAX_CALLERS: usize = 12;
+pub const MAX_CONCURRENT_CALLS: usize = 12;
 /// A call is over after this time, whole or not.
 const PATIENCE: Duration = Duration::from_secs(2);
 /// The longest id of a backend that a call may name.
@@ -69,27 +69,29 @@
     /// The version held, as `EPOCH-NUMBER`.
     pub version: Option<String>,
     /// `empty`, `current`, `refusing` or `cut off`.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub state: &'static str,
     /// The later version that is refused here.
-    pub refused: Option<String>,
+    #[serde(rename = "refused")]
+    pub rejected_version: Option<String>,
     /// At most so long ago the version held was the source's latest, ms.
     pub age_ms: Option<u64>,
 }
 
 /// Tells it; `None` where no source is followed.
-pub type Configuration = Box<dyn Fn() -> Option<ConfigurationStatus>>;
+pub type ConfigurationStatusSource = Box<dyn Fn() -> Option<ConfigurationStatus>>;
 
 /// The operators' side of the proxy.
 pub struct Admin {
     host: Rc<Host>,
     server: Rc<Server>,
-    configuration: Configuration,
+    configuration: ConfigurationStatusSource,
     /// Those whose calls are not over, the oldest first.
     callers: RefCell<VecDeque<(u64, AbortHandle)>>,
 }
 
 impl Admin {
-    pub fn new(host: Rc<Host>, server: Rc<Server>, configuration: Configuration) -> Rc<Admin> {
+    pub fn new(host: Rc<Host>, server: Rc<Server>, configuration: ConfigurationStatusSource) -> Rc<Admin> {
         Rc::new(Admin { host, server, configuration, callers: RefCell::default() })
     }
 
@@ -122,7 +124,7 @@
         });
         let mut callers = self.callers.borrow_mut();
         callers.push_back((number, task.abort_handle()));
-        if callers.len() > MAX_CALLERS {
+        if callers.len() > MAX_CONCURRENT_CALLS {
             callers.pop_front().into_iter().for_each(|(_, oldest)| oldest.abort());
         }
     }
@@ -148,7 +150,7 @@
             #[serde(flatten)]
             core: lotusdeck_core::Status,
         }
-        let (accepting, clients) = (self.server.accepting(), self.server.clients());
+        let (accepting, clients) = (self.server.is_accepting(), self.server.client_count());
         let (configuration, core) = ((self.configuration)(), self.host.status());
         let document = Document { accepting, clients, configuration, core };
         let text = serde_json::to_vec_pretty(&document).map_err(|_| No::Path)?;
@@ -161,7 +163,7 @@
     async fn call(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, No> {
         let out = match request.uri().path() {
             "/admin/health" if request.method() != Method::GET => return Err(No::Method("GET")),
-            "/admin/health" if self.server.accepting() => return Ok(plain(StatusCode::OK, "ok\n")),
+            "/admin/health" if self.server.is_accepting() => return Ok(plain(StatusCode::OK, "ok\n")),
             "/admin/health" => return Err(No::NotReady),
             "/admin/status" if request.method() != Method::GET => return Err(No::Method("GET")),
             "/admin/status" => return self.status(),
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,8 +1,8 @@
 //! Attempts: one request to one backend.
 
 use crate::body::{inflow, AnswerBody, Outgoing, Payload};
+use crate::connection_pool::ConnectionPool;
 use crate::exchange::{clean, exchange, Broken};
-use crate::pool::Pool;
 use crate::relay::Relay;
 use crate::stream::{Gate, Stream};
 use crate::strip_hop_by_hop;
@@ -53,7 +53,7 @@
 
 /// A client's request under way: the core sends it, and the front fetches the answer that was served.
 pub struct HttpWork {
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     call: Call,
     /// Whose request it is.
     client: Stream,
@@ -65,7 +65,7 @@
 
 impl HttpWork {
     /// Of a request that was read; attempts go out on the pool's connections.
-    pub fn new(pool: Rc<Pool>, call: Call, client: Stream) -> Rc<HttpWork> {
+    pub fn new(pool: Rc<ConnectionPool>, call: Call, client: Stream) -> Rc<HttpWork> {
         let (served, statuses, left) = (RefCell::default(), RefCell::default(), Rc::default());
         Rc::new(HttpWork { pool, call, client, left, served, statuses })
     }
@@ -117,7 +117,7 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Sends `call` to a backend and waits for the answer, or for its first bytes where it is large. `gate` is asked
     /// at the moment of the first byte: the backend may have begun to drain, or the client have left, while the
     /// connection came up.
@@ -158,7 +158,8 @@
         let length = request.body().size_hint().exact();
         c.stream.begin_request(length, gate);
         let upload = call.body.flow();
-        let ended = exchange(&c.stream, request, &early, upload, self.budget.keep(), self.pauses.get()).await;
+        let ended =
+            exchange(&c.stream, request, &early, upload, self.budget.reserve(), self.pauses.get()).await;
         if c.stream.withheld() {
             self.put(id, c);
             return Outcome::NeverSent.into();
@@ -200,7 +201,7 @@
                     c,
                     goes_on,
                     read: reply.read.len() as u64,
-                    silence: self.pauses.get().answer_silence,
+                    silence: self.pauses.get().relayed_answer_stall,
                     into,
                 };
                 tokio::task::spawn_local(back.run(reply.conn, reply.sender, rest));
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,5 +1,6 @@
 //! Bodies: kept whole where they are small, passed on frame by frame where they are not.
 
+use crate::body_budget::{BodyBudget, BodyReservation};
 use crate::fault::Fault;
 use crate::stream::Stream;
 use bytes::{Bytes, BytesMut};
@@ -24,45 +25,6 @@
 
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What all bodies that are kept may hold together.
-#[derive(Clone, Default)]
-pub struct Budget(Rc<Cell<usize>>);
-
-impl Budget {
-    pub fn new(bytes: usize) -> Budget {
-        Budget(Rc::new(Cell::new(bytes)))
-    }
-
-    pub fn keep(&self) -> Kept {
-        Kept { of: self.clone(), bytes: 0 }
-    }
-}
-
-/// A part of the budget, given back when it is dropped.
-pub struct Kept {
-    of: Budget,
-    bytes: usize,
-}
-
-impl Kept {
-    /// False where the budget is spent.
-    pub fn grow(&mut self, by: usize) -> bool {
-        let left = self.of.0.get();
-        let fits = by <= left;
-        if fits {
-            self.of.0.set(left - by);
-            self.bytes += by;
-        }
-        fits
-    }
-}
-
-impl Drop for Kept {
-    fn drop(&mut self) {
-        self.of.0.set(self.of.0.get() + self.bytes);
-    }
-}
-
 /// A client's body as it goes on to backends.
 pub enum Payload {
     Whole(Bytes),
@@ -89,9 +51,9 @@
 
 /// Reads the body up to its end, or until it is too much to keep.
 pub async fn gather(
-    mut body: Incoming, length: Option<u64>, client: &Stream, budget: &Budget, stall: Duration,
-) -> Result<(Payload, Kept), Fault> {
-    let mut kept = budget.keep();
+    mut body: Incoming, length: Option<u64>, client: &Stream, budget: &BodyBudget, stall: Duration,
+) -> Result<(Payload, BodyReservation), Fault> {
+    let mut kept = budget.reserve();
     let (begun, mut read) = (Instant::now(), BytesMut::new());
     loop {
         let frame = match tokio::time::timeout(stall, body.frame()).await {
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! The node configuration: what this proxy is told at its start.
 
-use crate::list::List;
+use crate::endpoint_list::EndpointList;
 use lotusdeck_policy::settings::{Faults, Settings};
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// Everything that the program starts with.
-pub struct Node {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -19,18 +19,18 @@
     pub admin: Option<SocketAddr>,
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that all processes of the proxy may hold.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The list as this proxy last had it.
-    pub known: List,
+    pub cached_endpoints: EndpointList,
     pub settings: Settings,
-    pub file: FileInForce,
+    pub active_file: ActiveConfigFile,
 }
 
 /// Why there is no usable configuration.
 #[derive(Debug, Error)]
-pub enum NodeError {
+pub enum NodeConfigError {
     /// The file cannot be read.
     #[error("cannot read {0}: {1}")]
     Unreadable(String, std::io::Error),
@@ -62,7 +62,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
 }
 
 #[derive(Deserialize)]
@@ -80,10 +80,10 @@
 
 /// The file in force: where it lies, and the keys that it has.
 #[derive(Clone)]
-pub struct FileInForce {
+pub struct ActiveConfigFile {
     path: PathBuf,
     keys: Arc<Keys>,
-    outline: Outline,
+    outline: SettingsOutline,
 }
 
 /// The keys of an object and of the objects in it, without any value: tens of thousands of entries in its arrays take
@@ -118,17 +118,17 @@
 
 /// Settings without their named entries: what it takes to check their successors, in a few hundred bytes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outline(Map<String, Value>);
+pub struct SettingsOutline(Map<String, Value>);
 
-impl Outline {
-    fn of(settings: &Value) -> Outline {
+impl SettingsOutline {
+    fn of(settings: &Value) -> SettingsOutline {
         let keys = settings.as_object().into_iter().flatten();
         let kept = keys.filter(|(key, _)| !NAMED_KEYS.contains(&key.as_str()));
-        Outline(kept.map(|(key, value)| (key.clone(), value.clone())).collect())
+        SettingsOutline(kept.map(|(key, value)| (key.clone(), value.clone())).collect())
     }
 
     /// The same with another proxy file's own keys.
-    pub fn with_own(&self, file: &Outline) -> Outline {
+    pub fn with_own_keys(&self, file: &SettingsOutline) -> SettingsOutline {
         let mut outline = self.clone();
         file.put_own(&mut outline.0);
         outline
@@ -152,33 +152,35 @@
     ///
     /// # Errors
     /// The first thing that is wrong with them.
-    pub fn succeed(&self, mut settings: Value) -> Result<(Settings, Outline), NodeError> {
+    pub fn read_successor(
+        &self, mut settings: Value,
+    ) -> Result<(Settings, SettingsOutline), NodeConfigError> {
         settings.as_object_mut().into_iter().for_each(|settings| self.put_own(settings));
         if let Some(key) = self.keys().missing(&settings, "") {
-            return Err(NodeError::Missing(key));
+            return Err(NodeConfigError::Missing(key));
         }
         let read = Settings::read(&settings)?;
-        Ok((read, Outline::of(&settings)))
+        Ok((read, SettingsOutline::of(&settings)))
     }
 }
 
 /// What a new file may change while the program runs.
-pub struct Change {
+pub struct ConfigChange {
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// All else that may change.
     pub settings: Settings,
     /// What it was read from: the file in force once the change is taken.
-    pub file: FileInForce,
+    pub file: ActiveConfigFile,
 }
 
-impl FileInForce {
-    fn of(path: PathBuf, whole: &Value, settings: &Value) -> FileInForce {
-        FileInForce { path, keys: Arc::new(Keys::of(whole)), outline: Outline::of(settings) }
+impl ActiveConfigFile {
+    fn of(path: PathBuf, whole: &Value, settings: &Value) -> ActiveConfigFile {
+        ActiveConfigFile { path, keys: Arc::new(Keys::of(whole)), outline: SettingsOutline::of(settings) }
     }
 
     /// Of its settings.
-    pub fn outline(&self) -> Outline {
+    pub fn outline(&self) -> SettingsOutline {
         self.outline.clone()
     }
 
@@ -186,16 +188,16 @@
     ///
     /// # Errors
     /// The first thing that is wrong with it.
-    pub fn reread(&self) -> Result<Change, NodeError> {
+    pub fn reread(&self) -> Result<ConfigChange, NodeConfigError> {
         let (path, text) = text(&self.path)?;
-        let new = serde_json::from_str(&text).map_err(|e| NodeError::Malformed(path.clone(), e))?;
+        let new = serde_json::from_str(&text).map_err(|e| NodeConfigError::Malformed(path.clone(), e))?;
         if let Some(key) = self.keys.missing(&new, "") {
-            return Err(NodeError::Missing(key));
+            return Err(NodeConfigError::Missing(key));
         }
-        let (file, settings) = parts(&new).map_err(|e| NodeError::Malformed(path, e))?;
-        let in_force = FileInForce::of(self.path.clone(), &new, settings);
+        let (file, settings) = parts(&new).map_err(|e| NodeConfigError::Malformed(path, e))?;
+        let in_force = ActiveConfigFile::of(self.path.clone(), &new, settings);
         let settings = Settings::read(settings)?;
-        Ok(Change { discovery: file.discovery, settings, file: in_force })
+        Ok(ConfigChange { discovery: file.discovery, settings, file: in_force })
     }
 }
 
@@ -209,15 +211,15 @@
     Ok((file, settings))
 }
 
-fn text(path: &Path) -> Result<(String, String), NodeError> {
+fn text(path: &Path) -> Result<(String, String), NodeConfigError> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| NodeError::Unreadable(name.clone(), e))?;
+    let text = std::fs::read_to_string(path).map_err(|e| NodeConfigError::Unreadable(name.clone(), e))?;
     Ok((name, text))
 }
 
-impl Node {
+impl NodeConfig {
     /// What the files in `$TMPDIR` begin with that this proxy shares with its successor: no other proxy's.
-    pub fn state(&self) -> PathBuf {
+    pub fn state_path_prefix(&self) -> PathBuf {
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
         let own: String = format!("{}-{}", self.name, self.listen).chars().map(plain).collect();
         std::env::temp_dir().join(format!("lotusdeck-{own}"))
@@ -227,26 +229,27 @@
     ///
     /// # Errors
     /// The first thing that is wrong with it; `lotusdeck check` tells all.
-    pub fn read(path: &Path, admin: Option<SocketAddr>) -> Result<Node, NodeError> {
+    pub fn read(path: &Path, admin: Option<SocketAddr>) -> Result<NodeConfig, NodeConfigError> {
         let at = path.to_path_buf();
         let (path, text) = text(path)?;
-        let whole: Value = serde_json::from_str(&text).map_err(|e| NodeError::Malformed(path.clone(), e))?;
-        let (file, settings) = parts(&whole).map_err(|e| NodeError::Malformed(path, e))?;
-        let in_force = FileInForce::of(at, &whole, settings);
+        let whole: Value =
+            serde_json::from_str(&text).map_err(|e| NodeConfigError::Malformed(path.clone(), e))?;
+        let (file, settings) = parts(&whole).map_err(|e| NodeConfigError::Malformed(path, e))?;
+        let in_force = ActiveConfigFile::of(at, &whole, settings);
         let settings = Settings::read(settings)?;
         let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
         let seed = hex.or(file.seed.as_u64());
-        Ok(Node {
+        Ok(NodeConfig {
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
             admin: admin.or(file.admin_addr),
-            seed: seed.ok_or(NodeError::Seed)?,
-            sockets: file.limits.sockets.max(64),
-            memory: file.limits.memory_mb << 20,
-            known: file.known,
+            seed: seed.ok_or(NodeConfigError::Seed)?,
+            max_descriptors: file.limits.sockets.max(64),
+            memory_bytes: file.limits.memory_mb << 20,
+            cached_endpoints: file.known,
             settings,
-            file: in_force,
+            active_file: in_force,
         })
     }
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Connections to backends: which are open, kept and closed.
 
-use crate::body::Budget;
-use crate::pauses::Shared;
+use crate::body_budget::BodyBudget;
+use crate::stall_timeouts::SharedStallTimeouts;
 use crate::stream::Stream;
 use lotusdeck_core::{to_duration, ConnectionPools};
 use lotusdeck_policy::settings::NetworkSettings;
@@ -50,40 +50,40 @@
     heard: Option<Instant>,
 }
 
-pub struct Pool {
+pub struct ConnectionPool {
     /// One for each backend that may be sent requests, and for no other.
     lines: RefCell<HashMap<BackendId, Line>>,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     max: Cell<usize>,
     keep: Cell<Duration>,
     connect_timeout: Cell<Duration>,
-    pub opened: Cell<u64>,
-    pub(crate) budget: Budget,
-    pub(crate) pauses: Shared,
+    pub connects_since_report: Cell<u64>,
+    pub(crate) budget: BodyBudget,
+    pub(crate) pauses: SharedStallTimeouts,
 }
-impl Pool {
+impl ConnectionPool {
     /// No connection is open yet.
-    pub fn new(network: &NetworkSettings, budget: Budget, pauses: Shared) -> Pool {
-        Pool {
+    pub fn new(network: &NetworkSettings, budget: BodyBudget, pauses: SharedStallTimeouts) -> ConnectionPool {
+        ConnectionPool {
             lines: RefCell::default(),
-            open: Rc::default(),
+            open_connections: Rc::default(),
             max: Cell::new(usize::MAX),
             keep: Cell::new(to_duration(network.idle_timeout.times(IDLE_PART))),
             connect_timeout: Cell::new(to_duration(network.connect_timeout)),
-            opened: Cell::new(0),
+            connects_since_report: Cell::new(0),
             budget,
             pauses,
         }
     }
 
     /// Another bound: idle connections beyond it are closed at once.
-    pub fn bound(&self, max: usize) {
+    pub fn set_connection_limit(&self, max: usize) {
         self.max.set(max);
-        while self.open.get() > max && self.close_oldest() {}
+        while self.open_connections.get() > max && self.close_longest_idle() {}
     }
 
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
     fn usable(&self, c: &Conn) -> bool {
@@ -113,7 +113,7 @@
     }
 
     /// Closes the connection that was idle longest; false when there is none.
-    pub fn close_oldest(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         let mut lines = self.lines.borrow_mut();
         let idle = lines.values_mut().map(|line| &mut line.idle).filter(|idle| !idle.is_empty());
         idle.min_by_key(|idle| idle[0].since).map(|idle| idle.remove(0)).is_some()
@@ -127,7 +127,7 @@
     }
 
     /// Retires what stood idle too long or was closed from the other side.
-    pub async fn sweep(self: Rc<Pool>) {
+    pub async fn close_idle_periodically(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(SWEEP).await;
             self.lines.borrow_mut().values_mut().for_each(|line| line.idle.retain(|c| self.usable(c)));
@@ -136,12 +136,12 @@
 
     pub(crate) async fn connect(&self, to: SocketAddr) -> Result<Conn, Outcome> {
         // At the bound an idle connection makes room; where there is none the backend is not to blame.
-        if self.open.get() >= self.max.get() && !self.close_oldest() {
+        if self.open_connections.get() >= self.max.get() && !self.close_longest_idle() {
             return Err(Outcome::NeverSent);
         }
-        self.open.set(self.open.get() + 1);
-        let slot = Slot(self.open.clone());
-        self.opened.set(self.opened.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let slot = Slot(self.open_connections.clone());
+        self.connects_since_report.set(self.connects_since_report.get() + 1);
         let dial = tokio::time::timeout(self.connect_timeout.get(), TcpStream::connect(to)).await;
         let stream = match dial {
             Ok(Ok(tcp)) => Stream::new(tcp),
@@ -153,7 +153,7 @@
     }
 }
 
-impl ConnectionPools for Pool {
+impl ConnectionPools for ConnectionPool {
     /// Other figures from now on.
     fn apply_settings(&self, network: &NetworkSettings) {
         self.keep.set(to_duration(network.idle_timeout.times(IDLE_PART)));
@@ -193,7 +193,7 @@
     use lotusdeck_policy::Micros;
     use std::io::{Read, Write};
 
-    fn pool(max: usize) -> Rc<Pool> {
+    fn pool(max: usize) -> Rc<ConnectionPool> {
         let (connect_timeout, conn_idle) = (Micros(5_000_000), Micros(60_000_000));
         let network = NetworkSettings {
             connect_timeout,
@@ -201,8 +201,9 @@
             max_retry_after: None,
             deadlines: Vec::new(),
         };
-        let pool = Rc::new(Pool::new(&network, Budget::new(1 << 20), Shared::default()));
-        pool.bound(max);
+        let pool =
+            Rc::new(ConnectionPool::new(&network, BodyBudget::new(1 << 20), SharedStallTimeouts::default()));
+        pool.set_connection_limit(max);
         pool
     }
 
@@ -273,12 +274,12 @@
         let (pool, to) = (pool(1), listener.local_addr().unwrap());
         let busy = pool.connect(to).await.ok().unwrap();
         let refused = pool.connect(to).await.err();
-        assert_eq!((refused, pool.open()), (Some(Outcome::NeverSent), 1));
+        assert_eq!((refused, pool.open_connections()), (Some(Outcome::NeverSent), 1));
         pool.retain_backends(&HashSet::from([BackendId(0)]));
         pool.put(BackendId(0), busy);
         let other = pool.connect(to).await;
-        assert!(other.is_ok() && pool.open() == 1);
+        assert!(other.is_ok() && pool.open_connections() == 1);
         drop(other);
-        assert_eq!(pool.open(), 0);
+        assert_eq!(pool.open_connections(), 0);
     }
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -22,7 +22,7 @@
 mod call;
 mod pacing;
 
-use crate::list::{List, Told};
+use crate::endpoint_list::{EndpointList, ParsedEndpointList};
 use call::{Call, Dialer, Ended, Link, Question};
 use lotusdeck_core::{to_duration, Host};
 use lotusdeck_policy::{DiscoveryMode, ListUpdate};
@@ -41,7 +41,7 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 /// Takes every list that the module was told of, after it was told.
-pub type Kept = Box<dyn Fn(List)>;
+pub type EndpointListSink = Box<dyn Fn(EndpointList)>;
 
 /// The list as it is held, across moves of discovery.
 struct Watch {
@@ -54,7 +54,7 @@
     moves: Cell<u32>,
     answered: Cell<bool>,
     /// Where every list taken goes on to, where it is kept across restarts.
-    kept: Option<Kept>,
+    kept: Option<EndpointListSink>,
 }
 
 /// Keeps the list up to date for as long as the program runs. When discovery moves the new place is asked at once;
@@ -65,7 +65,8 @@
 /// and what they were not told of counts as told after 4 s (docs/scale.md). Where `kept` is given, every list
 /// taken goes on to it.
 pub async fn watch(
-    host: Rc<Host>, mut moved: Receiver<(SocketAddr, DiscoveryMode)>, known: u64, kept: Option<Kept>,
+    host: Rc<Host>, mut moved: Receiver<(SocketAddr, DiscoveryMode)>, known: u64,
+    kept: Option<EndpointListSink>,
 ) {
     // An agent's answers cost nothing: begin with the truth.
     let index = (moved.borrow().1 != DiscoveryMode::Push).then_some(known);
@@ -187,7 +188,7 @@
             match answer {
                 Ok(told) => {
                     if failures > 0 {
-                        info!(index = told.list.index, "discovery is back");
+                        info!(index = told.list.version, "discovery is back");
                     }
                     (failures, wait, link) = (0, WAIT, kept);
                     self.answered.set(true);
@@ -245,8 +246,8 @@
     }
 
     /// Takes an answer. False: it makes no sense, as changes to no list at all.
-    fn heed(&self, question: Question, told: Told) -> bool {
-        let (held, index) = (self.index.get(), told.list.index);
+    fn heed(&self, question: Question, told: ParsedEndpointList) -> bool {
+        let (held, index) = (self.index.get(), told.list.version);
         // Another call was answered since this one was opened: a list that is no newer says nothing.
         if held != question.held && held.is_some_and(|held| index <= held) {
             return true;
@@ -256,14 +257,14 @@
         self.index.set((!gap).then_some(index));
         if gap {
             // Who leaves by its word gets nothing until then: that it was told is certain.
-            self.host.update_endpoints(ListUpdate::Changes, told.leaving());
+            self.host.update_endpoints(ListUpdate::Changes, told.into_departures());
             return question.after().is_some();
         }
         self.take(told);
         true
     }
 
-    fn take(&self, Told { list, news }: Told) {
+    fn take(&self, ParsedEndpointList { list, update: news }: ParsedEndpointList) {
         let update = if list.snapshot { ListUpdate::Full } else { ListUpdate::Changes };
         self.host.update_endpoints(update, news);
         if let Some(kept) = &self.kept {
@@ -286,25 +287,25 @@
 
     /// What a call tells that was out beside an answered one. Where it is newer than what is held and follows on that,
     /// it is taken; else no more is believed than who leaves.
-    fn late_word(&self, question: Question, told: Told) {
-        let (held, index) = (self.index.get(), told.list.index);
+    fn late_word(&self, question: Question, told: ParsedEndpointList) {
+        let (held, index) = (self.index.get(), told.list.version);
         let follows_on = |held| question.after().is_some_and(|after| after <= held && after <= index);
         match held {
             Some(held) if index <= held => {}
             _ if told.list.snapshot || held.is_some_and(follows_on) => drop(self.heed(question, told)),
-            _ => self.host.update_endpoints(ListUpdate::Changes, told.leaving()),
+            _ => self.host.update_endpoints(ListUpdate::Changes, told.into_departures()),
         }
     }
 
     /// What the place that discovery has left had written by then, or writes until it ends the call. Where the new
     /// one has answered since, with an older version, no more is believed than who leaves.
-    fn last_word(&self, told: Told) {
-        let (held, index) = (self.index.get(), told.list.index);
+    fn last_word(&self, told: ParsedEndpointList) {
+        let (held, index) = (self.index.get(), told.list.version);
         let follows = told.list.snapshot || held.is_none_or(|held| index >= held);
         match held {
             Some(held) if self.answered.get() && index <= held => {}
             _ if self.answered.get() || !follows => {
-                self.host.update_endpoints(ListUpdate::Changes, told.leaving());
+                self.host.update_endpoints(ListUpdate::Changes, told.into_departures());
             }
             _ => {
                 self.index.set(held.map(|_| index));
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,8 +1,8 @@
 //! One call to discovery: its connection, its answer, and when either is given up.
 
 use super::pacing::{CONNECT, GAP, LONGEST_CALL, OVERDUE, SILENCE};
+use crate::endpoint_list::{EndpointList, ParsedEndpointList};
 use crate::exchange::driven;
-use crate::list::{List, Told};
 use crate::stream::Stream;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -143,7 +143,7 @@
 }
 
 /// How a call ended: the connection where it is in order, and the list.
-pub(super) type Ended = (Option<Link>, Result<Told, CallError>);
+pub(super) type Ended = (Option<Link>, Result<ParsedEndpointList, CallError>);
 
 /// A call that is out. It is not dropped before it has ended: what discovery has written counts as told, read or not.
 pub(super) struct Call {
@@ -193,7 +193,7 @@
 
 async fn ask(
     link: &mut Option<Link>, dialer: &Dialer, at: SocketAddr, question: Question, progress: &Progress,
-) -> Result<Told, CallError> {
+) -> Result<ParsedEndpointList, CallError> {
     let mut live = match link.take() {
         Some(live) if !live.sender.is_closed() => live,
         _ => {
@@ -237,8 +237,8 @@
 }
 
 /// What the answer says, read beside the event loop where that takes long.
-async fn read(body: Bytes) -> Result<Told, CallError> {
-    let parse = |body: &[u8]| serde_json::from_slice(body).map(List::read).map_err(CallError::Json);
+async fn read(body: Bytes) -> Result<ParsedEndpointList, CallError> {
+    let parse = |body: &[u8]| serde_json::from_slice(body).map(EndpointList::parse).map_err(CallError::Json);
     if body.len() <= READ_INLINE {
         return parse(&body);
     }
--- a/crates/proxy/src/list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -15,8 +15,9 @@
 
 /// A list, or the changes to one. Entries are read one by one, so that a bad one spoils no other.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct List {
-    pub index: u64,
+pub struct EndpointList {
+    #[serde(rename = "index")]
+    pub version: u64,
     pub snapshot: bool,
     #[serde(deserialize_with = "lines")]
     pub endpoints: Vec<Value>,
@@ -95,11 +96,11 @@
     }
 }
 
-impl List {
+impl EndpointList {
     /// What it says. Of entries that are not understood whole one is logged, with their number, as a list may be
     /// long; a word that a backend leaves is taken from them all the same, and else they change nothing. Where a
     /// whole list names one twice, the word that it leaves goes first; in changes the last word counts.
-    pub fn news(&self) -> EndpointUpdate {
+    pub fn to_update(&self) -> EndpointUpdate {
         let mut news = EndpointUpdate::default();
         let (mut skipped, mut sample) = (0, None);
         for (at, value) in self.endpoints.iter().enumerate() {
@@ -122,27 +123,27 @@
     }
 
     /// The list together with what it says.
-    pub fn read(self) -> Told {
-        let news = self.news();
-        Told { list: self, news }
+    pub fn parse(self) -> ParsedEndpointList {
+        let news = self.to_update();
+        ParsedEndpointList { list: self, update: news }
     }
 }
 
 /// A list, and what it says.
-pub struct Told {
+pub struct ParsedEndpointList {
     /// As discovery sent it.
-    pub list: List,
+    pub list: EndpointList,
     /// What was understood of it.
-    pub news: EndpointUpdate,
+    pub update: EndpointUpdate,
 }
 
-impl Told {
+impl ParsedEndpointList {
     /// Of what it says only who leaves: all that can be believed of changes to a list that is not held.
-    pub fn leaving(self) -> EndpointUpdate {
+    pub fn into_departures(self) -> EndpointUpdate {
         let left =
             |e: Endpoint| leaves(e.state).then_some(PartialEndpoint { name: e.name, state: Some(e.state) });
-        let entries = self.news.complete.into_iter().filter_map(left);
-        let partial = entries.chain(self.news.partial.into_iter().filter(|p| p.state.is_some())).collect();
+        let entries = self.update.complete.into_iter().filter_map(left);
+        let partial = entries.chain(self.update.partial.into_iter().filter(|p| p.state.is_some())).collect();
         EndpointUpdate { complete: Vec::new(), partial }
     }
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,8 +1,9 @@
 //! One request and its answer on a connection.
 
 use crate::attempt::judge;
-use crate::body::{stuck, BoxError, Kept, Outgoing, Upload, MOST, WHOLE};
-use crate::pauses::Pauses;
+use crate::body::{stuck, BoxError, Outgoing, Upload, MOST, WHOLE};
+use crate::body_budget::BodyReservation;
+use crate::stall_timeouts::StallTimeouts;
 use crate::stream::Stream;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -50,7 +51,7 @@
 /// One request and its answer.
 pub(crate) async fn exchange(
     stream: &Stream, request: Request<Outgoing>, early: &AtomicBool, upload: Option<&Rc<Upload>>,
-    mut kept: Kept, pauses: Pauses,
+    mut kept: BodyReservation, pauses: StallTimeouts,
 ) -> Result<Reply, Broken> {
     let shaken = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream.clone()).await;
     let (mut sender, mut conn) = shaken.map_err(|_| Broken::Ended)?;
@@ -81,8 +82,8 @@
     let (head, read, rest) = tokio::select! {
         biased;
         done = driven(&mut conn, work) => done.unwrap_or(Err(Broken::Ended))?,
-        _ = stalled(stream, early, pauses.answer_gap) => return Err(Broken::Spoilt),
-        _ = unread(stream, upload, pauses.upload_unread) => return Err(Broken::Ended),
+        _ = stalled(stream, early, pauses.answer_stall) => return Err(Broken::Spoilt),
+        _ = unread(stream, upload, pauses.backend_stall) => return Err(Broken::Ended),
     };
     Ok(Reply { head, read, rest, conn, sender })
 }
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/http_client.rs
@@ -16,7 +16,7 @@
 
 /// Why a call has no answer.
 #[derive(Debug, Error)]
-pub enum CallError {
+pub enum RequestError {
     /// Nobody listens, or the way there is broken.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
@@ -35,7 +35,7 @@
 }
 
 /// A connection between calls.
-pub struct Link {
+pub struct IdleConnection {
     sender: http1::SendRequest<Empty<Bytes>>,
     conn: http1::Connection<Stream, Empty<Bytes>>,
 }
@@ -46,40 +46,42 @@
 /// # Errors
 /// Why there is no whole answer within `patience`.
 pub async fn get(
-    link: &mut Option<Link>, at: SocketAddr, uri: &str, most: usize, patience: Duration,
-) -> Result<Bytes, CallError> {
+    link: &mut Option<IdleConnection>, at: SocketAddr, uri: &str, most: usize, patience: Duration,
+) -> Result<Bytes, RequestError> {
     let call = ask(link, at, uri, most);
-    tokio::time::timeout(patience, call).await.unwrap_or(Err(CallError::Silent))
+    tokio::time::timeout(patience, call).await.unwrap_or(Err(RequestError::Silent))
 }
 
-async fn ask(link: &mut Option<Link>, at: SocketAddr, uri: &str, most: usize) -> Result<Bytes, CallError> {
+async fn ask(
+    link: &mut Option<IdleConnection>, at: SocketAddr, uri: &str, most: usize,
+) -> Result<Bytes, RequestError> {
     let mut live = match link.take() {
         Some(live) if !live.sender.is_closed() => live,
         _ => {
             let dial = tokio::time::timeout(CONNECT, TcpStream::connect(at)).await;
             let tcp = dial.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()));
-            let tcp = tcp.map_err(CallError::Connect)?;
+            let tcp = tcp.map_err(RequestError::Connect)?;
             let (sender, conn) = http1::handshake(Stream::new(tcp)).await.map_err(boxed)?;
-            Link { sender, conn }
+            IdleConnection { sender, conn }
         }
     };
     let request = Request::get(uri).header("host", at.to_string()).body(Empty::new()).map_err(boxed)?;
-    let Link { sender, conn } = &mut live;
+    let IdleConnection { sender, conn } = &mut live;
     let answer = async {
         sender.ready().await.map_err(boxed)?;
         let answer = sender.send_request(request).await.map_err(boxed)?;
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), most).collect().await.map_err(CallError::Http)?;
+        let body = Limited::new(answer.into_body(), most).collect().await.map_err(RequestError::Http)?;
         Ok((status, body.to_bytes()))
     };
-    let (status, body) = driven(conn, answer).await.unwrap_or(Err(CallError::Ended))?;
+    let (status, body) = driven(conn, answer).await.unwrap_or(Err(RequestError::Ended))?;
     if status != 200 {
-        return Err(CallError::Status(status));
+        return Err(RequestError::Status(status));
     }
     *link = Some(live);
     Ok(body)
 }
 
-fn boxed(e: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CallError {
-    CallError::Http(e.into())
+fn boxed(e: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> RequestError {
+    RequestError::Http(e.into())
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -14,28 +14,29 @@
 )]
 
 pub mod admin;
-pub mod age;
 mod answer;
-pub mod attempt;
-pub mod body;
-pub mod call;
-pub mod chunks;
+mod attempt;
+mod body;
+pub mod body_budget;
+pub mod cached_endpoint_list;
+mod chunks;
 mod client;
 mod clients;
 pub mod config;
+pub mod connection_pool;
 pub mod discovery;
+pub mod endpoint_list;
 mod exchange;
-pub mod fault;
-pub mod handover;
-pub mod list;
-pub mod mirror;
-pub mod pauses;
-pub mod peer;
-pub mod pool;
+mod fault;
+pub mod http_client;
+pub mod listener_handover;
+pub mod process_slot;
+pub mod queueing_delay;
 mod relay;
-pub mod request;
+mod request;
 pub mod server;
-pub mod stream;
+pub mod stall_timeouts;
+mod stream;
 mod timer;
 
 /// Headers that concern one connection only.
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/listener_handover.rs
@@ -9,36 +9,36 @@
 
 /// Why the socket named cannot be used.
 #[derive(Debug)]
-pub enum HandoverError {
+pub enum ListenerHandoverError {
     NoNumber(String),
     NotOpen(RawFd),
     NotListening(RawFd),
     Unusable(RawFd, std::io::Error),
 }
 
-impl fmt::Display for HandoverError {
+impl fmt::Display for ListenerHandoverError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HandoverError::NoNumber(text) => {
+            ListenerHandoverError::NoNumber(text) => {
                 write!(f, "{VARIABLE}: expected the number of a descriptor above 2, got {text:?}")
             }
-            HandoverError::NotOpen(fd) => write!(f, "{VARIABLE}: descriptor {fd} is not open"),
-            HandoverError::NotListening(fd) => {
+            ListenerHandoverError::NotOpen(fd) => write!(f, "{VARIABLE}: descriptor {fd} is not open"),
+            ListenerHandoverError::NotListening(fd) => {
                 write!(f, "{VARIABLE}: descriptor {fd} is no listening TCP socket")
             }
-            HandoverError::Unusable(fd, e) => write!(f, "{VARIABLE}: descriptor {fd}: {e}"),
+            ListenerHandoverError::Unusable(fd, e) => write!(f, "{VARIABLE}: descriptor {fd}: {e}"),
         }
     }
 }
 
-impl std::error::Error for HandoverError {}
+impl std::error::Error for ListenerHandoverError {}
 
 /// The inherited listener; `None` where none is named. To be called once, before anything else is opened.
-pub fn listener() -> Result<Option<TcpListener>, HandoverError> {
+pub fn inherited_listener() -> Result<Option<TcpListener>, ListenerHandoverError> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
-    let fd = text.parse().ok().filter(|fd: &RawFd| *fd > 2).ok_or(HandoverError::NoNumber(text))?;
+    let fd = text.parse().ok().filter(|fd: &RawFd| *fd > 2).ok_or(ListenerHandoverError::NoNumber(text))?;
     if !std::path::Path::new(&format!("/proc/self/fd/{fd}")).exists() {
-        return Err(HandoverError::NotOpen(fd));
+        return Err(ListenerHandoverError::NotOpen(fd));
     }
     // SAFETY: the descriptor is open, and by the platform's word it is this process's to own: it was handed
     // down at the start for this purpose, and nothing else in the program refers to it.
@@ -47,9 +47,9 @@
     let socket = socket2::Socket::from(owned);
     let inet = socket.local_addr().is_ok_and(|at| at.as_socket().is_some());
     if !inet || !socket.is_listener().unwrap_or(false) {
-        return Err(HandoverError::NotListening(fd));
+        return Err(ListenerHandoverError::NotListening(fd));
     }
     let ready = socket.set_nonblocking(true).and_then(|()| socket.set_cloexec(true));
-    ready.map_err(|e| HandoverError::Unusable(fd, e))?;
+    ready.map_err(|e| ListenerHandoverError::Unusable(fd, e))?;
     Ok(Some(socket.into()))
 }
--- a/crates/proxy/src/peer.rs
+++ b/crates/proxy/src/process_slot.rs
@@ -7,41 +7,43 @@
 use tracing::warn;
 
 /// How often the other's lock is looked at.
-pub const LOOK: Duration = Duration::from_millis(50);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// A lock may be held for an instant by one who only looks.
 const TRIES: u32 = 50;
 const PAUSE: Duration = Duration::from_millis(2);
 
 /// This process's place among the two that there may be. The kernel frees it when the process ends.
-pub struct Peer {
+pub struct ProcessSlot {
     /// Held for as long as the process runs.
     _own: Option<File>,
     other: Option<File>,
 }
 
-impl Peer {
+impl ProcessSlot {
     /// Takes a free place. Where none can be had the process counts as alone: it serves all the same.
-    pub async fn join(base: &Path) -> Peer {
+    pub async fn acquire(base: &Path) -> ProcessSlot {
         let places = [place(base, 0), place(base, 1)];
         for _ in 0..TRIES {
             for (own, other) in [(0, 1), (1, 0)] {
                 match lock(&places[own]) {
-                    Ok(Some(file)) => return Peer { _own: Some(file), other: open(&places[other]).ok() },
+                    Ok(Some(file)) => {
+                        return ProcessSlot { _own: Some(file), other: open(&places[other]).ok() }
+                    }
                     Ok(None) => {}
                     Err(e) => {
                         warn!("cannot tell whether another process serves: {e}");
-                        return Peer { _own: None, other: None };
+                        return ProcessSlot { _own: None, other: None };
                     }
                 }
             }
             tokio::time::sleep(PAUSE).await;
         }
         warn!("two other processes serve already");
-        Peer { _own: None, other: open(&places[0]).ok() }
+        ProcessSlot { _own: None, other: open(&places[0]).ok() }
     }
 
     /// Another process holds the other place.
-    pub fn alive(&self) -> bool {
+    pub fn other_is_running(&self) -> bool {
         let Some(other) = &self.other else { return false };
         match other.try_lock_shared() {
             Ok(()) => {
@@ -82,15 +84,15 @@
         let dir = std::env::temp_dir().join(format!("lotusdeck-peer-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let base = dir.join("n0");
-        let a = Peer::join(&base).await;
-        assert!(!a.alive());
-        let b = Peer::join(&base).await;
-        assert!(a.alive() && b.alive() && a.alive());
-        assert!(Peer::join(&base).await.alive());
+        let a = ProcessSlot::acquire(&base).await;
+        assert!(!a.other_is_running());
+        let b = ProcessSlot::acquire(&base).await;
+        assert!(a.other_is_running() && b.other_is_running() && a.other_is_running());
+        assert!(ProcessSlot::acquire(&base).await.other_is_running());
         drop(a);
-        assert!(!b.alive());
-        let c = Peer::join(&base).await;
-        assert!(b.alive() && c.alive());
-        assert!(!Peer::join(Path::new("/nowhere/at/all")).await.alive());
+        assert!(!b.other_is_running());
+        let c = ProcessSlot::acquire(&base).await;
+        assert!(b.other_is_running() && c.other_is_running());
+        assert!(!ProcessSlot::acquire(Path::new("/nowhere/at/all")).await.other_is_running());
     }
 }
--- a/crates/proxy/src/age.rs
+++ b/crates/proxy/src/queueing_delay.rs
@@ -19,7 +19,7 @@
 //! - by the time in which the runtime hands out what a look found, as the look is noted behind that;
 //! - by a turn, where more than 1,024 sockets are ready at once: a look hands over no more (the runtime's default);
 //! - by what a connection waited in an inherited listener's queue before this process had it;
-//! - wholly, where the runtime does not note its looks ([`note_looks`]): age counts from the wake then.
+//! - wholly, where the runtime does not note its looks ([`record_polls`]): age counts from the wake then.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -37,13 +37,13 @@
 }
 
 /// Has a runtime of one thread note when it looks for what has come. To be called once, on the builder.
-pub fn note_looks(runtime: &mut Builder) -> &mut Builder {
+pub fn record_polls(runtime: &mut Builder) -> &mut Builder {
     runtime.on_thread_unpark(|| LAST_LOOK.set(Some(Instant::now())))
 }
 
 /// Lets all other tasks run, and the loop look once. The runtime does not tell of such looks by itself, and a task that
 /// yields often would make the last one that it told of an old one.
-pub async fn yield_to_a_look() {
+pub async fn yield_to_poll() {
     let before = Instant::now();
     tokio::task::yield_now().await;
     LAST_LOOK.set(LAST_LOOK.get().map(|last| last.max(before)));
@@ -55,11 +55,11 @@
 }
 
 /// Since when a socket can hold what is still to be read from it.
-pub struct Arrivals {
+pub struct QueueingDelay {
     /// Looks from here on include the socket.
     registered: Instant,
     /// Nothing that is still to be read came earlier.
-    since: Cell<Instant>,
+    earliest_arrival: Cell<Instant>,
     notice: RefCell<Option<Notice>>,
 }
 
@@ -95,24 +95,30 @@
     }
 }
 
-impl Arrivals {
+impl QueueingDelay {
     /// Of a socket that was registered with the loop just now, and can hold something since then.
-    pub fn new(since: Instant) -> Arrivals {
-        Arrivals { registered: Instant::now(), since: Cell::new(since), notice: RefCell::default() }
+    pub fn new(since: Instant) -> QueueingDelay {
+        QueueingDelay {
+            registered: Instant::now(),
+            earliest_arrival: Cell::new(since),
+            notice: RefCell::default(),
+        }
     }
 
     /// Since when what is read now can have lain there.
-    pub fn since(&self) -> Instant {
-        self.since.get()
+    pub fn earliest_arrival(&self) -> Instant {
+        self.earliest_arrival.get()
     }
 
     /// The socket was found empty at that time or later.
-    pub fn empty(&self, at: Instant) {
-        self.since.set(self.since.get().max(at));
+    pub fn mark_empty(&self, at: Instant) {
+        self.earliest_arrival.set(self.earliest_arrival.get().max(at));
     }
 
     /// Waits for the socket by `poll`, which is handed the context to wait with.
-    pub fn wait<T>(&self, cx: &mut Context<'_>, poll: impl FnOnce(&mut Context<'_>) -> Poll<T>) -> Poll<T> {
+    pub fn poll_ready<T>(
+        &self, cx: &mut Context<'_>, poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
+    ) -> Poll<T> {
         self.take_look();
         if !coop::has_budget_remaining() {
             return poll(cx); // woken by the runtime, for its turn, and not by the socket
@@ -130,33 +136,33 @@
         let notice = self.notice.borrow();
         let woken = notice.as_ref().map(|n| &n.woken.look);
         let look = woken.and_then(|look| look.lock().unwrap_or_else(PoisonError::into_inner).take());
-        look.filter(|look| *look >= self.registered).into_iter().for_each(|look| self.empty(look));
+        look.filter(|look| *look >= self.registered).into_iter().for_each(|look| self.mark_empty(look));
     }
 }
 
 /// The queue of a listener, and since when its first connection can wait there.
-pub struct Queue(Arrivals);
+pub struct AcceptQueue(QueueingDelay);
 
-impl Queue {
+impl AcceptQueue {
     /// Of a listener that has just been registered with the loop.
-    pub fn new() -> Queue {
-        Queue(Arrivals::new(Instant::now()))
+    pub fn new() -> AcceptQueue {
+        AcceptQueue(QueueingDelay::new(Instant::now()))
     }
 
     /// The next connection, and since when it can have been there.
     pub async fn accept(&self, listener: &TcpListener) -> io::Result<(TcpStream, Instant)> {
-        let (tcp, _) = poll_fn(|cx| self.0.wait(cx, |cx| listener.poll_accept(cx))).await?;
-        Ok((tcp, self.0.since()))
+        let (tcp, _) = poll_fn(|cx| self.0.poll_ready(cx, |cx| listener.poll_accept(cx))).await?;
+        Ok((tcp, self.0.earliest_arrival()))
     }
 
     /// Since when a connection that is taken from the queue now can have been there.
-    pub fn since(&self) -> Instant {
-        self.0.since()
+    pub fn earliest_arrival(&self) -> Instant {
+        self.0.earliest_arrival()
     }
 }
 
-impl Default for Queue {
-    fn default() -> Queue {
-        Queue::new()
+impl Default for AcceptQueue {
+    fn default() -> AcceptQueue {
+        AcceptQueue::new()
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,8 @@
 //! A large answer on its way: read from the backend as fast as the client takes it.
 
 use crate::body::{Outgoing, MOST};
+use crate::connection_pool::{Conn, ConnectionPool};
 use crate::exchange::{clean, Driver};
-use crate::pool::{Conn, Pool};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -17,7 +17,7 @@
 
 /// Passes the rest of a large answer on, as fast as both sides go, and keeps the connection if it is clean after.
 pub(crate) struct Relay {
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     pub id: BackendId,
     pub c: Conn,
     pub goes_on: bool,
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,11 +1,12 @@
 //! Clients: the listener, their connections, and the graceful shutdown.
 
-use crate::age::{self, Queue};
 use crate::answer::Answered;
-use crate::body::{AnswerBody, Budget};
+use crate::body::AnswerBody;
+use crate::body_budget::BodyBudget;
 use crate::client::{Client, IDLE_PATIENCE};
 use crate::clients::{Choice, Clients};
-use crate::pool::Pool;
+use crate::connection_pool::ConnectionPool;
+use crate::queueing_delay::{self, AcceptQueue};
 use crate::stream::Stream;
 use crate::timer::Timer;
 use hyper::header::HeaderValue;
@@ -65,16 +66,16 @@
 /// The listener's side of the proxy: client connections and the requests on them.
 pub struct Server {
     pub(crate) host: Rc<Host>,
-    pub(crate) pool: Rc<Pool>,
+    pub(crate) pool: Rc<ConnectionPool>,
     pub(crate) max: Cell<usize>,
     over: Cell<usize>,
-    pub(crate) budget: Budget,
+    pub(crate) budget: BodyBudget,
     pub(crate) clients: Clients,
     /// The ids of the requests that are open.
     pub(crate) ids: RefCell<HashSet<HeaderValue>>,
-    accepting: Cell<bool>,
+    is_accepting: Cell<bool>,
     /// Where clients wait until they are accepted.
-    queue: Queue,
+    queue: AcceptQueue,
     pub(crate) stopping: Cell<bool>,
     /// When the program may be killed, once it was told to stop.
     pub(crate) end: Cell<Option<tokio::time::Instant>>,
@@ -95,7 +96,7 @@
 
 impl Server {
     /// A server that accepts nobody yet.
-    pub fn new(host: Rc<Host>, pool: Rc<Pool>, budget: Budget) -> Rc<Server> {
+    pub fn new(host: Rc<Host>, pool: Rc<ConnectionPool>, budget: BodyBudget) -> Rc<Server> {
         let (clients, ids) = (Clients::default(), RefCell::default());
         let (stopping, left, told) = (Cell::new(false), Notify::new(), Cell::default());
         let (accepted, evicted, faults) = (Cell::new(0), Cell::new(0), Cell::new(0));
@@ -108,8 +109,8 @@
             budget,
             clients,
             ids,
-            accepting,
-            queue: Queue::new(),
+            is_accepting: accepting,
+            queue: AcceptQueue::new(),
             stopping,
             end: Cell::default(),
             left,
@@ -121,33 +122,33 @@
     }
 
     /// This process takes clients.
-    pub fn accepting(&self) -> bool {
-        self.accepting.get()
+    pub fn is_accepting(&self) -> bool {
+        self.is_accepting.get()
     }
 
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
     /// So many connections are kept, and so many more until each has its answer. Those that are beyond it leave
     /// when they are idle.
-    pub fn bound(&self, max: usize, over: usize) {
+    pub fn set_client_limits(&self, max: usize, over: usize) {
         self.max.set(max);
         self.over.set(over);
         while self.clients.staying() > max && self.make_room() != Room::None {}
     }
 
     /// One line on clients and connections since the last.
-    pub fn report(&self) {
+    pub fn log_counts(&self) {
         info!(
-            clients = self.clients(),
+            clients = self.client_count(),
             unproven = self.clients.unproven(),
             accepted = self.accepted.take(),
             evicted = self.evicted.take(),
             filed = self.clients.filings.take(),
             turned_away = self.faults.take(),
-            upstreams = self.pool.open(),
-            connects = self.pool.opened.take(),
+            upstreams = self.pool.open_connections(),
+            connects = self.pool.connects_since_report.take(),
             "clients"
         );
     }
@@ -156,7 +157,7 @@
     /// queue outlives this process and is left to the next; an own one is emptied, as it ends with this one.
     pub async fn run(self: Rc<Self>, listener: TcpListener, inherited: bool, stop: impl Future<Output = ()>) {
         let mut stop = pin!(stop);
-        self.accepting.set(true);
+        self.is_accepting.set(true);
         let mut accepts = 0;
         loop {
             tokio::select! {
@@ -165,10 +166,10 @@
             }
             accepts += 1;
             if accepts % ACCEPTS_A_TURN == 0 {
-                age::yield_to_a_look().await;
+                queueing_delay::yield_to_poll().await;
             }
         }
-        self.accepting.set(false);
+        self.is_accepting.set(false);
         let told = tokio::time::Instant::now();
         // Past the longest deadline nothing is owed any more; a client that holds a connection open with half
         // of a request does not keep the program.
@@ -183,7 +184,7 @@
             self.empty(listener, told + LINGER).await;
         }
         self.stopping.set(true);
-        while self.clients() > 0 && tokio::time::Instant::now() < end {
+        while self.client_count() > 0 && tokio::time::Instant::now() < end {
             // Told again and again: one whose request had just arrived is not closed at the first time.
             self.clients.for_each(|c| c.close.notify_one());
             let _ = tokio::time::timeout(Duration::from_millis(20), self.left.notified()).await;
@@ -203,15 +204,15 @@
         if let Ok(listener) = listener.into_std() {
             while let Ok((stream, _)) = listener.accept() {
                 let tcp = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                tcp.into_iter().for_each(|tcp| self.take_in(tcp, self.queue.since()));
+                tcp.into_iter().for_each(|tcp| self.take_in(tcp, self.queue.earliest_arrival()));
             }
         }
     }
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
-        while self.clients() >= self.max.get() + self.over.get() {
+        while self.client_count() >= self.max.get() + self.over.get() {
             if self.clients.staying() > self.max.get() && self.make_room() == Room::Unknown {
-                age::yield_to_a_look().await;
+                queueing_delay::yield_to_poll().await;
                 continue;
             }
             // Those that were told to leave have to be given the time: telling more makes no room sooner.
@@ -221,11 +222,11 @@
             Ok((tcp, since)) => self.take_in(tcp, since),
             Err(e) => {
                 // Out of descriptors, or a client that left in the queue: never the end of the program.
-                let made_room = self.make_room() == Room::Soon || self.pool.close_oldest();
+                let made_room = self.make_room() == Room::Soon || self.pool.close_longest_idle();
                 let now = self.host.clock.now();
                 if now - self.told.get() >= ACCEPT_LOG {
                     self.told.set(now);
-                    warn!(error = %e, clients = self.clients(), upstreams = self.pool.open(), "accept failed");
+                    warn!(error = %e, clients = self.client_count(), upstreams = self.pool.open_connections(), "accept failed");
                 }
                 if !made_room || e.kind() != std::io::ErrorKind::ConnectionAborted {
                     tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,8 +1,8 @@
 //! A TCP stream under hyper that can also be looked at from outside: how much of a request was written,
 //! and whether the other side has closed or sent anything.
 
-use crate::age::Arrivals;
 use crate::chunks::Chunks;
+use crate::queueing_delay::QueueingDelay;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::cell::{Cell, RefCell};
@@ -43,7 +43,7 @@
     /// When something was last read.
     moved: Cell<Instant>,
     /// Since when what is unread can wait, and what was read last could.
-    arrivals: Arrivals,
+    arrivals: QueueingDelay,
     arrived: Cell<std::time::Instant>,
     /// Bytes read and written in all.
     received: Cell<u64>,
@@ -80,7 +80,7 @@
             line: Cell::default(),
             chunks: Cell::default(),
             moved: Cell::new(Instant::now()),
-            arrivals: Arrivals::new(since),
+            arrivals: QueueingDelay::new(since),
             arrived: Cell::new(since),
             received: Cell::default(),
             sent: Cell::default(),
@@ -273,19 +273,19 @@
         let mut chunk = [0u8; 8192];
         let room = buf.remaining().min(chunk.len());
         loop {
-            ready!(self.0.arrivals.wait(cx, |cx| self.0.tcp.poll_read_ready(cx)))?;
+            ready!(self.0.arrivals.poll_ready(cx, |cx| self.0.tcp.poll_read_ready(cx)))?;
             let asked = std::time::Instant::now();
             match self.0.tcp.try_read(&mut chunk[..room]) {
                 Ok(n) => {
-                    self.0.arrived.set(self.0.arrivals.since());
+                    self.0.arrived.set(self.0.arrivals.earliest_arrival());
                     if n < room {
-                        self.0.arrivals.empty(asked);
+                        self.0.arrivals.mark_empty(asked);
                     }
                     self.read(&chunk[..n]);
                     buf.put_slice(&chunk[..n]);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.0.arrivals.empty(asked),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.0.arrivals.mark_empty(asked),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
--- a/crates/proxy/tests/outline.rs
+++ b/crates/proxy/tests/outline.rs
@@ -6,7 +6,7 @@
     reason = "a test stops at what it did not expect"
 )]
 
-use lotusdeck_proxy::config::{Node, NodeError, Outline};
+use lotusdeck_proxy::config::{NodeConfig, NodeConfigError, SettingsOutline};
 use serde_json::{json, Value};
 
 fn settings(position: u32, group_size: u32) -> Value {
@@ -24,13 +24,13 @@
 }
 
 /// Of a proxy's file with these settings.
-fn outline(name: &str, settings: &Value) -> Outline {
+fn outline(name: &str, settings: &Value) -> SettingsOutline {
     let file = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1,
         "settings": settings});
     let path = std::env::temp_dir().join(format!("lotusdeck-outline-{name}-{}", std::process::id()));
     std::fs::write(&path, file.to_string()).unwrap();
-    let node = Node::read(&path, None).unwrap_or_else(|error| panic!("{error}"));
-    node.file.outline()
+    let node = NodeConfig::read(&path, None).unwrap_or_else(|error| panic!("{error}"));
+    node.active_file.outline()
 }
 
 /// What the platform tells each proxy comes from its file, whatever the others are told.
@@ -39,9 +39,9 @@
     let outline = outline("own", &settings(7, 9));
     let mut told = settings(0, 1);
     told["my_zone"] = json!("west");
-    let (read, next) = outline.succeed(told.clone()).unwrap();
+    let (read, next) = outline.read_successor(told.clone()).unwrap();
     assert_eq!((read.config.proxy_index, read.config.proxy_count, read.config.zone.0), (7, 9, 1));
-    let (read, _) = next.succeed(told).unwrap();
+    let (read, _) = next.read_successor(told).unwrap();
     assert_eq!((read.config.proxy_index, read.config.proxy_count, read.config.zone.0), (7, 9, 1));
 }
 
@@ -52,6 +52,9 @@
     let mut told = settings(0, 1);
     told["profiles"] = json!([]);
     told["rules"].as_object_mut().unwrap().remove("ramp_time_us");
-    let refused = outline.succeed(told).err();
-    assert!(matches!(&refused, Some(NodeError::Missing(key)) if key == "rules.ramp_time_us"), "{refused:?}");
+    let refused = outline.read_successor(told).err();
+    assert!(
+        matches!(&refused, Some(NodeConfigError::Missing(key)) if key == "rules.ramp_time_us"),
+        "{refused:?}"
+    );
 }
