--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -18,6 +18,7 @@
 )]
 
 mod api;
+mod estimators;
 mod faults;
 mod memory;
 mod names;
--- a/crates/policy/src/memory.rs
+++ b/crates/policy/src/memory.rs
@@ -1,28 +1,30 @@
-//! What the module learned, handed out so that it can outlive the process, and taken back at the next start. No
-//! decisions: how far a memory of some age is believed is told by who keeps it, in the samples that it is worth.
+//! What the module learned, handed out so that it can outlive the process, and taken back at the next start.
+//! No decisions: how far a memory of some age is believed is told by who keeps it, in the samples that it is
+//! worth.
 
 use crate::api::*;
+use crate::estimators::{MovingAverage, TokenBucket};
 use crate::rules::Balancer;
-use crate::state::{Bucket, ClassState, Mean};
+use crate::state::ClassState;
 
-/// What was spent on a backend inside the fall window is kept in so many slots at most, not by ticks: 200 backends at
-/// a tick of 5 ms would be 80,000 numbers a second.
+/// What was spent on a backend inside the fall window is kept in so many slots at most, not by ticks: 200
+/// backends at a tick of 5 ms would be 80,000 numbers a second.
 const SLOTS: u64 = 8;
 
 trait EstimateExt {
-    fn of(mean: &Mean) -> Estimate;
-    fn mean(self) -> Option<Mean>;
+    fn of(mean: &MovingAverage) -> Estimate;
+    fn mean(self) -> Option<MovingAverage>;
 }
 impl EstimateExt for Estimate {
-    fn of(mean: &Mean) -> Estimate {
+    fn of(mean: &MovingAverage) -> Estimate {
         Estimate { value: mean.value, samples: mean.count }
     }
 
     /// Only what can be a mean of times or rates is taken: a file may hold anything.
-    fn mean(self) -> Option<Mean> {
+    fn mean(self) -> Option<MovingAverage> {
         let sound =
             self.value > 0.0 && self.value.is_finite() && self.samples > 0.0 && self.samples.is_finite();
-        sound.then_some(Mean { value: self.value, count: self.samples })
+        sound.then_some(MovingAverage { value: self.value, count: self.samples })
     }
 }
 
@@ -55,7 +57,8 @@
                 memory.ejected.push((id, u32::try_from(p.strikes).unwrap_or(0)));
             }
             if cold(&p.entry) {
-                // The newest first, so that each slot counts from its newest: sooner forgotten would be too little.
+                // The newest first, so that each slot counts from its newest: sooner forgotten would be too
+                // little.
                 let mut slot = None;
                 for (at, work) in p.spent.iter().rev().filter(|s| now - s.0 < window) {
                     let (ago, mine) = (now - *at, ((now - *at).0 * SLOTS).checked_div(window.0));
@@ -70,14 +73,15 @@
         memory
     }
 
-    /// Makes room for so many classes, and forgets what was learned under numbers that mean something else now.
+    /// Makes room for so many classes, and forgets what was learned under numbers that mean something else
+    /// now.
     pub(crate) fn renew(&mut self, classes: usize, renewed: &ReassignedIds) {
         self.classes.resize_with(classes, ClassState::default);
         for class in &renewed.classes {
             self.classes.get_mut(class.0).into_iter().for_each(|c| *c = ClassState::default());
         }
         for tenant in &renewed.tenants {
-            self.buckets.get_mut(tenant.0).into_iter().for_each(|b| *b = Bucket::default());
+            self.buckets.get_mut(tenant.0).into_iter().for_each(|b| *b = TokenBucket::default());
         }
         if !renewed.classes.is_empty() {
             let same = |class: &usize| renewed.classes.binary_search(&ClassId(*class)).is_err();
@@ -91,10 +95,11 @@
         requests.chain(self.attempts.values().map(|a| a.class)).map(ClassId)
     }
 
-    /// Takes back what was learned before the process began, where nothing was learned since. Backends that were out
-    /// of use begin on trial; work sent before counts against the cold budget of those that were sent it.
+    /// Takes back what was learned before the process began, where nothing was learned since. Backends that
+    /// were out of use begin on trial; work sent before counts against the cold budget of those that were
+    /// sent it.
     pub(crate) fn recall(&mut self, now: Time, memory: &Snapshot) {
-        let into = |own: &mut Mean, kept: Estimate| match kept.mean() {
+        let into = |own: &mut MovingAverage, kept: Estimate| match kept.mean() {
             Some(mean) if own.count <= 0.0 => *own = mean,
             _ => {}
         };
--- a/crates/policy/src/names.rs
+++ b/crates/policy/src/names.rs
@@ -7,9 +7,9 @@
 
 /// Names in the order of their numbers, with an index by name.
 ///
-/// All texts lie in one allocation, so that a table of tens of thousands of names is cloned and dropped at once. The
-/// index is keyed at random, as names in requests come from strangers; nothing ever iterates it, so that no decision
-/// depends on its order.
+/// All texts lie in one allocation, so that a table of tens of thousands of names is cloned and dropped at
+/// once. The index is keyed at random, as names in requests come from strangers; nothing ever iterates it, so
+/// that no decision depends on its order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NameTable {
     texts: String,
@@ -84,7 +84,8 @@
     }
 }
 
-/// Names that settings told: each keeps its number when later settings leave it out, but is not found any more.
+/// Names that settings told: each keeps its number when later settings leave it out, but is not found any
+/// more.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeclaredNames {
     table: NameTable,
@@ -132,8 +133,8 @@
     }
 }
 
-/// Names in the order of their numbers. Places and kinds met first in a list are numbered then; a clone shares the
-/// names of classes and tenants.
+/// Names in the order of their numbers. Places and kinds met first in a list are numbered then; a clone
+/// shares the names of classes and tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub(crate) zones: NameTable,
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -5,6 +5,7 @@
 //! `draw` picks a kind by share and a backend inside it at random. All else is a departure for trouble.
 
 use crate::api::*;
+use crate::estimators::*;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -101,7 +102,7 @@
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
     pub(crate) cfg: Config,
-    dice: Dice,
+    dice: Rng,
     pub(crate) peers: BTreeMap<BackendId, Peer>,
     /// The peers by mark, an order that all proxies share.
     order: BTreeSet<(u64, BackendId)>,
@@ -120,21 +121,21 @@
     pub(crate) classes: Vec<ClassState>,
     /// New requests may be of a class that may be run again at will.
     any_harmless: bool,
-    pub(crate) overall: Mean,
-    pub(crate) buckets: Vec<Bucket>,
+    pub(crate) overall: MovingAverage,
+    pub(crate) buckets: Vec<TokenBucket>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     held: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     blocked: f64,
     pub(crate) attempts: BTreeMap<(RequestId, AttemptNo), Out>,
-    rate: Rate,
+    rate: RateEstimator,
     /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
-    crowd: Rate,
+    crowd: RateEstimator,
     /// What all hold and what this one does, where the others tell.
-    part: [Rate; 2],
+    part: [RateEstimator; 2],
     extra: f64,
     /// The part of the attempts older than so many usual times that were answered.
-    answered: [(f64, Mean); 2],
+    answered: [(f64, MovingAverage); 2],
     /// The error share of the middle one of the backends: what is common to all is no fault of any.
     common: f64,
     solve_at: Time,
@@ -154,7 +155,7 @@
     pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
         cfg.validate()?;
         Ok(Balancer {
-            dice: Dice::new(seed),
+            dice: Rng::new(seed),
             peers: BTreeMap::new(),
             order: BTreeSet::new(),
             leaving: BTreeSet::new(),
@@ -166,17 +167,17 @@
             kinds: BTreeMap::new(),
             classes: cfg.classes.iter().map(|_| ClassState::default()).collect(),
             any_harmless: cfg.classes.iter().any(Class::is_idempotent),
-            overall: Mean::default(),
-            buckets: cfg.tenants.iter().map(|_| Bucket::default()).collect(),
+            overall: MovingAverage::default(),
+            buckets: cfg.tenants.iter().map(|_| TokenBucket::default()).collect(),
             requests: BTreeMap::new(),
             held: Vec::new(),
             blocked: 0.0,
             attempts: BTreeMap::new(),
-            rate: Rate::new(RATE_MEMORY),
-            crowd: Rate::new(CROWD_MEMORY),
-            part: [Rate::new(PART_MEMORY); 2],
+            rate: RateEstimator::new(RATE_MEMORY),
+            crowd: RateEstimator::new(CROWD_MEMORY),
+            part: [RateEstimator::new(PART_MEMORY); 2],
             extra: 0.0,
-            answered: [LOST_AFTER, SILENT_AFTER].map(|age| (age, Mean { value: 1.0, count: FEW })),
+            answered: [LOST_AFTER, SILENT_AFTER].map(|age| (age, MovingAverage { value: 1.0, count: FEW })),
             common: 0.0,
             solve_at: Time(0),
             sweep: Sweep::default(),
@@ -196,7 +197,7 @@
             self.blocked = 0.0; // those two make no room, and trying a long line in vain costs too much CPU
         }
         let out = self.attempts.len() as f64;
-        self.crowd.pass(now, out);
+        self.crowd.add_level(now, out);
         let due = now >= self.solve_at && (matches!(event, Event::Request(_)) || !self.held.is_empty());
         if due || self.sweep.pass != Pass::Rest {
             self.solve(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
@@ -211,7 +212,7 @@
             Event::ProcessCount { .. } => self.shared_until = Time(u64::MAX),
             Event::Restored(memory) => self.recall(now, &memory),
             Event::FleetLoad { in_flight: held } => {
-                self.part.iter_mut().zip([held + out, out]).for_each(|(r, n)| r.pass(now, n));
+                self.part.iter_mut().zip([held + out, out]).for_each(|(r, n)| r.add_level(now, n));
             }
             Event::Request(arrival) => self.request(now, arrival),
             Event::BodyReceived { request, time_left } => self.uploaded(now, request, time_left),
@@ -312,7 +313,7 @@
     fn settings(&mut self, now: Time, cfg: Config, renewed: &ReassignedIds) {
         self.renew(cfg.classes.len(), renewed);
         self.any_harmless = cfg.classes.iter().any(Class::is_idempotent);
-        self.buckets.resize_with(cfg.tenants.len(), Bucket::default);
+        self.buckets.resize_with(cfg.tenants.len(), TokenBucket::default);
         if cfg.discovery != self.cfg.discovery {
             self.ask = ((cfg.discovery != DiscoveryMode::Push).then_some(now), 0.0);
         }
@@ -818,7 +819,7 @@
         // One that is not open is drawn again, which is as if it had never been among those to draw from.
         let pull = |k: &KindId| (*k, self.kinds.get(k).map_or(0.0, |v| v.pull));
         let kinds: Vec<_> = self.tables.keys().map(pull).collect();
-        let (drawn, mut near) = (self.dice.pick(&kinds)?, BackendId(0));
+        let (drawn, mut near) = (self.dice.pick_weighted(&kinds)?, BackendId(0));
         for _ in 0..GLANCES {
             let table = self.tables.get(&drawn).map_or(&[][..], |t| t);
             let at = self.dice.unit() * table.last().map_or(0.0, |last| last.0);
@@ -836,9 +837,9 @@
         let open: Vec<(BackendId, KindId, f64)> = open.collect();
         let some = |k: &KindId| open.iter().any(|o| o.1 == *k);
         let kinds: Vec<_> = self.kinds.iter().filter(|k| some(k.0)).map(|(k, v)| (*k, v.pull)).collect();
-        let kind = Some(drawn).filter(some).or_else(|| self.dice.pick(&kinds))?;
+        let kind = Some(drawn).filter(some).or_else(|| self.dice.pick_weighted(&kinds))?;
         let inside: Vec<(BackendId, f64)> = open.iter().filter(|o| o.1 == kind).map(|o| (o.0, o.2)).collect();
-        self.dice.pick(&inside)
+        self.dice.pick_weighted(&inside)
     }
 
     /// Whether all proxies together hold too much: it takes the others to be like itself, or as they told.
@@ -848,7 +849,7 @@
         let proxies = f64::from(self.cfg.proxy_count);
         let ready: f64 = self.kinds.values().map(|k| k.ready).sum();
         let limit = if value < LOW { HOLD / 2.0 } else { HOLD * 1.5 };
-        let [all, own] = self.part.each_ref().map(Rate::per_s);
+        let [all, own] = self.part.each_ref().map(RateEstimator::per_s);
         let times = all.zip(own.filter(|own| *own > 0.0)).map_or(proxies, |(all, own)| all / own);
         proxies > HOLD && self.crowd.per_s().unwrap_or(0.0) * times > limit * ready
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -15,8 +15,8 @@
 /// A fault's text is no longer than this: a value may be large.
 const MOST_GOT: usize = 60;
 
-/// A value inside the settings, with the path that led to it. A fault is noted, and reading goes on with a value
-/// that stands in, so that all faults are told at once.
+/// A value inside the settings, with the path that led to it. A fault is noted, and reading goes on with a
+/// value that stands in, so that all faults are told at once.
 struct Key<'a> {
     path: String,
     value: Option<&'a Value>,
@@ -279,7 +279,8 @@
     }
 }
 
-/// Changes of classes that are told one by one: a line of the log stays readable, however many classes change.
+/// Changes of classes that are told one by one: a line of the log stays readable, however many classes
+/// change.
 const MOST_WORDS: usize = 24;
 
 /// What operators are told of a class.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,119 +1,17 @@
 //! What a proxy remembers: running estimates and plain records. No decisions.
 
 use crate::api::*;
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
+use crate::estimators::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The proxy's own random numbers, the same on every machine for the same seed.
-pub(crate) struct Dice(Pcg32);
-
-impl Dice {
-    pub(crate) fn new(seed: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed))
-    }
-
-    /// Even from 0 up to 1.
-    pub(crate) fn unit(&mut self) -> f64 {
-        f64::from(self.0.next_u32()) / 4_294_967_296.0
-    }
-
-    /// One of the items, each with its weight.
-    pub(crate) fn pick<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
-        let mut left = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
-        let mut hit = |w: &&(T, f64)| {
-            left -= w.1;
-            left < 0.0
-        };
-        weighted.iter().find(&mut hit).or(weighted.last()).map(|w| w.0)
-    }
-}
-
-/// A mean over about the last `cap` samples.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mean {
-    pub value: f64,
-    pub count: f64,
-}
-
-impl Mean {
-    pub(crate) fn add(&mut self, sample: f64, cap: f64) {
-        self.count = (self.count + 1.0).min(cap);
-        self.value += (sample - self.value) / self.count;
-    }
-
-    pub(crate) fn get(&self) -> Option<f64> {
-        (self.count > 0.0).then_some(self.value)
-    }
-}
-
-/// Events a second over about the last `memory` seconds, unbiased from the start on.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Rate {
-    memory: f64,
-    events: f64,
-    seen: f64,
-    at: Option<Time>,
-}
-
-impl Rate {
-    pub(crate) fn new(memory: f64) -> Rate {
-        Rate { memory, events: 0.0, seen: 0.0, at: None }
-    }
-
-    /// Counts `level` for each second since the last call.
-    pub(crate) fn pass(&mut self, now: Time, level: f64) {
-        let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        self.add(now, level * (1.0 - (-gap / self.memory).exp()) * self.memory);
-    }
-
-    /// Counts `events` at `now`; none just lets time pass.
-    pub(crate) fn add(&mut self, now: Time, events: f64) {
-        let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        let fade = (-gap / self.memory).exp();
-        self.events = self.events * fade + events;
-        self.seen = self.seen * fade + (1.0 - fade) * self.memory;
-        self.at = Some(now);
-    }
-
-    /// `None` until a twentieth of the memory has passed.
-    pub(crate) fn per_s(&self) -> Option<f64> {
-        (self.seen > self.memory / 20.0).then(|| self.events / self.seen)
-    }
-}
-
-/// A tenant's quota.
-#[derive(Default)]
-pub(crate) struct Bucket {
-    tokens: f64,
-    at: Option<Time>,
-}
-
-impl Bucket {
-    /// Takes a token if there is one, at so many a second. It holds what it is due over `memory` seconds,
-    /// and starts with that; where that is less than `least` it may gather so much, as chance alone brings a
-    /// few at once.
-    pub(crate) fn take(&mut self, now: Time, rate: f64, memory: f64, least: f64) -> bool {
-        let due = rate * memory;
-        self.tokens = match self.at {
-            None => due.max(1.0),
-            Some(at) => (self.tokens + rate * (now - at).secs()).min(due.max(least)),
-        };
-        self.at = Some(now);
-        let within = self.tokens >= 1.0;
-        self.tokens -= f64::from(within);
-        within
-    }
-}
-
 /// What is learned of a kind of machine.
 pub(crate) struct Kind {
     /// Seconds from dispatch to answer, of served requests only, with the class mix taken out.
-    pub latency: Mean,
+    pub latency: MovingAverage,
     /// The part of its attempts that were answered at all, of those that had long enough.
-    pub answered: Mean,
+    pub answered: MovingAverage,
     /// Requests a second that one backend got, over the same requests: by a flow of now proxies would swing.
-    pub flows: Mean,
+    pub flows: MovingAverage,
     /// ... and gets now.
     pub flow: f64,
     /// Sum of its backends' readiness.
@@ -128,8 +26,9 @@
 
 impl Default for Kind {
     fn default() -> Kind {
-        let answered = Mean { value: 1.0, count: 2.0 }; // as if two had been: one alone may be chance
-        let (latency, flows) = (Mean::default(), Mean::default());
+        // As if two had been: one alone may be chance.
+        let answered = MovingAverage { value: 1.0, count: 2.0 };
+        let (latency, flows) = (MovingAverage::default(), MovingAverage::default());
         Kind { answered, latency, flows, flow: 0.0, ready: 0.0, speed: 0.0, share: 0.0, pull: 0.0 }
     }
 }
@@ -293,7 +192,7 @@
 /// What is learned of a class.
 #[derive(Default)]
 pub(crate) struct ClassState {
-    pub latency: Mean,
+    pub latency: MovingAverage,
     /// More than half of the backends get none of it: then it is not they who fail at it.
     pub shunned: bool,
 }
--- a/crates/policy/src/succession.rs
+++ b/crates/policy/src/succession.rs
@@ -1,9 +1,9 @@
 //! How settings follow upon others: which number each name has then, and which numbers are used again.
 //!
-//! A number in force stays a name's own for as long as settings tell that name. Once left out it is retired: it goes
-//! back to its name should that return, and is given to another only when nothing open speaks of it. So no number
-//! ever means something else to an open request, and there are no more numbers than were in force or spoken of at
-//! once, and some spare ones.
+//! A number in force stays a name's own for as long as settings tell that name. Once left out it is retired:
+//! it goes back to its name should that return, and is given to another only when nothing open speaks of it.
+//! So no number ever means something else to an open request, and there are no more numbers than were in
+//! force or spoken of at once, and some spare ones.
 
 use crate::api::*;
 use crate::names::{DeclaredNames, Names};
@@ -12,7 +12,8 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Retired numbers that nothing speaks of are kept for names that return, up to as many as are in force and so many.
+/// Retired numbers that nothing speaks of are kept for names that return, up to as many as are in force and
+/// so many.
 const SPARE: usize = 1_024;
 
 /// Numbers that open requests speak of, or may come to.
@@ -34,9 +35,10 @@
 }
 
 impl Settings {
-    /// `new` under the numbers of these: a class keeps its number while its name and effect stay, and one of another
-    /// effect gets another. `names` are these settings' own, with what lists have added; `pinned` what was open at some
-    /// moment since these came into force: who comes later speaks of numbers in force only. Linear in both.
+    /// `new` under the numbers of these: a class keeps its number while its name and effect stay, and one of
+    /// another effect gets another. `names` are these settings' own, with what lists have added; `pinned`
+    /// what was open at some moment since these came into force: who comes later speaks of numbers in force
+    /// only. Linear in both.
     pub fn merge_successor(&self, new: Settings, names: &Names, pinned: &IdsInUse) -> SettingsMerge {
         let Settings { mut config, names: told, mut network } = new;
         let mut names_then = names.clone();
@@ -78,8 +80,8 @@
 }
 
 impl Places {
-    /// Each new entry has the number of the old one of the same identity, else the lowest one that is `free`, or the
-    /// next behind them all. The map is looked into only, as its order is random.
+    /// Each new entry has the number of the old one of the same identity, else the lowest one that is `free`,
+    /// or the next behind them all. The map is looked into only, as its order is random.
     fn new<K: Eq + Hash>(
         old: impl Iterator<Item = K>, new: impl Iterator<Item = K>, free: impl Fn(usize) -> bool,
     ) -> Places {
