--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,50 +1,55 @@
-//! Speaks the bench's wire on standard input and output: one [`lotusdeck_policy::Balancer`] per instance.
-//! Translation only; every decision is the library's.
+//! Runs the decision module on the simulator's wire: lines of JSON on standard input and output, one
+//! [`lotusdeck_policy::Balancer`] for each simulated proxy. It only translates; every decision is the module's.
 #![forbid(unsafe_code)]
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::expect_used,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc,
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::unwrap_used,
-    reason = "not revised yet"
-)]
 
-mod wire;
+mod actions;
+mod adapter;
+mod endpoints;
+mod error;
+mod events;
+mod fields;
+mod instance;
 
+use adapter::{Adapter, Reply};
+use error::RunError;
 use std::io::{BufRead, Write};
+use std::process::ExitCode;
 
-fn main() -> std::process::ExitCode {
-    let (stdin, stdout) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match run(stdin, stdout) {
-        Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("lotusdeck-simulator-adapter: {text}");
-            std::process::ExitCode::FAILURE
+fn main() -> ExitCode {
+    let input = std::io::stdin().lock();
+    let output = std::io::stdout().lock();
+    match run(input, output) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("lotusdeck-simulator-adapter: {error}");
+            ExitCode::FAILURE
         }
     }
 }
 
-fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = wire::Host::default();
-    let (mut line, mut number) = (String::new(), 0u64);
-    let mut reply = Vec::new();
+/// Answers lines until the input ends.
+///
+/// # Errors
+/// A line could not be read or understood, or a reply could not be written.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), RunError> {
+    let mut adapter = Adapter::default();
+    let mut text = String::new();
+    let mut output_lines = Vec::new();
+    let mut line = 0;
     loop {
-        line.clear();
-        number += 1;
-        let read = input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))?;
-        if read == 0 {
+        text.clear();
+        line += 1;
+        let length = input.read_line(&mut text).map_err(|source| RunError::Read { line, source })?;
+        if length == 0 {
             return Ok(());
         }
-        let done = host.line(line.trim_end(), &mut reply).map_err(|e| format!("line {number}: {e}"))?;
-        if done {
-            let sent = output.write_all(&reply).and_then(|()| output.flush());
-            sent.map_err(|e| format!("reply after line {number}: {e}"))?;
-            reply.clear();
+        let reply = adapter
+            .handle_line(text.trim_end(), &mut output_lines)
+            .map_err(|source| RunError::Message { line, source })?;
+        if reply == Reply::Complete {
+            let written = output.write_all(&output_lines).and_then(|()| output.flush());
+            written.map_err(|source| RunError::Reply { line, source })?;
+            output_lines.clear();
         }
     }
 }
