--- a/crates/lotusdeck/tests/lab.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! The program in the laboratory: a short run with troubles, judged by the stand-ins alone.
+//! The program in the testbed: a short run with faults, judged by the stand-ins alone.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -1,5 +1,5 @@
 //! Campaigns: faults drawn from seeds are played around real proxies, the oracles judge, and what breaks a rule is
-//! shrunk to the least that still does and saved as an experiment (docs/relay.md).
+//! shrunk to the least that still does and saved as an experiment (docs/fault-proxy.md).
 
 mod draw;
 
--- a/crates/testbed/src/experiment/format.rs
+++ b/crates/testbed/src/experiment/format.rs
@@ -57,7 +57,7 @@
     /// What happens.
     #[serde(default)]
     pub trouble: Vec<Trouble>,
-    /// Faults between proxies and backends: a relay stands before each backend (docs/relay.md). On sockets only.
+    /// Faults between proxies and backends: a relay stands before each backend (docs/fault-proxy.md). On sockets only.
     #[serde(default)]
     pub injury: Vec<Fault>,
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: what an operator of the lab writes down, as TOML. docs/lab.md lists every key.
+//! Experiments: what an operator of the lab writes down, as TOML. docs/testbed.md lists every key.
 //!
 //! `format` holds the tables and keys, `defaults` what holds where one is absent, `check` which values make sense, and
 //! `error` why one is not played. Reading, and figures that follow from the whole, lie here.
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A relay that stands between any two sockets on loopback and injures what passes on a schedule (docs/relay.md).
+//! A relay that stands between any two sockets on loopback and injures what passes on a schedule (docs/fault-proxy.md).
 //!
 //! `script` is what an operator of the lab writes, `plan` what a seed makes of it for each connection, `frame` finds
 //! messages in the bytes, `links` injures datagrams, `pipe` decides what becomes of each byte, and `run` does it on sockets. `cost` measures what
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory of lotusdeck: a model of the systems that it serves, a driver that plays the model around real
+//! The testbed of lotusdeck: a model of the systems that it serves, a driver that plays the model around real
 //! processes on loopback, oracles that judge by what the stand-ins saw, and figures.
 #![allow(
     missing_docs,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -77,7 +77,7 @@
     Fleet(fleet::Args),
     /// Search for faults that break a rule: draw them from seeds, play them, and shrink what breaks one.
     Campaign(campaign::Args),
-    /// Stand between sockets and injure what passes, by a script (docs/relay.md); it ends with its standard input.
+    /// Stand between sockets and injure what passes, by a script (docs/fault-proxy.md); it ends with its standard input.
     Relay(fault_proxy::Args),
     /// What a relay adds that meets no fault: direct and through it, interleaved; and idle connections.
     RelayCost(fault_proxy::cost::Args),
--- a/crates/testbed/src/scale/experiment.rs
+++ b/crates/testbed/src/scale/experiment.rs
@@ -1,4 +1,4 @@
-//! Scale experiments: which axes are walked in which steps, as TOML. docs/lab.md lists every key.
+//! Scale experiments: which axes are walked in which steps, as TOML. docs/testbed.md lists every key.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
