--- /dev/null
+++ b/crates/testbed/src/campaign/draw/tests.rs
@@ -0,0 +1,13 @@
+use super::*;
+
+/// Each is sound, the same for the same seed, and reads back as it was written: what breaks a rule is saved.
+#[test]
+fn every_script_is_sound_and_can_be_saved() {
+    for seed in 0..300 {
+        let e = experiment(seed).unwrap();
+        let text = toml::to_string(&e).unwrap();
+        let back = Experiment::parse("saved", &text).unwrap_or_else(|e| panic!("seed {seed}: {e}\n{text}"));
+        assert_eq!(text, toml::to_string(&back).unwrap());
+        assert_eq!(text, toml::to_string(&experiment(seed).unwrap()).unwrap());
+    }
+}
--- a/crates/testbed/src/fault_proxy/links.rs
+++ b/crates/testbed/src/fault_proxy/links.rs
@@ -146,38 +146,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Two members: what a cut link loses is lost in that direction only, and a healed one carries again.
-    #[test]
-    fn links_are_cut_and_healed_by_direction() {
-        let links = Links::start(2, 7).unwrap();
-        let sockets: Vec<_> = (0..2).map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        for (n, socket) in sockets.iter().enumerate() {
-            socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-            links.member(n, socket.local_addr().unwrap());
-        }
-        let said = |from: usize, text: &str| {
-            sockets[from].send_to(text.as_bytes(), links.addresses[1 - from]).unwrap();
-        };
-        let heard = |at: usize| {
-            let mut buffer = [0; 100];
-            let n = sockets[at].recv(&mut buffer).expect("a datagram");
-            String::from_utf8_lossy(&buffer[..n]).into_owned()
-        };
-        said(0, "a");
-        assert_eq!(heard(1), "a");
-        links.set(0, 1, CUT);
-        said(0, "lost");
-        said(1, "back");
-        assert_eq!(heard(0), "back");
-        while links.count(0, 1).1 == 0 {
-            std::thread::yield_now();
-        }
-        links.set(0, 1, Link { doubled: 1.0, delay_ms: 5.0, ..Link::default() });
-        said(0, "b");
-        assert_eq!((heard(1), heard(1)), ("b".to_string(), "b".to_string()));
-        assert_eq!(links.count(0, 1), (2, 1));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -0,0 +1,90 @@
+use super::*;
+use crate::fault_proxy::script::Place;
+
+fn due(when: When, what: What) -> Due {
+    Due { index: 0, way: Way::Down, when, gives: None, what, seed: 1 }
+}
+
+/// All that goes out by a time, bytes put together.
+fn out(pipe: &mut Pipe, now: u64) -> (String, Vec<Out>) {
+    let (mut text, mut rest) = (Vec::new(), Vec::new());
+    while let Some(out) = pipe.pop(now) {
+        match out {
+            Out::Bytes(bytes) => text.extend(bytes),
+            other => rest.push(other),
+        }
+    }
+    (String::from_utf8_lossy(&text).into_owned(), rest)
+}
+
+fn play(when: When, what: What, pieces: &[&str]) -> (String, Vec<Out>) {
+    let mut pipe = Pipe::new(Framing::Http, Way::Down, &[due(when, what)]);
+    pieces.iter().for_each(|piece| pipe.take(0, piece.as_bytes()));
+    let got = out(&mut pipe, 0);
+    assert_eq!(pipe.held, 0, "what went out is no longer held");
+    got
+}
+
+#[test]
+fn bytes_before_the_place_pass_and_the_fault_meets_the_next() {
+    for pieces in [&["abcdef"][..], &["ab", "c", "def"], &["abc", "def"]] {
+        let all = |what| play(When::Byte(3), what, pieces);
+        assert_eq!(all(What::Hang), ("abc".into(), vec![]));
+        assert_eq!(all(What::HalfClose), ("abc".into(), vec![Out::HalfClose]));
+        assert_eq!(all(What::Reset).1, [Out::Reset]);
+        assert_eq!(all(What::Repeat { bytes: 2 }).0, "abcdedef");
+        assert_eq!(all(What::Replace { text: "XY".into() }).0, "abcXYf");
+        assert_eq!(all(What::Insert { text: "XY".into() }).0, "abcXYdef");
+        assert_eq!(all(What::Flip { bytes: 9 }).0, "abc", "held until all are there");
+    }
+}
+
+#[test]
+fn places_in_messages_are_met() {
+    let second = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
+    let both = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd{second}");
+    let got = play(When::Message(2, Place::Chunk), What::Replace { text: "z".into() }, &[&both]);
+    assert_eq!(got.0, both.replace("5\r\nhello", "z\r\nhello"), "the size of the second answer's chunk");
+    let got = play(When::Message(1, Place::Middle), What::HalfClose, &[&both[..20], &both[20..]]);
+    assert!(got.0.ends_with("\r\n\r\nab") && got.1 == [Out::HalfClose], "{got:?}");
+    let got = play(When::Message(2, Place::Start), What::Cut, &[&both]);
+    assert!(got.0.ends_with("abcd") && got.1.first() == Some(&Out::Cut), "{got:?}");
+}
+
+#[test]
+fn times_hold_in_order() {
+    let mut pipe = Pipe::new(
+        Framing::None,
+        Way::Down,
+        &[
+            due(When::Byte(2), What::Stall { ms: 5 }),
+            due(When::After(9_000), What::Bandwidth { bytes_per_s: 1_000 }),
+            due(When::Word("now".into()), What::Reset),
+        ],
+    );
+    pipe.take(0, b"abcd");
+    assert_eq!(out(&mut pipe, 4_999).0, "ab");
+    assert_eq!(pipe.next(0), Some(5_000));
+    assert_eq!(out(&mut pipe, 5_000).0, "cd");
+    assert_eq!(pipe.next(5_000), Some(9_000), "a fault by time");
+    pipe.take(10_000, &[b'x'; 30]);
+    assert_eq!(out(&mut pipe, 20_000).0.len(), 20, "20 pass at once, the rest 20 ms later at 1,000 a second");
+    assert_eq!(out(&mut pipe, 30_000).0.len(), 10);
+    assert_eq!(pipe.awaits().collect::<Vec<_>>(), ["now"]);
+    pipe.word(31_000, "now");
+    assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
+    let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Stall { ms: 1 })]);
+    full.take(0, &vec![b'x'; MOST_HELD]);
+    assert!(!full.reads(0), "no more is held than the bound");
+    assert!(out(&mut full, 1_000).0.len() == MOST_HELD && full.reads(1_000));
+    let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Merge { ms: 2 })]);
+    [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
+    assert_eq!(merged.pop(1_999), None);
+    assert_eq!(merged.pop(2_000), Some(Out::Bytes(b"ababab".to_vec())), "as one piece");
+    let mut split = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Split { bytes: 1 })]);
+    split.take(0, b"ab");
+    split.end(0);
+    let pieces = [split.pop(0), split.pop(0), split.pop(0), split.pop(0)];
+    let bytes = |b: &[u8]| Some(Out::Bytes(b.to_vec()));
+    assert_eq!(pieces, [bytes(b"a"), bytes(b"b"), Some(Out::HalfClose), None]);
+}
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -414,15 +414,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn medians_are_of_the_middle() {
-        let of = |rates: &[f64]| -> Vec<Point> {
-            rates.iter().map(|r| Point { rate: *r, ..Point::default() }).collect()
-        };
-        assert_eq!(median(&of(&[3.0, 1.0, 100.0]), |p| p.rate), 3.0);
-        assert_eq!(median(&[], |p| p.rate), 0.0);
-    }
-}
+mod tests;
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -114,19 +114,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::world::dice::Dice;
-
-    /// A wave is found with its period; chance alone stays below the mark.
-    #[test]
-    fn a_period_is_found_and_chance_is_not() {
-        let mut dice = Dice::new(4, "swing");
-        let noise: Vec<f64> = (0..300).map(|_| dice.unit()).collect();
-        assert_eq!(strongest(&noise), None);
-        let wave = |(t, x): (usize, &f64)| x + 0.5 * (std::f64::consts::TAU * t as f64 / 20.0).sin();
-        let waved: Vec<f64> = noise.iter().enumerate().map(wave).collect();
-        let (period, power) = strongest(&waved).unwrap();
-        assert!((period - 2.0).abs() < 0.1 && power > 10.0, "{period} {power}");
-    }
-}
+mod tests;
