--- /dev/null
+++ b/crates/policy/src/admission/mod.rs
@@ -0,0 +1,68 @@
+//! Admission: which requests are admitted, queued or rejected.
+
+mod overload;
+mod queue;
+mod quota;
+
+pub(crate) use overload::{LOAD_MEMORY_S, TARGET_IN_FLIGHT_PER_BACKEND};
+pub(crate) use queue::QueuedRequest;
+
+use crate::api::{Arrival, Config, Micros, ReassignedIds, Time};
+use crate::estimates::Estimates;
+use crate::requests::PendingRequest;
+use overload::OverloadDetector;
+use queue::RequestQueue;
+use quota::TenantQuotas;
+
+/// Admits requests.
+pub(crate) struct Admission {
+    pub queue: RequestQueue,
+    pub overload: OverloadDetector,
+    quotas: TenantQuotas,
+}
+
+impl Admission {
+    pub(crate) fn new(config: &Config) -> Admission {
+        Admission {
+            queue: RequestQueue::default(),
+            overload: OverloadDetector::new(),
+            quotas: TenantQuotas::new(config.tenants.len()),
+        }
+    }
+
+    /// The configuration changed.
+    pub(crate) fn reconfigure(&mut self, config: &Config, reassigned: &ReassignedIds) {
+        self.quotas.reconfigure(config.tenants.len(), &reassigned.tenants);
+    }
+
+    /// A request as it arrives. Its class is one of the configuration's.
+    pub(crate) fn admit(&mut self, now: Time, config: &Config, arrival: &Arrival) -> PendingRequest {
+        let class = &config.classes[arrival.class.0];
+        let exceeds_quota = arrival.tenant.is_some_and(|tenant| self.quotas.exceeds(now, config, tenant));
+        let hint = arrival.work_hint.unwrap_or_default();
+        let stretch = hint.times(class.objective_per_work_hint);
+        let objective = Micros(class.latency_objective.0 + stretch.0);
+        // A client that sends a request again waited for its first attempt: most of its value is lost, and
+        // serving it before a new request would make both late, all through a retry storm.
+        let retry_factor = if arrival.is_client_retry { class.late_value_factor } else { 1.0 };
+        let quota_factor = if exceeds_quota { config.over_quota_factor } else { 1.0 };
+        PendingRequest {
+            class: arrival.class.0,
+            arrived_at: now,
+            objective_at: now + objective.min(arrival.time_left),
+            deadline: now + arrival.time_left,
+            priority: retry_factor * quota_factor,
+            max_attempts: config.max_attempts as usize,
+            allow_hedging: config.allow_hedging,
+            uploading: arrival.body_incomplete,
+            streaming: false,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// The fleet has too much in flight to take a first attempt of the request.
+    pub(crate) fn sheds(&self, config: &Config, estimates: &Estimates, request: &PendingRequest) -> bool {
+        let readiness: f64 = estimates.kinds.values().map(|kind| kind.readiness).sum();
+        self.overload.is_overloaded(config, readiness, request.is_low_priority())
+    }
+}
--- /dev/null
+++ b/crates/policy/src/balancer/attempts.rs
@@ -0,0 +1,121 @@
+//! Attempts that go on or end, and what their outcomes say of backends, kinds and classes.
+
+use super::Balancer;
+use crate::answer_loss::EndedAttempt;
+use crate::api::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Time};
+use crate::outlier::{self, FailedAttempt, FailureVerdict};
+use crate::requests::{AttemptKey, InFlightAttempt};
+
+impl Balancer {
+    /// A body is complete: its time begins, and it counts as work on the backend that has it. No other
+    /// attempt can have it.
+    pub(super) fn receive_body(&mut self, now: Time, id: RequestId, time_left: Micros) {
+        let Some(request) = self.requests.pending.get_mut(&id).filter(|request| request.uploading) else {
+            return;
+        };
+        let objective = (request.objective_at - request.arrived_at).min(time_left);
+        request.arrived_at = now;
+        request.objective_at = now + objective;
+        request.deadline = now + time_left;
+        request.uploading = false;
+        request.max_attempts = request.attempts.len();
+        for attempt in self.requests.attempts_of(id).filter(|attempt| attempt.uploading) {
+            attempt.uploading = false;
+            attempt.sent_at = now;
+            if let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) {
+                backend.load.uploading = backend.load.uploading.saturating_sub(1);
+            }
+        }
+        self.schedule.next_check_at = now;
+    }
+
+    pub(super) fn end_attempt(&mut self, now: Time, end: &AttemptEnd) {
+        let id = end.request;
+        let key = AttemptKey { request: id, attempt: end.attempt };
+        let Some(attempt) = self.requests.in_flight.remove(&key) else { return };
+        self.learn(now, &attempt, end);
+        let Some(request) = self.requests.pending.get_mut(&id) else { return };
+        if let Some(record) = request.attempts.get_mut(end.attempt.0 as usize) {
+            record.in_flight = false;
+            record.never_ran = end.outcome.never_ran();
+        }
+        if end.body_consumed {
+            request.max_attempts = request.attempts.len();
+        }
+        let has_attempt_in_flight = request.has_attempt_in_flight();
+        if end.request_answered || end.outcome == Outcome::Success {
+            self.close(id);
+        } else if !has_attempt_in_flight {
+            // From the queue it is sent again or given up.
+            self.admission.queue.push_once(id);
+        }
+    }
+
+    /// What an outcome says of the backend, its kind and its class.
+    fn learn(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
+        let usual_latency = self.usual_latency(attempt.class);
+        let is_lost = !attempt.uploading && now >= attempt.sent_at + self.loss_timeout(attempt.class);
+        if !attempt.uploading {
+            let ended = EndedAttempt { sent_at: attempt.sent_at, outcome: end.outcome, usual_latency };
+            self.recovery.answer_loss.record(now, &ended);
+        }
+        // One cancelled so late was not answered in time either.
+        let outcome = match end.outcome {
+            Outcome::Cancelled if is_lost => Outcome::TimedOut,
+            outcome => outcome,
+        };
+        let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
+        let load = &mut backend.load;
+        load.in_flight = load.in_flight.saturating_sub(1);
+        load.uploading = load.uploading.saturating_sub(u32::from(attempt.uploading));
+        load.lost = load.lost.saturating_sub(u32::from(is_lost));
+        let kind = self.traffic.estimates.kinds.entry(backend.entry.kind).or_default();
+        if matches!(outcome, Outcome::Success | Outcome::TimedOut) {
+            kind.record_answered(outcome == Outcome::Success);
+        }
+        match outcome {
+            Outcome::Success => self.learn_success(now, attempt, end.latency),
+            Outcome::Rejected => outlier::record_rejection(backend, attempt.class, now, usual_latency),
+            Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
+                self.learn_failure(now, attempt, outcome);
+            }
+        }
+    }
+
+    fn learn_success(&mut self, now: Time, attempt: &InFlightAttempt, latency: Micros) {
+        let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
+        self.traffic.estimates.record_success(backend.entry.kind, attempt.class, latency);
+        if outlier::record_success(backend, attempt.class, now) {
+            self.output.log(now, format!("backend {} is back", attempt.backend.0));
+        }
+    }
+
+    fn learn_failure(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
+        let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
+        let failed = FailedAttempt { class: attempt.class, sent_at: attempt.sent_at, outcome };
+        let common_error_rate = self.traffic.solver.common_error_rate;
+        match outlier::record_failure(backend, now, &failed, common_error_rate) {
+            FailureVerdict::Tolerate => {}
+            FailureVerdict::EjectForClass => self.eject_for_class(now, attempt.backend, attempt.class),
+            FailureVerdict::Eject => self.eject(now, attempt.backend, outcome),
+        }
+    }
+
+    fn eject_for_class(&mut self, now: Time, id: BackendId, class: usize) {
+        let Some(backend) = self.backends.by_id.get_mut(&id) else { return };
+        if outlier::eject_for_class(backend, class, now) {
+            self.traffic.solver.next_solve_at = now;
+            self.output.log(now, format!("backend {} gets none of class {class}", id.0));
+        }
+    }
+
+    fn eject(&mut self, now: Time, id: BackendId, cause: Outcome) {
+        let jitter = self.rng.unit();
+        let Some(backend) = self.backends.by_id.get_mut(&id) else { return };
+        if outlier::eject(backend, now, jitter) {
+            self.schedule.next_check_at = now;
+            self.output.log(now, format!("backend {} ejected: {cause:?}", id.0));
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/discovery_poll.rs
@@ -0,0 +1,52 @@
+//! When to subscribe to the endpoint list, and when to try again.
+
+use crate::api::{DiscoveryMode, ListUpdate, Micros, Time};
+use crate::estimators::Rng;
+
+/// The first pause after a failed subscription, in seconds.
+const MIN_BACKOFF_S: f64 = 0.1;
+
+/// The subscription to the endpoint list.
+pub(crate) struct DiscoveryPoll {
+    /// When to subscribe next; `None` while the subscription stands, or where updates come without one.
+    next_at: Option<Time>,
+    /// The last pause, in seconds; 0 after a success.
+    backoff_s: f64,
+}
+
+impl DiscoveryPoll {
+    /// Subscribes at `now` where updates need it.
+    pub(crate) fn new(mode: DiscoveryMode, now: Time) -> DiscoveryPoll {
+        DiscoveryPoll { next_at: (mode != DiscoveryMode::Push).then_some(now), backoff_s: 0.0 }
+    }
+
+    pub(crate) fn next_at(&self) -> Option<Time> {
+        self.next_at
+    }
+
+    /// An update came: the subscription stands.
+    pub(crate) fn record_update(&mut self, update: ListUpdate) {
+        if matches!(update, ListUpdate::Changes | ListUpdate::Full) {
+            self.next_at = None;
+            self.backoff_s = 0.0;
+        }
+    }
+
+    /// The subscription failed: it is retried with exponential backoff and jitter, so that proxies do not
+    /// retry in step. Shorter pauses of a whole fleet keep an overloaded discovery from ever answering.
+    pub(crate) fn record_failure(&mut self, now: Time, poll_within: Micros, rng: &mut Rng) {
+        let max_backoff_s = (poll_within.secs() / 8.0).max(MIN_BACKOFF_S);
+        self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_backoff_s);
+        self.next_at = Some(now + Micros::from_secs(self.backoff_s * (0.5 + rng.unit())));
+    }
+
+    /// Whether to subscribe now. Where no answer comes the call itself was lost: it is repeated later.
+    pub(crate) fn take_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
+        let DiscoveryMode::Subscribe { poll_within } = mode else { return false };
+        if self.next_at.is_none_or(|at| now < at) {
+            return false;
+        }
+        self.next_at = Some(now + poll_within.times(0.5));
+        true
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -17,19 +17,35 @@
     reason = "not revised yet"
 )]
 
+mod admission;
+mod answer_loss;
 mod api;
+mod backend_health;
+mod backend_table;
+mod balancer;
+mod discovery_poll;
+mod estimates;
 mod estimators;
 mod faults;
-mod memory;
+mod halb;
+mod hedging;
 mod names;
-mod rules;
+mod outlier;
+mod picker;
+mod requests;
+mod retry;
+mod sent_work;
 pub mod settings;
-mod state;
+mod slow_start;
+mod snapshot;
+mod solver;
+mod subset;
 mod succession;
 mod view;
 
 pub use api::*;
-pub use rules::{halb_shares, Balancer};
+pub use balancer::Balancer;
+pub use halb::halb_shares;
 pub use view::{BackendView, KindView};
 
 /// The README's example, kept true by the documentation tests.
--- /dev/null
+++ b/crates/policy/src/sent_work.rs
@@ -0,0 +1,47 @@
+//! The work that was sent to one backend lately.
+
+use crate::api::{Micros, Time};
+use std::collections::VecDeque;
+
+/// Work sent at one time, in requests of mean work.
+pub(crate) struct SentWork {
+    pub at: Time,
+    pub work: f64,
+}
+
+/// Work sent inside the overload window, oldest first.
+#[derive(Default)]
+pub(crate) struct SentWorkLog {
+    entries: VecDeque<SentWork>,
+}
+
+impl SentWorkLog {
+    /// Records work that is sent at `now`. What is sent in one tick is one entry that counts from the tick's
+    /// end: a busy backend gets thousands of requests in a window.
+    pub(crate) fn record_sent_work(&mut self, now: Time, work: f64, tick: Micros, window: Micros) {
+        while self.entries.front().is_some_and(|oldest| now - oldest.at >= window) {
+            self.entries.pop_front();
+        }
+        let tick_end = Time((now.0 / tick.0 + 1) * tick.0);
+        match self.entries.back_mut().filter(|newest| newest.at == tick_end) {
+            Some(newest) => newest.work += work,
+            None => self.entries.push_back(SentWork { at: tick_end, work }),
+        }
+    }
+
+    /// Adds work that an earlier process sent.
+    pub(crate) fn restore(&mut self, at: Time, work: f64) {
+        let index = self.entries.partition_point(|entry| entry.at <= at);
+        self.entries.insert(index, SentWork { at, work });
+    }
+
+    /// The work sent inside the window that ends at `now`.
+    pub(crate) fn total_within(&self, now: Time, window: Micros) -> f64 {
+        self.entries.iter().filter(|entry| now - entry.at < window).map(|entry| entry.work).sum()
+    }
+
+    /// The entries inside the window that ends at `now`, newest first.
+    pub(crate) fn newest_first(&self, now: Time, window: Micros) -> impl Iterator<Item = &SentWork> {
+        self.entries.iter().rev().filter(move |entry| now - entry.at < window)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/snapshot.rs
@@ -0,0 +1,128 @@
+//! Exports what was learned, so that it can outlive the process, and restores it at the next start. How far a
+//! snapshot of some age is trusted is up to whoever keeps it, by the samples that each estimate is worth.
+
+use crate::api::{BackendId, ClassId, Config, Estimate, KindEstimates, Micros, Snapshot, Time, WarmupSpend};
+use crate::backend_health::BackendHealth;
+use crate::backend_table::BackendTable;
+use crate::estimates::Estimates;
+use crate::estimators::MovingAverage;
+use crate::outlier::restore_ejection;
+
+/// Work sent inside the overload window is exported in so many slots at most, not by ticks: 200 backends at a
+/// tick of 5 ms would be 80,000 numbers a second.
+const SLOTS: u64 = 8;
+
+fn export(average: &MovingAverage) -> Estimate {
+    Estimate { value: average.value, samples: average.count }
+}
+
+/// The exported mean; `None` unless it can be a mean of times or rates, as a file may hold anything.
+fn import(estimate: Estimate) -> Option<MovingAverage> {
+    let is_valid = |number: f64| number > 0.0 && number.is_finite();
+    let both_valid = is_valid(estimate.value) && is_valid(estimate.samples);
+    both_valid.then_some(MovingAverage { value: estimate.value, count: estimate.samples })
+}
+
+/// Takes an exported mean where nothing was learned since.
+fn restore(own: &mut MovingAverage, exported: Estimate) {
+    if own.count > 0.0 {
+        return;
+    }
+    if let Some(average) = import(exported) {
+        *own = average;
+    }
+}
+
+/// What is worth keeping at `now`. Visits each backend once.
+pub(crate) fn take_snapshot(
+    now: Time, config: &Config, estimates: &Estimates, backends: &BackendTable,
+) -> Snapshot {
+    let mut snapshot = Snapshot {
+        overall_latency: export(&estimates.overall_latency),
+        class_latency: export_class_latency(estimates),
+        kinds: Vec::with_capacity(estimates.kinds.len()),
+        ejected: Vec::new(),
+        warmup_spend: Vec::new(),
+    };
+    for (id, kind) in &estimates.kinds {
+        let exported = KindEstimates { latency: export(&kind.latency), flow: export(&kind.measured_rate) };
+        snapshot.kinds.push((*id, exported));
+    }
+    for (&id, backend) in &backends.by_id {
+        if backend.ejection.until.is_some() {
+            let consecutive_ejections = u32::try_from(backend.ejection.consecutive_ejections).unwrap_or(0);
+            snapshot.ejected.push((id, consecutive_ejections));
+        }
+        if is_warming_up(now, config, backend) {
+            export_sent_work(now, config.overload_window, id, backend, &mut snapshot.warmup_spend);
+        }
+    }
+    snapshot
+}
+
+fn export_class_latency(estimates: &Estimates) -> Vec<(ClassId, Estimate)> {
+    let classes = estimates.classes.iter().enumerate();
+    classes.map(|(class, stats)| (ClassId(class), export(&stats.latency))).collect()
+}
+
+/// The backend was in slow start as the present overload window began.
+fn is_warming_up(now: Time, config: &Config, backend: &BackendHealth) -> bool {
+    let window_start = now - config.overload_window;
+    backend.entry.started_at.is_some_and(|at| window_start - at < config.slow_start_duration)
+}
+
+/// Exports the work sent to one backend by slots, newest first, so that each slot counts from its newest
+/// entry: forgotten too soon it would allow too much.
+fn export_sent_work(
+    now: Time, window: Micros, id: BackendId, backend: &BackendHealth, exported: &mut Vec<WarmupSpend>,
+) {
+    let mut last_slot = None;
+    for sent in backend.sent_work.newest_first(now, window) {
+        let ago = now - sent.at;
+        let slot = (ago.0 * SLOTS).checked_div(window.0);
+        match exported.last_mut().filter(|_| last_slot == Some(slot)) {
+            Some(last) => last.work += sent.work,
+            None => exported.push(WarmupSpend { backend: id, ago, work: sent.work }),
+        }
+        last_slot = Some(slot);
+    }
+}
+
+/// Restores what an earlier process learned, where nothing was learned since. Backends that were ejected
+/// begin on probation; work sent before counts against the warm-up budget of those that were sent it.
+pub(crate) fn restore_snapshot(
+    now: Time, config: &Config, snapshot: &Snapshot, estimates: &mut Estimates, backends: &mut BackendTable,
+) {
+    restore_estimates(snapshot, estimates);
+    for (id, consecutive_ejections) in &snapshot.ejected {
+        if let Some(backend) = backends.by_id.get_mut(id) {
+            restore_ejection(backend, now, *consecutive_ejections);
+        }
+    }
+    for spend in &snapshot.warmup_spend {
+        let is_valid = spend.ago < config.overload_window && spend.work > 0.0 && spend.work.is_finite();
+        if !is_valid {
+            continue;
+        }
+        if let Some(backend) = backends.by_id.get_mut(&spend.backend) {
+            backend.sent_work.restore(now - spend.ago, spend.work);
+        }
+    }
+}
+
+fn restore_estimates(snapshot: &Snapshot, estimates: &mut Estimates) {
+    restore(&mut estimates.overall_latency, snapshot.overall_latency);
+    // The work of a class is its latency relative to that of all: one without the other tells nothing.
+    if estimates.overall_latency.count > 0.0 {
+        for (id, exported) in &snapshot.class_latency {
+            if let Some(class) = estimates.classes.get_mut(id.0) {
+                restore(&mut class.latency, *exported);
+            }
+        }
+    }
+    for (id, exported) in &snapshot.kinds {
+        let kind = estimates.kinds.entry(*id).or_default();
+        restore(&mut kind.latency, exported.latency);
+        restore(&mut kind.measured_rate, exported.flow);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/solver/stages.rs
@@ -0,0 +1,219 @@
+//! What each stage of a solution does with each backend.
+
+use super::solution::{KindTotals, Solution};
+use super::{IncrementalSolver, SolverContext, SolverStage};
+use crate::admission::TARGET_IN_FLIGHT_PER_BACKEND;
+use crate::api::{BackendId, Config, KindId, Time, ZoneId};
+use crate::backend_health::BackendHealth;
+use crate::backend_table::OrderKey;
+use crate::estimates::KindStats;
+use crate::slow_start::slow_start_factor;
+use crate::subset::{subset_position, SubsetWindow};
+use std::collections::BTreeMap;
+
+/// The least divisor where a sum of shares may be zero.
+const MIN_SHARE: f64 = 1e-9;
+/// The part of a backend's readiness or share that it keeps where it would get nothing: it takes the overflow
+/// where all others are at their limits.
+const TRACE: f64 = 1e-6;
+
+impl IncrementalSolver {
+    /// Goes on with the stage while steps are left; returns where it has to go on, if it has not passed all
+    /// backends.
+    pub(super) fn run_stage(
+        &mut self, context: &mut SolverContext<'_>, steps_left: &mut usize,
+    ) -> Option<OrderKey> {
+        let solution = &mut self.solution;
+        let resume_at = self.resume_at.backend;
+        let SolverContext { now, config, .. } = *context;
+        let kinds = &context.estimates.kinds;
+        let backends = &mut context.backends.by_id;
+        let next = match self.stage {
+            SolverStage::Idle => None,
+            SolverStage::Census => walk(backends, resume_at, steps_left, |b| count(solution, b)),
+            SolverStage::Readiness => {
+                walk(backends, resume_at, steps_left, |b| set_readiness(solution, config, now, b))
+            }
+            SolverStage::ZoneShares => walk(backends, resume_at, steps_left, |backend| {
+                if backend.plan.readiness > 0.0 {
+                    *solution.zone_shares.entry(backend.entry.zone).or_default() +=
+                        fleet_share(kinds, backend);
+                }
+            }),
+            SolverStage::TrafficShares => {
+                let zones = ZoneBalance::new(config, &solution.zone_shares);
+                walk(backends, resume_at, steps_left, |backend| {
+                    let bias = zones.bias(solution.zone_shares.get(&backend.entry.zone), backend);
+                    let drawn = fleet_share(kinds, backend) * bias;
+                    set_traffic_share(solution, config, backend, bias, drawn);
+                })
+            }
+            SolverStage::Subset => return self.run_subset_stage(context, steps_left),
+        };
+        next.map(|backend| OrderKey { order_key: 0, backend })
+    }
+
+    /// Weighs the backends of each kind by the overlap of their shares with this proxy's subset.
+    fn run_subset_stage(
+        &mut self, context: &mut SolverContext<'_>, steps_left: &mut usize,
+    ) -> Option<OrderKey> {
+        let window = SubsetWindow::new(context.config, context.backends.by_id.len(), self.solution.reachable);
+        let config = context.config;
+        for key in context.backends.shared_order.range(self.resume_at..) {
+            if *steps_left == 0 {
+                return Some(*key);
+            }
+            *steps_left -= 1;
+            let Some(backend) = context.backends.by_id.get(&key.backend) else { continue };
+            let senders = context.warmup_budget().permitted_senders(backend);
+            let Some(backend) = context.backends.by_id.get_mut(&key.backend) else { continue };
+            let totals = self.solution.kinds.entry(backend.entry.kind).or_default();
+            set_pick_weight(config, &window, totals, senders, backend);
+            if backend.plan.readiness > 0.0 {
+                add_candidate(&mut self.solution, context.now, key.backend, backend);
+            }
+        }
+        None
+    }
+}
+
+/// Visits backends from `resume_at` on while steps are left; returns where the walk has to go on, if it has.
+fn walk(
+    backends: &mut BTreeMap<BackendId, BackendHealth>, resume_at: BackendId, steps_left: &mut usize,
+    mut visit: impl FnMut(&mut BackendHealth),
+) -> Option<BackendId> {
+    for (&id, backend) in backends.range_mut(resume_at..) {
+        if *steps_left == 0 {
+            return Some(id);
+        }
+        *steps_left -= 1;
+        visit(backend);
+    }
+    None
+}
+
+fn count(solution: &mut Solution, backend: &BackendHealth) {
+    if !backend.is_listed() {
+        return;
+    }
+    let census = &mut solution.census;
+    census.listed += 1.0;
+    census.ejected += f64::from(backend.ejection.until.is_some());
+    if backend.error_rate > 0.0 {
+        census.error_rates.push(backend.error_rate);
+    }
+}
+
+fn set_readiness(solution: &mut Solution, config: &Config, now: Time, backend: &mut BackendHealth) {
+    let panicking = solution.census.is_panicking();
+    let ejection = &mut backend.ejection;
+    ejection.on_probation = !panicking && ejection.until.is_some_and(|until| now >= until);
+    let health = match backend.ejection.until {
+        _ if !backend.is_listed() => 0.0,
+        Some(_) if backend.ejection.on_probation => {
+            // Less often after each ejection that no success made up for: the probes of all proxies together
+            // are work, and would keep those that are only overloaded from ever recovering.
+            let failures =
+                backend.ejection.consecutive_ejections - backend.ejection.probation_successes as i32;
+            0.5f64.powi(failures.max(0))
+        }
+        Some(_) => f64::from(panicking),
+        None => 1.0 - backend.error_rate,
+    };
+    backend.plan.readiness = health * slow_start_factor(config, now, &backend.entry);
+    solution.kinds.entry(backend.entry.kind).or_default().readiness += backend.plan.readiness;
+}
+
+/// A backend's share of the traffic of all proxies: its kind's share by readiness.
+fn fleet_share(kinds: &BTreeMap<KindId, KindStats>, backend: &BackendHealth) -> f64 {
+    kinds
+        .get(&backend.entry.kind)
+        .map_or(0.0, |kind| kind.fleet_share * backend.plan.readiness / kind.readiness.max(MIN_SHARE))
+}
+
+/// How traffic crosses zones, where that costs something: it stays in the zone as far as each backend still
+/// gets the same share of all. A zone whose backends get less than its proxies receive sends its surplus to
+/// the zones whose backends get more.
+struct ZoneBalance<'a> {
+    config: &'a Config,
+    zones: f64,
+    /// The sum of what zones get beyond an even share.
+    total_deficit: f64,
+    /// The share of this proxy's zone.
+    own_share: f64,
+}
+
+impl ZoneBalance<'_> {
+    fn new<'a>(config: &'a Config, zone_shares: &BTreeMap<ZoneId, f64>) -> ZoneBalance<'a> {
+        let zones = zone_shares.len() as f64;
+        ZoneBalance {
+            config,
+            zones,
+            total_deficit: zone_shares.values().map(|share| (share * zones - 1.0).max(0.0)).sum(),
+            own_share: zone_shares.get(&config.zone).copied().unwrap_or(0.0),
+        }
+    }
+
+    /// By how much this proxy sends more to a backend than its share of all traffic.
+    fn bias(&self, zone_share: Option<&f64>, backend: &BackendHealth) -> f64 {
+        let zone_share = zone_share.map_or(0.0, |share| share.max(MIN_SHARE));
+        if self.config.cross_zone_cost <= 0.0 || zone_share <= 0.0 {
+            return 1.0;
+        }
+        let own = self.own_share * self.zones;
+        let sent = if backend.entry.zone == self.config.zone {
+            own.min(1.0)
+        } else {
+            let deficit = (zone_share * self.zones - 1.0).max(0.0);
+            (1.0 - own).max(0.0) * deficit / self.total_deficit.max(MIN_SHARE)
+        };
+        sent / zone_share
+    }
+}
+
+/// Sets a backend's share of this proxy's traffic, and how much it may have in flight.
+fn set_traffic_share(
+    solution: &mut Solution, config: &Config, backend: &mut BackendHealth, bias: f64, drawn: f64,
+) {
+    let proxies = f64::from(config.proxy_count);
+    // Half of the target for all proxies goes by the bias, half evenly. The fraction is rounded up at as many
+    // proxies as it says. Each may have one attempt at least, as more proxies than the target would wait for
+    // turns: the overload check keeps the target.
+    let turn = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
+    let rounding = ((turn % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
+    let even = TARGET_IN_FLIGHT_PER_BACKEND / proxies * backend.plan.readiness;
+    backend.plan.in_flight_limit = (even * (0.5 + 0.5 * bias) + rounding).floor().max(1.0);
+    backend.plan.traffic_share = drawn + backend.plan.readiness * TRACE;
+    solution.reachable += f64::from(drawn > 0.0);
+    solution.kinds.entry(backend.entry.kind).or_default().traffic_share += backend.plan.traffic_share;
+}
+
+/// Sets a backend's weight among those of its kind.
+fn set_pick_weight(
+    config: &Config, window: &SubsetWindow, totals: &mut KindTotals, senders: f64,
+    backend: &mut BackendHealth,
+) {
+    let proxies = f64::from(config.proxy_count);
+    let from = totals.passed_share / totals.traffic_share.max(MIN_SHARE);
+    totals.passed_share += backend.plan.traffic_share;
+    let to = totals.passed_share / totals.traffic_share.max(MIN_SHARE);
+    let in_subset = if senders < proxies {
+        // Where few proxies may send to a cold backend they share it, whatever their subsets.
+        let is_sender = subset_position(config, backend.entry.order_key) < senders;
+        let share = f64::from(is_sender) * (to - from) / senders;
+        share * window.width * proxies
+    } else {
+        window.overlap(from, to)
+    };
+    backend.plan.pick_weight = in_subset + backend.plan.traffic_share * TRACE;
+}
+
+/// Adds a ready backend to the pick tables.
+fn add_candidate(solution: &mut Solution, now: Time, id: BackendId, backend: &BackendHealth) {
+    solution.add_candidate(backend.entry.kind, id, backend.plan.pick_weight);
+    for (class, health) in &backend.classes {
+        if now < health.ejected_until {
+            *solution.class_ejections.entry(*class).or_default() += 1.0;
+        }
+    }
+}
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,70 +1,71 @@
-//! What the module knows, to be shown. No decisions.
+//! What the balancer knows, for display.
 
-use crate::api::*;
-use crate::rules::Balancer;
+use crate::api::{BackendId, BackendState, KindId, Time};
+use crate::backend_health::BackendHealth;
+use crate::estimates::KindStats;
 
-/// What is learned of a kind of machine.
+/// What is known of a kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindView {
-    /// Which.
+    /// The kind.
     pub id: KindId,
     /// Sum of the readiness of its backends.
     pub readiness: f64,
     /// Requests a second that one backend could serve; 0 before anything was learned.
     pub service_rate: f64,
-    /// Part of all proxies' traffic that it is due.
+    /// Its share of the traffic of all proxies.
     pub traffic_share: f64,
 }
 
+impl KindView {
+    pub(crate) fn new(id: KindId, kind: &KindStats) -> KindView {
+        KindView {
+            id,
+            readiness: kind.readiness,
+            service_rate: kind.service_rate,
+            traffic_share: kind.fleet_share,
+        }
+    }
+}
+
 /// What is known of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendView {
-    /// Which.
+    /// The backend.
     pub id: BackendId,
     /// Its kind.
     pub kind: KindId,
-    /// What the list lets it be sent.
+    /// What the endpoint list lets it be sent.
     pub state: BackendState,
-    /// Operators have taken it out.
+    /// Operators have taken it out of service.
     pub cordoned: bool,
-    /// From 0 (send nothing) to 1 (healthy and warm).
+    /// From 0 (gets nothing) to 1 (healthy and warmed up).
     pub readiness: f64,
-    /// Its part of this proxy's traffic.
+    /// Its share of this proxy's traffic.
     pub traffic_share: f64,
-    /// Attempts of this proxy that it holds, and may hold.
+    /// Attempts of this proxy that it has in flight.
     pub in_flight: u32,
-    /// How many it may hold.
+    /// How many it may have in flight.
     pub in_flight_limit: f64,
-    /// Running share of error answers.
+    /// Moving share of error answers.
     pub error_rate: f64,
-    /// Out of use, until this time at least.
+    /// It is ejected, until this time at least.
     pub ejected_until: Option<Time>,
 }
 
-impl Balancer {
-    /// The kinds of machines, in the order of their numbers.
-    pub fn kinds(&self) -> impl Iterator<Item = KindView> + '_ {
-        self.kinds.iter().map(|(id, k)| KindView {
-            id: *id,
-            readiness: k.ready,
-            service_rate: k.speed,
-            traffic_share: k.share,
-        })
-    }
-
-    /// The backends, in the order of their numbers.
-    pub fn backends(&self) -> impl Iterator<Item = BackendView> + '_ {
-        self.peers.iter().map(|(id, p)| BackendView {
-            id: *id,
-            kind: p.entry.kind,
-            state: p.entry.state,
-            cordoned: p.cordoned,
-            readiness: p.ready,
-            traffic_share: p.pull,
-            in_flight: p.out,
-            in_flight_limit: p.room,
-            error_rate: p.errors,
-            ejected_until: p.ejected,
-        })
+impl BackendView {
+    pub(crate) fn new(id: BackendId, backend: &BackendHealth) -> BackendView {
+        BackendView {
+            id,
+            kind: backend.entry.kind,
+            state: backend.entry.state,
+            cordoned: backend.cordoned,
+            readiness: backend.plan.readiness,
+            traffic_share: backend.plan.traffic_share,
+            in_flight: backend.load.in_flight,
+            in_flight_limit: backend.plan.in_flight_limit,
+            error_rate: backend.error_rate,
+            ejected_until: backend.ejection.until,
+        }
     }
 }
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -24,9 +24,9 @@
     "api/time.rs",
     "faults.rs",
     "lib.rs",
-    "memory.rs",
     "names.rs",
     "settings.rs",
+    "snapshot.rs",
     "succession.rs",
     "view.rs",
 ];
