--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -1,7 +1,7 @@
-//! What the ledger needs of a disk. One that is real, and in [`crate::memory`] one that fails on demand.
+//! The disk that the ledger writes to: a real folder here, and one that fails on demand in [`crate::memory_disk`].
 
 use std::fs::{File, OpenOptions};
-use std::io::{self, Read};
+use std::io::{self, Read, Seek, SeekFrom};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
@@ -9,24 +9,45 @@
 pub trait Disk {
     /// An open file.
     type File;
-    /// The names of the files, in no order.
+    /// The names of the files, in no particular order.
     ///
     /// # Errors
-    /// Those of the file system, as all below.
+    /// The folder cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A new file with that much room reserved, all zeros; its name survives a loss of power once this returns.
-    fn create(&mut self, name: &str, room: u64) -> io::Result<Self::File>;
-    /// Writes all of it there.
-    fn write(&mut self, file: &mut Self::File, at: u64, bytes: &[u8]) -> io::Result<()>;
-    /// What was written survives a loss of power once this returns. After an error nobody knows what does.
+    /// Creates a file with `reserved` bytes of zeros; its name survives a loss of power once this returns.
+    ///
+    /// # Errors
+    /// The file exists already, or the space cannot be reserved.
+    fn create(&mut self, name: &str, reserved: u64) -> io::Result<Self::File>;
+    /// Writes all bytes at `offset`.
+    ///
+    /// # Errors
+    /// The write failed, perhaps in part.
+    fn write(&mut self, file: &mut Self::File, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Makes what was written survive a loss of power.
+    ///
+    /// # Errors
+    /// The sync failed; which of the writes survive is unknown then.
     fn sync(&mut self, file: &mut Self::File) -> io::Result<()>;
     /// All bytes of a file.
+    ///
+    /// # Errors
+    /// The file cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Some bytes of a file, fewer at its end.
-    fn read_at(&self, name: &str, at: u64, length: usize) -> io::Result<Vec<u8>>;
-    /// Forgets a file.
+    /// `length` bytes of a file from `offset`, or fewer at its end.
+    ///
+    /// # Errors
+    /// The file cannot be read.
+    fn read_at(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>>;
+    /// Deletes a file.
+    ///
+    /// # Errors
+    /// The file cannot be deleted.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Bytes that can still be written.
+    /// Free space, bytes.
+    ///
+    /// # Errors
+    /// The file system does not report it.
     fn free(&self) -> io::Result<u64>;
 }
 
@@ -35,19 +56,19 @@
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes it where it is not there.
+    /// Opens a folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The folder cannot be created.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         Ok(Folder(path.into()))
     }
 
-    /// One that is there, to be read.
+    /// Opens an existing folder, to be read.
     ///
     /// # Errors
-    /// Where it is no folder.
+    /// There is no folder at `path`, or it cannot be read.
     pub fn existing(path: &Path) -> io::Result<Folder> {
         std::fs::read_dir(path)?;
         Ok(Folder(path.into()))
@@ -59,25 +80,25 @@
 
     fn list(&self) -> io::Result<Vec<String>> {
         let entries = std::fs::read_dir(&self.0)?.collect::<io::Result<Vec<_>>>()?;
-        Ok(entries.into_iter().filter_map(|e| e.file_name().into_string().ok()).collect())
+        Ok(entries.into_iter().filter_map(|entry| entry.file_name().into_string().ok()).collect())
     }
 
-    fn create(&mut self, name: &str, room: u64) -> io::Result<File> {
+    fn create(&mut self, name: &str, reserved: u64) -> io::Result<File> {
         let path = self.0.join(name);
         let file = OpenOptions::new().write(true).create_new(true).open(&path)?;
-        if room > 0 {
-            let made = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::empty(), 0, room);
-            if let Err(e) = made {
+        if reserved > 0 {
+            let allocated = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::empty(), 0, reserved);
+            if let Err(error) = allocated {
                 let _ = std::fs::remove_file(&path);
-                return Err(e.into());
+                return Err(error.into());
             }
         }
         File::open(&self.0)?.sync_all()?;
         Ok(file)
     }
 
-    fn write(&mut self, file: &mut File, at: u64, bytes: &[u8]) -> io::Result<()> {
-        file.write_all_at(bytes, at)
+    fn write(&mut self, file: &mut File, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        file.write_all_at(bytes, offset)
     }
 
     fn sync(&mut self, file: &mut File) -> io::Result<()> {
@@ -88,13 +109,12 @@
         std::fs::read(self.0.join(name))
     }
 
-    fn read_at(&self, name: &str, at: u64, length: usize) -> io::Result<Vec<u8>> {
-        use std::io::{Seek, SeekFrom};
+    fn read_at(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let mut file = File::open(self.0.join(name))?;
-        file.seek(SeekFrom::Start(at))?;
-        let mut out = Vec::new();
-        file.take(length as u64).read_to_end(&mut out)?;
-        Ok(out)
+        file.seek(SeekFrom::Start(offset))?;
+        let mut bytes = Vec::new();
+        file.take(length as u64).read_to_end(&mut bytes)?;
+        Ok(bytes)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -1,4 +1,4 @@
-//! Framing: length, sequence number and CRC-32C before each record, so that what was torn or flipped shows.
+//! Frames: each record behind its length, checksum and sequence number, so that torn and flipped bytes are detected.
 //!
 //! | bytes | what |
 //! | --- | --- |
@@ -7,40 +7,81 @@
 //! | 8 | sequence number within the generation, from 1, without gaps |
 //! | n | the record in postcard's format |
 
+#[cfg(test)]
+mod tests;
+
 use crate::record::Record;
 
-/// Bytes before each record.
+/// Bytes of a frame before its record.
 pub const HEADER: usize = 16;
-/// No record is longer.
+/// The greatest length of a record, bytes.
 pub(crate) const MAX_RECORD: usize = 4096;
 
-/// A record and its place in the generation.
+const CHECKSUM_OFFSET: usize = 4;
+const SEQUENCE_OFFSET: usize = 8;
+
+/// A record and its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// From 1, without gaps.
+    /// The sequence number within the generation, from 1, without gaps.
     pub sequence: u64,
-    /// What was written down.
+    /// The record.
     pub record: Record,
 }
 
-/// Why no frame stands somewhere.
+/// Why bytes do not begin with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
     /// Nothing was written there: zeros, or the end of the bytes.
     End,
-    /// Something was, and cannot be read.
+    /// Something was written there and cannot be decoded.
     Bad,
 }
 
+impl Damage {
+    /// What undecodable bytes are, by whether any of them was written.
+    fn of(bytes: &[u8]) -> Damage {
+        if bytes.iter().all(|byte| *byte == 0) {
+            Damage::End
+        } else {
+            Damage::Bad
+        }
+    }
+}
+
+/// The two numbers that tell a frame from arbitrary bytes at little cost.
+pub(crate) struct FrameHeader {
+    /// Bytes of the record.
+    pub(crate) length: usize,
+    pub(crate) sequence: u64,
+    checksum: u32,
+}
+
+impl FrameHeader {
+    pub(crate) fn decode(bytes: &[u8; HEADER]) -> FrameHeader {
+        let u32_at = |offset: usize| {
+            u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
+        };
+        let low = u64::from(u32_at(SEQUENCE_OFFSET));
+        let high = u64::from(u32_at(SEQUENCE_OFFSET + 4));
+        FrameHeader {
+            length: u32_at(0) as usize,
+            sequence: low | high << 32,
+            checksum: u32_at(CHECKSUM_OFFSET),
+        }
+    }
+}
+
 fn checksum(sequence: u64, record: &[u8]) -> u32 {
     let sum = crc32c::crc32c(&sequence.to_le_bytes());
     let sum = crc32c::crc32c_append(sum, &(record.len() as u32).to_le_bytes());
     crc32c::crc32c_append(sum, record)
 }
 
-/// Adds a frame to `out`. Texts are cut beforehand, so that no record is too long.
+/// Appends a frame to `out`. The record's texts are truncated beforehand, so that none is too long.
 pub fn encode(sequence: u64, record: &Record, out: &mut Vec<u8>) {
-    let bytes = postcard::to_allocvec(record).unwrap_or_default(); // only a record without a size has no form
+    // Serializing numbers and strings to memory cannot fail.
+    let bytes = postcard::to_allocvec(record).unwrap_or_default();
     debug_assert!(bytes.len() <= MAX_RECORD);
     out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     out.extend_from_slice(&checksum(sequence, &bytes).to_le_bytes());
@@ -48,56 +89,29 @@
     out.extend_from_slice(&bytes);
 }
 
-/// The frame at the beginning of `bytes`, and its length.
+/// Decodes the frame at the beginning of `bytes`; returns it with its length in bytes. Does not panic, whatever the
+/// bytes are.
 ///
 /// # Errors
-/// [`Damage`], without a panic, whatever the bytes are.
+/// The bytes do not begin with a frame.
 pub fn decode(bytes: &[u8]) -> Result<(Frame, usize), Damage> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEADER>() else {
-        return Err(if bytes.iter().all(|b| *b == 0) { Damage::End } else { Damage::Bad });
+    let Some((header_bytes, rest)) = bytes.split_first_chunk::<HEADER>() else {
+        return Err(Damage::of(bytes));
     };
-    let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let (length, sum) = (word(0) as usize, word(4));
-    let sequence = u64::from(word(8)) | u64::from(word(12)) << 32;
-    if length == 0 {
-        return Err(if head.iter().all(|b| *b == 0) { Damage::End } else { Damage::Bad });
+    let header = FrameHeader::decode(header_bytes);
+    if header.length == 0 {
+        return Err(Damage::of(header_bytes));
     }
-    let record = rest.get(..length).filter(|_| length <= MAX_RECORD).ok_or(Damage::Bad)?;
-    if checksum(sequence, record) != sum {
+    if header.length > MAX_RECORD {
         return Err(Damage::Bad);
     }
-    let (record, left) = postcard::take_from_bytes(record).map_err(|_| Damage::Bad)?;
-    if !left.is_empty() {
+    let record = rest.get(..header.length).ok_or(Damage::Bad)?;
+    if checksum(header.sequence, record) != header.checksum {
         return Err(Damage::Bad);
     }
-    Ok((Frame { sequence, record }, HEADER + length))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_frame_survives_and_every_flipped_bit_shows() {
-        let record = Record::Intent {
-            request: 7,
-            attempt: 1,
-            at: 99,
-            id: "9b1f03aa5c7e2d41".into(),
-            backend: "s-5be2a07c".into(),
-            address: "127.0.0.1:8443".into(),
-        };
-        let mut bytes = Vec::new();
-        encode(42, &record, &mut bytes);
-        assert_eq!(decode(&bytes), Ok((Frame { sequence: 42, record }, bytes.len())));
-        for bit in 0..bytes.len() * 8 {
-            let mut bad = bytes.clone();
-            bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(decode(&bad).is_err(), "bit {bit}");
-        }
-        for cut in 1..bytes.len() {
-            assert_eq!(decode(&bytes[..cut]), Err(Damage::Bad), "cut at {cut}");
-        }
-        assert_eq!(decode(&[0; 40]), Err(Damage::End));
+    let (record, trailing) = postcard::take_from_bytes(record).map_err(|_| Damage::Bad)?;
+    if !trailing.is_empty() {
+        return Err(Damage::Bad);
     }
+    Ok((Frame { sequence: header.sequence, record }, HEADER + header.length))
 }
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -108,11 +108,11 @@
 impl Generation {
     fn add(&mut self, head: &SegmentHeader, scan: Scan) {
         self.proxy.clone_from(&head.proxy);
-        self.goes_on |= head.continues_previous;
+        self.goes_on |= head.sends_unrecorded;
         self.firsts.push(head.first_sequence);
         // Damage in the middle shows as missing numbers; at the end of a segment nothing else tells of it.
         self.torn |= scan.torn;
-        self.frames.extend(scan.frames.into_iter().map(|(_, f)| (f.sequence, f.record)));
+        self.frames.extend(scan.frames.into_iter().map(|l| (l.frame.sequence, l.frame.record)));
     }
 
     fn closed(&self) -> bool {
@@ -251,7 +251,7 @@
         // The file's name tells whose it is where its head does not.
         let named = file.strip_prefix("ledger-").and_then(|f| f.split_once('-'));
         let named = named.and_then(|(g, rest)| Some((u64::from_str_radix(g, 16).ok()?, rest)));
-        match &scan.found {
+        match &scan.kind {
             SegmentKind::Segment(head) => {
                 let head = head.clone();
                 let generation = self.generations.entry(head.generation).or_default();
@@ -268,7 +268,9 @@
                 if let Some((g, _)) = named {
                     let generation = self.generations.entry(g).or_default();
                     generation.torn = true;
-                    generation.frames.extend(scan.frames.into_iter().map(|(_, f)| (f.sequence, f.record)));
+                    generation
+                        .frames
+                        .extend(scan.frames.into_iter().map(|l| (l.frame.sequence, l.frame.record)));
                 }
             }
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -31,6 +31,6 @@
 pub use history::{Attempt, Fate, History, Request, Verdict};
 pub use index::Index;
 pub use record::{End, Millis, Record};
-pub use segment::{read_segment, Scan, SegmentHeader, SegmentKind, HEAD_LEN, VERSION};
+pub use segment::{read_segment, LocatedFrame, Scan, SegmentHeader, SegmentKind, HEAD_LEN, VERSION};
 pub use thread::{DurableWrite, Ledger, LedgerStatus};
 pub use writer::{Mode, OnFailure, Options, WriteError, Writer};
--- a/crates/ledger/src/memory_disk.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -6,41 +6,71 @@
 use std::io;
 use std::rc::Rc;
 
+/// A write that is not synced.
+#[derive(Clone, Debug)]
+struct PendingWrite {
+    offset: usize,
+    bytes: Vec<u8>,
+}
+
+impl PendingWrite {
+    fn apply(&self, content: &mut Vec<u8>) {
+        self.apply_part(content, self.bytes.len());
+    }
+
+    /// Applies the first `length` bytes, or all if there are fewer.
+    fn apply_part(&self, content: &mut Vec<u8>, length: usize) {
+        let part = &self.bytes[..length.min(self.bytes.len())];
+        let end = self.offset + part.len();
+        content.resize(content.len().max(end), 0);
+        content[self.offset..end].copy_from_slice(part);
+    }
+}
+
 #[derive(Clone, Debug, Default)]
-struct Stored {
+struct StoredFile {
     /// What survives a loss of power.
     synced: Vec<u8>,
-    /// Writes since, in their order.
-    pending: Vec<(usize, Vec<u8>)>,
+    /// Writes since the last sync, in their order.
+    pending: Vec<PendingWrite>,
 }
 
-impl Stored {
-    fn whole(&self) -> Vec<u8> {
-        let mut out = self.synced.clone();
-        self.pending.iter().for_each(|(at, bytes)| put(&mut out, *at, bytes));
-        out
+impl StoredFile {
+    fn of(synced: Vec<u8>) -> StoredFile {
+        StoredFile { synced, pending: Vec::new() }
     }
-}
 
-fn put(out: &mut Vec<u8>, at: usize, bytes: &[u8]) {
-    out.resize(out.len().max(at + bytes.len()), 0);
-    out[at..at + bytes.len()].copy_from_slice(bytes);
+    /// All that was written, synced or not.
+    fn content(&self) -> Vec<u8> {
+        let mut content = self.synced.clone();
+        self.pending.iter().for_each(|write| write.apply(&mut content));
+        content
+    }
 }
 
-/// What is about to go wrong.
+/// The faults that a disk will have. Operations are numbered from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// No byte can be written after so many operations, this being the first at 0.
+    /// From this operation on the disk is full.
     pub full_after: Option<usize>,
-    /// A sync fails at that operation, and what it was to make safe is lost.
+    /// This operation, if it is a sync, fails, and the writes that it was to make durable are lost.
     pub sync_fails: Option<usize>,
-    /// Writing works again from that operation on.
+    /// From this operation on the disk is no longer full.
     pub mended_at: Option<usize>,
 }
 
+/// The unsynced writes of a disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UnsyncedWrites {
+    /// The greatest number in any one file.
+    pub most_in_a_file: usize,
+    /// Bytes of the longest.
+    pub longest: usize,
+}
+
 #[derive(Debug, Default)]
 struct State {
-    files: BTreeMap<String, Stored>,
+    files: BTreeMap<String, StoredFile>,
     operations: usize,
     faults: Faults,
 }
@@ -50,11 +80,11 @@
 pub struct MemoryDisk(Rc<RefCell<State>>);
 
 impl MemoryDisk {
-    /// An empty one on which that will go wrong.
+    /// An empty disk that will have these faults.
     pub fn with_faults(faults: Faults) -> MemoryDisk {
-        let memory = MemoryDisk::default();
-        memory.0.borrow_mut().faults = faults;
-        memory
+        let disk = MemoryDisk::default();
+        disk.0.borrow_mut().faults = faults;
+        disk
     }
 
     /// How many operations there have been.
@@ -62,55 +92,61 @@
         self.0.borrow().operations
     }
 
-    /// As a process would find it that starts after another was killed: all that was written is there.
+    /// A copy as the next process finds it after a kill: all that was written is there.
     pub fn after_kill(&self) -> MemoryDisk {
-        let state = self.0.borrow();
-        let files = state
-            .files
-            .iter()
-            .map(|(name, f)| (name.clone(), Stored { synced: f.whole(), pending: Vec::new() }));
-        MemoryDisk(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
+        self.copy_with(StoredFile::content)
     }
 
-    /// As it is found after a loss of power: of the writes since the last sync of each file the first `kept` are
+    /// A copy as it is found after a loss of power: of the writes since the last sync of each file the first `kept` are
     /// there, and `torn` bytes of the next one.
     pub fn after_power_loss(&self, kept: usize, torn: usize) -> MemoryDisk {
-        let state = self.0.borrow();
-        let files = state.files.iter().map(|(name, f)| {
-            let mut bytes = f.synced.clone();
-            f.pending.iter().take(kept).for_each(|(at, w)| put(&mut bytes, *at, w));
-            if let Some((at, w)) = f.pending.get(kept) {
-                put(&mut bytes, *at, &w[..torn.min(w.len())]);
+        self.copy_with(|file| {
+            let mut content = file.synced.clone();
+            file.pending.iter().take(kept).for_each(|write| write.apply(&mut content));
+            if let Some(write) = file.pending.get(kept) {
+                write.apply_part(&mut content, torn);
             }
-            (name.clone(), Stored { synced: bytes, pending: Vec::new() })
-        });
+            content
+        })
+    }
+
+    /// A disk without faults whose files have the content that `content` returns.
+    fn copy_with(&self, content: impl Fn(&StoredFile) -> Vec<u8>) -> MemoryDisk {
+        let state = self.0.borrow();
+        let files = state.files.iter().map(|(name, file)| (name.clone(), StoredFile::of(content(file))));
         MemoryDisk(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
     }
 
-    /// How many writes are not synced in any file, and the length of the longest.
-    pub fn unsynced(&self) -> (usize, usize) {
+    /// The writes that are not synced.
+    pub fn unsynced(&self) -> UnsyncedWrites {
         let state = self.0.borrow();
-        let most = state.files.values().map(|f| f.pending.len()).max().unwrap_or(0);
-        let longest = state.files.values().flat_map(|f| &f.pending).map(|(_, w)| w.len()).max();
-        (most, longest.unwrap_or(0))
+        let most_in_a_file = state.files.values().map(|file| file.pending.len()).max();
+        let longest =
+            state.files.values().flat_map(|file| &file.pending).map(|write| write.bytes.len()).max();
+        UnsyncedWrites { most_in_a_file: most_in_a_file.unwrap_or(0), longest: longest.unwrap_or(0) }
     }
 
-    /// Turns a bit of a file over; false where there is none.
+    /// Flips a synced bit of a file; returns false if there is no such bit.
     pub fn flip(&self, name: &str, bit: usize) -> bool {
         let mut state = self.0.borrow_mut();
-        let byte = state.files.get_mut(name).and_then(|f| f.synced.get_mut(bit / 8));
-        byte.map(|b| *b ^= 1 << (bit % 8)).is_some()
+        let byte = state.files.get_mut(name).and_then(|file| file.synced.get_mut(bit / 8));
+        byte.map(|byte| *byte ^= 1 << (bit % 8)).is_some()
     }
 
-    fn operate(&self) -> io::Result<usize> {
+    /// Counts an operation and returns its number.
+    ///
+    /// # Errors
+    /// The disk is full.
+    fn count_operation(&self) -> io::Result<usize> {
         let mut state = self.0.borrow_mut();
-        let now = state.operations;
+        let number = state.operations;
         state.operations += 1;
-        let mended = state.faults.mended_at.is_some_and(|at| now >= at);
-        if state.faults.full_after.is_some_and(|at| now >= at) && !mended {
+        let is_full = state.faults.full_after.is_some_and(|first| number >= first);
+        let is_mended = state.faults.mended_at.is_some_and(|first| number >= first);
+        if is_full && !is_mended {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        Ok(now)
+        Ok(number)
     }
 }
 
@@ -121,48 +157,50 @@
         Ok(self.0.borrow().files.keys().cloned().collect())
     }
 
-    fn create(&mut self, name: &str, room: u64) -> io::Result<String> {
-        self.operate()?;
-        let stored = Stored { synced: vec![0; room as usize], pending: Vec::new() };
-        self.0.borrow_mut().files.insert(name.into(), stored);
+    fn create(&mut self, name: &str, reserved: u64) -> io::Result<String> {
+        self.count_operation()?;
+        let file = StoredFile::of(vec![0; reserved as usize]);
+        self.0.borrow_mut().files.insert(name.into(), file);
         Ok(name.into())
     }
 
-    fn write(&mut self, file: &mut String, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.operate()?;
+    fn write(&mut self, file: &mut String, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.count_operation()?;
         let mut state = self.0.borrow_mut();
         let stored = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
-        stored.pending.push((at as usize, bytes.to_vec()));
+        stored.pending.push(PendingWrite { offset: offset as usize, bytes: bytes.to_vec() });
         Ok(())
     }
 
     fn sync(&mut self, file: &mut String) -> io::Result<()> {
-        let now = self.operate()?;
+        let operation = self.count_operation()?;
         let mut state = self.0.borrow_mut();
-        let fails = state.faults.sync_fails == Some(now);
+        let fails = state.faults.sync_fails == Some(operation);
         let stored = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
         if fails {
-            stored.pending.clear(); // as page caches do: the writes are dropped, and a second sync would say yes
+            // As in page caches: the writes are dropped, and a second sync would succeed.
+            stored.pending.clear();
             return Err(io::Error::other("the disk failed"));
         }
-        stored.synced = stored.whole();
+        stored.synced = stored.content();
         stored.pending.clear();
         Ok(())
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let state = self.0.borrow();
-        state.files.get(name).map(Stored::whole).ok_or(io::ErrorKind::NotFound.into())
+        state.files.get(name).map(StoredFile::content).ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn read_at(&self, name: &str, at: u64, length: usize) -> io::Result<Vec<u8>> {
-        let all = self.read(name)?;
-        let from = (at as usize).min(all.len());
-        Ok(all[from..(from + length).min(all.len())].to_vec())
+    fn read_at(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
+        let content = self.read(name)?;
+        let start = (offset as usize).min(content.len());
+        let end = (start + length).min(content.len());
+        Ok(content[start..end].to_vec())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         self.0.borrow_mut().files.remove(name);
         Ok(())
     }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,27 +1,28 @@
-//! What is written down.
+//! The records of the journal.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of Unix time by the proxy's clock, which may step.
+/// Milliseconds of Unix time by the proxy's wall clock, which may step.
 pub type Millis = u64;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// Proved never to have begun: no connection came up, the backend turned it away unseen, or no byte was written.
+    /// Certainly not processed: no connection came up, the backend rejected it unprocessed, or no byte was sent.
     NeverSent,
-    /// Answered, with this status.
+    /// Answered with this status.
     Answered(u16),
-    /// Sent, and ended without an answer: broken off, timed out, or given up.
+    /// Sent, and ended without an answer: reset, timed out, or given up.
     Unanswered,
 }
 
-/// One record. Requests are numbered within a generation, which is one start of one process.
+/// One record. Requests are numbered within a generation, which is one start of one process; `at` is always the time
+/// of the event. The order of variants and fields is the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A request was taken from a client.
+    /// A request was received from a client.
     Taken {
-        /// Its number.
+        /// The request's number.
         request: u64,
         /// When.
         at: Millis,
@@ -29,29 +30,29 @@
         id: String,
         /// Its class.
         class: String,
-        /// What it concerns.
+        /// What it concerns, as the client names it.
         key: String,
     },
-    /// Its next attempt may write its first byte from now on.
+    /// An attempt may be sent from now on.
     Intent {
-        /// Its number.
+        /// The request's number.
         request: u64,
-        /// The attempt, from 0.
+        /// The attempt's number, from 0.
         attempt: u32,
         /// When.
         at: Millis,
-        /// Its correlation id again: the record stands for itself where the one before it is lost.
+        /// Its correlation id again, in case the record of its arrival is lost.
         id: String,
         /// The backend's id in the list.
         backend: String,
-        /// Where that listens.
+        /// Where the backend listens.
         address: String,
     },
     /// An attempt ended.
     Ended {
-        /// Its number.
+        /// The request's number.
         request: u64,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
         /// When.
         at: Millis,
@@ -60,19 +61,19 @@
     },
     /// The client has its final answer; no attempt follows.
     Settled {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
-    /// Between these times requests were sent though nothing could be written.
+    /// Between these times nothing could be written, and requests may have been sent all the same.
     Gap {
-        /// Its beginning.
+        /// When writing began to fail.
         from: Millis,
-        /// Its end.
+        /// When writing worked again.
         to: Millis,
         /// How many records are missing.
         records: u64,
     },
-    /// The process ended in order: nothing follows in this generation.
+    /// The process shut down gracefully: nothing follows in this generation.
     Closed {
         /// When.
         at: Millis,
@@ -80,7 +81,7 @@
 }
 
 impl Record {
-    /// The request that it is about.
+    /// The number of the request that it concerns.
     pub fn request(&self) -> Option<u64> {
         match self {
             Record::Taken { request, .. }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The correlation id that it holds.
+    /// The correlation id that it contains.
     pub fn id(&self) -> Option<&str> {
         match self {
             Record::Taken { id, .. } | Record::Intent { id, .. } => Some(id),
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,136 +1,159 @@
-//! Segments: files of frames behind a head that says whose they are. A reader finds every whole frame, also behind
-//! damage, and knows which stretches may have held others.
+//! Segments: files of frames behind a header. A reader finds every intact frame, also behind damage, and knows which
+//! byte ranges may have contained others.
 
-use crate::frame::{decode, Damage, Frame, HEADER};
+use crate::frame::{decode, Damage, Frame, FrameHeader, HEADER, MAX_RECORD};
 use crate::record::Millis;
 use serde::{Deserialize, Serialize};
+use std::ops::Range;
 
-/// The format that this program writes.
+/// The format version that this program writes.
 pub const VERSION: u16 = 1;
-/// Bytes of the head: the frames begin behind it.
+/// Bytes of the segment header: the frames begin behind it.
 pub const HEAD_LEN: usize = 256;
 const MAGIC: &[u8; 8] = b"LDLEDGER";
-/// Bytes before the postcard part of the head: magic, version, length, CRC-32C.
-const FIXED: usize = 16;
+/// Bytes before the postcard part of the header: magic, version, length, CRC-32C.
+const FIXED_LEN: usize = 16;
+/// Behind damage, a frame is accepted only if fewer than so many sequence numbers are missing before it.
+const MAX_SEQUENCE_JUMP: u64 = 1 << 24;
 
-/// Whose segment it is.
+/// What a segment belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentHeader {
     /// The proxy's name.
     pub proxy: String,
-    /// One start of one process: drawn at random.
+    /// The generation, which is one start of one process: a random number.
     pub generation: u64,
     /// When that process started.
     pub started_at: Millis,
-    /// Number of the segment within the generation, from 0.
+    /// The number of the segment within the generation, from 0.
     pub number: u32,
-    /// Sequence number of its first frame.
+    /// The sequence number of its first frame.
     pub first_sequence: u64,
     /// Requests may be sent while nothing can be written.
-    pub continues_previous: bool,
+    pub sends_unrecorded: bool,
 }
 
 impl SegmentHeader {
-    /// As the first [`HEAD_LEN`] bytes of the file.
+    /// Encodes the header as the first [`HEAD_LEN`] bytes of the file.
     pub fn encode(&self) -> Vec<u8> {
+        // Serializing numbers and strings to memory cannot fail.
         let mut body = postcard::to_allocvec(self).unwrap_or_default();
-        body.truncate(HEAD_LEN - FIXED); // the proxy's name is cut to fit: see `Writer::open`
-        let mut out = Vec::with_capacity(HEAD_LEN);
-        out.extend_from_slice(MAGIC);
-        out.extend_from_slice(&VERSION.to_le_bytes());
-        out.extend_from_slice(&(body.len() as u16).to_le_bytes());
-        out.extend_from_slice(&crc32c::crc32c(&body).to_le_bytes());
-        out.extend_from_slice(&body);
-        out.resize(HEAD_LEN, 0);
-        out
+        body.truncate(HEAD_LEN - FIXED_LEN); // it fits: `Options::new` truncates the proxy's name
+        let mut bytes = Vec::with_capacity(HEAD_LEN);
+        bytes.extend_from_slice(MAGIC);
+        bytes.extend_from_slice(&VERSION.to_le_bytes());
+        bytes.extend_from_slice(&(body.len() as u16).to_le_bytes());
+        bytes.extend_from_slice(&crc32c::crc32c(&body).to_le_bytes());
+        bytes.extend_from_slice(&body);
+        bytes.resize(HEAD_LEN, 0);
+        bytes
     }
 }
 
-/// What a head turned out to be.
+/// What the header of a file shows it to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentKind {
-    /// A segment of this format.
+    /// A segment of this format version.
     Segment(SegmentHeader),
-    /// A segment of a format that this program does not know.
+    /// A segment of a later format version.
     Newer(u16),
-    /// Created, and not a byte of it written: nothing can have followed.
+    /// Created, and not a byte of it written: it contained no frame.
     Blank,
-    /// A head that cannot be read.
+    /// The header cannot be decoded.
     Damaged,
 }
 
-fn head(bytes: &[u8]) -> SegmentKind {
-    if bytes.iter().all(|b| *b == 0) {
-        return SegmentKind::Blank;
-    }
-    let Some(fixed) = bytes.get(..FIXED).filter(|f| f.starts_with(MAGIC)) else {
-        return SegmentKind::Damaged;
-    };
-    let version = u16::from_le_bytes([fixed[8], fixed[9]]);
-    if version > VERSION {
-        return SegmentKind::Newer(version);
-    }
-    let length = usize::from(u16::from_le_bytes([fixed[10], fixed[11]]));
-    let sum = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
-    let body = bytes.get(FIXED..FIXED + length).filter(|_| FIXED + length <= HEAD_LEN);
-    match body.filter(|b| crc32c::crc32c(b) == sum).and_then(|b| postcard::from_bytes(b).ok()) {
-        Some(head) => SegmentKind::Segment(head),
-        None => SegmentKind::Damaged,
+impl SegmentKind {
+    fn of(bytes: &[u8]) -> SegmentKind {
+        if bytes.iter().all(|byte| *byte == 0) {
+            return SegmentKind::Blank;
+        }
+        let Some(fixed) = bytes.get(..FIXED_LEN).filter(|fixed| fixed.starts_with(MAGIC)) else {
+            return SegmentKind::Damaged;
+        };
+        let version = u16::from_le_bytes([fixed[8], fixed[9]]);
+        if version > VERSION {
+            return SegmentKind::Newer(version);
+        }
+        let length = usize::from(u16::from_le_bytes([fixed[10], fixed[11]]));
+        let checksum = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
+        let end = FIXED_LEN + length;
+        let body = bytes.get(FIXED_LEN..end).filter(|_| end <= HEAD_LEN);
+        let Some(body) = body.filter(|body| crc32c::crc32c(body) == checksum) else {
+            return SegmentKind::Damaged;
+        };
+        match postcard::from_bytes(body) {
+            Ok(header) => SegmentKind::Segment(header),
+            Err(_) => SegmentKind::Damaged,
+        }
     }
 }
 
-/// All that a segment holds.
+/// A frame and where it was found.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LocatedFrame {
+    /// The offset of its first byte in the segment.
+    pub offset: usize,
+    /// The frame.
+    pub frame: Frame,
+}
+
+/// All that a segment contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
-    /// Whose it is.
-    pub found: SegmentKind,
-    /// The frames that can be read, in their order, with their offsets.
-    pub frames: Vec<(usize, Frame)>,
-    /// Stretches that cannot be read and may have held frames.
-    pub damaged: Vec<std::ops::Range<usize>>,
-    /// The last stretch reaches to the end of what was written: a torn tail.
+    /// What its header shows it to be.
+    pub kind: SegmentKind,
+    /// The intact frames, in their order.
+    pub frames: Vec<LocatedFrame>,
+    /// Byte ranges that cannot be decoded and may have contained frames.
+    pub damaged: Vec<Range<usize>>,
+    /// The last damaged range reaches to the end of the segment: nothing tells how many frames it contained.
     pub torn: bool,
 }
 
-/// Reads a segment, whatever its bytes are. Behind damage it looks for the next whole frame with a sequence number
-/// that can follow.
+/// Reads a segment, whatever its bytes are. Behind damage it continues with the next intact frame whose sequence
+/// number can follow.
 pub fn read_segment(bytes: &[u8]) -> Scan {
-    let mut scan = Scan { found: head(bytes), frames: Vec::new(), damaged: Vec::new(), torn: false };
-    let mut last = match &scan.found {
-        SegmentKind::Segment(head) => head.first_sequence.saturating_sub(1),
+    let mut scan =
+        Scan { kind: SegmentKind::of(bytes), frames: Vec::new(), damaged: Vec::new(), torn: false };
+    let mut last_sequence = match &scan.kind {
+        SegmentKind::Segment(header) => header.first_sequence.saturating_sub(1),
         SegmentKind::Damaged => 0,
         SegmentKind::Newer(_) | SegmentKind::Blank => return scan,
     };
-    let mut at = HEAD_LEN.min(bytes.len());
-    while at < bytes.len() {
-        match decode(&bytes[at..]) {
-            Ok((frame, length)) if frame.sequence > last => {
-                last = frame.sequence;
-                scan.frames.push((at, frame));
-                at += length;
+    let mut offset = HEAD_LEN.min(bytes.len());
+    while offset < bytes.len() {
+        match decode(&bytes[offset..]) {
+            Ok((frame, length)) if frame.sequence > last_sequence => {
+                last_sequence = frame.sequence;
+                scan.frames.push(LocatedFrame { offset, frame });
+                offset += length;
             }
-            // Zeros to the end: nothing more was written. A frame behind them was, so that they are damage.
-            Err(Damage::End) if bytes[at..].iter().all(|b| *b == 0) => break,
+            // Zeros up to the end were never written. If a frame follows them they are damage.
+            Err(Damage::End) if bytes[offset..].iter().all(|byte| *byte == 0) => break,
             Ok(_) | Err(_) => {
-                let next = next_frame(bytes, at + 1, last);
+                let next = next_frame(bytes, offset + 1, last_sequence);
                 scan.torn = next.is_none();
-                scan.damaged.push(at..next.unwrap_or(bytes.len()));
-                at = next.unwrap_or(bytes.len());
+                let end = next.unwrap_or(bytes.len());
+                scan.damaged.push(offset..end);
+                offset = end;
             }
         }
     }
     scan
 }
 
-/// Where the next whole frame begins whose sequence number can follow.
-fn next_frame(bytes: &[u8], from: usize, last: u64) -> Option<usize> {
-    let end = bytes.len().checked_sub(HEADER)?;
-    // Most offsets fail at their length or sequence number, before any sum is reckoned.
-    let likely = |at: &usize| {
-        let word = |i: usize| u32::from_le_bytes([bytes[i], bytes[i + 1], bytes[i + 2], bytes[i + 3]]);
-        let length = word(*at) as usize;
-        let sequence = u64::from(word(at + 8)) | u64::from(word(at + 12)) << 32;
-        length > 0 && length <= crate::frame::MAX_RECORD && sequence > last && sequence - last < 1 << 24
+/// The offset of the next intact frame whose sequence number can follow `last_sequence`.
+fn next_frame(bytes: &[u8], from: usize, last_sequence: u64) -> Option<usize> {
+    let last_offset = bytes.len().checked_sub(HEADER)?;
+    // Most offsets fail by length or sequence number, before any checksum is computed.
+    let is_plausible = |offset: &usize| {
+        let Some(header) = bytes[*offset..].first_chunk::<HEADER>() else { return false };
+        let header = FrameHeader::decode(header);
+        header.length > 0
+            && header.length <= MAX_RECORD
+            && header.sequence > last_sequence
+            && header.sequence - last_sequence < MAX_SEQUENCE_JUMP
     };
-    (from..=end).filter(likely).find(|at| decode(&bytes[*at..]).is_ok())
+    (from..=last_offset).filter(is_plausible).find(|offset| decode(&bytes[*offset..]).is_ok())
 }
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -4,7 +4,7 @@
 use crate::frame::{encode, MAX_RECORD};
 use crate::index;
 use crate::record::{Millis, Record};
-use crate::segment::{read_segment, SegmentHeader, SegmentKind, HEAD_LEN};
+use crate::segment::{read_segment, LocatedFrame, SegmentHeader, SegmentKind, HEAD_LEN};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use thiserror::Error;
@@ -161,8 +161,8 @@
             let all = self.disk.read(&name).ok()?;
             let scan = read_segment(&all);
             let mut open = BTreeSet::new();
-            let mut until = if let SegmentKind::Segment(head) = &scan.found { head.started_at } else { now };
-            for (_, frame) in &scan.frames {
+            let mut until = if let SegmentKind::Segment(head) = &scan.kind { head.started_at } else { now };
+            for LocatedFrame { frame, .. } in &scan.frames {
                 match &frame.record {
                     Record::Taken { request, at, .. } => {
                         open.insert(*request);
@@ -196,7 +196,7 @@
             started_at: self.started,
             number: self.number,
             first_sequence: self.sequence + 1,
-            continues_previous: self.options.on_failure == OnFailure::GoOn,
+            sends_unrecorded: self.options.on_failure == OnFailure::GoOn,
         };
         self.number += 1;
         self.disk.write(&mut file, 0, &head.encode())?;
--- a/crates/ledger/tests/crash.rs
+++ b/crates/ledger/tests/crash.rs
@@ -8,7 +8,8 @@
 
 use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
 use lotusdeck_ledger::{
-    decode, read_segment, Disk, End, Fate, History, Mode, OnFailure, Options, Record, Verdict, Writer,
+    decode, read_segment, Disk, End, Fate, History, LocatedFrame, Mode, OnFailure, Options, Record, Verdict,
+    Writer,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -92,6 +93,12 @@
     }
 }
 
+/// Every number of unsynced writes that may survive a loss of power, with every length of what may of the next.
+fn power_losses(disk: &MemoryDisk) -> impl Iterator<Item = (usize, usize)> {
+    let unsynced = disk.unsynced();
+    (0..=unsynced.most_in_a_file).flat_map(move |kept| (0..=unsynced.longest).map(move |torn| (kept, torn)))
+}
+
 fn history(disk: &MemoryDisk) -> History {
     let mut history = History::default();
     history.add("memory", disk, None).unwrap();
@@ -197,8 +204,7 @@
         let name = disk.list().unwrap().remove(0);
         let length = disk.read(&name).unwrap().iter().rposition(|b| *b != 0).unwrap_or(0) as u64 + 1;
         disk.clone().write(&mut name.clone(), length.max(256), &bytes).unwrap();
-        let (pending, longest) = disk.unsynced();
-        for (kept, torn) in (0..=pending).flat_map(|k| (0..=longest).map(move |t| (k, t))) {
+        for (kept, torn) in power_losses(&disk) {
             let told = history(&disk.after_power_loss(kept, torn));
             compare(&told, &play.truth)
                 .unwrap_or_else(|e| panic!("{steps} steps, {kept} kept, torn at {torn}: {e}"));
@@ -401,8 +407,7 @@
         let disk = MemoryDisk::with_faults(faults);
         let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::Refuse, 641);
         SHORT.iter().for_each(|s| play.step(*s));
-        let (pending, longest) = disk.unsynced();
-        for (kept, torn) in (0..=pending).flat_map(|k| (0..=longest).map(move |t| (k, t))) {
+        for (kept, torn) in power_losses(&disk) {
             let told = history(&disk.after_power_loss(kept, torn));
             compare(&told, &play.truth).unwrap_or_else(|e| panic!("operation {at} fails: {e}"));
         }
@@ -411,8 +416,8 @@
 
 fn lotusdeck_ledger_any(bytes: &[u8]) {
     let scan = read_segment(bytes);
-    for (at, frame) in &scan.frames {
-        assert_eq!(decode(&bytes[*at..]).map(|d| d.0).as_ref(), Ok(frame));
+    for LocatedFrame { offset, frame } in &scan.frames {
+        assert_eq!(decode(&bytes[*offset..]).map(|decoded| decoded.0).as_ref(), Ok(frame));
     }
     assert!(scan.damaged.iter().all(|d| d.start < d.end && d.end <= bytes.len()));
 }
--- a/crates/ledger/tests/format.rs
+++ b/crates/ledger/tests/format.rs
@@ -48,7 +48,7 @@
         started_at: 1_700_000_000_000,
         number: 3,
         first_sequence: 4000,
-        continues_previous: true,
+        sends_unrecorded: true,
     }
 }
 
@@ -71,5 +71,5 @@
     let bytes = header().encode();
     assert_eq!(bytes.len(), HEAD_LEN);
     assert_eq!(hexadecimal(&bytes), format!("{HEADER:0<width$}", width = 2 * HEAD_LEN));
-    assert_eq!(read_segment(&bytes).found, SegmentKind::Segment(header()));
+    assert_eq!(read_segment(&bytes).kind, SegmentKind::Segment(header()));
 }
--- a/fuzz/fuzz_targets/ledger.rs
+++ b/fuzz/fuzz_targets/ledger.rs
@@ -3,12 +3,12 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use lotusdeck_ledger::{decode, read_segment};
+use lotusdeck_ledger::{decode, read_segment, LocatedFrame};
 
 fuzz_target!(|bytes: &[u8]| {
     let scan = read_segment(bytes);
-    for (at, frame) in &scan.frames {
-        assert_eq!(decode(&bytes[*at..]).map(|d| d.0).as_ref(), Ok(frame));
+    for LocatedFrame { offset, frame } in &scan.frames {
+        assert_eq!(decode(&bytes[*offset..]).map(|decoded| decoded.0).as_ref(), Ok(frame));
     }
     assert!(scan.damaged.iter().all(|d| d.start < d.end && d.end <= bytes.len()));
 });
