--- /dev/null
+++ b/crates/ledger/src/retention.rs
@@ -0,0 +1,166 @@
+//! Which sealed segments are kept, and which are deleted for their age or the total size.
+
+use crate::disk::Disk;
+use crate::options::Options;
+use crate::record::{Millis, Record};
+use crate::segment::{read_segment, LocatedFrame, Scan, SegmentKind};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A segment that is no longer written.
+pub(crate) struct SealedSegment {
+    /// The name of its file.
+    pub(crate) name: String,
+    /// The size that counts towards the total.
+    pub(crate) bytes: u64,
+    /// The time of the newest record.
+    pub(crate) newest_at: Millis,
+    /// The requests of this generation that were received in it and are not finished.
+    pub(crate) open_requests: BTreeSet<u64>,
+    /// It may contain requests of an earlier generation that never will be finished.
+    pub(crate) has_unresolved: bool,
+}
+
+impl SealedSegment {
+    /// A segment of an earlier generation.
+    fn inherited(name: String, content: &[u8], now: Millis) -> SealedSegment {
+        let scan = read_segment(content);
+        let contents = InheritedRecords::of(&scan, now);
+        SealedSegment {
+            name,
+            bytes: content.len() as u64, // the reserved space counts, written or not
+            newest_at: contents.newest_at,
+            open_requests: BTreeSet::new(),
+            has_unresolved: !contents.open_requests.is_empty() || !scan.damaged.is_empty(),
+        }
+    }
+
+    fn may_be_deleted(&self, options: &Options, total_bytes: u64, now: Millis) -> bool {
+        let age = now.saturating_sub(self.newest_at);
+        let is_resolved = self.open_requests.is_empty() && !self.has_unresolved;
+        let is_surplus = age >= options.keep || total_bytes > options.keep_bytes;
+        is_surplus && is_resolved || age >= options.keep_unresolved
+    }
+}
+
+/// What the records of an earlier generation's segment show.
+struct InheritedRecords {
+    newest_at: Millis,
+    open_requests: BTreeSet<u64>,
+}
+
+impl InheritedRecords {
+    fn of(scan: &Scan, now: Millis) -> InheritedRecords {
+        let started_at = match &scan.kind {
+            SegmentKind::Segment(header) => header.started_at,
+            _ => now,
+        };
+        let mut contents = InheritedRecords { newest_at: started_at, open_requests: BTreeSet::new() };
+        for LocatedFrame { frame, .. } in &scan.frames {
+            contents.apply(&frame.record);
+        }
+        contents
+    }
+
+    fn apply(&mut self, record: &Record) {
+        match record {
+            Record::Taken { request, at, .. } => {
+                self.open_requests.insert(*request);
+                self.newest_at = self.newest_at.max(*at);
+            }
+            Record::Intent { at, .. } | Record::Ended { at, .. } => {
+                self.newest_at = self.newest_at.max(*at);
+            }
+            Record::Settled { request } => {
+                self.open_requests.remove(request);
+            }
+            Record::Gap { .. } | Record::Closed { .. } => {}
+        }
+    }
+}
+
+/// The sealed segments of a folder.
+#[derive(Default)]
+pub(crate) struct Retention {
+    /// This generation's, by number.
+    own: BTreeMap<u32, SealedSegment>,
+    /// Those of earlier generations; `None` until the first segment is sealed, as reading them would delay a start.
+    inherited: Option<Vec<SealedSegment>>,
+    /// The names of segments deleted since the last [`Retention::take_deleted`].
+    deleted: Vec<String>,
+}
+
+impl Retention {
+    /// Adds a segment of this generation.
+    pub(crate) fn add(&mut self, number: u32, segment: SealedSegment) {
+        self.own.insert(number, segment);
+    }
+
+    /// A request that was received in that segment is finished.
+    pub(crate) fn request_finished(&mut self, request: u64, segment: u32) {
+        if let Some(segment) = self.own.get_mut(&segment) {
+            segment.open_requests.remove(&request);
+        }
+    }
+
+    /// Deletes what is too old or exceeds the total size: the oldest first, and none that is newer than one that has
+    /// to stay. `own_prefix` begins the names of this generation's files.
+    pub(crate) fn delete_surplus<D: Disk>(
+        &mut self, disk: &mut D, options: &Options, own_prefix: &str, now: Millis,
+    ) {
+        let mut inherited = match self.inherited.take() {
+            Some(inherited) => inherited,
+            None => read_inherited(disk, own_prefix, now),
+        };
+        inherited.sort_by_key(|segment| segment.newest_at);
+        let mut total_bytes: u64 =
+            inherited.iter().chain(self.own.values()).map(|segment| segment.bytes).sum();
+        let mut surplus = Vec::new();
+        let mut inherited_surplus = 0;
+        for segment in &inherited {
+            if !segment.may_be_deleted(options, total_bytes, now) {
+                break;
+            }
+            total_bytes -= segment.bytes;
+            inherited_surplus += 1;
+        }
+        surplus.extend(inherited.drain(..inherited_surplus));
+        if inherited.is_empty() {
+            while let Some(oldest) = self.own.first_entry() {
+                if !oldest.get().may_be_deleted(options, total_bytes, now) {
+                    break;
+                }
+                total_bytes -= oldest.get().bytes;
+                surplus.push(oldest.remove());
+            }
+        }
+        self.inherited = Some(inherited);
+        for segment in surplus {
+            // A file that cannot be deleted is found again by the next process.
+            let _ = disk.remove(&segment.name);
+            let _ = disk.remove(&index_name(&segment.name));
+            self.deleted.push(segment.name);
+        }
+    }
+
+    /// The names of the segments deleted since the last call.
+    pub(crate) fn take_deleted(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.deleted)
+    }
+}
+
+/// The name of the index of a segment.
+pub(crate) fn index_name(segment: &str) -> String {
+    segment.replace(".seg", ".idx")
+}
+
+/// The segments that earlier generations left: they may contain requests that will never be finished.
+fn read_inherited<D: Disk>(disk: &D, own_prefix: &str, now: Millis) -> Vec<SealedSegment> {
+    let mut names = disk.list().unwrap_or_default();
+    names.retain(|name| name.ends_with(".seg") && !name.starts_with(own_prefix));
+    names.sort();
+    let read = |name: String| {
+        let content = disk.read(&name).ok()?;
+        Some(SealedSegment::inherited(name, &content, now))
+    };
+    names.into_iter().filter_map(read).collect()
+}
--- /dev/null
+++ b/crates/ledger/src/worker.rs
@@ -0,0 +1,124 @@
+//! The writer's thread: takes records from the queue, and writes those that wait with one write and one sync.
+
+use crate::disk::Disk;
+use crate::durable_write::DurableWrite;
+use crate::record::{Millis, Record};
+use crate::status::Gauges;
+use crate::writer::Writer;
+use std::sync::atomic::Ordering::Relaxed;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
+use std::sync::Arc;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Records of one write at most.
+const MAX_BATCH: usize = 512;
+/// How often the disk is checked while no record comes.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The present time by the wall clock.
+pub(crate) fn wall_clock() -> Millis {
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    unix.as_millis() as Millis
+}
+
+/// What the handle asks of the thread.
+pub(crate) enum Job {
+    /// Write a record, and resolve the future where somebody waits for it.
+    Write { record: Record, durable: Option<DurableWrite> },
+    /// Write what is queued, end the generation in order, and resolve the future.
+    Close(DurableWrite),
+}
+
+/// The state of the writer's thread.
+pub(crate) struct Worker<D: Disk> {
+    writer: Writer<D>,
+    jobs: Receiver<Job>,
+    gauges: Arc<Gauges>,
+    /// The records of the next write.
+    batch: Vec<Record>,
+    /// The futures that wait for the batch.
+    waiting: Vec<DurableWrite>,
+}
+
+impl<D: Disk> Worker<D> {
+    pub(crate) fn new(writer: Writer<D>, jobs: Receiver<Job>, gauges: Arc<Gauges>) -> Worker<D> {
+        Worker {
+            writer,
+            jobs,
+            gauges,
+            batch: Vec::with_capacity(MAX_BATCH),
+            waiting: Vec::with_capacity(MAX_BATCH),
+        }
+    }
+
+    /// Runs until the ledger is closed or its handle dropped.
+    pub(crate) fn run(mut self) {
+        loop {
+            let closing = match self.jobs.recv_timeout(IDLE_CHECK_INTERVAL) {
+                Ok(job) => self.collect_batch(job),
+                Err(RecvTimeoutError::Timeout) => None,
+                Err(RecvTimeoutError::Disconnected) => return,
+            };
+            let skipped = self.gauges.skipped.swap(0, Relaxed);
+            if skipped > 0 {
+                self.writer.record_lost(wall_clock(), skipped);
+            }
+            if self.batch.is_empty() {
+                self.check_disk();
+            } else {
+                self.write_batch();
+            }
+            self.update_gauges();
+            if let Some(closed) = closing {
+                closed.resolve(self.writer.close(wall_clock()).is_ok());
+                return;
+            }
+        }
+    }
+
+    /// Collects the records that are queued, up to one write's; returns the future of a close if it is requested.
+    fn collect_batch(&mut self, first: Job) -> Option<DurableWrite> {
+        let mut next = Some(first);
+        while let Some(job) = next {
+            self.gauges.queued_records.fetch_sub(1, Relaxed);
+            match job {
+                Job::Write { record, durable } => {
+                    self.batch.push(record);
+                    self.waiting.extend(durable);
+                }
+                Job::Close(closed) => return Some(closed),
+            }
+            if self.batch.len() >= MAX_BATCH {
+                return None;
+            }
+            next = self.jobs.try_recv().ok();
+        }
+        None
+    }
+
+    fn write_batch(&mut self) {
+        let started = Instant::now();
+        let is_written = self.writer.append(wall_clock(), &self.batch).is_ok();
+        self.gauges.last_write_us.store(started.elapsed().as_micros() as u64, Relaxed);
+        self.gauges.writes.fetch_add(1, Relaxed);
+        let count = if is_written { &self.gauges.records } else { &self.gauges.records_lost };
+        count.fetch_add(self.batch.len() as u64, Relaxed);
+        self.batch.clear();
+        self.waiting.drain(..).for_each(|durable| durable.resolve(is_written));
+    }
+
+    fn check_disk(&mut self) {
+        if self.writer.is_failing() {
+            // Tries to begin a segment again.
+            let _ = self.writer.append(wall_clock(), &[]);
+        }
+        self.gauges.free_bytes.store(self.writer.free_bytes().unwrap_or(0), Relaxed);
+    }
+
+    fn update_gauges(&mut self) {
+        self.gauges.set_write_counts(self.writer.write_counts());
+        self.gauges.is_failing.store(self.writer.is_failing(), Relaxed);
+        self.gauges.has_segment.store(self.writer.has_segment(), Relaxed);
+        self.gauges.add_deleted(self.writer.take_dropped());
+    }
+}
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -1,234 +1,171 @@
-//! Appends records to segments. Owned by one thread; it reads no clock and starts no thread itself.
+//! Appends records to segments. Owned by one thread; it neither reads a clock nor starts a thread.
 
 use crate::disk::Disk;
-use crate::frame::{encode, MAX_RECORD};
+use crate::frame::encode;
 use crate::index;
+use crate::options::{Mode, OnFailure, Options};
 use crate::record::{Millis, Record};
-use crate::segment::{read_segment, LocatedFrame, SegmentHeader, SegmentKind, HEAD_LEN};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use crate::retention::{index_name, Retention, SealedSegment};
+use crate::segment::{SegmentHeader, HEAD_LEN};
+use std::collections::{BTreeSet, HashMap};
 use std::io;
 use thiserror::Error;
 
-/// What a record has to survive before its request may be sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
-    /// The death of the process: it is written to the kernel.
-    Process,
-    /// The loss of power: it is synced to the disk.
-    Power,
+/// Why records were not written as durably as the mode requires.
+#[derive(Debug, Error)]
+pub enum WriteError {
+    /// The disk failed; whether these records survive is unknown.
+    #[error("the disk failed: {0}")]
+    Disk(#[from] io::Error),
 }
 
-/// What becomes of requests while nothing can be written.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnFailure {
-    /// They are not sent.
-    Refuse,
-    /// They are sent, and the gap is recorded as soon as writing works. This holds once the generation has its first
-    /// segment: before that nothing on the disk would tell that there may be a gap.
-    GoOn,
-}
+/// How long after a failure a new segment is tried.
+const RETRY_INTERVAL: Millis = 500;
+/// An estimate of the bytes of a frame, by which buffers are allocated.
+const TYPICAL_FRAME_BYTES: usize = 160;
 
-/// How to write.
-#[derive(Clone, Debug)]
-pub struct Options {
-    /// The proxy's name; cut to 64 bytes.
-    pub proxy: String,
-    /// What records have to survive.
-    pub mode: Mode,
-    /// What becomes of requests while nothing can be written.
-    pub on_failure: OnFailure,
-    /// Room of a segment, reserved when it is made.
-    pub segment_bytes: u64,
-    /// Sealed segments are dropped beyond so many bytes, the oldest first ...
-    pub keep_bytes: u64,
-    /// ... or at this age ...
-    pub keep: Millis,
-    /// ... but those that hold an unresolved request only at this one.
-    pub keep_unresolved: Millis,
+/// One start of one process.
+struct Generation {
+    id: u64,
+    started_at: Millis,
 }
 
-impl Options {
-    /// 16 MiB segments, 1 GiB or 90 days in all, 180 days for the unresolved.
-    pub fn new(proxy: &str, mode: Mode, on_failure: OnFailure) -> Options {
-        let day = 24 * 3600 * 1000;
-        let proxy = proxy.chars().take(16).collect();
-        let (segment_bytes, keep_bytes) = (16 << 20, 1 << 30);
-        Options {
-            proxy,
-            mode,
-            on_failure,
-            segment_bytes,
-            keep_bytes,
-            keep: 90 * day,
-            keep_unresolved: 180 * day,
-        }
+impl Generation {
+    /// What the names of its files begin with. Sorted by name, its segments are in order.
+    fn file_prefix(&self) -> String {
+        format!("ledger-{:016x}-", self.id)
     }
-}
 
-/// Why records were not written as safely as the mode asks.
-#[derive(Debug, Error)]
-pub enum WriteError {
-    /// The disk failed; nothing is known of these records.
-    #[error("the disk failed: {0}")]
-    Disk(#[from] io::Error),
+    fn segment_name(&self, number: u32) -> String {
+        format!("{}{number:08}.seg", self.file_prefix())
+    }
 }
 
-/// A new segment is tried for so soon after a failure, ms.
-const RETRY: Millis = 500;
-
-struct Open<F> {
+/// The segment that is being written.
+struct OpenSegment<F> {
     file: F,
     name: String,
-    at: u64,
-    ids: BTreeSet<u64>,
+    number: u32,
+    /// The bytes written so far, with the header.
+    length: u64,
+    /// The hashes of the ids in it.
+    id_hashes: BTreeSet<u64>,
 }
 
-/// A segment that nobody writes any more.
-struct Sealed {
-    name: String,
-    bytes: u64,
-    /// The newest that it holds.
-    until: Millis,
-    /// Requests that were taken in it and are not resolved, of this generation.
-    open: BTreeSet<u64>,
-    /// An earlier generation's requests of it that never will be.
-    unresolved: bool,
+/// Records that could not be written.
+#[derive(Clone, Copy)]
+struct LostRecords {
+    since: Millis,
+    count: u64,
+}
+
+/// A request that is not finished.
+struct OpenRequest {
+    id_hash: u64,
+    /// The number of the segment in which it was received.
+    segment: u32,
+}
+
+/// What was written so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct WriteCounts {
+    /// Syncs.
+    pub syncs: u64,
+    /// Bytes of frames.
+    pub bytes: u64,
 }
 
 /// Writes one generation's segments.
 pub struct Writer<D: Disk> {
     disk: D,
     options: Options,
-    generation: u64,
-    started: Millis,
-    number: u32,
+    generation: Generation,
+    next_segment: u32,
+    /// The sequence number of the last record.
     sequence: u64,
-    open: Option<Open<D::File>>,
+    open: Option<OpenSegment<D::File>>,
+    /// No segment is created before this time.
     retry_at: Millis,
-    /// Records that could not be written, since when.
-    missing: Option<(Millis, u64)>,
-    /// Open requests: the hash of the id, and the segment in which it was taken.
-    requests: HashMap<u64, (u64, u32)>,
-    sealed: BTreeMap<u32, Sealed>,
-    /// Segments of earlier generations; `None` until the first segment is sealed, as reading them takes time that
-    /// a start has not.
-    earlier: Option<Vec<Sealed>>,
-    take_dropped: Vec<String>,
-    syncs: u64,
-    bytes: u64,
-    begun: bool,
-}
-
-/// The name of a segment: sorted by name, a generation's segments are in order.
-fn name(generation: u64, number: u32) -> String {
-    format!("ledger-{generation:016x}-{number:08}.seg")
+    lost: Option<LostRecords>,
+    open_requests: HashMap<u64, OpenRequest>,
+    retention: Retention,
+    counts: WriteCounts,
+    has_segment: bool,
 }
 
 impl<D: Disk> Writer<D> {
-    /// Begins a generation. Where no segment can be made it says so, and tries again with the first records.
+    /// Begins a generation. If its first segment cannot be created, the error is returned beside the writer, which
+    /// tries again with the first records.
     pub fn open(
         disk: D, options: Options, generation: u64, now: Millis,
     ) -> (Writer<D>, Result<(), WriteError>) {
         let mut writer = Writer {
             disk,
             options,
-            generation,
-            started: now,
-            number: 0,
+            generation: Generation { id: generation, started_at: now },
+            next_segment: 0,
             sequence: 0,
             open: None,
             retry_at: 0,
-            missing: None,
-            requests: HashMap::new(),
-            sealed: BTreeMap::new(),
-            earlier: None,
-            take_dropped: Vec::new(),
-            syncs: 0,
-            bytes: 0,
-            begun: false,
+            lost: None,
+            open_requests: HashMap::new(),
+            retention: Retention::default(),
+            counts: WriteCounts::default(),
+            has_segment: false,
         };
-        let begun = writer.begin(now);
+        let begun = writer.begin_segment(now);
         (writer, begun.map_err(WriteError::from))
     }
 
-    /// What earlier generations left: they may hold requests that nobody will resolve.
-    fn inherited(&self, now: Millis) -> Vec<Sealed> {
-        let mut names = self.disk.list().unwrap_or_default();
-        let own = format!("ledger-{:016x}-", self.generation);
-        names.retain(|n| n.ends_with(".seg") && !n.starts_with(&own));
-        names.sort();
-        let read = |name: String| {
-            let all = self.disk.read(&name).ok()?;
-            let scan = read_segment(&all);
-            let mut open = BTreeSet::new();
-            let mut until = if let SegmentKind::Segment(head) = &scan.kind { head.started_at } else { now };
-            for LocatedFrame { frame, .. } in &scan.frames {
-                match &frame.record {
-                    Record::Taken { request, at, .. } => {
-                        open.insert(*request);
-                        until = until.max(*at);
-                    }
-                    Record::Intent { at, .. } | Record::Ended { at, .. } => until = until.max(*at),
-                    Record::Settled { request } => drop(open.remove(request)),
-                    Record::Gap { .. } | Record::Closed { .. } => {}
-                }
-            }
-            let bytes = all.len() as u64; // the room that was reserved counts, written or not
-            let unresolved = !open.is_empty() || !scan.damaged.is_empty();
-            Some(Sealed { name, bytes, until, open: BTreeSet::new(), unresolved })
-        };
-        names.into_iter().filter_map(read).collect()
-    }
-
-    fn begin(&mut self, now: Millis) -> io::Result<()> {
-        let name = name(self.generation, self.number);
-        self.retry_at = now + RETRY;
+    fn begin_segment(&mut self, now: Millis) -> io::Result<()> {
+        let number = self.next_segment;
+        let name = self.generation.segment_name(number);
+        self.retry_at = now + RETRY_INTERVAL;
         let mut file = match self.disk.create(&name, self.options.segment_bytes) {
             Ok(file) => file,
-            Err(e) => {
+            Err(error) => {
                 let _ = self.disk.remove(&name);
-                return Err(e);
+                return Err(error);
             }
         };
-        let head = SegmentHeader {
+        let header = SegmentHeader {
             proxy: self.options.proxy.clone(),
-            generation: self.generation,
-            started_at: self.started,
-            number: self.number,
+            generation: self.generation.id,
+            started_at: self.generation.started_at,
+            number,
             first_sequence: self.sequence + 1,
             sends_unrecorded: self.options.on_failure == OnFailure::GoOn,
         };
-        self.number += 1;
-        self.disk.write(&mut file, 0, &head.encode())?;
+        self.next_segment += 1;
+        self.disk.write(&mut file, 0, &header.encode())?;
         if self.options.mode == Mode::Power {
             self.disk.sync(&mut file)?;
-            self.syncs += 1;
+            self.counts.syncs += 1;
         }
-        self.begun = true;
-        self.open = Some(Open { file, name, at: HEAD_LEN as u64, ids: BTreeSet::new() });
+        self.has_segment = true;
+        let length = HEAD_LEN as u64;
+        self.open = Some(OpenSegment { file, name, number, length, id_hashes: BTreeSet::new() });
         Ok(())
     }
 
-    /// Writes records, all or none of them as safely as the mode asks.
+    /// Writes records, all of them as durably as the mode requires, or none.
     ///
     /// # Errors
-    /// Where the disk fails: the segment is left for good then, as nobody knows what it holds, and the records'
-    /// sequence numbers are not used again.
+    /// The disk failed. Which records the segment contains is unknown then, so it is not written any more, and the
+    /// records' sequence numbers are not used again.
     pub fn append(&mut self, now: Millis, records: &[Record]) -> Result<(), WriteError> {
-        let done = self.try_append(now, records);
-        if done.is_err() {
-            self.abandon(now);
-            let (since, missing) = self.missing.unwrap_or((now, 0));
-            self.missing = Some((since, missing + records.len() as u64));
-            self.sequence += records.len() as u64;
+        let written = self.try_append(now, records);
+        if written.is_err() {
+            self.abandon_segment(now);
+            self.record_lost(now, records.len() as u64);
         }
-        done
+        written
     }
 
-    /// Records were lost before they came here: their requests were sent all the same.
+    /// Records were lost before they reached the writer, and their requests were sent all the same.
     pub fn record_lost(&mut self, now: Millis, records: u64) {
-        let (since, missing) = self.missing.unwrap_or((now, 0));
-        self.missing = Some((since, missing + records));
+        let lost = self.lost.get_or_insert(LostRecords { since: now, count: 0 });
+        lost.count += records;
         self.sequence += records;
     }
 
@@ -237,160 +174,126 @@
             if now < self.retry_at {
                 return Err(WriteError::Disk(io::Error::other("no segment could be made just now")));
             }
-            self.begin(now)?;
+            self.begin_segment(now)?;
         }
-        let gap = self.missing.map(|(from, records)| Record::Gap { from, to: now, records });
-        let mut bytes = Vec::with_capacity(records.len() * 160);
+        let gap = self.lost.map(|lost| Record::Gap { from: lost.since, to: now, records: lost.count });
+        let mut bytes = Vec::with_capacity(records.len() * TYPICAL_FRAME_BYTES);
         let mut sequence = self.sequence;
         for record in gap.iter().chain(records) {
             sequence += 1;
             encode(sequence, record, &mut bytes);
         }
-        let fits = |o: &Open<D::File>| o.at + bytes.len() as u64 <= self.options.segment_bytes;
-        if !self.open.as_ref().is_some_and(fits) && self.open.as_ref().is_some_and(|o| o.at > HEAD_LEN as u64)
-        {
-            self.seal(now);
-            self.begin(now)?;
+        if self.is_full_for(bytes.len() as u64) {
+            self.seal_segment(now);
+            self.begin_segment(now)?;
         }
         let Some(open) = self.open.as_mut() else { return Ok(()) };
-        self.disk.write(&mut open.file, open.at, &bytes)?;
+        self.disk.write(&mut open.file, open.length, &bytes)?;
         if self.options.mode == Mode::Power {
             self.disk.sync(&mut open.file)?;
-            self.syncs += 1;
+            self.counts.syncs += 1;
         }
-        open.at += bytes.len() as u64;
-        self.bytes += bytes.len() as u64;
+        open.length += bytes.len() as u64;
+        self.counts.bytes += bytes.len() as u64;
         self.sequence = sequence;
-        self.missing = None;
-        records.iter().for_each(|r| self.note(r));
+        self.lost = None;
+        records.iter().for_each(|record| self.note_written(record));
         Ok(())
     }
 
+    /// Whether the open segment contains frames and has no space for so many bytes more.
+    fn is_full_for(&self, bytes: u64) -> bool {
+        let Some(open) = &self.open else { return false };
+        open.length > HEAD_LEN as u64 && open.length + bytes > self.options.segment_bytes
+    }
+
     /// Keeps the index and the open requests up to date.
-    fn note(&mut self, record: &Record) {
-        let current = self.number - 1;
+    fn note_written(&mut self, record: &Record) {
         let Some(open) = self.open.as_mut() else { return };
         if let Some(id) = record.id() {
-            open.ids.insert(index::hash(id));
+            open.id_hashes.insert(index::hash(id));
         }
         match record {
             Record::Taken { request, id, .. } => {
-                self.requests.insert(*request, (index::hash(id), current));
+                let taken = OpenRequest { id_hash: index::hash(id), segment: open.number };
+                self.open_requests.insert(*request, taken);
             }
             Record::Ended { request, .. } => {
-                open.ids.extend(self.requests.get(request).map(|r| r.0));
+                open.id_hashes.extend(self.open_requests.get(request).map(|taken| taken.id_hash));
             }
             Record::Settled { request } => {
-                if let Some((hash, taken)) = self.requests.remove(request) {
-                    open.ids.insert(hash);
-                    self.sealed.get_mut(&taken).map(|s| s.open.remove(request));
+                if let Some(taken) = self.open_requests.remove(request) {
+                    open.id_hashes.insert(taken.id_hash);
+                    self.retention.request_finished(*request, taken.segment);
                 }
             }
-            _ => {}
+            Record::Intent { .. } | Record::Gap { .. } | Record::Closed { .. } => {}
         }
     }
 
-    /// Ends the segment in order, with its index.
-    fn seal(&mut self, now: Millis) {
+    /// Ends the open segment and writes its index.
+    fn seal_segment(&mut self, now: Millis) {
         let Some(open) = self.open.take() else { return };
-        let bytes = index::encode(&open.ids, self.sequence);
-        let index = open.name.replace(".seg", ".idx");
-        // Without its index a segment is read whole: nothing is lost.
-        let _ = self.disk.create(&index, 0).and_then(|mut f| self.disk.write(&mut f, 0, &bytes));
-        self.keep(open.name, open.at, now);
-        self.retain(now);
+        let bytes = index::encode(&open.id_hashes, self.sequence);
+        // A segment without an index is read in full: nothing is lost.
+        let index = self.disk.create(&index_name(&open.name), 0);
+        let _ = index.and_then(|mut file| self.disk.write(&mut file, 0, &bytes));
+        self.retain_segment(open, now);
+        self.retention.delete_surplus(&mut self.disk, &self.options, &self.generation.file_prefix(), now);
     }
 
-    /// Leaves a segment of which nobody knows what it holds.
-    fn abandon(&mut self, now: Millis) {
+    /// Ends the open segment after a failure.
+    fn abandon_segment(&mut self, now: Millis) {
         if let Some(open) = self.open.take() {
-            self.keep(open.name, open.at, now);
+            self.retain_segment(open, now);
         }
-        self.retry_at = now + RETRY;
-    }
-
-    fn keep(&mut self, name: String, bytes: u64, now: Millis) {
-        let number = self.number - 1;
-        let of = |(request, (_, taken)): (&u64, &(u64, u32))| (*taken == number).then_some(*request);
-        let open = self.requests.iter().filter_map(of).collect();
-        self.sealed.insert(number, Sealed { name, bytes, until: now, open, unresolved: false });
+        self.retry_at = now + RETRY_INTERVAL;
     }
 
-    /// Drops what is too old or too much, the oldest first and never past one that has to stay.
-    fn retain(&mut self, now: Millis) {
-        let mut earlier = match self.earlier.take() {
-            Some(earlier) => earlier,
-            None => self.inherited(now),
+    fn retain_segment(&mut self, open: OpenSegment<D::File>, now: Millis) {
+        let taken_here = self.open_requests.iter().filter(|(_, taken)| taken.segment == open.number);
+        let sealed = SealedSegment {
+            name: open.name,
+            bytes: open.length,
+            newest_at: now,
+            open_requests: taken_here.map(|(request, _)| *request).collect(),
+            has_unresolved: false,
         };
-        let o = &self.options;
-        let mut all: u64 = earlier.iter().chain(self.sealed.values()).map(|s| s.bytes).sum();
-        let may_go = |s: &Sealed, all: u64| {
-            let age = now.saturating_sub(s.until);
-            let resolved = s.open.is_empty() && !s.unresolved;
-            let unwanted = age >= o.keep || all > o.keep_bytes;
-            unwanted && resolved || age >= o.keep_unresolved
-        };
-        let mut gone = Vec::new();
-        earlier.sort_by_key(|s| s.until);
-        let mut count = 0;
-        while let Some(sealed) = earlier.get(count).filter(|s| may_go(s, all)) {
-            all -= sealed.bytes;
-            gone.push(sealed.name.clone());
-            count += 1;
-        }
-        earlier.drain(..count);
-        while earlier.is_empty() && self.sealed.values().next().is_some_and(|s| may_go(s, all)) {
-            let Some((_, sealed)) = self.sealed.pop_first() else { break };
-            all -= sealed.bytes;
-            gone.push(sealed.name);
-        }
-        self.earlier = Some(earlier);
-        for name in gone {
-            let _ = self.disk.remove(&name);
-            let _ = self.disk.remove(&name.replace(".seg", ".idx"));
-            self.take_dropped.push(name);
-        }
+        self.retention.add(open.number, sealed);
     }
 
     /// Ends the generation in order.
     ///
     /// # Errors
-    /// Where the disk fails: the generation then reads as one that crashed.
+    /// The disk failed: the generation then reads as if the process had crashed.
     pub fn close(&mut self, now: Millis) -> Result<(), WriteError> {
         self.append(now, &[Record::Closed { at: now }])?;
-        self.seal(now);
+        self.seal_segment(now);
         Ok(())
     }
 
-    /// Segments dropped since the last call, for the log.
+    /// The names of the segments deleted since the last call, for the log.
     pub fn take_dropped(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.take_dropped)
+        self.retention.take_deleted()
     }
 
-    /// Nothing can be written at present.
+    /// Whether nothing can be written at present.
     pub fn is_failing(&self) -> bool {
-        self.open.is_none() || self.missing.is_some()
+        self.open.is_none() || self.lost.is_some()
     }
 
-    /// The generation has a segment on the disk, which tells whether requests may go on without records.
-    pub fn begun(&self) -> bool {
-        self.begun
+    /// Whether the generation has a segment on the disk, which shows whether requests may be sent unrecorded.
+    pub fn has_segment(&self) -> bool {
+        self.has_segment
     }
 
-    /// Syncs and bytes so far.
-    pub fn write_counts(&self) -> (u64, u64) {
-        (self.syncs, self.bytes)
+    /// What was written so far.
+    pub fn write_counts(&self) -> WriteCounts {
+        self.counts
     }
 
-    /// Bytes that the disk still takes.
+    /// The free space of the disk, bytes; `None` if it is unknown.
     pub fn free_bytes(&self) -> Option<u64> {
         self.disk.free().ok()
     }
 }
-
-/// Cuts a text so that no record is too long.
-pub(crate) fn cut(text: &str) -> String {
-    const MOST: usize = MAX_RECORD / 8;
-    let end = (0..=MOST.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
-    text[..end].into()
-}
--- a/crates/ledger/tests/crash.rs
+++ b/crates/ledger/tests/crash.rs
@@ -81,7 +81,7 @@
             Step::Take(r) => {
                 self.truth.entry(id(r)).or_default();
             }
-            Step::Send(r, a) if safe || self.goes_on && self.writer.begun() => {
+            Step::Send(r, a) if safe || self.goes_on && self.writer.has_segment() => {
                 self.truth.entry(id(r)).or_default().insert(a, None);
             }
             Step::End(r, a, end) => {
--- a/crates/lotusdeck/src/journaling.rs
+++ b/crates/lotusdeck/src/journaling.rs
@@ -101,7 +101,7 @@
 
 impl Journal for Journaling {
     fn unavailable_for(&self) -> Option<Micros> {
-        (!self.ledger.is_resumed() && self.ledger.status().is_failing).then_some(COME_AGAIN)
+        (!self.ledger.sends_unrecorded() && self.ledger.status().is_failing).then_some(COME_AGAIN)
     }
 
     fn request_taken(&self, request: RequestId, labels: RequestLabels) {
@@ -119,7 +119,7 @@
         let record =
             Record::Intent { request: request.0, attempt: attempt.0, at: now(), id, backend, address };
         let (durable, wait) = (self.ledger.record_durably(record), self.wait);
-        let goes_on = self.ledger.is_resumed();
+        let goes_on = self.ledger.sends_unrecorded();
         Box::pin(async move { tokio::time::timeout(wait, durable).await.unwrap_or(false) || goes_on })
     }
 
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -345,7 +345,7 @@
     }
     writer.append(0, &batch).map_err(wrong)?;
     let took = began.elapsed().as_secs_f64();
-    let (_, bytes) = writer.write_counts();
+    let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
     say(&format!(
         "{} records in writes of {}: {:.0} a second; {:.0} bytes for each request\n",
