--- /dev/null
+++ b/crates/ledger/src/history/reconstruction.rs
@@ -0,0 +1,87 @@
+//! Reconstructs a request from its records.
+
+use super::request::{Attempt, Fate, Request};
+use crate::record::{End, Record};
+use std::ops::Range;
+
+/// A request as far as its records were read.
+pub(super) struct Reconstruction {
+    request: Request,
+    /// The sequence numbers that records of it may have: from that of its arrival to that of its final answer.
+    span: Range<u64>,
+}
+
+impl Reconstruction {
+    /// A request whose first record has that sequence number.
+    pub(super) fn new(proxy: &str, generation: u64, first_sequence: u64) -> Reconstruction {
+        let request = Request {
+            id: String::new(),
+            class: String::new(),
+            key: String::new(),
+            taken_at: None,
+            proxy: proxy.into(),
+            generation,
+            attempts: Vec::new(),
+            is_uncertain: false,
+            is_finished: false,
+        };
+        Reconstruction { request, span: first_sequence..u64::MAX }
+    }
+
+    /// Adds what a record shows; records come in the order of their sequence numbers.
+    pub(super) fn apply(&mut self, sequence: u64, record: &Record) {
+        match record {
+            Record::Taken { at, id, class, key, .. } => {
+                self.request.id.clone_from(id);
+                self.request.class.clone_from(class);
+                self.request.key.clone_from(key);
+                self.request.taken_at = Some(*at);
+            }
+            Record::Intent { attempt, at, id, backend, address, .. } => {
+                if self.request.taken_at.is_none() {
+                    self.earlier_records_are_lost();
+                    self.request.id.clone_from(id);
+                }
+                self.request.attempts.push(Attempt {
+                    number: *attempt,
+                    backend: backend.clone(),
+                    address: address.clone(),
+                    sent_at: *at,
+                    fate: Fate::PossiblySent,
+                });
+            }
+            Record::Ended { attempt, end, .. } => self.end_attempt(*attempt, *end),
+            Record::Settled { .. } => {
+                self.request.is_finished = true;
+                self.span.end = sequence;
+            }
+            Record::Gap { .. } | Record::Closed { .. } => {}
+        }
+    }
+
+    fn end_attempt(&mut self, number: u32, end: End) {
+        let Some(attempt) = self.request.attempts.iter_mut().find(|attempt| attempt.number == number) else {
+            // Its intent is lost: it was sent to an unknown backend.
+            self.earlier_records_are_lost();
+            return;
+        };
+        attempt.fate = match end {
+            End::NeverSent => Fate::NeverSent,
+            End::Answered(status) => Fate::Answered(status),
+            End::Unanswered => Fate::Unanswered,
+        };
+    }
+
+    /// Earlier records of it are lost: they may have had any sequence number before.
+    fn earlier_records_are_lost(&mut self) {
+        self.span.start = 0;
+    }
+
+    /// The request, uncertain if any of the missing records may have been one of its own.
+    pub(super) fn finish(mut self, missing: &[Range<u64>]) -> Request {
+        let may_miss_records =
+            missing.iter().any(|range| range.start < self.span.end && range.end > self.span.start);
+        self.request.is_uncertain = self.request.taken_at.is_none() || may_miss_records;
+        self.request
+    }
+}
--- a/crates/lotusdeck/src/ledger.rs
+++ b/crates/lotusdeck/src/ledger.rs
@@ -150,7 +150,7 @@
 fn verify(history: &History) -> ExitCode {
     let requests = history.requests();
     let uncertain = requests.iter().filter(|r| r.verdict() == Verdict::PossiblySent).count();
-    let (read, _) = history.read;
+    let read = history.segments_read;
     say(&format!("{read} segments, {} requests, {uncertain} possibly sent\n", requests.len()));
     history.faults.iter().for_each(|f| say(&format!("{f}\n")));
     if history.faults.is_empty() {
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -364,8 +364,8 @@
     say(&format!(
         "one id: {:.1} ms, {} segments read and {} spared by their index, {found} found\n",
         began.elapsed().as_secs_f64() * 1e3,
-        one.read.0,
-        one.read.1
+        one.segments_read,
+        one.segments_skipped
     ));
     let began = Instant::now();
     let mut all = History::default();
