--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -345,7 +345,7 @@
     }
     writer.append(0, &batch).map_err(wrong)?;
     let took = began.elapsed().as_secs_f64();
-    let (_, bytes) = writer.write_counts();
+    let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
     say(&format!(
         "{} records in writes of {}: {:.0} a second; {:.0} bytes for each request\n",
@@ -364,8 +364,8 @@
     say(&format!(
         "one id: {:.1} ms, {} segments read and {} spared by their index, {found} found\n",
         began.elapsed().as_secs_f64() * 1e3,
-        one.read.0,
-        one.read.1
+        one.segments_read,
+        one.segments_skipped
     ));
     let began = Instant::now();
     let mut all = History::default();
