--- a/crates/configuration/examples/size.rs
+++ b/crates/configuration/examples/size.rs
@@ -189,7 +189,7 @@
     tell(&format!("{changed} changed"), bytes, published[ROUNDS / 2].as_secs_f64() * 1e3, &costs);
 }
 
-fn whole(source: &mut Source) {
+fn full_document(source: &mut Source) {
     let begun = Instant::now();
     let text = text(source, None);
     let made = begun.elapsed().as_secs_f64() * 1e3;
@@ -255,13 +255,13 @@
 }
 
 /// 1,200 followers in virtual time; the whole document counts with the bytes measured, its reading with the time measured.
-fn fleet(whole: usize, reading: Duration) {
+fn fleet(full_document_bytes: u64, read_time: Duration) {
     let conditions = Conditions {
-        source_line: 125_000_000,
-        proxy_line: 12_500_000,
+        source_bandwidth: 125_000_000,
+        proxy_bandwidth: 12_500_000,
         latency: Duration::from_millis(20),
-        whole: whole as u64,
-        reading,
+        full_document_bytes,
+        read_time,
     };
     let small = || {
         let mut settings = settings();
@@ -293,7 +293,7 @@
                 .source
                 .publish_changes(vec![quota(1, round.into())], Vec::new(), |_| Ok(()))
                 .expect("published");
-            world.published();
+            world.distribute();
             let published = world.now;
             world.run_for(Duration::from_secs(54)); // 1,600 a day
             delays.extend(world.delays(published).last().copied());
@@ -323,9 +323,9 @@
     );
     deltas(&mut source, 1);
     deltas(&mut source, 100);
-    whole(&mut source);
+    full_document(&mut source);
     memory(&mut source);
-    let whole = text(&mut source, None).len();
-    fleet(whole, Duration::from_millis(500));
+    let full_document_bytes = text(&mut source, None).len() as u64;
+    fleet(full_document_bytes, Duration::from_millis(500));
     assert!(matches!(decode(text(&mut source, None).as_bytes()), Ok(Message::FullDocument(_))));
 }
--- a/crates/configuration/src/backoff.rs
+++ b/crates/configuration/src/backoff.rs
@@ -1,49 +1,52 @@
-//! Pauses after failures, spread over proxies.
+//! Pauses between attempts after failures.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Doubling pauses: each is drawn between half of its length and the whole of it, from a seed that no other proxy has,
-/// so that proxies that lost their source together do not come back together.
+/// Exponential backoff with jitter.
+///
+/// Each pause is drawn between half of its nominal length and the full length. Every proxy has a seed of its own, so
+/// that proxies that lost their source at the same moment do not return at the same moment.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    initial: Duration,
+    max: Duration,
     seed: u64,
     failures: u32,
-    drawn: u64,
+    draws: u64,
 }
 
-/// The pause doubles so many times at most, so that no shift overflows; any longest pause is reached before.
-const MOST_DOUBLINGS: u32 = 16;
+/// Keeps the shift from overflowing; the longest pause is reached earlier.
+const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    /// The first pause, and the longest.
-    pub fn new(first: Duration, most: Duration, seed: u64) -> Backoff {
-        Backoff { first, most, seed, failures: 0, drawn: 0 }
+    /// Pauses from `initial`, doubled after each failure, up to `max`.
+    pub fn new(initial: Duration, max: Duration, seed: u64) -> Backoff {
+        Backoff { initial, max, seed, failures: 0, draws: 0 }
     }
 
-    /// The pause after one more failure in a row.
+    /// The pause after one more consecutive failure.
     pub fn next_pause(&mut self) -> Duration {
-        let doublings = self.failures.min(MOST_DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        self.jitter((self.first * (1 << doublings)).min(self.most))
+        let nominal = self.initial * (1 << doublings);
+        self.jitter(nominal.min(self.max))
     }
 
-    /// A pause between half of `length` and the whole of it.
+    /// A pause between half of `length` and the full length.
     pub fn jitter(&mut self, length: Duration) -> Duration {
-        self.drawn += 1;
-        let drawn = xxh3_64_with_seed(&self.drawn.to_le_bytes(), self.seed);
-        let part = drawn as f64 / u64::MAX as f64;
-        length.mul_f64(0.5 + 0.5 * part)
+        self.draws += 1;
+        let draw = xxh3_64_with_seed(&self.draws.to_le_bytes(), self.seed);
+        let fraction = draw as f64 / u64::MAX as f64;
+        length.mul_f64(0.5 + 0.5 * fraction)
     }
 
-    /// The row of failures is over.
+    /// Starts again at the initial pause, after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures in a row.
+    /// Consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,37 +1,28 @@
-//! What the source tells: the change from one version to another, or a whole document.
+//! The two forms in which a source publishes a version: a change of an earlier version, or the full document.
 
 use crate::checksum::Checksum;
-use crate::document::Key;
+use crate::entry::{Entry, Key};
 use crate::version::Version;
 
-/// A name and its value, JSON text.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// Section and name.
-    pub key: Key,
-    /// JSON text without a line break; without the key `name` in sections of named objects.
-    pub value: Box<str>,
-}
-
 /// The change from one version of the document to a later one; it may span several versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
-    /// The version that it changes; it fits no other.
+    /// The only version that the delta applies to.
     pub from: Version,
-    /// The version that comes of it.
+    /// The version that results.
     pub to: Version,
     /// Entries that are new or have another value, ordered by key, each once.
     pub changed: Vec<Entry>,
-    /// Entries that are left out from now on, ordered by key, each once and none of those changed.
+    /// Keys of removed entries, ordered, each once and none of those changed.
     pub removed: Vec<Key>,
-    /// Over the whole document at `to`, and over `to` itself.
+    /// Over the full document at `to`, and over `to` itself.
     pub checksum: Checksum,
 }
 
 /// All entries of one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FullDocument {
-    /// Which version it is.
+    /// The version of the document.
     pub version: Version,
     /// Ordered by key, each once.
     pub entries: Vec<Entry>,
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,106 +1,83 @@
 //! The document: named entries in sections, as compact JSON texts.
 //!
-//! Entries are found by section and name, never by position. The order in which a settings object lists profiles or
-//! customers carries no meaning (rules find them by name), so that it is not kept: the canonical order is that of
-//! section and name. Arrays inside an entry keep their order.
+//! Entries are identified by section and name, never by position. The order in which a settings object lists profiles or
+//! customers has no meaning (rules refer to them by name) and is not kept: the canonical order is that of section and
+//! name. Arrays inside an entry keep their order.
 
 use crate::checksum::Checksum;
-use crate::delta::Entry;
+use crate::entry::{Entry, Key, Section};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
-use std::fmt;
 use thiserror::Error;
 
 /// The longest name of an entry, bytes; the longest in use are under 64.
 pub const MAX_NAME_BYTES: usize = 256;
 /// The longest value of an entry, bytes: lists of zones or kinds are the longest in use, some 20 KB at 1,000 zones.
 pub const MAX_VALUE_BYTES: usize = 256 * 1024;
-/// Bytes that all names and values may have together. At 16,000 profiles and 34,000 customers they have under 6 MB; the
-/// memory that a proxy spends on control (64 MB) holds such a document, its successor and the settings read from it.
+/// The longest document, bytes of all names and values. 16,000 profiles and 34,000 customers have under 6 MB; a proxy's
+/// memory for its configuration (64 MB) holds a document of this size, its successor and the settings read from it.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 /// Entries of a document: four times the 50,000 that are planned for.
 pub const MAX_ENTRIES: usize = 200_000;
 
 /// The key that names an object inside an array of the settings.
-const NAME: &str = "name";
+const NAME_KEY: &str = "name";
 
-/// A part of the settings object whose entries have names.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[repr(u8)]
-pub enum Section {
-    /// Every key of the settings that is no section of its own, by that key.
-    Base,
-    /// Classes of requests, by name.
-    Profiles,
-    /// Tenants, by name.
-    Customers,
-}
-
-impl Section {
-    /// All sections in their canonical order.
-    pub const ALL: [Section; 3] = [Section::Base, Section::Profiles, Section::Customers];
-    /// Those that are arrays of named objects in the settings.
-    const NAMED: [Section; 2] = [Section::Profiles, Section::Customers];
-
-    /// What it is called on the wire, and in the settings where it is an array.
-    pub fn label(self) -> &'static str {
-        match self {
-            Section::Base => "base",
-            Section::Profiles => "profiles",
-            Section::Customers => "customers",
-        }
-    }
-}
-
-/// What an entry is found by.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
-    /// The section that it is in.
-    pub section: Section,
-    /// Its name, which no other entry of the section has.
-    pub name: Box<str>,
-}
-
-impl Key {
-    /// The key of that name.
-    pub fn new(section: Section, name: &str) -> Key {
-        Key { section, name: name.into() }
-    }
-}
-
-impl fmt::Display for Key {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.section.label(), self.name)
-    }
-}
-
-/// Why settings and a document do not stand for each other.
+/// Why settings and a document do not correspond to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
     /// Settings are an object.
     #[error("expected an object as the settings")]
     NotAnObject,
     /// A section of named objects is an array.
-    #[error("{0}: expected an array")]
-    NotAnArray(&'static str),
-    /// Its items are objects with a name each.
-    #[error("{0}[{1}]: expected an object with a name")]
-    MissingName(&'static str, usize),
-    /// Rules find an entry by its name.
+    #[error("{section}: expected an array")]
+    NotAnArray {
+        /// The section's label.
+        section: &'static str,
+    },
+    /// The items of a section are objects with a name each.
+    #[error("{section}[{index}]: expected an object with a name")]
+    MissingName {
+        /// The section's label.
+        section: &'static str,
+        /// The item's place in the array.
+        index: usize,
+    },
+    /// Rules refer to an entry by its name, so that no two may share one.
     #[error("{0}: named twice")]
     DuplicateEntry(Key),
     /// The name is empty or too long.
-    #[error("{0}: expected a name of 1 to {MAX_NAME_BYTES} bytes")]
-    NameLength(&'static str),
-    /// A value is longer than any that makes sense.
-    #[error("{0}: expected a value of at most {MAX_VALUE_BYTES} bytes, got {1}")]
-    ValueTooLong(Key, usize),
-    /// A value cannot be read, or is no object where one is expected.
-    #[error("{0}: expected {1}")]
-    InvalidValue(Key, &'static str),
-    /// All entries together are too large.
-    #[error("expected at most {MAX_ENTRIES} entries of {MAX_DOCUMENT_BYTES} bytes, got {0} of {1}")]
-    TooLarge(usize, usize),
+    #[error("{section}: expected a name of 1 to {MAX_NAME_BYTES} bytes")]
+    NameLength {
+        /// The section's label.
+        section: &'static str,
+    },
+    /// A value is too long.
+    #[error("{key}: expected a value of at most {MAX_VALUE_BYTES} bytes, got {bytes}")]
+    ValueTooLong {
+        /// The entry.
+        key: Key,
+        /// The value's length, bytes.
+        bytes: usize,
+    },
+    /// A value cannot be parsed, or is no object where one is expected.
+    #[error("{key}: expected {expected}")]
+    InvalidValue {
+        /// The entry.
+        key: Key,
+        /// What its value has to be.
+        expected: &'static str,
+    },
+    /// The document has too many entries or bytes.
+    #[error(
+        "expected at most {MAX_ENTRIES} entries of {MAX_DOCUMENT_BYTES} bytes, got {entries} of {bytes}"
+    )]
+    TooLarge {
+        /// Entries.
+        entries: usize,
+        /// Bytes of all names and values.
+        bytes: usize,
+    },
 }
 
 /// One state of the settings.
@@ -112,36 +89,36 @@
 }
 
 impl Document {
-    /// The document that a settings object stands for.
+    /// The document of a settings object.
     ///
     /// # Errors
-    /// The first thing that no document can hold.
+    /// The first part of the settings that no document can hold.
     pub fn from_settings(settings: &Value) -> Result<Document, DocumentError> {
         let settings = settings.as_object().ok_or(DocumentError::NotAnObject)?;
         let mut document = Document::default();
-        let named = |key: &str| Section::NAMED.into_iter().find(|section| section.label() == key);
         for (key, value) in settings {
-            match named(key) {
-                Some(section) => document.insert_named(section, value)?,
-                None => document.insert_new(Key::new(Section::Base, key), value.to_string())?,
+            match named_section(key) {
+                Some(section) => document.insert_section(section, value)?,
+                None => document.insert_unique(Key::new(Section::Base, key), value.to_string())?,
             }
         }
-        document.within_bounds()?;
+        check_size(document.len(), document.bytes)?;
         Ok(document)
     }
 
-    fn insert_named(&mut self, section: Section, value: &Value) -> Result<(), DocumentError> {
-        let items = value.as_array().ok_or(DocumentError::NotAnArray(section.label()))?;
-        for (at, item) in items.iter().enumerate() {
-            let nameless = || DocumentError::MissingName(section.label(), at);
-            let mut object = item.as_object().cloned().ok_or_else(nameless)?;
-            let Some(Value::String(name)) = object.remove(NAME) else { return Err(nameless()) };
-            self.insert_new(Key::new(section, &name), Value::Object(object).to_string())?;
+    fn insert_section(&mut self, section: Section, value: &Value) -> Result<(), DocumentError> {
+        let not_an_array = DocumentError::NotAnArray { section: section.label() };
+        let items = value.as_array().ok_or(not_an_array)?;
+        for (index, item) in items.iter().enumerate() {
+            let missing_name = || DocumentError::MissingName { section: section.label(), index };
+            let mut object = item.as_object().cloned().ok_or_else(missing_name)?;
+            let Some(Value::String(name)) = object.remove(NAME_KEY) else { return Err(missing_name()) };
+            self.insert_unique(Key::new(section, &name), Value::Object(object).to_string())?;
         }
         Ok(())
     }
 
-    fn insert_new(&mut self, key: Key, value: String) -> Result<(), DocumentError> {
+    fn insert_unique(&mut self, key: Key, value: String) -> Result<(), DocumentError> {
         check_entry(&key, &value)?;
         if self.entries.contains_key(&key) {
             return Err(DocumentError::DuplicateEntry(key));
@@ -150,16 +127,12 @@
         Ok(())
     }
 
-    fn within_bounds(&self) -> Result<(), DocumentError> {
-        check_size(self.entries.len(), self.bytes)
-    }
-
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// There is none.
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -169,12 +142,12 @@
         self.bytes
     }
 
-    /// Over all entries.
+    /// Checksum over all entries.
     pub fn checksum(&self) -> Checksum {
         self.checksum
     }
 
-    /// The value of that name.
+    /// The value of an entry.
     pub fn get(&self, key: &Key) -> Option<&str> {
         self.entries.get(key).map(|value| &**value)
     }
@@ -184,16 +157,16 @@
         self.entries.iter().map(|(key, value)| (key, &**value))
     }
 
-    /// Sets an entry; the value that stood there.
+    /// Sets an entry; returns its previous value.
     pub(crate) fn set(&mut self, key: Key, value: Box<str>) -> Option<Box<str>> {
-        let old = self.remove(&key);
+        let previous = self.remove(&key);
         self.bytes += key.name.len() + value.len();
         self.checksum.add(&key, &value);
         self.entries.insert(key, value);
-        old
+        previous
     }
 
-    /// Takes an entry out; the value that stood there.
+    /// Removes an entry; returns its value.
     pub(crate) fn remove(&mut self, key: &Key) -> Option<Box<str>> {
         let value = self.entries.remove(key)?;
         self.bytes -= key.name.len() + value.len();
@@ -201,62 +174,67 @@
         Some(value)
     }
 
-    /// All entries, copied.
+    /// Copies of all entries in their canonical order.
     pub(crate) fn entries(&self) -> Vec<Entry> {
         self.iter().map(|(key, value)| Entry { key: key.clone(), value: value.into() }).collect()
     }
 }
 
-/// The entry is one that a document may hold.
+/// The section of named objects that a key of the settings stands for.
+fn named_section(key: &str) -> Option<Section> {
+    Section::NAMED.into_iter().find(|section| section.label() == key)
+}
+
+/// Checks that a document may hold an entry.
 pub(crate) fn check_entry(key: &Key, value: &str) -> Result<(), DocumentError> {
     check_key(key)?;
     if value.len() > MAX_VALUE_BYTES {
-        return Err(DocumentError::ValueTooLong(key.clone(), value.len()));
+        return Err(DocumentError::ValueTooLong { key: key.clone(), bytes: value.len() });
     }
     Ok(())
 }
 
-/// The name is one that an entry may have.
+/// Checks that an entry may have this key.
 pub(crate) fn check_key(key: &Key) -> Result<(), DocumentError> {
     if key.name.is_empty() || key.name.len() > MAX_NAME_BYTES {
-        return Err(DocumentError::NameLength(key.section.label()));
+        return Err(DocumentError::NameLength { section: key.section.label() });
     }
-    let of_named = |section: Section| section.label() == &*key.name;
-    if key.section == Section::Base && Section::NAMED.into_iter().any(of_named) {
-        return Err(DocumentError::InvalidValue(key.clone(), "a key that is no section of its own"));
+    if key.section == Section::Base && named_section(&key.name).is_some() {
+        let expected = "a key that is no section of its own";
+        return Err(DocumentError::InvalidValue { key: key.clone(), expected });
     }
     Ok(())
 }
 
-/// So many entries of so many bytes may be held.
+/// Checks that a document may have so many entries and bytes.
 pub(crate) fn check_size(entries: usize, bytes: usize) -> Result<(), DocumentError> {
     if entries > MAX_ENTRIES || bytes > MAX_DOCUMENT_BYTES {
-        return Err(DocumentError::TooLarge(entries, bytes));
+        return Err(DocumentError::TooLarge { entries, bytes });
     }
     Ok(())
 }
 
-/// The settings object that entries stand for, given in their canonical order.
+/// The settings object of entries that are given in their canonical order.
 ///
 /// # Errors
-/// The first entry that is no JSON, or no object in a section of named objects.
+/// The first entry whose value is no JSON, or no object in a section of named objects.
 pub fn to_settings<'a>(entries: impl Iterator<Item = (&'a Key, &'a str)>) -> Result<Value, DocumentError> {
     let mut settings = Map::new();
-    let mut named: BTreeMap<Section, Vec<Value>> = BTreeMap::new();
+    let mut sections: BTreeMap<Section, Vec<Value>> = BTreeMap::new();
     for section in Section::NAMED {
-        named.insert(section, Vec::new());
+        sections.insert(section, Vec::new());
     }
     for (key, text) in entries {
-        let value: Value =
-            serde_json::from_str(text).map_err(|_| DocumentError::InvalidValue(key.clone(), "JSON"))?;
-        match named.get_mut(&key.section) {
+        let not_json = |_| DocumentError::InvalidValue { key: key.clone(), expected: "JSON" };
+        let value: Value = serde_json::from_str(text).map_err(not_json)?;
+        match sections.get_mut(&key.section) {
+            Some(items) => items.push(with_name(key, value)?),
             None => {
                 settings.insert(key.name.to_string(), value);
             }
-            Some(items) => items.push(with_name(key, value)?),
         }
     }
-    for (section, items) in named {
+    for (section, items) in sections {
         settings.insert(section.label().into(), Value::Array(items));
     }
     Ok(Value::Object(settings))
@@ -264,10 +242,12 @@
 
 fn with_name(key: &Key, value: Value) -> Result<Value, DocumentError> {
     match value {
-        Value::Object(mut object) if !object.contains_key(NAME) => {
-            object.insert(NAME.into(), Value::String(key.name.to_string()));
+        Value::Object(mut object) if !object.contains_key(NAME_KEY) => {
+            object.insert(NAME_KEY.into(), Value::String(key.name.to_string()));
             Ok(Value::Object(object))
         }
-        _ => Err(DocumentError::InvalidValue(key.clone(), "an object without a key `name`")),
+        _ => {
+            Err(DocumentError::InvalidValue { key: key.clone(), expected: "an object without a key `name`" })
+        }
     }
 }
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -1,409 +1,276 @@
-//! A proxy that follows a source: what it asks for and when, and what it does with each answer.
+//! A proxy that follows a source: when it polls, and what it does with each answer.
 //!
-//! The driver calls [`Follower::poll`] and does what it says: asks, rests, reads the candidate's settings, or puts
-//! them in force. One question is out at a time, and what comes without a question is dropped. The version held
-//! never goes back: an answer that is not built upon it, whose checksum over the whole does not hold, or whose settings
-//! are unsound is refused with its reason, and the last sound version stays in force for as long as it takes.
+//! The driver calls [`Follower::next_step`] and does what it returns. One poll is open at a time, and an answer without a
+//! poll is dropped. The version in force never goes back: an answer that is not based on it, whose checksum does not
+//! match, or whose settings are not valid is rejected with its reason, and the last valid version stays in force.
+
+mod known_versions;
+mod settings;
+mod step;
 
 use crate::backoff::Backoff;
 use crate::delta::{Delta, FullDocument};
 use crate::document::Document;
 use crate::invalid_settings::InvalidSettings;
 use crate::message::Message;
-use crate::staging::{Candidate, Progress, StagedUpdate, StagingError};
+use crate::poll::Poll;
+use crate::staging::{Candidate, Progress, StagedUpdate};
 use crate::version::Version;
+use known_versions::KnownVersions;
 use std::time::Duration;
-use thiserror::Error;
-
-/// How a follower asks, and how much it does at a time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowerSettings {
-    /// The source may hold a question so long while it has nothing later.
-    pub poll_wait: Duration,
-    /// What an answer may take beyond that wait before the source counts as silent.
-    pub poll_timeout: Duration,
-    /// The first pause after a failure, and the longest.
-    pub backoff: (Duration, Duration),
-    /// A whole document that was refused is asked for again after such a pause: it is megabytes each time.
-    pub full_refetch_after: Duration,
-    /// Entries of a slice: at some 1 us each, a slice holds a loop for a quarter of a millisecond.
-    pub entries_per_slice: usize,
-}
-
-impl Default for FollowerSettings {
-    /// A connection that died unseen is noticed after 12 s at most, which leaves 8 s of the 20 s in which a change has
-    /// to be in force for a pause, the answer and its reading (docs/configuration-distribution.md).
-    fn default() -> FollowerSettings {
-        FollowerSettings {
-            poll_wait: Duration::from_secs(10),
-            poll_timeout: Duration::from_secs(2),
-            backoff: (Duration::from_millis(100), Duration::from_secs(2)),
-            full_refetch_after: Duration::from_secs(30),
-            entries_per_slice: 256,
-        }
-    }
-}
 
-/// A question to the source.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Poll {
-    /// The version held, which deltas are to be built upon; `None` asks for the whole document.
-    pub after: Option<Version>,
-    /// A version that was refused here: only what is later than that is an answer.
-    pub rejected_version: Option<Version>,
-    /// The source may hold the question so long.
-    pub wait: Duration,
-}
-
-/// Why no answer came.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Failure {
-    /// No connection, or it broke.
-    #[error("no answer: {0}")]
-    ConnectionFailed(String),
-    /// The time for an answer is over.
-    #[error("silent")]
-    TimedOut,
-    /// The source has no room for the question.
-    #[error("the source is busy")]
-    Busy,
-    /// Something came that is no message.
-    #[error("answer not understood: {0}")]
-    Malformed(String),
-}
-
-/// Why an answer was not taken.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Rejection {
-    /// A delta for another version than the one held.
-    #[error("a delta from version {from}, while {held} is held")]
-    BaseMismatch {
-        /// What is held.
-        held: Version,
-        /// What the delta changes.
-        from: Version,
-    },
-    /// A delta, and nothing is held.
-    #[error("a delta from version {0}, while none is held")]
-    NoBase(Version),
-    /// The source has gone back.
-    #[error("the source is at version {offered}, which is before {held}")]
-    VersionRollback {
-        /// What is held, or was refused.
-        held: Version,
-        /// What the source is at.
-        offered: Version,
-    },
-    /// Two documents of one version.
-    #[error("version {0} is held with another content")]
-    ContentConflict(Version),
-    /// It cannot be built, or its checksum does not hold.
-    #[error("version {version}: {error}")]
-    Staging {
-        /// What was to be built.
-        version: Version,
-        /// Why it was not.
-        #[source]
-        error: StagingError,
-    },
-    /// The settings that come of it are unsound.
-    #[error("version {version}: {error}")]
-    InvalidSettings {
-        /// The version refused.
-        version: Version,
-        /// What is wrong with it.
-        #[source]
-        error: InvalidSettings,
-    },
-    /// The source repeats a version that was refused here.
-    #[error("version {0} was refused already")]
-    AlreadyRejected(Version),
-}
-
-/// What the driver does next.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NextStep {
-    /// Put this question; its end is told by [`Follower::answered`] or [`Follower::failed`].
-    Poll(Poll),
-    /// Nothing before that time, or before an answer.
-    Wait(Duration),
-    /// Call again at once, or after something else had its turn: a slice is done, and more are to come.
-    Continue,
-    /// Read the [`Follower::candidate`] and tell what came of it by [`Follower::judged`].
-    Validate,
-    /// This version is held now: what was read of it comes into force.
-    Applied(Version),
-    /// Tell the operators.
-    Rejected(Rejection),
-    /// The question is given up; tell the operators.
-    PollFailed(Failure),
-}
-
-/// How the document held stands to the source's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SyncState {
-    /// Nothing is held yet.
-    Empty,
-    /// The source's latest, as far as the last answer tells.
-    Current,
-    /// The source has a later one that is refused here.
-    Rejecting(Version),
-    /// The source does not answer, or with what cannot be taken.
-    Disconnected,
-}
-
-/// How a follower stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowerStatus {
-    /// The version held.
-    pub applied_version: Option<Version>,
-    /// How it stands to the source's.
-    pub sync_state: SyncState,
-    /// At most so long ago the version held was the source's latest: since the question whose answer said so.
-    pub age: Option<Duration>,
-}
+pub use settings::FollowerSettings;
+pub use step::{Failure, FollowerStatus, NextStep, Rejection, SyncState};
 
 #[derive(Debug)]
 enum Phase {
-    Resting { until: Duration },
-    Asked { at: Duration },
+    Idle { until: Duration },
+    Polling { since: Duration },
     Verifying(StagedUpdate),
-    Judging(StagedUpdate),
+    Validating(StagedUpdate),
     Committing(StagedUpdate),
 }
 
-/// The follower's state; times are spans since the process began.
+/// The state machine of a follower; times are spans since the process began.
 #[derive(Debug)]
 pub struct Follower {
     settings: FollowerSettings,
-    pace: Backoff,
+    backoff: Backoff,
     phase: Phase,
-    applied_version: Option<Version>,
+    versions: KnownVersions,
     document: Document,
-    /// The latest version that was refused for its content.
-    refused: Option<Version>,
-    /// The next question is for the whole document.
-    whole: bool,
-    /// When the question was put whose answer is worked on.
-    asked_at: Duration,
-    /// When the question was put after which the version held was last known to be the latest.
+    /// The next poll requests the full document.
+    needs_full_document: bool,
+    /// When the last poll was sent.
+    polled_at: Duration,
+    /// When the last poll was sent whose answer said that the version in force is the latest.
     current_at: Option<Duration>,
-    /// To be told by the next poll.
-    told: Option<NextStep>,
+    /// Returned by the next call of [`Follower::next_step`].
+    pending_step: Option<NextStep>,
 }
 
 impl Follower {
-    /// Nothing is held; the first question is put at once. `seed` spreads its pauses: no other proxy's.
+    /// A follower without a version; it polls at once. `seed` is that of its pauses, and no other proxy's.
     pub fn new(settings: FollowerSettings, seed: u64) -> Follower {
-        let (first, most) = settings.backoff;
         Follower {
             settings,
-            pace: Backoff::new(first, most, seed),
-            phase: Phase::Resting { until: Duration::ZERO },
-            applied_version: None,
+            backoff: Backoff::new(settings.initial_backoff, settings.max_backoff, seed),
+            phase: Phase::Idle { until: Duration::ZERO },
+            versions: KnownVersions::default(),
             document: Document::default(),
-            refused: None,
-            whole: true,
-            asked_at: Duration::ZERO,
+            needs_full_document: true,
+            polled_at: Duration::ZERO,
             current_at: None,
-            told: None,
+            pending_step: None,
         }
     }
 
-    /// The document held.
+    /// The document in force.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The version held.
+    /// The version in force.
     pub fn applied_version(&self) -> Option<Version> {
-        self.applied_version
+        self.versions.applied
     }
 
-    /// How it stands.
+    /// The state at `now`.
     pub fn status(&self, now: Duration) -> FollowerStatus {
-        let standing = match (self.applied_version, self.refused) {
-            _ if self.pace.failures() > 0 => SyncState::Disconnected,
-            (held, Some(refused)) if held.is_none_or(|held| refused > held) => SyncState::Rejecting(refused),
-            (None, _) => SyncState::Empty,
-            (Some(_), _) => SyncState::Current,
-        };
-        let age = self.current_at.map(|at| now.saturating_sub(at));
-        FollowerStatus { applied_version: self.applied_version, sync_state: standing, age }
+        FollowerStatus {
+            applied_version: self.versions.applied,
+            sync_state: self.sync_state(),
+            age: self.current_at.map(|at| now.saturating_sub(at)),
+        }
+    }
+
+    fn sync_state(&self) -> SyncState {
+        if self.backoff.failures() > 0 {
+            return SyncState::Disconnected;
+        }
+        if let Some(rejected) = self.versions.newer_rejected() {
+            return SyncState::Rejecting(rejected);
+        }
+        match self.versions.applied {
+            Some(_) => SyncState::Current,
+            None => SyncState::Empty,
+        }
     }
 
-    /// Does one bounded piece of work and tells what comes next.
+    /// Does one bounded piece of work; returns what the driver does next.
     pub fn next_step(&mut self, now: Duration) -> NextStep {
-        if let Some(told) = self.told.take() {
-            return told;
+        if let Some(step) = self.pending_step.take() {
+            return step;
         }
-        match std::mem::replace(&mut self.phase, Phase::Resting { until: now }) {
-            Phase::Resting { until } if now < until => {
-                self.phase = Phase::Resting { until };
+        match std::mem::replace(&mut self.phase, Phase::Idle { until: now }) {
+            Phase::Idle { until } if now < until => {
+                self.phase = Phase::Idle { until };
                 NextStep::Wait(until)
             }
-            Phase::Resting { .. } => self.ask(now),
-            Phase::Asked { at } => self.wait_for_answer(now, at),
+            Phase::Idle { .. } => self.start_poll(now),
+            Phase::Polling { since } => self.wait_for_answer(now, since),
             Phase::Verifying(staged) => self.verify(now, staged),
-            Phase::Judging(staged) => {
-                self.phase = Phase::Judging(staged);
+            Phase::Validating(staged) => {
+                self.phase = Phase::Validating(staged);
                 NextStep::Validate
             }
             Phase::Committing(staged) => self.commit(staged),
         }
     }
 
-    fn ask(&mut self, now: Duration) -> NextStep {
-        self.asked_at = now;
-        self.phase = Phase::Asked { at: now };
-        let after = self.applied_version.filter(|_| !self.whole);
-        let past = self.refused.filter(|refused| self.applied_version.is_none_or(|held| *refused > held));
-        NextStep::Poll(Poll { after, rejected_version: past, wait: self.settings.poll_wait })
+    fn start_poll(&mut self, now: Duration) -> NextStep {
+        self.polled_at = now;
+        self.phase = Phase::Polling { since: now };
+        NextStep::Poll(Poll {
+            after: self.versions.applied.filter(|_| !self.needs_full_document),
+            rejected_version: self.versions.newer_rejected(),
+            wait: self.settings.poll_wait,
+        })
     }
 
-    fn wait_for_answer(&mut self, now: Duration, at: Duration) -> NextStep {
-        let deadline = at + self.settings.poll_wait + self.settings.poll_timeout;
+    fn wait_for_answer(&mut self, now: Duration, since: Duration) -> NextStep {
+        let deadline = since + self.settings.poll_wait + self.settings.poll_timeout;
         if now < deadline {
-            self.phase = Phase::Asked { at };
+            self.phase = Phase::Polling { since };
             return NextStep::Wait(deadline);
         }
-        self.phase = Phase::Resting { until: now + self.pace.next_pause() };
+        self.back_off(now);
         NextStep::PollFailed(Failure::TimedOut)
     }
 
-    /// An answer has come; without a question that is out it is dropped.
+    /// Handles the answer to the open poll; without one it is dropped.
     pub fn handle_message(&mut self, now: Duration, message: Message) {
-        if !matches!(self.phase, Phase::Asked { .. }) {
+        if !matches!(self.phase, Phase::Polling { .. }) {
             return;
         }
-        self.phase = Phase::Resting { until: now };
+        self.phase = Phase::Idle { until: now };
         match message {
-            Message::Unchanged(version) => self.unchanged(now, version),
-            Message::Delta(delta) => self.offered_delta(now, delta),
-            Message::FullDocument(whole) => self.offered_whole(now, whole),
+            Message::Unchanged(version) => self.handle_unchanged(now, version),
+            Message::Delta(delta) => self.handle_delta(now, delta),
+            Message::FullDocument(full) => self.handle_full_document(now, full),
         }
     }
 
-    /// The question that is out has failed.
+    /// The open poll has failed.
     pub fn poll_failed(&mut self, now: Duration, failure: Failure) {
-        if matches!(self.phase, Phase::Asked { .. }) {
-            self.phase = Phase::Resting { until: now + self.pace.next_pause() };
-            self.told = Some(NextStep::PollFailed(failure));
+        if matches!(self.phase, Phase::Polling { .. }) {
+            self.back_off(now);
+            self.pending_step = Some(NextStep::PollFailed(failure));
         }
     }
 
-    /// The question that is out is given up by the driver: the next is put at once.
+    /// The driver has given up the open poll; the next one follows at once.
     pub fn poll_abandoned(&mut self, now: Duration) {
-        if matches!(self.phase, Phase::Asked { .. }) {
-            self.phase = Phase::Resting { until: now };
+        if matches!(self.phase, Phase::Polling { .. }) {
+            self.phase = Phase::Idle { until: now };
         }
     }
 
-    fn unchanged(&mut self, now: Duration, version: Version) {
-        let known = self.applied_version.max(self.refused);
-        match known {
+    fn handle_unchanged(&mut self, now: Duration, version: Version) {
+        match self.versions.latest() {
             Some(known) if version < known => {
-                self.refuse(now, Rejection::VersionRollback { held: known, offered: version });
+                self.reject(now, Rejection::VersionRollback { known, offered: version });
             }
             Some(known) if version == known => {
-                self.pace.reset();
-                if self.applied_version == Some(version) {
-                    self.current_at = Some(self.asked_at);
+                self.backoff.reset();
+                if self.versions.applied == Some(version) {
+                    self.current_at = Some(self.polled_at);
                 }
             }
-            // It has something later and does not say what: the whole document tells.
+            // The source has a later version without sending it: the full document is needed.
             _ => {
-                self.whole = true;
-                self.phase = Phase::Resting { until: now + self.pace.next_pause() };
+                self.needs_full_document = true;
+                self.back_off(now);
             }
         }
     }
 
-    fn offered_delta(&mut self, now: Duration, delta: Delta) {
-        match self.applied_version {
-            None => self.refuse(now, Rejection::NoBase(delta.from)),
-            Some(held) if held != delta.from => {
-                self.whole |= delta.from.epoch != held.epoch || delta.to > held;
-                self.refuse(now, Rejection::BaseMismatch { held, from: delta.from });
-            }
-            Some(held) if delta.to <= held || delta.to.epoch != held.epoch => {
-                self.refuse(now, Rejection::VersionRollback { held, offered: delta.to });
-            }
-            Some(_) if self.refused.is_some_and(|refused| delta.to <= refused) => {
-                self.refuse(now, Rejection::AlreadyRejected(delta.to));
-            }
-            Some(_) => self.phase = Phase::Verifying(StagedUpdate::from_delta(delta, &self.document)),
+    fn handle_delta(&mut self, now: Duration, delta: Delta) {
+        let Err(rejection) = self.versions.check_delta(&delta) else {
+            self.phase = Phase::Verifying(StagedUpdate::from_delta(delta, &self.document));
+            return;
+        };
+        if let Rejection::BaseMismatch { applied, from } = rejection {
+            self.needs_full_document |= from.epoch != applied.epoch || delta.to > applied;
         }
+        self.reject(now, rejection);
     }
 
-    fn offered_whole(&mut self, now: Duration, whole: FullDocument) {
-        let offered = whole.version;
-        match self.applied_version {
-            Some(held) if offered < held => {
-                self.whole = false;
-                self.refuse(now, Rejection::VersionRollback { held, offered });
-            }
-            Some(held) if offered == held && whole.checksum == self.document.checksum().of_version(held) => {
-                self.whole = false;
-                self.current_at = Some(self.asked_at);
-                self.pace.reset();
-            }
-            Some(held) if offered == held => {
-                self.refuse(now, Rejection::ContentConflict(held));
-                self.rest_before_whole(now);
+    fn handle_full_document(&mut self, now: Duration, full: FullDocument) {
+        let offered = full.version;
+        match self.versions.applied {
+            Some(applied) if offered < applied => {
+                self.needs_full_document = false;
+                self.reject(now, Rejection::VersionRollback { known: applied, offered });
             }
-            _ if self.refused.is_some_and(|refused| offered <= refused) => {
-                self.refuse(now, Rejection::AlreadyRejected(offered));
-                self.rest_before_whole(now);
+            Some(applied) if offered == applied => self.confirm_full_document(now, &full),
+            _ if self.versions.is_rejected(offered) => {
+                self.reject(now, Rejection::AlreadyRejected(offered));
+                self.delay_full_refetch(now);
             }
-            _ => self.phase = Phase::Verifying(StagedUpdate::from_full_document(whole)),
+            _ => self.phase = Phase::Verifying(StagedUpdate::from_full_document(full)),
         }
     }
 
-    fn refuse(&mut self, now: Duration, refusal: Rejection) {
-        self.phase = Phase::Resting { until: now + self.pace.next_pause() };
-        self.told = Some(NextStep::Rejected(refusal));
+    /// Compares the source's document of the version in force with this proxy's.
+    fn confirm_full_document(&mut self, now: Duration, full: &FullDocument) {
+        if full.checksum == self.document.checksum().of_version(full.version) {
+            self.needs_full_document = false;
+            self.current_at = Some(self.polled_at);
+            self.backoff.reset();
+        } else {
+            self.reject(now, Rejection::ContentConflict(full.version));
+            self.delay_full_refetch(now);
+        }
     }
 
-    fn rest_before_whole(&mut self, now: Duration) {
-        self.phase = Phase::Resting { until: now + self.pace.jitter(self.settings.full_refetch_after) };
+    fn back_off(&mut self, now: Duration) {
+        self.phase = Phase::Idle { until: now + self.backoff.next_pause() };
+    }
+
+    fn reject(&mut self, now: Duration, rejection: Rejection) {
+        self.back_off(now);
+        self.pending_step = Some(NextStep::Rejected(rejection));
+    }
+
+    fn delay_full_refetch(&mut self, now: Duration) {
+        self.phase = Phase::Idle { until: now + self.backoff.jitter(self.settings.full_refetch_after) };
     }
 
     fn verify(&mut self, now: Duration, mut staged: StagedUpdate) -> NextStep {
         match staged.verify(&self.document, self.settings.entries_per_slice) {
             Ok(Progress::More) => self.phase = Phase::Verifying(staged),
-            Ok(Progress::Done) => self.phase = Phase::Judging(staged),
+            Ok(Progress::Done) => self.phase = Phase::Validating(staged),
             Err(error) => {
-                let version = staged.target();
-                self.refuse(now, Rejection::Staging { version, error });
+                self.back_off(now);
                 if staged.is_full_document() {
-                    self.rest_before_whole(now);
+                    self.delay_full_refetch(now);
                 }
-                self.whole = true;
-                return self.told.take().unwrap_or(NextStep::Continue);
+                self.needs_full_document = true;
+                return NextStep::Rejected(Rejection::Staging { version: staged.target(), error });
             }
         }
         NextStep::Continue
     }
 
-    /// The version that waits to be judged.
+    /// The version whose settings are to be checked.
     pub fn candidate(&self) -> Option<Candidate<'_>> {
         match &self.phase {
-            Phase::Judging(staged) => Some(staged.candidate(&self.document)),
+            Phase::Validating(staged) => Some(staged.candidate(&self.document)),
             _ => None,
         }
     }
 
-    /// Whether the candidate's settings are sound, and why not. Without a candidate nothing is done.
+    /// Reports whether the candidate's settings are valid; without a candidate nothing is done.
     pub fn candidate_validated(&mut self, now: Duration, verdict: Result<(), InvalidSettings>) {
-        match (std::mem::replace(&mut self.phase, Phase::Resting { until: now }), verdict) {
-            (Phase::Judging(staged), Ok(())) => self.phase = Phase::Committing(staged),
-            (Phase::Judging(staged), Err(error)) => {
+        match (std::mem::replace(&mut self.phase, Phase::Idle { until: now }), verdict) {
+            (Phase::Validating(staged), Ok(())) => self.phase = Phase::Committing(staged),
+            (Phase::Validating(staged), Err(error)) => {
                 let version = staged.target();
-                self.refused = Some(version);
-                // The source is in order, so that its next answer is waited for without a pause.
-                self.pace.reset();
-                self.told = Some(NextStep::Rejected(Rejection::InvalidSettings { version, error }));
+                self.versions.rejected = Some(version);
+                // The source itself works, so that its next answer is polled for without a pause.
+                self.backoff.reset();
+                self.pending_step = Some(NextStep::Rejected(Rejection::InvalidSettings { version, error }));
             }
             (phase, _) => self.phase = phase,
         }
@@ -415,10 +282,10 @@
             self.phase = Phase::Committing(staged);
             return NextStep::Continue;
         }
-        self.applied_version = Some(version);
-        self.whole = false;
-        self.current_at = Some(self.asked_at);
-        self.pace.reset();
+        self.versions.applied = Some(version);
+        self.needs_full_document = false;
+        self.current_at = Some(self.polled_at);
+        self.backoff.reset();
         NextStep::Applied(version)
     }
 }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -1,9 +1,9 @@
-//! The last versions of a source, as what each replaced, bounded in number and bytes.
+//! The values that the last versions of a source replaced, bounded in number and bytes.
 //!
-//! What a version *set* need not be kept: a delta that spans versions takes each entry's present value, or its
-//! absence, so that it carries an entry once, however often it was changed.
+//! The values that a version *set* are not kept: a delta that spans several versions takes each entry's present value, or
+//! its absence, so that it contains an entry once, however often the entry was changed.
 
-use crate::document::Key;
+use crate::entry::Key;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bounds of a history.
@@ -11,82 +11,83 @@
 pub struct HistoryBounds {
     /// Versions.
     pub versions: usize,
-    /// Bytes of all names and values kept, and of what keeps them.
+    /// Bytes of all names and values, and of the entries' overhead in memory.
     pub bytes: usize,
 }
 
 impl Default for HistoryBounds {
-    /// Two and a half days at 1,600 changes a day, and a few whole documents' bytes.
+    /// Two and a half days at 1,600 changes a day, and the bytes of a few full documents.
     fn default() -> HistoryBounds {
         HistoryBounds { versions: 4_096, bytes: 32 * 1024 * 1024 }
     }
 }
 
-/// Entries and the values that stood there; `None` where there was no such entry.
+/// Entries and their values before a change; `None` where the entry did not exist.
 pub type PreviousValues = BTreeMap<Key, Option<Box<str>>>;
 
-/// What a version replaced.
+/// The values that one version replaced.
 #[derive(Debug)]
-struct Replaced {
-    former: PreviousValues,
+struct ReplacedValues {
+    values: PreviousValues,
     bytes: usize,
 }
 
-/// What the last versions replaced, the latest last.
+/// The values that the last versions replaced, the latest version last.
 #[derive(Debug)]
 pub struct History {
     bounds: HistoryBounds,
-    replaced: VecDeque<Replaced>,
+    versions: VecDeque<ReplacedValues>,
     bytes: usize,
 }
 
-/// Bytes that an entry holds beside its texts: key, value and their places in the map.
-const PER_ENTRY: usize = 64;
+/// Memory of an entry besides its texts, bytes: key, value and their places in the map.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
+
+fn entry_bytes((key, value): (&Key, &Option<Box<str>>)) -> usize {
+    key.name.len() + value.as_ref().map_or(0, |value| value.len()) + ENTRY_OVERHEAD_BYTES
+}
 
 impl History {
-    /// Of no version yet.
+    /// An empty history.
     pub fn new(bounds: HistoryBounds) -> History {
-        History { bounds, replaced: VecDeque::new(), bytes: 0 }
+        History { bounds, versions: VecDeque::new(), bytes: 0 }
     }
 
-    /// One more version replaced these; the oldest are dropped beyond the bounds.
-    pub fn push(&mut self, former: PreviousValues) {
-        let text = |(key, value): (&Key, &Option<Box<str>>)| {
-            key.name.len() + value.as_ref().map_or(0, |value| value.len()) + PER_ENTRY
-        };
-        let bytes = former.iter().map(text).sum();
+    /// Adds the values that one more version replaced, and drops the oldest versions beyond the bounds.
+    pub fn push(&mut self, values: PreviousValues) {
+        let bytes = values.iter().map(entry_bytes).sum();
         self.bytes += bytes;
-        self.replaced.push_back(Replaced { former, bytes });
-        while self.replaced.len() > self.bounds.versions || self.bytes > self.bounds.bytes {
-            let Some(oldest) = self.replaced.pop_front() else { break };
+        self.versions.push_back(ReplacedValues { values, bytes });
+        while self.versions.len() > self.bounds.versions || self.bytes > self.bounds.bytes {
+            let Some(oldest) = self.versions.pop_front() else { break };
             self.bytes -= oldest.bytes;
         }
     }
 
-    /// What the last `versions` versions replaced, each entry with the value before all of them; `None` where so many
-    /// are not kept.
+    /// All entries that the last `versions` versions changed, with their values before these versions; `None` where the
+    /// history does not reach back so far.
     pub fn previous_values(&self, versions: u64) -> Option<PreviousValues> {
         let versions = usize::try_from(versions).ok()?;
-        let first = self.replaced.len().checked_sub(versions)?;
-        let mut all = PreviousValues::new();
-        for replaced in self.replaced.iter().skip(first) {
-            for (key, value) in &replaced.former {
-                if !all.contains_key(key) {
-                    all.insert(key.clone(), value.clone());
+        let first = self.versions.len().checked_sub(versions)?;
+        let mut earliest = PreviousValues::new();
+        for replaced in self.versions.iter().skip(first) {
+            for (key, value) in &replaced.values {
+                if !earliest.contains_key(key) {
+                    earliest.insert(key.clone(), value.clone());
                 }
             }
         }
-        Some(all)
+        Some(earliest)
     }
 
-    /// Versions kept.
+    /// Number of versions kept.
     pub fn len(&self) -> usize {
-        self.replaced.len()
+        self.versions.len()
     }
 
-    /// None is kept.
+    /// Whether no version is kept.
     pub fn is_empty(&self) -> bool {
-        self.replaced.is_empty()
+        self.versions.is_empty()
     }
 
     /// Bytes kept.
--- a/crates/configuration/src/long_poll.rs
+++ b/crates/configuration/src/long_poll.rs
@@ -1,198 +1,220 @@
-//! The bounded buffers of a source for its followers: who waits for something later, and who takes an answer.
+//! The followers of a source that have a poll open: those that wait for a later version, and those that receive an
+//! answer.
 //!
-//! A follower has one question at a time, and its answer is shared with all others that get the same, so that a slow one
-//! holds a pointer and a place until its time is over, and no other waits for it.
+//! A follower has one poll at a time. Its answer is shared with all followers that get the same one, so that a slow
+//! follower costs the source a pointer and a place until its time is over, and delays no other.
 
-use crate::follower::Poll;
+use crate::poll::Poll;
 use crate::source::{Source, SourceAnswer};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// Bounds of a desk.
+/// Bounds of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueBounds {
-    /// Followers with a question at a time: three times the 1,200 planned for.
-    pub followers: usize,
-    /// An answer that was not taken whole by then is given up.
-    pub answer_within: Duration,
-    /// Bytes of all answers that are on their way; one that many followers take counts once.
-    pub bytes: usize,
-    /// Followers that take an answer of over [`LARGE_ANSWER_BYTES`] bytes at a time; the others are told to come again. Without
-    /// it, where all ask for the whole document at once, each gets so small a part of the source's line that none
-    /// has all of it in time, and every byte of it is sent in vain.
-    pub max_large: usize,
-    /// The longest wait of a question, whatever it asks for.
+    /// Followers with a poll at a time: three times the 1,200 planned for.
+    pub max_followers: usize,
+    /// An answer that the follower has not received completely by then is given up.
+    pub answer_timeout: Duration,
+    /// Bytes of all answers being sent; one that several followers receive counts once.
+    pub max_buffered_bytes: usize,
+    /// Followers that receive an answer of over [`LARGE_ANSWER_BYTES`] at a time; others get [`PollReply::Busy`].
+    /// Without this bound, when all followers request the full document at once, each would get so little of the source's
+    /// bandwidth that none would have received it before the timeout.
+    pub max_large_answers: usize,
+    /// The longest wait of a poll, whatever it requests.
     pub max_wait: Duration,
 }
 
 impl Default for QueueBounds {
     fn default() -> QueueBounds {
         QueueBounds {
-            followers: 4_096,
-            answer_within: Duration::from_secs(15),
-            bytes: 256 * 1024 * 1024,
-            max_large: 64,
+            max_followers: 4_096,
+            answer_timeout: Duration::from_secs(15),
+            max_buffered_bytes: 256 * 1024 * 1024,
+            max_large_answers: 64,
             max_wait: Duration::from_secs(30),
         }
     }
 }
 
-/// Beyond so many bytes an answer counts as large: a delta of hundreds of entries is smaller.
+/// An answer of more bytes counts as large: a delta of hundreds of entries is smaller.
 pub const LARGE_ANSWER_BYTES: usize = 64 * 1024;
 
 /// A connection of a follower, as the driver numbers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FollowerId(pub u64);
 
-/// What becomes of a question.
+/// The reply to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollReply {
-    /// Write this, and tell how far it is by [`LongPollQueue::written`].
+    /// Write this answer, and report the progress by [`LongPollQueue::bytes_written`].
     Write(Arc<str>),
-    /// Nothing yet.
+    /// The poll waits; there is nothing to write yet.
     Parked,
-    /// There is no room: say so and close.
+    /// There is no capacity: report that the source is busy, and close the connection.
     Busy,
 }
 
-/// What became of a follower whose time is over.
+/// What happens to a follower whose time is over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// Its wait: write this.
-    Write(FollowerId, Arc<str>),
-    /// The time for taking its answer: close its connection.
-    Close(FollowerId),
+    /// The wait of its poll is over: write this answer.
+    Write {
+        /// The follower.
+        follower: FollowerId,
+        /// That nothing has changed.
+        answer: Arc<str>,
+    },
+    /// It has not received its answer in time, or there is no capacity for one: close its connection.
+    Close {
+        /// The follower.
+        follower: FollowerId,
+    },
 }
 
 #[derive(Debug)]
 enum PollState {
-    Parked { ask: Poll, until: Duration },
-    Writing { answer: Arc<str>, written: usize, until: Duration },
+    Parked { poll: Poll, expires_at: Duration },
+    Writing { answer: Arc<str>, written_bytes: usize, expires_at: Duration },
 }
 
-/// Followers with a question.
+impl PollState {
+    fn expires_at(&self) -> Duration {
+        match self {
+            PollState::Parked { expires_at, .. } | PollState::Writing { expires_at, .. } => *expires_at,
+        }
+    }
+
+    fn is_large_answer(&self) -> bool {
+        matches!(self, PollState::Writing { answer, .. } if answer.len() > LARGE_ANSWER_BYTES)
+    }
+}
+
+/// All open polls of a source.
 #[derive(Debug)]
 pub struct LongPollQueue {
     bounds: QueueBounds,
-    turns: BTreeMap<FollowerId, PollState>,
-    /// Answers that may still be on their way.
+    polls: BTreeMap<FollowerId, PollState>,
+    /// Answers that may still be being sent, each once.
     answers: Vec<Weak<str>>,
 }
 
 impl LongPollQueue {
-    /// For no follower yet.
+    /// A queue without polls.
     pub fn new(bounds: QueueBounds) -> LongPollQueue {
-        LongPollQueue { bounds, turns: BTreeMap::new(), answers: Vec::new() }
+        LongPollQueue { bounds, polls: BTreeMap::new(), answers: Vec::new() }
     }
 
-    /// Followers with a question.
+    /// Number of followers with a poll.
     pub fn len(&self) -> usize {
-        self.turns.len()
+        self.polls.len()
     }
 
-    /// Nobody has a question.
+    /// Whether no follower has a poll.
     pub fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.polls.is_empty()
     }
 
-    /// Bytes of all answers that are on their way.
+    /// Bytes of all answers being sent.
     pub fn buffered_bytes(&mut self) -> usize {
         self.answers.retain(|answer| answer.strong_count() > 0);
         self.answers.iter().filter_map(Weak::upgrade).map(|answer| answer.len()).sum()
     }
 
-    /// A follower asks. One that asks while its answer is on its way breaks the protocol, and is closed.
-    pub fn poll(&mut self, source: &mut Source, now: Duration, id: FollowerId, ask: Poll) -> PollReply {
-        if self.turns.len() >= self.bounds.followers || self.turns.contains_key(&id) {
+    /// Handles a follower's poll. A poll while the answer to the previous one is being sent violates the protocol and
+    /// gets [`PollReply::Busy`].
+    pub fn poll(&mut self, source: &mut Source, now: Duration, id: FollowerId, poll: Poll) -> PollReply {
+        if self.polls.len() >= self.bounds.max_followers || self.polls.contains_key(&id) {
             return PollReply::Busy;
         }
-        match source.answer_poll(&ask) {
-            SourceAnswer::Now(answer) => self.write(now, id, answer),
+        match source.answer_poll(&poll) {
+            SourceAnswer::Now(answer) => self.start_answer(now, id, answer),
             SourceAnswer::Later => {
-                let until = now + ask.wait.min(self.bounds.max_wait);
-                self.turns.insert(id, PollState::Parked { ask, until });
+                let expires_at = now + poll.wait.min(self.bounds.max_wait);
+                self.polls.insert(id, PollState::Parked { poll, expires_at });
                 PollReply::Parked
             }
         }
     }
 
-    fn write(&mut self, now: Duration, id: FollowerId, answer: Arc<str>) -> PollReply {
-        if !self.room_for(&answer) {
-            self.turns.remove(&id);
+    fn start_answer(&mut self, now: Duration, id: FollowerId, answer: Arc<str>) -> PollReply {
+        if !self.reserve_capacity(&answer) {
+            self.polls.remove(&id);
             return PollReply::Busy;
         }
-        let until = now + self.bounds.answer_within;
-        self.turns.insert(id, PollState::Writing { answer: answer.clone(), written: 0, until });
+        let expires_at = now + self.bounds.answer_timeout;
+        self.polls.insert(id, PollState::Writing { answer: answer.clone(), written_bytes: 0, expires_at });
         PollReply::Write(answer)
     }
 
-    /// One more follower may take this answer; it counts as being on its way from now on.
-    fn room_for(&mut self, answer: &Arc<str>) -> bool {
-        let large = |turn: &&PollState| matches!(turn, PollState::Writing { answer, .. } if answer.len() > LARGE_ANSWER_BYTES);
-        if answer.len() > LARGE_ANSWER_BYTES
-            && self.turns.values().filter(large).count() >= self.bounds.max_large
-        {
+    /// Whether one more follower may receive this answer, which then counts as being sent.
+    fn reserve_capacity(&mut self, answer: &Arc<str>) -> bool {
+        let is_large = answer.len() > LARGE_ANSWER_BYTES;
+        if is_large && self.large_answers() >= self.bounds.max_large_answers {
             return false;
         }
         if self.answers.iter().any(|known| std::ptr::addr_eq(known.as_ptr(), Arc::as_ptr(answer))) {
             return true;
         }
-        if self.buffered_bytes() + answer.len() > self.bounds.bytes {
+        if self.buffered_bytes() + answer.len() > self.bounds.max_buffered_bytes {
             return false;
         }
         self.answers.push(Arc::downgrade(answer));
         true
     }
 
-    /// The source has published: what each follower that waited gets.
+    fn large_answers(&self) -> usize {
+        self.polls.values().filter(|state| state.is_large_answer()).count()
+    }
+
+    /// After the source has published: the replies to the polls that waited for it.
     pub fn publish(&mut self, source: &mut Source, now: Duration) -> Vec<(FollowerId, PollReply)> {
-        let mut replies = Vec::new();
-        let waiting = |(id, turn): (&FollowerId, &PollState)| match turn {
-            PollState::Parked { ask, .. } => Some((*id, *ask)),
+        let parked = |(id, state): (&FollowerId, &PollState)| match state {
+            PollState::Parked { poll, .. } => Some((*id, *poll)),
             PollState::Writing { .. } => None,
         };
-        let parked: Vec<(FollowerId, Poll)> = self.turns.iter().filter_map(waiting).collect();
-        for (id, ask) in parked {
-            if let SourceAnswer::Now(answer) = source.answer_poll(&ask) {
-                replies.push((id, self.write(now, id, answer)));
+        let parked: Vec<(FollowerId, Poll)> = self.polls.iter().filter_map(parked).collect();
+        let mut replies = Vec::new();
+        for (id, poll) in parked {
+            if let SourceAnswer::Now(answer) = source.answer_poll(&poll) {
+                replies.push((id, self.start_answer(now, id, answer)));
             }
         }
         replies
     }
 
-    /// So many more bytes of its answer were taken; with the last one the follower may ask again.
+    /// Records that a follower has received so many more bytes; after the last one it may poll again.
     pub fn bytes_written(&mut self, id: FollowerId, bytes: usize) {
-        if let Some(PollState::Writing { answer, written, .. }) = self.turns.get_mut(&id) {
-            *written += bytes;
-            if *written >= answer.len() {
-                self.turns.remove(&id);
+        if let Some(PollState::Writing { answer, written_bytes, .. }) = self.polls.get_mut(&id) {
+            *written_bytes += bytes;
+            if *written_bytes >= answer.len() {
+                self.polls.remove(&id);
             }
         }
     }
 
-    /// Its connection has ended.
+    /// Removes a follower whose connection has ended.
     pub fn disconnect(&mut self, id: FollowerId) {
-        self.turns.remove(&id);
+        self.polls.remove(&id);
     }
 
-    /// Followers whose time is over.
+    /// Ends the waits and the answers whose time is over.
     pub fn expire(&mut self, source: &Source, now: Duration) -> Vec<Eviction> {
-        let over = |(id, turn): (&FollowerId, &PollState)| match turn {
-            PollState::Parked { until, .. } if *until <= now => Some((*id, true)),
-            PollState::Writing { until, .. } if *until <= now => Some((*id, false)),
-            _ => None,
-        };
-        let over: Vec<(FollowerId, bool)> = self.turns.iter().filter_map(over).collect();
-        let mut told = Vec::new();
+        let expired = self.polls.iter().filter(|(_, state)| state.expires_at() <= now);
+        let expired: Vec<FollowerId> = expired.map(|(id, _)| *id).collect();
         let unchanged = source.unchanged_message();
-        for (id, waited) in over {
-            self.turns.remove(&id);
-            match waited.then(|| self.write(now, id, unchanged.clone())) {
-                Some(PollReply::Write(answer)) => told.push(Eviction::Write(id, answer)),
-                _ => told.push(Eviction::Close(id)),
-            }
+        expired.into_iter().map(|id| self.evict(now, id, &unchanged)).collect()
+    }
+
+    fn evict(&mut self, now: Duration, follower: FollowerId, unchanged: &Arc<str>) -> Eviction {
+        let Some(PollState::Parked { .. }) = self.polls.remove(&follower) else {
+            return Eviction::Close { follower };
+        };
+        match self.start_answer(now, follower, unchanged.clone()) {
+            PollReply::Write(answer) => Eviction::Write { follower, answer },
+            PollReply::Parked | PollReply::Busy => Eviction::Close { follower },
         }
-        told
     }
 }
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,11 +1,13 @@
 //! The publishing side: the one owner of the document, its versions, and the answers to followers.
 
-use crate::delta::{Delta, Entry, FullDocument};
-use crate::document::{to_settings, Document, DocumentError, Key};
-use crate::follower::Poll;
+use crate::delta::{Delta, FullDocument};
+use crate::document::{to_settings, Document, DocumentError};
+use crate::encoding::encode;
+use crate::entry::{Entry, Key};
 use crate::history::{History, HistoryBounds, PreviousValues};
 use crate::invalid_settings::InvalidSettings;
-use crate::message::{encode, Message};
+use crate::message::Message;
+use crate::poll::Poll;
 use crate::staging::{Progress, StagedUpdate, StagingError};
 use crate::version::Version;
 use serde_json::Value;
@@ -13,43 +15,43 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What a version changed.
+/// A version that was published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// The version that came of it.
+    /// The version.
     pub version: Version,
-    /// Entries new or with another value.
+    /// Number of entries that are new or have another value.
     pub changed: usize,
-    /// Entries left out.
+    /// Number of entries removed.
     pub removed: usize,
 }
 
-/// Why nothing was published; the version before stays the latest.
+/// Why nothing was published; the latest version stays the same.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// The settings are none that a document can hold.
+    /// No document can hold the settings.
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// The changes do not fit the document.
     #[error(transparent)]
     Staging(#[from] StagingError),
-    /// The settings are unsound, as the check tells.
+    /// The check rejects the settings.
     #[error("invalid settings: {0}")]
     InvalidSettings(#[from] InvalidSettings),
     /// Nothing differs from the latest version.
     #[error("nothing changes")]
     NoChange,
-    /// A version that is to be restored is no longer kept.
+    /// The history does not reach back to the version that is to be restored.
     #[error("version {0} is not kept")]
     VersionNotRetained(Version),
 }
 
-/// What a question gets.
+/// The source's answer to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceAnswer {
-    /// At once.
+    /// The text of a message.
     Now(Arc<str>),
-    /// When there is something later, or with `unchanged` when its wait is over.
+    /// The poll waits until there is something later, or for [`Source::unchanged_message`] when its wait is over.
     Later,
 }
 
@@ -59,28 +61,32 @@
     version: Version,
     document: Document,
     history: History,
-    /// Texts of answers that several followers get alike, by what they were asked after; of the latest version only.
-    texts: BTreeMap<Option<Version>, Arc<str>>,
+    /// Texts of answers at the latest version, by the version that the followers have.
+    cached_answers: BTreeMap<Option<Version>, Arc<str>>,
 }
 
-/// Texts kept at a time: followers that missed nothing ask after one version, those that missed some after few others.
-const MOST_TEXTS: usize = 16;
-/// Entries that are verified or committed in one go here: the source's owner bounds the document.
-const ALL: usize = usize::MAX;
+/// Most followers have the same version, and those that missed some have one of a few others.
+const MAX_CACHED_ANSWERS: usize = 16;
+/// The source verifies and commits its own changes at once.
+const ALL_ENTRIES: usize = usize::MAX;
 
 impl Source {
-    /// Begins an epoch with this document as its first version. `check` is the one that followers make.
+    /// Begins an epoch with these settings as its first version. `check` is the check that followers make, too.
     ///
     /// # Errors
-    /// What is wrong with the settings.
+    /// No document can hold the settings, or the check rejects them.
     pub fn new(
         epoch: u64, settings: &Value, bounds: HistoryBounds,
         check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Source, PublishError> {
         let document = Document::from_settings(settings)?;
         check(&to_settings(document.iter())?)?;
-        let version = Version::first(epoch);
-        Ok(Source { version, document, history: History::new(bounds), texts: BTreeMap::new() })
+        Ok(Source {
+            version: Version::first(epoch),
+            document,
+            history: History::new(bounds),
+            cached_answers: BTreeMap::new(),
+        })
     }
 
     /// The latest version.
@@ -88,12 +94,12 @@
         self.version
     }
 
-    /// Its document.
+    /// The document of the latest version.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// What is kept of the versions before.
+    /// What the earlier versions replaced.
     pub fn history(&self) -> &History {
         &self.history
     }
@@ -101,13 +107,13 @@
     /// Publishes these settings as the next version.
     ///
     /// # Errors
-    /// What is wrong with them, or that nothing changes.
+    /// The settings are not valid, or nothing changes.
     pub fn publish(
         &mut self, settings: &Value, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
         let new = Document::from_settings(settings)?;
-        let differs = |key: &Key, value: &str| self.document.get(key) != Some(value);
-        let changed = new.entries().into_iter().filter(|entry| differs(&entry.key, &entry.value)).collect();
+        let mut changed = new.entries();
+        changed.retain(|entry| self.document.get(&entry.key) != Some(&*entry.value));
         let removed = self.document.iter().map(|(key, _)| key).filter(|key| new.get(key).is_none());
         self.publish_changes(changed, removed.cloned().collect(), check)
     }
@@ -115,7 +121,7 @@
     /// Publishes changes of single entries as the next version.
     ///
     /// # Errors
-    /// What is wrong with them, or that nothing changes.
+    /// The changes are not valid, or there are none.
     pub fn publish_changes(
         &mut self, changed: Vec<Entry>, removed: Vec<Key>,
         check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
@@ -123,54 +129,55 @@
         if changed.is_empty() && removed.is_empty() {
             return Err(PublishError::NoChange);
         }
-        let mut former = PreviousValues::new();
+        let mut previous = PreviousValues::new();
         for key in changed.iter().map(|entry| &entry.key).chain(&removed) {
-            former.insert(key.clone(), self.document.get(key).map(Box::from));
+            previous.insert(key.clone(), self.document.get(key).map(Box::from));
         }
         let version = self.version.next();
         let publication = Publication { version, changed: changed.len(), removed: removed.len() };
         let mut staged = self.stage(version, changed, removed)?;
         let settings = staged.candidate(&self.document).to_settings()?;
         check(&settings)?;
-        while staged.commit(&mut self.document, ALL) == Progress::More {}
+        while staged.commit(&mut self.document, ALL_ENTRIES) == Progress::More {}
         self.version = version;
-        self.history.push(former);
-        self.texts.clear();
+        self.history.push(previous);
+        self.cached_answers.clear();
         Ok(publication)
     }
 
-    /// The changes over the document, verified.
+    /// The verified changes of the document.
     fn stage(
         &self, to: Version, changed: Vec<Entry>, removed: Vec<Key>,
     ) -> Result<StagedUpdate, PublishError> {
         let mut checksum = self.document.checksum();
-        for (key, value) in removed.iter().map(|key| (key, None)).chain(changed.iter().map(Entry::parts)) {
-            if let Some(old) = self.document.get(key) {
-                checksum.subtract(key, old);
-            }
-            if let Some(value) = value {
-                checksum.add(key, value);
+        for key in removed.iter().chain(changed.iter().map(|entry| &entry.key)) {
+            if let Some(previous) = self.document.get(key) {
+                checksum.subtract(key, previous);
             }
         }
+        for entry in &changed {
+            checksum.add(&entry.key, &entry.value);
+        }
         let checksum = checksum.of_version(to);
         let delta = Delta { from: self.version, to, changed, removed, checksum };
         let mut staged = StagedUpdate::from_delta(delta, &self.document);
-        staged.verify(&self.document, ALL)?;
+        staged.verify(&self.document, ALL_ENTRIES)?;
         Ok(staged)
     }
 
-    /// Takes back all that came after `version`, by a new version with the entries as they stood then.
+    /// Reverts everything after `version` by publishing a new version with the entries of that one.
     ///
     /// # Errors
-    /// That version is no longer kept, or its settings are unsound by now.
+    /// The history does not reach back to that version, or its settings are no longer valid.
     pub fn revert_to(
         &mut self, version: Version, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
-        let former = self.former(version).ok_or(PublishError::VersionNotRetained(version))?;
-        let (mut changed, mut removed) = (Vec::new(), Vec::new());
-        for (key, value) in former {
+        let previous = self.values_at(version).ok_or(PublishError::VersionNotRetained(version))?;
+        let mut changed = Vec::new();
+        let mut removed = Vec::new();
+        for (key, value) in previous {
             match (self.document.get(&key), value) {
-                (now, Some(value)) if now != Some(&*value) => changed.push(Entry { key, value }),
+                (present, Some(value)) if present != Some(&*value) => changed.push(Entry { key, value }),
                 (Some(_), None) => removed.push(key),
                 _ => {}
             }
@@ -178,56 +185,60 @@
         self.publish_changes(changed, removed, check)
     }
 
-    fn former(&self, version: Version) -> Option<PreviousValues> {
+    /// The values at `version` of all entries that were changed since.
+    fn values_at(&self, version: Version) -> Option<PreviousValues> {
         if version.epoch != self.version.epoch {
             return None;
         }
         self.history.previous_values(self.version.number.checked_sub(version.number)?)
     }
 
-    /// What a question gets; see [`Poll`].
-    pub fn answer_poll(&mut self, ask: &Poll) -> SourceAnswer {
+    /// The answer to a poll.
+    pub fn answer_poll(&mut self, poll: &Poll) -> SourceAnswer {
         let latest = self.version;
-        let known = ask.after.max(ask.rejected_version);
+        let known = poll.after.max(poll.rejected_version);
         match known {
-            // A follower knows a later version: this source has gone back, which is theirs to tell.
+            // The follower knows a later version: this source was rolled back, which the follower reports.
             Some(known) if known > latest => SourceAnswer::Now(self.unchanged_message()),
             Some(known) if known == latest => SourceAnswer::Later,
-            _ => SourceAnswer::Now(self.text(ask.after)),
+            _ => SourceAnswer::Now(self.update_message(poll.after)),
         }
     }
 
-    /// The answer to a question whose wait is over.
+    /// The answer to a poll whose wait is over.
     pub fn unchanged_message(&self) -> Arc<str> {
         encode(&Message::Unchanged(self.version)).into()
     }
 
-    fn text(&mut self, after: Option<Version>) -> Arc<str> {
-        if let Some(text) = self.texts.get(&after) {
+    /// The message that brings a follower from `after` to the latest version.
+    fn update_message(&mut self, after: Option<Version>) -> Arc<str> {
+        if let Some(text) = self.cached_answers.get(&after) {
             return text.clone();
         }
         let text: Arc<str> = match after.and_then(|after| self.delta(after)) {
             Some(delta) => encode(&Message::Delta(delta)).into(),
-            None if after.is_some() => self.text(None),
+            None if after.is_some() => self.update_message(None),
             None => encode(&Message::FullDocument(self.full_document())).into(),
         };
-        if self.texts.len() >= MOST_TEXTS {
-            self.texts.pop_last();
+        if self.cached_answers.len() >= MAX_CACHED_ANSWERS {
+            self.cached_answers.pop_last();
         }
-        self.texts.insert(after, text.clone());
+        self.cached_answers.insert(after, text.clone());
         text
     }
 
-    /// The change from `after` to the latest version; `None` where that is not kept, or larger than the whole.
+    /// The change from `after` to the latest version; `None` where the history does not reach back so far, or where the
+    /// change is larger than the full document.
     pub fn delta(&self, after: Version) -> Option<Delta> {
-        let former = self.former(after)?;
-        let (mut changed, mut removed, mut bytes) = (Vec::new(), Vec::new(), 0);
-        for (key, value) in former {
+        let mut changed = Vec::new();
+        let mut removed = Vec::new();
+        let mut bytes = 0;
+        for (key, value) in self.values_at(after)? {
             bytes += key.name.len();
             match (self.document.get(&key), value) {
-                (Some(now), value) if value.as_deref() != Some(now) => {
-                    bytes += now.len();
-                    changed.push(Entry { key, value: now.into() });
+                (Some(present), value) if value.as_deref() != Some(present) => {
+                    bytes += present.len();
+                    changed.push(Entry { key, value: present.into() });
                 }
                 (None, Some(_)) => removed.push(key),
                 _ => {}
@@ -238,16 +249,12 @@
         (bytes < self.document.bytes()).then_some(delta)
     }
 
-    /// All of the latest version.
+    /// All entries of the latest version.
     pub fn full_document(&self) -> FullDocument {
-        let entries = self.document.entries();
-        let checksum = self.document.checksum().of_version(self.version);
-        FullDocument { version: self.version, entries, checksum }
-    }
-}
-
-impl Entry {
-    fn parts(&self) -> (&Key, Option<&str>) {
-        (&self.key, Some(&self.value))
+        FullDocument {
+            version: self.version,
+            entries: self.document.entries(),
+            checksum: self.document.checksum().of_version(self.version),
+        }
     }
 }
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -1,248 +1,171 @@
-//! A version that is built beside the document held, a bounded number of entries at a time.
+//! A version that is built without touching the document in force, a bounded number of entries at a time.
 //!
-//! Until its checksum over the whole holds and the settings that come of it are found sound, the document held is not
-//! touched. From then on nothing can fail, and the entries go into the document held, again in slices.
+//! The document in force stays as it is until the checksum over the new one matches and its settings are found valid.
+//! From then on nothing can fail, and the entries are moved into the document in force, again in slices.
+
+mod error;
+mod overlay;
 
 use crate::checksum::Checksum;
-use crate::delta::{Delta, Entry, FullDocument};
-use crate::document::{check_entry, check_key, check_size, to_settings, Document, DocumentError, Key};
+use crate::delta::{Delta, FullDocument};
+use crate::document::{check_entry, check_size, to_settings, Document, DocumentError};
+use crate::entry::Entry;
 use crate::version::Version;
+use overlay::{Change, Overlay};
 use serde_json::Value;
-use std::collections::btree_map;
-use std::collections::BTreeMap;
-use std::iter::Peekable;
-use thiserror::Error;
-
-/// Why a version cannot be built upon the document held.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum StagingError {
-    /// An entry is told twice, or both changed and removed.
-    #[error("{0}: told twice")]
-    DuplicateEntry(Key),
-    /// An entry is removed that is not there.
-    #[error("{0}: removed, and not there")]
-    MissingEntry(Key),
-    /// An entry, or all together, are beyond what a document holds.
-    #[error(transparent)]
-    Document(#[from] DocumentError),
-    /// The whole that came of it is another than the source's.
-    #[error("checksum over the whole: expected {expected}, got {got}")]
-    ChecksumMismatch {
-        /// The source's.
-        expected: Checksum,
-        /// Of what came of it here.
-        got: Checksum,
-    },
-}
 
-/// How far a version is built.
+pub use error::StagingError;
+
+/// How far a version has been verified or committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More slices are to come.
+    /// Entries are left.
     More,
-    /// All entries are in.
+    /// All entries are processed.
     Done,
 }
 
-/// A version on its way to be held.
+/// A version on its way to be applied.
 #[derive(Clone, Debug)]
 pub struct StagedUpdate {
     target: Version,
     expected: Checksum,
-    parts: Parts,
+    content: Content,
 }
 
 #[derive(Clone, Debug)]
-enum Parts {
-    /// Laid over the document held; `None` takes an entry out.
-    Eviction { waiting: std::vec::IntoIter<NextStep>, overlay: Overlay, size: Size, checksum: Checksum },
-    /// In place of the document held.
-    Anew { waiting: std::vec::IntoIter<Entry>, document: Document },
-}
-
-type NextStep = (Key, Option<Box<str>>);
-type Overlay = BTreeMap<Key, Option<Box<str>>>;
-
-/// Entries and bytes of the document that is to come.
-#[derive(Clone, Copy, Debug, Default)]
-struct Size {
-    entries: usize,
-    bytes: usize,
+enum Content {
+    /// Changes of the document in force.
+    Delta { pending: std::vec::IntoIter<Change>, overlay: Overlay },
+    /// Replaces the document in force.
+    FullDocument { pending: std::vec::IntoIter<Entry>, document: Document },
 }
 
 impl StagedUpdate {
-    /// A delta for the document held.
-    pub fn from_delta(delta: Delta, held: &Document) -> StagedUpdate {
-        let Delta { to, changed, removed, checksum, .. } = delta;
-        let mut steps: Vec<NextStep> = removed.into_iter().map(|key| (key, None)).collect();
-        steps.extend(changed.into_iter().map(|entry| (entry.key, Some(entry.value))));
-        let parts = Parts::Eviction {
-            waiting: steps.into_iter(),
-            overlay: Overlay::new(),
-            size: Size { entries: held.len(), bytes: held.bytes() },
-            checksum: held.checksum(),
-        };
-        StagedUpdate { target: to, expected: checksum, parts }
+    /// Stages a delta for the document in force.
+    pub fn from_delta(delta: Delta, base: &Document) -> StagedUpdate {
+        let removed = delta.removed.into_iter().map(|key| Change { key, value: None });
+        let mut changes: Vec<Change> = removed.collect();
+        changes
+            .extend(delta.changed.into_iter().map(|Entry { key, value }| Change { key, value: Some(value) }));
+        StagedUpdate {
+            target: delta.to,
+            expected: delta.checksum,
+            content: Content::Delta { pending: changes.into_iter(), overlay: Overlay::new(base) },
+        }
     }
 
-    /// A whole document.
-    pub fn from_full_document(whole: FullDocument) -> StagedUpdate {
-        let parts = Parts::Anew { waiting: whole.entries.into_iter(), document: Document::default() };
-        StagedUpdate { target: whole.version, expected: whole.checksum, parts }
+    /// Stages a full document.
+    pub fn from_full_document(full: FullDocument) -> StagedUpdate {
+        let pending = full.entries.into_iter();
+        StagedUpdate {
+            target: full.version,
+            expected: full.checksum,
+            content: Content::FullDocument { pending, document: Document::default() },
+        }
     }
 
-    /// The version that it is.
+    /// The version that is staged.
     pub fn target(&self) -> Version {
         self.target
     }
 
-    /// It is a whole document.
+    /// Whether the version replaces the document in force.
     pub fn is_full_document(&self) -> bool {
-        matches!(self.parts, Parts::Anew { .. })
+        matches!(self.content, Content::FullDocument { .. })
     }
 
-    /// Takes in `most` more entries at most; with the last one the checksum over the whole is compared.
+    /// Verifies up to `max_entries` more entries; after the last one the checksum over the document is compared.
     ///
     /// # Errors
-    /// What is wrong with the version; nothing of it may be used then.
-    pub fn verify(&mut self, held: &Document, most: usize) -> Result<Progress, StagingError> {
-        let got = match &mut self.parts {
-            Parts::Eviction { waiting, overlay, size, checksum } => {
-                for (key, value) in waiting.by_ref().take(most) {
-                    lay(held, overlay, size, checksum, key, value)?;
-                }
-                if !waiting.as_slice().is_empty() {
-                    return Ok(Progress::More);
-                }
-                check_size(size.entries, size.bytes)?;
-                *checksum
-            }
-            Parts::Anew { waiting, document } => {
-                for Entry { key, value } in waiting.by_ref().take(most) {
-                    check_entry(&key, &value)?;
-                    if document.get(&key).is_some() {
-                        return Err(StagingError::DuplicateEntry(key));
-                    }
-                    document.set(key, value);
-                    check_size(document.len(), document.bytes())?;
-                }
-                if !waiting.as_slice().is_empty() {
-                    return Ok(Progress::More);
-                }
-                document.checksum()
-            }
+    /// The first fault of the version; nothing of it may be used then.
+    pub fn verify(&mut self, base: &Document, max_entries: usize) -> Result<Progress, StagingError> {
+        let verified = match &mut self.content {
+            Content::Delta { pending, overlay } => verify_changes(pending, overlay, base, max_entries)?,
+            Content::FullDocument { pending, document } => verify_entries(pending, document, max_entries)?,
         };
-        let got = got.of_version(self.target);
+        let Some(checksum) = verified else { return Ok(Progress::More) };
+        let got = checksum.of_version(self.target);
         if got != self.expected {
             return Err(StagingError::ChecksumMismatch { expected: self.expected, got });
         }
         Ok(Progress::Done)
     }
 
-    /// Puts `most` more entries at most into the document held. Only after all were verified.
-    pub fn commit(&mut self, held: &mut Document, most: usize) -> Progress {
-        match &mut self.parts {
-            Parts::Eviction { overlay, .. } => {
-                for _ in 0..most {
-                    let Some((key, value)) = overlay.pop_first() else { return Progress::Done };
-                    match value {
-                        Some(value) => held.set(key, value),
-                        None => held.remove(&key),
-                    };
-                }
-                match overlay.is_empty() {
-                    true => Progress::Done,
-                    false => Progress::More,
-                }
-            }
-            Parts::Anew { document, .. } => {
-                *held = std::mem::take(document);
-                Progress::Done
+    /// Moves up to `max_entries` more entries into the document in force. Only after all entries were verified.
+    pub fn commit(&mut self, base: &mut Document, max_entries: usize) -> Progress {
+        let is_done = match &mut self.content {
+            Content::Delta { overlay, .. } => overlay.commit(base, max_entries),
+            Content::FullDocument { document, .. } => {
+                *base = std::mem::take(document);
+                true
             }
+        };
+        if is_done {
+            Progress::Done
+        } else {
+            Progress::More
         }
     }
 
-    /// The document as it will be. Only after all was verified, and before any of it is committed.
-    pub fn candidate<'a>(&'a self, held: &'a Document) -> Candidate<'a> {
-        Candidate { held, staged: self }
+    /// The resulting document. Only after all entries were verified, and before any of them is committed.
+    pub fn candidate<'a>(&'a self, base: &'a Document) -> Candidate<'a> {
+        Candidate { base, staged: self }
     }
 }
 
-/// Lays one step over the document held; size and checksum follow.
-fn lay(
-    held: &Document, overlay: &mut Overlay, size: &mut Size, checksum: &mut Checksum, key: Key,
-    value: Option<Box<str>>,
-) -> Result<(), StagingError> {
-    check_key(&key)?;
-    if overlay.contains_key(&key) {
-        return Err(StagingError::DuplicateEntry(key));
+/// The checksum after the last change, `None` where changes are left.
+fn verify_changes(
+    pending: &mut std::vec::IntoIter<Change>, overlay: &mut Overlay, base: &Document, max_changes: usize,
+) -> Result<Option<Checksum>, StagingError> {
+    for change in pending.by_ref().take(max_changes) {
+        overlay.add(base, change)?;
     }
-    match held.get(&key) {
-        Some(old) => {
-            checksum.subtract(&key, old);
-            size.entries -= 1;
-            size.bytes -= key.name.len() + old.len();
+    if !pending.as_slice().is_empty() {
+        return Ok(None);
+    }
+    overlay.check_size()?;
+    Ok(Some(overlay.checksum()))
+}
+
+/// The checksum after the last entry, `None` where entries are left.
+fn verify_entries(
+    pending: &mut std::vec::IntoIter<Entry>, document: &mut Document, max_entries: usize,
+) -> Result<Option<Checksum>, StagingError> {
+    for Entry { key, value } in pending.by_ref().take(max_entries) {
+        check_entry(&key, &value)?;
+        if document.get(&key).is_some() {
+            return Err(StagingError::DuplicateEntry(key));
         }
-        None if value.is_none() => return Err(StagingError::MissingEntry(key)),
-        None => {}
+        document.set(key, value);
+        check_size(document.len(), document.bytes())?;
     }
-    if let Some(value) = &value {
-        check_entry(&key, value)?;
-        checksum.add(&key, value);
-        size.entries += 1;
-        size.bytes += key.name.len() + value.len();
+    if !pending.as_slice().is_empty() {
+        return Ok(None);
     }
-    overlay.insert(key, value);
-    Ok(())
+    Ok(Some(document.checksum()))
 }
 
-/// A version whose checksum holds, before it is in force.
+/// A verified version before it is in force.
 pub struct Candidate<'a> {
-    held: &'a Document,
+    base: &'a Document,
     staged: &'a StagedUpdate,
 }
 
 impl Candidate<'_> {
-    /// The version that it is.
+    /// The version of the candidate.
     pub fn version(&self) -> Version {
         self.staged.target
     }
 
-    /// The settings object that it stands for.
+    /// The candidate's settings object.
     ///
     /// # Errors
-    /// The first entry that cannot be read.
+    /// The first entry whose value is not valid.
     pub fn to_settings(&self) -> Result<Value, DocumentError> {
-        match &self.staged.parts {
-            Parts::Anew { document, .. } => to_settings(document.iter()),
-            Parts::Eviction { overlay, .. } => to_settings(Merged {
-                under: &mut self.held.iter().peekable(),
-                over: overlay.iter().peekable(),
-            }),
-        }
-    }
-}
-
-/// The entries held with others laid over them, in their canonical order.
-struct Merged<'a, 'i, I: Iterator<Item = (&'a Key, &'a str)>> {
-    under: &'i mut Peekable<I>,
-    over: Peekable<btree_map::Iter<'a, Key, Option<Box<str>>>>,
-}
-
-impl<'a, I: Iterator<Item = (&'a Key, &'a str)>> Iterator for Merged<'a, '_, I> {
-    type Item = (&'a Key, &'a str);
-
-    fn next(&mut self) -> Option<(&'a Key, &'a str)> {
-        loop {
-            let Some((key, value)) = self.over.peek().copied() else { return self.under.next() };
-            if self.under.peek().is_some_and(|(under, _)| *under < key) {
-                return self.under.next();
-            }
-            self.over.next();
-            self.under.next_if(|(under, _)| *under == key);
-            if let Some(value) = value {
-                return Some((key, value));
-            }
+        match &self.staged.content {
+            Content::Delta { overlay, .. } => to_settings(overlay.merged(self.base)),
+            Content::FullDocument { document, .. } => to_settings(document.iter()),
         }
     }
 }
--- a/crates/configuration/src/version.rs
+++ b/crates/configuration/src/version.rs
@@ -1,4 +1,4 @@
-//! Which state of the document is meant.
+//! Versions of the document.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,12 +6,12 @@
 
 /// The epoch of a source and a number within it; a later version is greater.
 ///
-/// The epoch is chosen by the source when it begins without its history and is greater than every epoch before, as
-/// the Unix time of that start in milliseconds is. Within an epoch the number rises by one with every version and never
-/// falls: what a version changed is taken back by a later one.
+/// A source that starts without its history chooses an epoch greater than every epoch before, for example the Unix time
+/// of that start in milliseconds. Within an epoch the number rises by one with every version and never falls: a change
+/// is reverted by publishing a later version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// When the source began.
+    /// Identifies the source's start without history.
     pub epoch: u64,
     /// Counts the versions of that epoch from 1.
     pub number: u64,
@@ -35,22 +35,23 @@
     }
 }
 
-/// A text that names no version.
+/// A text that is no version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("expected a version as EPOCH-NUMBER, got {0:?}")]
 pub struct VersionError(String);
 
+/// Characters of an invalid text that an error quotes: two numbers of full length, and a few more.
+const MAX_QUOTED_CHARS: usize = 48;
+
 impl FromStr for Version {
     type Err = VersionError;
 
     fn from_str(text: &str) -> Result<Version, VersionError> {
-        let parts = text.split_once('-').and_then(|(epoch, number)| {
-            let (epoch, number) = (epoch.parse().ok()?, number.parse().ok()?);
-            Some(Version { epoch, number })
-        });
-        parts.ok_or_else(|| VersionError(text.chars().take(MOST_QUOTED).collect()))
+        parse(text).ok_or_else(|| VersionError(text.chars().take(MAX_QUOTED_CHARS).collect()))
     }
 }
 
-/// Characters of a wrong text that an error repeats: both numbers at their longest, and some more.
-const MOST_QUOTED: usize = 48;
+fn parse(text: &str) -> Option<Version> {
+    let (epoch, number) = text.split_once('-')?;
+    Some(Version { epoch: epoch.parse().ok()?, number: number.parse().ok()? })
+}
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! What the tests of this crate share: settings of any size, and a follower that is driven by hand.
+//! Shared by the tests of this crate: settings of any size, and a follower driven by hand.
 #![allow(dead_code)]
 
 use lotusdeck_configuration::history::HistoryBounds;
+use lotusdeck_configuration::source::SourceAnswer;
 use lotusdeck_configuration::{
     decode, Document, Entry, Follower, FollowerSettings, InvalidSettings, Key, Message, NextStep, Poll,
     Rejection, Section, Source, Version,
@@ -15,10 +16,11 @@
     Duration::from_secs(seconds)
 }
 
-/// Settings with so many profiles and customers.
+/// Settings with the given numbers of profiles and customers.
 pub(crate) fn settings(profiles: usize, customers: usize) -> Value {
-    let profile = |at| json!({"name": format!("class-{at}"), "aim_us": 250_000, "deadline_us": 500_000});
-    let customer = |at| json!({"name": format!("tenant-{at}"), "quota_rps": 50.0});
+    let profile =
+        |index| json!({"name": format!("class-{index}"), "aim_us": 250_000, "deadline_us": 500_000});
+    let customer = |index| json!({"name": format!("tenant-{index}"), "quota_rps": 50.0});
     json!({
         "rules": {"cold_from": 0.5},
         "zones": ["b", "a"],
@@ -27,14 +29,14 @@
     })
 }
 
-/// Unsound is only what has a customer of a quota below 0.
+/// Settings are invalid only where a customer has a quota below 0.
 pub(crate) fn check(settings: &Value) -> Result<(), InvalidSettings> {
     let customers =
         settings["customers"].as_array().ok_or_else(|| InvalidSettings::new("customers: missing"))?;
-    let quota = |customer: &Value| customer["quota_rps"].as_f64().is_some_and(|quota| quota >= 0.0);
-    match customers.iter().find(|customer| !quota(customer)) {
-        Some(wrong) => {
-            Err(InvalidSettings::new(format!("customer {}: expected a quota of at least 0", wrong["name"])))
+    let is_valid = |customer: &Value| customer["quota_rps"].as_f64().is_some_and(|quota| quota >= 0.0);
+    match customers.iter().find(|customer| !is_valid(customer)) {
+        Some(invalid) => {
+            Err(InvalidSettings::new(format!("customer {}: expected a quota of at least 0", invalid["name"])))
         }
         None => Ok(()),
     }
@@ -44,7 +46,7 @@
     Source::new(EPOCH, &settings(profiles, customers), HistoryBounds::default(), check).unwrap()
 }
 
-pub(crate) fn quota(customer: usize, quota: f64) -> Entry {
+pub(crate) fn quota_entry(customer: usize, quota: f64) -> Entry {
     Entry { key: customer_key(customer), value: json!({ "quota_rps": quota }).to_string().into() }
 }
 
@@ -53,61 +55,61 @@
 }
 
 /// Sets the quota of one customer.
-pub(crate) fn change(source: &mut Source, customer: usize, to: f64) -> Version {
-    source.publish_changes(vec![quota(customer, to)], Vec::new(), check).unwrap().version
+pub(crate) fn publish_quota(source: &mut Source, customer: usize, to: f64) -> Version {
+    source.publish_changes(vec![quota_entry(customer, to)], Vec::new(), check).unwrap().version
 }
 
-/// So many versions, each with another quota of the same customer.
-pub(crate) fn changes(source: &mut Source, versions: usize) {
-    for at in 0..versions {
-        change(source, 1, at as f64);
+/// Publishes the given number of versions, each with another quota of the same customer.
+pub(crate) fn publish_quotas(source: &mut Source, versions: usize) {
+    for quota in 0..versions {
+        publish_quota(source, 1, quota as f64);
     }
 }
 
-/// What came of working on an answer.
+/// The outcome of working on an answer.
 #[derive(Debug, PartialEq)]
-pub(crate) enum End {
-    Took(Version),
-    Refused(Rejection),
-    /// Nothing to do but to rest or to ask.
+pub(crate) enum Outcome {
+    Applied(Version),
+    Rejected(Rejection),
+    /// Nothing to do but to wait or to poll.
     Idle,
 }
 
 /// A follower and its clock.
-pub(crate) struct Driven {
+pub(crate) struct FollowerDriver {
     pub follower: Follower,
     pub now: Duration,
-    /// Slices that it worked on.
+    /// Slices worked on.
     pub slices: usize,
-    /// What is in force: settings read of the version taken last.
+    /// Settings of the last version applied.
     pub in_force: Option<(Version, Value)>,
 }
 
-impl Driven {
-    pub(crate) fn new(seed: u64) -> Driven {
+impl FollowerDriver {
+    pub(crate) fn new(seed: u64) -> FollowerDriver {
         let follower = Follower::new(FollowerSettings::default(), seed);
-        Driven { follower, now: Duration::ZERO, slices: 0, in_force: None }
+        FollowerDriver { follower, now: Duration::ZERO, slices: 0, in_force: None }
     }
 
-    /// Its next question; time goes on to the end of its rest.
-    pub(crate) fn ask(&mut self) -> Poll {
+    /// The next poll; time moves on to the end of any pause.
+    pub(crate) fn next_poll(&mut self) -> Poll {
         loop {
             match self.follower.next_step(self.now) {
-                NextStep::Poll(ask) => return ask,
+                NextStep::Poll(poll) => return poll,
                 NextStep::Wait(until) => self.now = until,
                 _ => {}
             }
         }
     }
 
-    /// Hands an answer in and works on it to its end.
-    pub(crate) fn answer(&mut self, message: Message) -> End {
+    /// Delivers an answer and works on it to its end.
+    pub(crate) fn deliver(&mut self, message: Message) -> Outcome {
         self.follower.handle_message(self.now, message);
         self.work()
     }
 
-    pub(crate) fn work(&mut self) -> End {
-        let mut read = None;
+    pub(crate) fn work(&mut self) -> Outcome {
+        let mut candidate_settings = None;
         loop {
             match self.follower.next_step(self.now) {
                 NextStep::Continue => self.slices += 1,
@@ -120,35 +122,33 @@
                         self.now,
                         verdict.as_ref().map(|_| ()).map_err(InvalidSettings::clone),
                     );
-                    read = verdict.ok();
+                    candidate_settings = verdict.ok();
                 }
                 NextStep::Applied(version) => {
-                    self.in_force = read.take().map(|settings| (version, settings));
-                    return End::Took(version);
+                    self.in_force = candidate_settings.take().map(|settings| (version, settings));
+                    return Outcome::Applied(version);
                 }
-                NextStep::Rejected(refusal) => return End::Refused(refusal),
+                NextStep::Rejected(rejection) => return Outcome::Rejected(rejection),
                 NextStep::PollFailed(_) => {}
-                NextStep::Wait(_) | NextStep::Poll(_) => return End::Idle,
+                NextStep::Wait(_) | NextStep::Poll(_) => return Outcome::Idle,
             }
         }
     }
 
-    /// Asks the source and works on its answer; `Idle` where it has nothing later.
-    pub(crate) fn exchange(&mut self, source: &mut Source) -> End {
-        let ask = self.ask();
-        match source.answer_poll(&ask) {
-            lotusdeck_configuration::source::SourceAnswer::Now(text) => {
-                self.answer(decode(text.as_bytes()).unwrap())
-            }
-            lotusdeck_configuration::source::SourceAnswer::Later => {
-                self.now += ask.wait;
-                self.answer(Message::Unchanged(source.version()))
+    /// Polls the source and works on its answer; `Idle` where it has nothing later.
+    pub(crate) fn poll_source(&mut self, source: &mut Source) -> Outcome {
+        let poll = self.next_poll();
+        match source.answer_poll(&poll) {
+            SourceAnswer::Now(text) => self.deliver(decode(text.as_bytes()).unwrap()),
+            SourceAnswer::Later => {
+                self.now += poll.wait;
+                self.deliver(Message::Unchanged(source.version()))
             }
         }
     }
 
-    /// What it holds and what is in force is this document.
-    pub(crate) fn holds(&self, document: &Document) {
+    /// Both the follower's document and the settings in force are this document.
+    pub(crate) fn assert_in_force(&self, document: &Document) {
         assert_eq!(self.follower.document(), document);
         let (version, settings) = self.in_force.as_ref().unwrap();
         assert_eq!(Some(*version), self.follower.applied_version());
--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -1,5 +1,5 @@
-//! A source and its followers in virtual time: lines of bounded speed, questions, answers and pauses as they are. Every
-//! proxy is a real follower of a small document; a whole document counts with the bytes of a large one.
+//! A source and its followers in virtual time: connections of bounded bandwidth, polls, answers and pauses. Every proxy is a
+//! real follower of a small document; a full document counts with the bytes of a large one.
 
 use lotusdeck_configuration::long_poll::{Eviction, FollowerId, LongPollQueue, PollReply, QueueBounds};
 use lotusdeck_configuration::{
@@ -8,90 +8,96 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the network and the machines do.
+/// Network and machines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
-    /// Bytes a second that the source sends to all together.
-    pub source_line: u64,
-    /// Bytes a second that one proxy takes.
-    pub proxy_line: u64,
-    /// A message is on its way for so long, beside its bytes.
+    /// Bytes a second that the source sends to all proxies together.
+    pub source_bandwidth: u64,
+    /// Bytes a second that one proxy receives.
+    pub proxy_bandwidth: u64,
+    /// Time from one end to the other, without that for its bytes.
     pub latency: Duration,
-    /// Bytes of a whole document.
-    pub whole: u64,
-    /// From the last byte of an answer until its settings are read.
-    pub reading: Duration,
+    /// Bytes of a full document.
+    pub full_document_bytes: u64,
+    /// Time from the last byte of an answer until its settings are read.
+    pub read_time: Duration,
 }
 
-/// A step of the clock.
+/// Virtual time moves on by this.
 const TICK: Duration = Duration::from_millis(10);
-/// Bytes of head and of connection that every question and every answer cost.
-const HEAD: u64 = 200;
+/// Bytes of headers and of the connection for every poll and every answer.
+const HEADER_BYTES: u64 = 200;
 
-enum Line {
+enum Connection {
     Idle,
-    Question { ask: Poll, arrives: Duration },
+    Polling { poll: Poll, arrives: Duration },
     Parked,
-    SourceAnswer { text: Arc<str>, left: u64, arrives: Duration },
+    Receiving { text: Arc<str>, left: u64, arrives: Duration },
     Reading { message: Message, until: Duration },
 }
 
+#[derive(Clone, Copy)]
+pub(crate) struct AppliedAt {
+    pub version: Version,
+    pub at: Duration,
+}
+
 pub(crate) struct Proxy {
     pub follower: Follower,
-    pub begins: Duration,
-    pub line_speed: u64,
-    /// It does nothing any more, and its connection stays open.
+    pub starts: Duration,
+    pub bandwidth: u64,
+    /// It does nothing, and its connection stays open.
     pub stuck: bool,
     /// Bytes in both directions.
     pub bytes: u64,
-    /// When it held which version.
-    pub took: Option<(Version, Duration)>,
-    line: Line,
+    /// The version applied last, and when.
+    pub applied: Option<AppliedAt>,
+    connection: Connection,
 }
 
 pub(crate) struct Rollout {
     pub source: Source,
-    pub desk: LongPollQueue,
+    pub queue: LongPollQueue,
     pub proxies: Vec<Proxy>,
     pub now: Duration,
-    /// The most bytes of answers that the desk held at a time.
-    pub most_held: usize,
-    /// Questions that found no room.
+    /// The largest number of bytes of answers that the queue buffered at a time.
+    pub max_buffered: usize,
+    /// Polls for which there was no capacity.
     pub busy: u64,
-    /// Connections closed as the answer was not taken in time.
+    /// Connections closed as the answer was not received in time.
     pub closed: u64,
     conditions: Conditions,
 }
 
 impl Rollout {
-    /// So many proxies, which begin spread evenly over `within`.
+    /// The given number of proxies, whose starts are spread evenly over `within`.
     pub(crate) fn new(
         source: Source, proxies: u64, within: Duration, bounds: QueueBounds, conditions: Conditions,
     ) -> Rollout {
-        let proxy = |at: u64| Proxy {
-            follower: Follower::new(FollowerSettings::default(), at + 1),
-            begins: within.mul_f64(at as f64 / proxies as f64),
-            line_speed: conditions.proxy_line,
+        let proxy = |index: u64| Proxy {
+            follower: Follower::new(FollowerSettings::default(), index + 1),
+            starts: within.mul_f64(index as f64 / proxies as f64),
+            bandwidth: conditions.proxy_bandwidth,
             stuck: false,
             bytes: 0,
-            took: None,
-            line: Line::Idle,
+            applied: None,
+            connection: Connection::Idle,
         };
         Rollout {
             source,
-            desk: LongPollQueue::new(bounds),
+            queue: LongPollQueue::new(bounds),
             proxies: (0..proxies).map(proxy).collect(),
             now: Duration::ZERO,
-            most_held: 0,
+            max_buffered: 0,
             busy: 0,
             closed: 0,
             conditions,
         }
     }
 
-    /// Runs until `most` at the longest, and ends when all have the source's version; how many have it.
-    pub(crate) fn run(&mut self, most: Duration) -> usize {
-        let end = self.now + most;
+    /// Runs until all have the source's version, for `max` at the longest; returns how many have it.
+    pub(crate) fn run(&mut self, max: Duration) -> usize {
+        let end = self.now + max;
         while self.now < end && self.current() < self.proxies.len() {
             self.now += TICK;
             self.step();
@@ -99,7 +105,7 @@
         self.current()
     }
 
-    /// Runs for so long, whoever has what.
+    /// Runs for this span.
     pub(crate) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -113,9 +119,9 @@
         self.proxies.iter().filter(|proxy| proxy.follower.applied_version() == version).count()
     }
 
-    /// The source has published.
-    pub(crate) fn published(&mut self) {
-        for (id, reply) in self.desk.publish(&mut self.source, self.now) {
+    /// Sends what the source has published.
+    pub(crate) fn distribute(&mut self) {
+        for (id, reply) in self.queue.publish(&mut self.source, self.now) {
             self.reply(id, reply);
         }
     }
@@ -124,94 +130,97 @@
         let arrives = self.now + self.conditions.latency;
         let proxy = &mut self.proxies[id.0 as usize];
         match reply {
-            PollReply::Parked => proxy.line = Line::Parked,
+            PollReply::Parked => proxy.connection = Connection::Parked,
             PollReply::Busy => {
                 self.busy += 1;
-                proxy.bytes += HEAD;
-                proxy.line = Line::Idle;
+                proxy.bytes += HEADER_BYTES;
+                proxy.connection = Connection::Idle;
                 proxy.follower.poll_failed(self.now, Failure::Busy);
             }
             PollReply::Write(text) => {
-                let whole = text.starts_with(r#"{"kind":"whole""#);
-                let left = HEAD + if whole { self.conditions.whole } else { text.len() as u64 };
-                proxy.line = Line::SourceAnswer { text, left, arrives };
+                let is_full = text.starts_with(r#"{"kind":"whole""#);
+                let left = HEADER_BYTES
+                    + if is_full { self.conditions.full_document_bytes } else { text.len() as u64 };
+                proxy.connection = Connection::Receiving { text, left, arrives };
             }
         }
     }
 
     fn step(&mut self) {
-        for over in self.desk.expire(&self.source, self.now) {
-            match over {
-                Eviction::Write(id, text) => self.reply(id, PollReply::Write(text)),
-                Eviction::Close(id) => {
+        for eviction in self.queue.expire(&self.source, self.now) {
+            match eviction {
+                Eviction::Write { follower, answer } => self.reply(follower, PollReply::Write(answer)),
+                Eviction::Close { follower } => {
                     self.closed += 1;
-                    let proxy = &mut self.proxies[id.0 as usize];
-                    proxy.line = Line::Idle;
+                    let proxy = &mut self.proxies[follower.0 as usize];
+                    proxy.connection = Connection::Idle;
                     proxy.follower.poll_failed(self.now, Failure::ConnectionFailed("closed".into()));
                 }
             }
         }
         self.send();
-        for at in 0..self.proxies.len() {
-            self.follow(at);
+        for index in 0..self.proxies.len() {
+            self.run_proxy(index);
         }
-        self.most_held = self.most_held.max(self.desk.buffered_bytes());
+        self.max_buffered = self.max_buffered.max(self.queue.buffered_bytes());
     }
 
-    /// The source's line is shared evenly by those that take an answer.
+    /// The source's bandwidth is shared evenly by the proxies that receive an answer.
     fn send(&mut self) {
-        let taking = self
+        let receiving = self
             .proxies
             .iter()
-            .filter(|proxy| matches!(proxy.line, Line::SourceAnswer { left, .. } if left > 0));
+            .filter(|proxy| matches!(proxy.connection, Connection::Receiving { left, .. } if left > 0));
         let per_tick = |speed: u64| speed * TICK.as_millis() as u64 / 1_000;
-        let part = per_tick(self.conditions.source_line) / (taking.count() as u64).max(1);
+        let share = per_tick(self.conditions.source_bandwidth) / (receiving.count() as u64).max(1);
         for (at, proxy) in self.proxies.iter_mut().enumerate() {
-            let Line::SourceAnswer { text, left, .. } = &mut proxy.line else { continue };
-            let sent = part.min(per_tick(proxy.line_speed)).min(*left);
+            let Connection::Receiving { text, left, .. } = &mut proxy.connection else { continue };
+            let sent = share.min(per_tick(proxy.bandwidth)).min(*left);
             proxy.bytes += sent;
             *left -= sent;
             if *left == 0 && sent > 0 {
-                self.desk.bytes_written(FollowerId(at as u64), text.len());
+                self.queue.bytes_written(FollowerId(at as u64), text.len());
             }
         }
     }
 
-    fn follow(&mut self, at: usize) {
-        let (now, id) = (self.now, FollowerId(at as u64));
+    fn run_proxy(&mut self, index: usize) {
+        let (now, id) = (self.now, FollowerId(index as u64));
         let conditions = self.conditions;
-        let proxy = &mut self.proxies[at];
-        if now < proxy.begins || proxy.stuck {
+        let proxy = &mut self.proxies[index];
+        if now < proxy.starts || proxy.stuck {
             return;
         }
-        match std::mem::replace(&mut proxy.line, Line::Idle) {
-            Line::Question { ask, arrives } if arrives <= now => {
-                let reply = self.desk.poll(&mut self.source, now, id, ask);
+        match std::mem::replace(&mut proxy.connection, Connection::Idle) {
+            Connection::Polling { poll, arrives } if arrives <= now => {
+                let reply = self.queue.poll(&mut self.source, now, id, poll);
                 return self.reply(id, reply);
             }
-            Line::SourceAnswer { text, left: 0, arrives } if arrives <= now => {
+            Connection::Receiving { text, left: 0, arrives } if arrives <= now => {
                 let message = decode(text.as_bytes()).expect("a message of the source");
-                let reading = match message {
+                let read_time = match message {
                     Message::Unchanged(_) => Duration::ZERO,
-                    _ => conditions.reading,
+                    _ => conditions.read_time,
                 };
-                proxy.line = Line::Reading { message, until: now + reading };
+                proxy.connection = Connection::Reading { message, until: now + read_time };
+            }
+            Connection::Reading { message, until } if until <= now => {
+                proxy.follower.handle_message(now, message);
             }
-            Line::Reading { message, until } if until <= now => proxy.follower.handle_message(now, message),
-            line => proxy.line = line,
+            connection => proxy.connection = connection,
         }
         loop {
             match proxy.follower.next_step(now) {
-                NextStep::Poll(ask) => {
-                    proxy.bytes += HEAD;
-                    proxy.line = Line::Question { ask, arrives: now + conditions.latency };
+                NextStep::Poll(poll) => {
+                    proxy.bytes += HEADER_BYTES;
+                    proxy.connection = Connection::Polling { poll, arrives: now + conditions.latency };
                     return;
                 }
                 NextStep::Validate => proxy.follower.candidate_validated(now, Ok(())),
-                NextStep::Applied(version) => proxy.took = Some((version, now)),
+                NextStep::Applied(version) => proxy.applied = Some(AppliedAt { version, at: now }),
                 NextStep::PollFailed(Failure::TimedOut) => {
-                    self.desk.disconnect(id);
-                    proxy.line = Line::Idle;
+                    self.queue.disconnect(id);
+                    proxy.connection = Connection::Idle;
                 }
                 NextStep::Wait(_) => return,
                 NextStep::Continue | NextStep::Rejected(_) | NextStep::PollFailed(_) => {}
@@ -219,10 +228,10 @@
         }
     }
 
-    /// Spans from `since` until each took its version, in order.
+    /// Times from `since` until each proxy applied its version, sorted.
     pub(crate) fn delays(&self, since: Duration) -> Vec<Duration> {
-        let took = |proxy: &Proxy| proxy.took.map(|(_, at)| at.saturating_sub(since));
-        let mut delays: Vec<Duration> = self.proxies.iter().filter_map(took).collect();
+        let delay = |proxy: &Proxy| proxy.applied.map(|applied| applied.at.saturating_sub(since));
+        let mut delays: Vec<Duration> = self.proxies.iter().filter_map(delay).collect();
         delays.sort_unstable();
         delays
     }
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -1,4 +1,4 @@
-//! The cases in which a distribution of changes goes wrong, one by one.
+//! The faults of a distribution of changes, one by one.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -8,288 +8,301 @@
 
 mod common;
 
-use common::{change, changes, check, customer_key, quota, seconds, settings, source, Driven, End, EPOCH};
+use common::{
+    check, customer_key, publish_quota, publish_quotas, quota_entry, seconds, settings, source,
+    FollowerDriver, Outcome, EPOCH,
+};
 use lotusdeck_configuration::history::HistoryBounds;
+use lotusdeck_configuration::source::SourceAnswer;
 use lotusdeck_configuration::staging::StagingError;
 use lotusdeck_configuration::{
-    decode, encode, Document, DocumentError, Failure, InvalidSettings, Key, Message, PublishError, Rejection,
-    Section, Source, SyncState, Version,
+    decode, encode, Document, DocumentError, Failure, InvalidSettings, Key, Message, NextStep, PublishError,
+    Rejection, Section, Source, SyncState, Version,
 };
 use serde_json::json;
 
 #[test]
-fn a_follower_takes_the_whole_and_then_deltas() {
-    let (mut source, mut follower) = (source(3, 5), Driven::new(1));
-    assert_eq!(follower.exchange(&mut source), End::Took(Version::first(EPOCH)));
+fn follower_applies_the_full_document_and_then_deltas() {
+    let (mut source, mut follower) = (source(3, 5), FollowerDriver::new(1));
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(Version::first(EPOCH)));
     let before = follower.now;
-    assert_eq!(follower.exchange(&mut source), End::Idle);
-    assert_eq!(follower.now, before + seconds(10), "nothing later: the question waits");
-    let version = change(&mut source, 2, 7.0);
-    assert_eq!(follower.ask().after, Some(Version::first(EPOCH)));
+    assert_eq!(follower.poll_source(&mut source), Outcome::Idle);
+    assert_eq!(follower.now, before + seconds(10), "nothing later: the poll waits");
+    let version = publish_quota(&mut source, 2, 7.0);
+    assert_eq!(follower.next_poll().after, Some(Version::first(EPOCH)));
     follower.follower.poll_failed(follower.now, Failure::Busy);
-    assert_eq!(follower.exchange(&mut source), End::Took(version));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(version));
+    follower.assert_in_force(source.document());
 }
 
-/// A change comes while another is verified: it does not touch that one, and is taken behind it.
+/// A change during the verification of another does not affect it, and is applied after it.
 #[test]
-fn a_change_during_a_change_follows_it() {
-    let (mut source, mut follower) = (source(1, 3_000), Driven::new(1));
-    follower.exchange(&mut source);
-    let all = (0..3_000).map(|at| quota(at, 1.0)).collect();
+fn change_during_a_verification_is_applied_after_it() {
+    let (mut source, mut follower) = (source(1, 3_000), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
+    let all = (0..3_000).map(|at| quota_entry(at, 1.0)).collect();
     let first = source.publish_changes(all, Vec::new(), check).unwrap().version;
-    let ask = follower.ask();
-    let lotusdeck_configuration::source::SourceAnswer::Now(text) = source.answer_poll(&ask) else { panic!() };
+    let poll = follower.next_poll();
+    let SourceAnswer::Now(text) = source.answer_poll(&poll) else { panic!() };
     follower.follower.handle_message(follower.now, decode(text.as_bytes()).unwrap());
     follower.follower.next_step(follower.now);
-    let second = change(&mut source, 0, 2.0);
+    let second = publish_quota(&mut source, 0, 2.0);
     let late = Message::Delta(source.delta(first).unwrap());
-    assert_eq!(follower.answer(late), End::Took(first), "what comes unasked is dropped");
+    assert_eq!(follower.deliver(late), Outcome::Applied(first), "a message without a poll is dropped");
     assert!(follower.slices >= 2 * 3_000 / 256, "{} slices", follower.slices);
-    assert_eq!(follower.exchange(&mut source), End::Took(second));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(second));
+    follower.assert_in_force(source.document());
 }
 
-/// Nothing of a version is held before its last entry was verified and its settings were found sound.
+/// Nothing of a version is in the document before its last entry was verified and its settings were found valid.
 #[test]
-fn nothing_of_a_version_is_held_before_all_of_it_is_verified() {
-    let (mut source, mut follower) = (source(1, 1_000), Driven::new(1));
-    follower.exchange(&mut source);
+fn document_stays_unchanged_until_all_of_a_version_is_verified() {
+    let (mut source, mut follower) = (source(1, 1_000), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
     let before = source.document().clone();
-    let all = (0..1_000).map(|at| quota(at, 1.0)).collect();
+    let all = (0..1_000).map(|at| quota_entry(at, 1.0)).collect();
     source.publish_changes(all, Vec::new(), check).unwrap();
-    follower.ask();
+    follower.next_poll();
     let delta = Message::Delta(source.delta(Version::first(EPOCH)).unwrap());
     follower.follower.handle_message(follower.now, delta);
-    while follower.follower.next_step(follower.now) != lotusdeck_configuration::NextStep::Validate {
+    while follower.follower.next_step(follower.now) != NextStep::Validate {
         assert_eq!(follower.follower.document(), &before);
     }
     assert_eq!(follower.follower.document(), &before);
     follower.work();
-    follower.holds(source.document());
+    follower.assert_in_force(source.document());
 }
 
-/// 500 versions are told as one delta, each entry once, and an entry that is as it was is not told.
+/// 500 versions are sent as one delta, which has each entry once, and none that is as before.
 #[test]
-fn five_hundred_missed_versions_come_as_one_delta() {
-    let (mut source, mut follower) = (source(10, 100), Driven::new(1));
-    follower.exchange(&mut source);
+fn five_hundred_missed_versions_are_sent_as_one_delta() {
+    let (mut source, mut follower) = (source(10, 100), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
     for at in 0..500 {
-        change(&mut source, at % 50, 100.0 + at as f64);
+        publish_quota(&mut source, at % 50, 100.0 + at as f64);
     }
-    source.publish_changes(vec![quota(7, 50.0)], vec![customer_key(99)], check).unwrap();
+    source.publish_changes(vec![quota_entry(7, 50.0)], vec![customer_key(99)], check).unwrap();
     let delta = source.delta(Version::first(EPOCH)).unwrap();
     assert_eq!((delta.changed.len(), delta.removed.len()), (49, 1));
-    assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
+    follower.assert_in_force(source.document());
 }
 
-/// Who missed more than is kept gets the whole document.
+/// A follower that missed more versions than are kept gets the full document.
 #[test]
-fn a_gap_beyond_the_history_is_closed_by_the_whole() {
+fn gap_beyond_the_history_is_closed_by_the_full_document() {
     let bounds = HistoryBounds { versions: 4, ..HistoryBounds::default() };
     let mut source = Source::new(EPOCH, &settings(1, 5), bounds, check).unwrap();
-    let mut follower = Driven::new(1);
-    follower.exchange(&mut source);
-    changes(&mut source, 5);
+    let mut follower = FollowerDriver::new(1);
+    follower.poll_source(&mut source);
+    publish_quotas(&mut source, 5);
     assert_eq!(source.delta(Version::first(EPOCH)), None);
-    assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
+    follower.assert_in_force(source.document());
     let bounds = HistoryBounds { bytes: 300, ..HistoryBounds::default() };
     let mut source = Source::new(EPOCH, &settings(1, 5), bounds, check).unwrap();
-    changes(&mut source, 50);
+    publish_quotas(&mut source, 50);
     assert!(source.history().bytes() <= 300 && source.history().len() < 5, "{}", source.history().bytes());
 }
 
-/// A source that goes back within its epoch, or to an earlier one, is refused; one that begins anew is followed.
+/// A source that is rolled back within its epoch, or to an earlier one, is rejected; a new epoch is followed.
 #[test]
-fn a_source_that_goes_back_is_refused_until_it_begins_a_new_epoch() {
+fn rolled_back_source_is_rejected_until_it_begins_a_new_epoch() {
     let (mut newer, mut older) = (source(1, 5), source(1, 5));
-    changes(&mut newer, 3);
-    change(&mut older, 1, 9.0);
-    let mut follower = Driven::new(1);
-    follower.exchange(&mut newer);
-    let (held, offered) = (newer.version(), older.version());
-    let refused = || End::Refused(Rejection::VersionRollback { held, offered });
-    assert_eq!(follower.exchange(&mut older), refused());
-    assert_eq!(follower.ask().after, Some(held));
-    assert_eq!(follower.answer(Message::FullDocument(older.full_document())), refused());
-    follower.holds(newer.document());
+    publish_quotas(&mut newer, 3);
+    publish_quota(&mut older, 1, 9.0);
+    let mut follower = FollowerDriver::new(1);
+    follower.poll_source(&mut newer);
+    let (applied, offered) = (newer.version(), older.version());
+    let rollback = || Outcome::Rejected(Rejection::VersionRollback { known: applied, offered });
+    assert_eq!(follower.poll_source(&mut older), rollback());
+    assert_eq!(follower.next_poll().after, Some(applied));
+    assert_eq!(follower.deliver(Message::FullDocument(older.full_document())), rollback());
+    follower.assert_in_force(newer.document());
     assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Disconnected);
     let mut before = Source::new(EPOCH - 1, &settings(1, 5), HistoryBounds::default(), check).unwrap();
-    changes(&mut before, 9);
-    assert!(matches!(follower.exchange(&mut before), End::Refused(Rejection::VersionRollback { .. })));
-    let mut anew = Source::new(EPOCH + 1, &settings(1, 2), HistoryBounds::default(), check).unwrap();
-    assert_eq!(follower.exchange(&mut anew), End::Took(Version::first(EPOCH + 1)));
-    follower.holds(anew.document());
+    publish_quotas(&mut before, 9);
+    assert!(matches!(
+        follower.poll_source(&mut before),
+        Outcome::Rejected(Rejection::VersionRollback { .. })
+    ));
+    let mut new_epoch = Source::new(EPOCH + 1, &settings(1, 2), HistoryBounds::default(), check).unwrap();
+    assert_eq!(follower.poll_source(&mut new_epoch), Outcome::Applied(Version::first(EPOCH + 1)));
+    follower.assert_in_force(new_epoch.document());
 }
 
-/// A delta for another version is refused, and the whole document asked for.
+/// A delta for another version is rejected, and the full document requested.
 #[test]
-fn a_delta_for_another_base_is_refused() {
-    let (mut source, mut follower) = (source(1, 5), Driven::new(1));
-    follower.exchange(&mut source);
-    let held = source.version();
-    let from = change(&mut source, 1, 1.0);
-    change(&mut source, 2, 2.0);
-    follower.ask();
+fn delta_for_another_base_is_rejected() {
+    let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
+    let applied = source.version();
+    let from = publish_quota(&mut source, 1, 1.0);
+    publish_quota(&mut source, 2, 2.0);
+    follower.next_poll();
     let late = Message::Delta(source.delta(from).unwrap());
-    assert_eq!(follower.answer(late), End::Refused(Rejection::BaseMismatch { held, from }));
-    assert_eq!(follower.ask().after, None);
+    assert_eq!(follower.deliver(late), Outcome::Rejected(Rejection::BaseMismatch { applied, from }));
+    assert_eq!(follower.next_poll().after, None);
     follower.follower.poll_failed(follower.now, Failure::Busy);
-    assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
+    follower.assert_in_force(source.document());
 }
 
-/// Every beginning of a message, and every message with one byte changed, is no message or does not pass its checksum.
+/// Every truncated message, and every message with one byte changed, is invalid or fails its checksum.
 #[test]
-fn a_torn_message_is_refused() {
-    let (mut source, mut follower) = (source(2, 3), Driven::new(1));
-    follower.exchange(&mut source);
-    let held = source.document().clone();
-    change(&mut source, 1, 12.5);
+fn truncated_or_altered_message_is_rejected() {
+    let (mut source, mut follower) = (source(2, 3), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
+    let applied = source.document().clone();
+    publish_quota(&mut source, 1, 12.5);
     let text = encode(&Message::Delta(source.delta(Version::first(EPOCH)).unwrap()));
     for end in 0..text.len() {
         assert!(decode(&text.as_bytes()[..end]).is_err(), "{}", &text[..end]);
     }
     for at in 0..text.len() {
-        let mut torn = text.clone().into_bytes();
-        torn[at] ^= 1;
-        let Ok(message) = decode(&torn) else { continue };
-        follower.ask();
-        let end = follower.answer(message);
-        let torn = String::from_utf8_lossy(&torn).into_owned();
-        assert_eq!(follower.follower.document(), &held, "{torn}");
-        assert!(matches!(end, End::Refused(_)), "{torn}: {end:?}");
+        let mut altered = text.clone().into_bytes();
+        altered[at] ^= 1;
+        let Ok(message) = decode(&altered) else { continue };
+        follower.next_poll();
+        let outcome = follower.deliver(message);
+        let altered = String::from_utf8_lossy(&altered).into_owned();
+        assert_eq!(follower.follower.document(), &applied, "{altered}");
+        assert!(matches!(outcome, Outcome::Rejected(_)), "{altered}: {outcome:?}");
     }
 }
 
-/// A checksum that does not hold refuses the delta, then a whole document too; the last sound one stays in force.
+/// A checksum mismatch rejects the delta, then a full document too; the last valid document stays in force.
 #[test]
-fn a_checksum_that_fails_keeps_the_last_sound_document() {
-    let (mut source, mut follower) = (source(1, 5), Driven::new(1));
-    follower.exchange(&mut source);
-    let held = source.document().clone();
-    change(&mut source, 1, 1.0);
+fn checksum_mismatch_keeps_the_last_valid_document() {
+    let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
+    let applied = source.document().clone();
+    publish_quota(&mut source, 1, 1.0);
     let mut delta = source.delta(Version::first(EPOCH)).unwrap();
     delta.changed[0].value = r#"{"quota_rps":1.5}"#.into();
-    follower.ask();
-    let fails = |end: End| match end {
-        End::Refused(Rejection::Staging { error, .. }) => {
+    follower.next_poll();
+    let is_mismatch = |outcome: Outcome| match outcome {
+        Outcome::Rejected(Rejection::Staging { error, .. }) => {
             matches!(error, StagingError::ChecksumMismatch { .. })
         }
         _ => false,
     };
-    assert!(fails(follower.answer(Message::Delta(delta))));
-    assert_eq!(follower.ask().after, None);
-    let mut whole = source.full_document();
-    whole.entries.pop();
+    assert!(is_mismatch(follower.deliver(Message::Delta(delta))));
+    assert_eq!(follower.next_poll().after, None);
+    let mut full = source.full_document();
+    full.entries.pop();
     let before = follower.now;
-    assert!(fails(follower.answer(Message::FullDocument(whole))));
-    assert_eq!(follower.follower.document(), &held);
-    assert_eq!(follower.ask().after, None);
-    assert!(follower.now - before >= seconds(15), "megabytes are not asked for in a hurry");
+    assert!(is_mismatch(follower.deliver(Message::FullDocument(full))));
+    assert_eq!(follower.follower.document(), &applied);
+    assert_eq!(follower.next_poll().after, None);
+    assert!(follower.now - before >= seconds(15), "megabytes are not requested again at once");
     follower.follower.poll_failed(follower.now, Failure::Busy);
-    assert_eq!(follower.exchange(&mut source), End::Took(source.version()));
-    follower.holds(source.document());
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
+    follower.assert_in_force(source.document());
 }
 
 #[test]
-fn a_tenant_named_twice_is_refused_at_the_source_and_on_the_wire() {
+fn duplicate_tenant_is_rejected_by_the_source_and_in_a_message() {
     let twice = json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
     let north = Key::new(Section::Customers, "north");
     assert_eq!(Document::from_settings(&twice), Err(DocumentError::DuplicateEntry(north)));
     let mut source = source(1, 1);
     assert!(matches!(source.publish(&twice, check), Err(PublishError::Document(_))));
     let sum = "0".repeat(32);
-    let told = |parts: &str| {
+    let decoded = |parts: &str| {
         let text = format!(r#"{{"kind":"delta","from":"1-1","to":"1-2",{parts},"checksum":"{sum}"}}"#);
         decode(text.as_bytes()).map_err(|error| error.to_string())
     };
     let twice = r#""changed":{"customers":{"north":{"quota_rps":1},"north":{"quota_rps":2}}}"#;
-    assert_eq!(told(twice), Err("customers.north: told twice".into()));
+    assert_eq!(decoded(twice), Err("customers.north: duplicate entry".into()));
     let both = r#""changed":{"customers":{"north":{}}},"removed":{"customers":["north"]}"#;
-    assert_eq!(told(both), Err("customers.north: told twice".into()));
-    assert!(told(r#""changed":{"customers":{"north":{}}},"changed":{}"#).is_err());
-    assert!(told(r#""changed":{"tenants":{"north":{}}}"#).is_err());
-    assert!(told(r#""entries":{}"#).is_err());
-    assert!(told(r#""changed":{"customers":{"north":{}}}"#).is_ok());
+    assert_eq!(decoded(both), Err("customers.north: duplicate entry".into()));
+    assert!(decoded(r#""changed":{"customers":{"north":{}}},"changed":{}"#).is_err());
+    assert!(decoded(r#""changed":{"tenants":{"north":{}}}"#).is_err());
+    assert!(decoded(r#""entries":{}"#).is_err());
+    assert!(decoded(r#""changed":{"customers":{"north":{}}}"#).is_ok());
 }
 
-/// An unsound version is not published. One that a follower alone finds unsound is refused once, is not asked for again, and
-/// the next is taken, though it is built upon the version refused.
+/// An invalid version is not published. One that only a follower finds invalid is rejected once and not requested again,
+/// and the next one is applied, though it is based on the rejected version.
 #[test]
-fn an_unsound_version_is_refused_and_the_next_one_taken() {
-    let (mut source, mut follower) = (source(1, 5), Driven::new(1));
-    follower.exchange(&mut source);
-    let held = (source.version(), source.document().clone());
-    let unsound = source.publish_changes(vec![quota(1, -1.0)], Vec::new(), check);
+fn invalid_version_is_rejected_and_the_next_one_applied() {
+    let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
+    let applied = (source.version(), source.document().clone());
+    let published = source.publish_changes(vec![quota_entry(1, -1.0)], Vec::new(), check);
     let error = InvalidSettings::new("customer \"tenant-1\": expected a quota of at least 0");
-    assert_eq!(unsound, Err(PublishError::InvalidSettings(error.clone())));
-    assert_eq!(source.version(), held.0);
-    let version = source.publish_changes(vec![quota(1, -1.0)], Vec::new(), |_| Ok(())).unwrap().version;
-    assert_eq!(follower.exchange(&mut source), End::Refused(Rejection::InvalidSettings { version, error }));
-    assert_eq!(follower.follower.document(), &held.1);
+    assert_eq!(published, Err(PublishError::InvalidSettings(error.clone())));
+    assert_eq!(source.version(), applied.0);
+    let version = source.publish_changes(vec![quota_entry(1, -1.0)], Vec::new(), |_| Ok(())).unwrap().version;
+    assert_eq!(
+        follower.poll_source(&mut source),
+        Outcome::Rejected(Rejection::InvalidSettings { version, error })
+    );
+    assert_eq!(follower.follower.document(), &applied.1);
     assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Rejecting(version));
-    let ask = follower.ask();
-    assert_eq!((ask.after, ask.rejected_version), (Some(held.0), Some(version)));
-    assert_eq!(source.answer_poll(&ask), lotusdeck_configuration::source::SourceAnswer::Later);
-    follower.answer(Message::Unchanged(version));
-    let back = source.revert_to(held.0, check).unwrap().version;
-    assert_eq!(back, version.next());
-    assert_eq!(source.document(), &held.1);
-    assert_eq!(follower.exchange(&mut source), End::Took(back));
-    follower.holds(&held.1);
+    let poll = follower.next_poll();
+    assert_eq!((poll.after, poll.rejected_version), (Some(applied.0), Some(version)));
+    assert_eq!(source.answer_poll(&poll), SourceAnswer::Later);
+    follower.deliver(Message::Unchanged(version));
+    let reverted = source.revert_to(applied.0, check).unwrap().version;
+    assert_eq!(reverted, version.next());
+    assert_eq!(source.document(), &applied.1);
+    assert_eq!(follower.poll_source(&mut source), Outcome::Applied(reverted));
+    follower.assert_in_force(&applied.1);
 }
 
-/// What versions changed, added and left out is restored by one later version.
+/// What several versions changed, added and removed is restored by one later version.
 #[test]
-fn a_version_is_taken_back_by_a_later_one() {
+fn versions_are_reverted_by_a_later_one() {
     let mut source = source(3, 5);
     let before = (source.version(), source.document().clone());
-    change(&mut source, 1, 1.0);
-    source.publish_changes(vec![quota(77, 1.0)], vec![customer_key(2)], check).unwrap();
-    change(&mut source, 1, 2.0);
+    publish_quota(&mut source, 1, 1.0);
+    source.publish_changes(vec![quota_entry(77, 1.0)], vec![customer_key(2)], check).unwrap();
+    publish_quota(&mut source, 1, 2.0);
     let publication = source.revert_to(before.0, check).unwrap();
     assert_eq!((publication.changed, publication.removed), (2, 1));
     assert_eq!((source.document(), source.version().number), (&before.1, 5));
     assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::NoChange));
 }
 
-/// The order of profiles or customers in a settings object means nothing, that of other arrays does.
+/// The order of profiles and customers in a settings object has no meaning, that of other arrays has.
 #[test]
-fn order_is_canonical() {
-    let mut turned = settings(3, 3);
-    turned["profiles"].as_array_mut().unwrap().reverse();
-    turned["customers"].as_array_mut().unwrap().reverse();
+fn document_ignores_the_order_of_profiles_and_customers() {
+    let mut reversed = settings(3, 3);
+    reversed["profiles"].as_array_mut().unwrap().reverse();
+    reversed["customers"].as_array_mut().unwrap().reverse();
     let document = Document::from_settings(&settings(3, 3)).unwrap();
-    assert_eq!(Document::from_settings(&turned).unwrap(), document);
-    turned["zones"].as_array_mut().unwrap().reverse();
-    assert_ne!(Document::from_settings(&turned).unwrap().checksum(), document.checksum());
+    assert_eq!(Document::from_settings(&reversed).unwrap(), document);
+    reversed["zones"].as_array_mut().unwrap().reverse();
+    assert_ne!(Document::from_settings(&reversed).unwrap().checksum(), document.checksum());
 }
 
-/// A document cannot grow beyond its bounds by deltas, whatever a source tells.
+/// No delta lets a document grow beyond its bounds, whatever a source sends.
 #[test]
-fn a_document_does_not_grow_without_bound() {
-    let (mut source, mut follower) = (source(1, 1), Driven::new(1));
-    follower.exchange(&mut source);
+fn delta_beyond_the_bounds_of_a_document_is_rejected() {
+    let (mut source, mut follower) = (source(1, 1), FollowerDriver::new(1));
+    follower.poll_source(&mut source);
     let large = |at: usize| lotusdeck_configuration::Entry {
         key: customer_key(at),
         value: format!("{{\"note\":\"{}\"}}", "x".repeat(250_000)).into(),
     };
     let changed = (0..80).map(large).collect();
-    let refused = source.publish_changes(changed, Vec::new(), |_| Ok(()));
+    let published = source.publish_changes(changed, Vec::new(), |_| Ok(()));
     assert!(matches!(
-        refused,
-        Err(PublishError::Staging(StagingError::Document(DocumentError::TooLarge(..))))
+        published,
+        Err(PublishError::Staging(StagingError::Document(DocumentError::TooLarge { .. })))
     ));
     let changed = (0..80).map(large).collect();
     let delta = lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty(&source) };
-    follower.ask();
-    let end = follower.answer(Message::Delta(delta));
+    follower.next_poll();
+    let outcome = follower.deliver(Message::Delta(delta));
     assert!(matches!(
-        end,
-        End::Refused(Rejection::Staging { error: StagingError::Document(DocumentError::TooLarge(..)), .. })
+        outcome,
+        Outcome::Rejected(Rejection::Staging {
+            error: StagingError::Document(DocumentError::TooLarge { .. }),
+            ..
+        })
     ));
 }
 
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -166,7 +166,7 @@
     published.publish(&renamed("read", "draw"));
     let delta = published.delta(Version::first(EPOCH));
     answer.send((200, delta.replace("\"gain\":1.0", "\"gain\":2.0"))).unwrap();
-    assert!(proxy.logged("configuration refused").contains("checksum over the whole"));
+    assert!(proxy.logged("configuration refused").contains("checksum of the document"));
     let (asked, answer) = published.question();
     assert!(!asked.contains("after"), "{asked}");
     answer.send((200, encode(&Told::FullDocument(published.source.full_document()))[..500].into())).unwrap();
