--- /dev/null
+++ b/crates/proxy/src/discovery/poll.rs
@@ -0,0 +1,182 @@
+//! One poll of discovery: its request, its answer, and when either is given up.
+
+use super::dialer::{Dialer, IdleConnection};
+use super::pacing::{EXTRA_POLL_DELAY, OVERDUE_AFTER};
+use super::progress::Progress;
+use crate::endpoint_list::{EndpointList, ParsedEndpointList};
+use crate::exchange::driven;
+use crate::stream::Stream;
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Empty};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1;
+use hyper::Request;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::time::Instant;
+
+/// Bytes of an answer at most. A list of 11,000 backends, the largest that is planned for, has 1.5 MB at 136 bytes a
+/// line and 11 MB at 1 KB, indented and with long names. How many lines it may have is the list's own bound.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// A longer answer is parsed on a thread of its own: this many bytes take 2 ms, in which no request has its turn, and
+/// 11,000 lines take 14 to 21 ms.
+const MAX_INLINE_PARSE_BYTES: usize = 256 * 1024;
+
+/// Why a poll brought no list.
+#[derive(Debug, Error)]
+pub(super) enum PollError {
+    #[error("no connection: {0}")]
+    Connect(std::io::Error),
+    #[error("call broken: {0}")]
+    Http(#[from] hyper::Error),
+    #[error("request: {0}")]
+    Request(#[from] hyper::http::Error),
+    #[error("answered {0}")]
+    Status(u16),
+    #[error("answer not understood: {0}")]
+    Json(serde_json::Error),
+    #[error("answer longer than {MAX_ANSWER_BYTES} bytes")]
+    TooLong,
+    #[error("answer not read: {0}")]
+    Parser(tokio::task::JoinError),
+    #[error("connection ended")]
+    Ended,
+    #[error("silent")]
+    Silent,
+}
+
+/// What a poll asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct PollRequest {
+    /// The version of the list that was in place when the poll was made.
+    pub known_version: Option<u64>,
+    /// The full list is asked for, whatever version is known.
+    pub full: bool,
+    /// How long discovery may wait for changes.
+    pub max_wait: Duration,
+}
+
+impl PollRequest {
+    /// The version that the answer's changes follow; `None` where the answer has to be the full list.
+    pub(super) fn changes_after(&self) -> Option<u64> {
+        self.known_version.filter(|_| !self.full)
+    }
+
+    /// How long discovery may take to begin an answer: a full list is never waited for.
+    fn answer_delay(&self) -> Duration {
+        self.changes_after().map_or(Duration::ZERO, |_| self.max_wait)
+    }
+}
+
+/// How a poll ended.
+pub(super) struct CompletedPoll {
+    pub request: PollRequest,
+    /// The connection, where it can be used again.
+    pub connection: Option<IdleConnection>,
+    pub answer: Result<ParsedEndpointList, PollError>,
+}
+
+/// A poll in flight. It is not dropped before it has ended: what discovery has written counts as notified, read or
+/// not.
+pub(super) struct DiscoveryPoll {
+    pub request: PollRequest,
+    progress: Rc<Progress>,
+    pub completion: Pin<Box<dyn Future<Output = CompletedPoll>>>,
+}
+
+impl DiscoveryPoll {
+    pub(super) fn open(
+        connection: Option<IdleConnection>, dialer: Rc<Dialer>, address: SocketAddr, request: PollRequest,
+    ) -> DiscoveryPoll {
+        let progress = Rc::new(Progress::new(Instant::now() + request.answer_delay()));
+        let shared_progress = progress.clone();
+        let completion = Box::pin(async move {
+            let mut connection = connection;
+            let answer = tokio::select! {
+                biased;
+                answer = exchange(&mut connection, &dialer, address, request, &shared_progress) => answer,
+                () = shared_progress.timeout() => Err(PollError::Silent),
+            };
+            if answer.is_err() {
+                drop(connection.take());
+                dialer.refill();
+            }
+            CompletedPoll { request, connection, answer }
+        });
+        DiscoveryPoll { request, progress, completion }
+    }
+
+    /// When another poll is due in parallel to this one; `None`: not before this one has ended. One that has no wait
+    /// and no answer yet is left alone: an overloaded discovery handles polls in turn, and takes up to a quarter of a
+    /// second for each, so that second polls of all proxies keep it from ever answering the first.
+    pub(super) fn extra_poll_at(&self, known_version: Option<u64>) -> Option<Instant> {
+        let Some(received) = self.progress.received() else {
+            let is_long_poll = self.request.answer_delay() > Duration::ZERO;
+            return is_long_poll.then(|| self.progress.wait_ends_at + OVERDUE_AFTER);
+        };
+        // An answer that still comes is waited for where the other poll would have to ask for the full list as well.
+        let from = if known_version.is_some() { received.first } else { received.last };
+        Some(from + EXTRA_POLL_DELAY)
+    }
+}
+
+async fn exchange(
+    idle: &mut Option<IdleConnection>, dialer: &Dialer, address: SocketAddr, poll: PollRequest,
+    progress: &Progress,
+) -> Result<ParsedEndpointList, PollError> {
+    let mut connection = match idle.take() {
+        Some(connection) if connection.is_usable() => connection,
+        _ => {
+            let tcp = dialer.dial(address).await.map_err(PollError::Connect)?;
+            let (sender, driver) = http1::handshake(Stream::new(tcp)).await?;
+            IdleConnection { sender, driver }
+        }
+    };
+    let target = EndpointList::request_target(poll.changes_after(), poll.max_wait);
+    let request = Request::get(target).header("host", address.to_string()).body(Empty::<Bytes>::new())?;
+    let IdleConnection { sender, driver } = &mut connection;
+    let answer = async {
+        sender.ready().await?;
+        let answer = sender.send_request(request).await?;
+        progress.record_received();
+        let status = answer.status().as_u16();
+        Ok((status, read_body(answer.into_body(), progress).await?))
+    };
+    let (status, body) = driven(driver, answer).await.unwrap_or(Err(PollError::Ended))?;
+    *idle = Some(connection);
+    if status != 200 {
+        return Err(PollError::Status(status));
+    }
+    parse(body).await
+}
+
+/// The complete body; one that declares itself too long is not read at all.
+async fn read_body(mut body: Incoming, progress: &Progress) -> Result<Bytes, PollError> {
+    let mut read = BytesMut::new();
+    if body.size_hint().lower() > MAX_ANSWER_BYTES as u64 {
+        return Err(PollError::TooLong);
+    }
+    while let Some(frame) = body.frame().await {
+        progress.record_received();
+        let Ok(data) = frame?.into_data() else { continue };
+        if read.len() + data.len() > MAX_ANSWER_BYTES {
+            return Err(PollError::TooLong);
+        }
+        read.extend_from_slice(&data);
+    }
+    Ok(read.freeze())
+}
+
+/// Parses the answer, outside the event loop where that takes long.
+async fn parse(body: Bytes) -> Result<ParsedEndpointList, PollError> {
+    let parse = |body: &[u8]| serde_json::from_slice(body).map(EndpointList::parse).map_err(PollError::Json);
+    if body.len() <= MAX_INLINE_PARSE_BYTES {
+        return parse(&body);
+    }
+    let parsed = tokio::task::spawn_blocking(move || parse(&body)).await;
+    parsed.map_err(PollError::Parser)?
+}
--- /dev/null
+++ b/crates/proxy/src/discovery/polls.rs
@@ -0,0 +1,104 @@
+//! The polls in flight at one address of discovery.
+
+use super::dialer::{Dialer, IdleConnection};
+use super::pacing::{EXTRA_POLL_DELAY, MAX_POLLS_IN_FLIGHT};
+use super::poll::{CompletedPoll, DiscoveryPoll, PollRequest};
+use std::cell::Cell;
+use std::future::poll_fn;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::info;
+
+/// The polls in flight at one address of discovery.
+pub(super) struct DiscoveryPolls {
+    address: SocketAddr,
+    dialer: Rc<Dialer>,
+    /// The oldest first.
+    in_flight: Vec<DiscoveryPoll>,
+    /// When the newest was opened.
+    last_opened_at: Instant,
+}
+
+impl DiscoveryPolls {
+    pub(super) fn new(address: SocketAddr, dialer: Rc<Dialer>) -> DiscoveryPolls {
+        DiscoveryPolls { address, dialer, in_flight: Vec::new(), last_opened_at: Instant::now() }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.in_flight.is_empty()
+    }
+
+    /// Whether any of them asks for the full list.
+    pub(super) fn any_full(&self) -> bool {
+        self.in_flight.iter().any(|poll| poll.request.full)
+    }
+
+    pub(super) fn into_in_flight(self) -> Vec<DiscoveryPoll> {
+        self.in_flight
+    }
+
+    /// Hands out all of them.
+    pub(super) fn drain(&mut self) -> std::vec::Drain<'_, DiscoveryPoll> {
+        self.in_flight.drain(..)
+    }
+
+    pub(super) fn open(&mut self, connection: Option<IdleConnection>, request: PollRequest) {
+        self.last_opened_at = Instant::now();
+        let poll = DiscoveryPoll::open(connection, self.dialer.clone(), self.address, request);
+        self.in_flight.push(poll);
+    }
+
+    /// The first of them to end.
+    async fn first_completed(&mut self) -> CompletedPoll {
+        poll_fn(|cx| {
+            let ready = |(index, poll): (usize, &mut DiscoveryPoll)| match poll.completion.as_mut().poll(cx) {
+                Poll::Ready(completed) => Some((index, completed)),
+                Poll::Pending => None,
+            };
+            let Some((index, completed)) = self.in_flight.iter_mut().enumerate().find_map(ready) else {
+                return Poll::Pending;
+            };
+            drop(self.in_flight.remove(index));
+            Poll::Ready(completed)
+        })
+        .await
+    }
+
+    /// When another poll is due in parallel, some time after the newest, which may have failed, at the soonest; never
+    /// while as many are in flight as may be.
+    fn extra_poll_at(&self, known_version: Option<u64>) -> Option<Instant> {
+        let due_times = self.in_flight.iter().map(|poll| poll.extra_poll_at(known_version));
+        let due = due_times.collect::<Option<Vec<_>>>()?.into_iter().max();
+        if self.in_flight.len() >= MAX_POLLS_IN_FLIGHT {
+            return None;
+        }
+        due.map(|due| due.max(self.last_opened_at + EXTRA_POLL_DELAY))
+    }
+
+    /// The first of them to end. While they bring nothing, others are opened in parallel one after another, for what
+    /// is newer than the version known then.
+    pub(super) async fn next_completed(&mut self, known_version: &Cell<Option<u64>>) -> CompletedPoll {
+        loop {
+            // Whether another is due is checked again when an answer may have begun.
+            let next_check = self.extra_poll_at(known_version.get());
+            let next_check = next_check.unwrap_or_else(|| Instant::now() + EXTRA_POLL_DELAY);
+            tokio::select! {
+                biased;
+                completed = self.first_completed() => return completed,
+                () = tokio::time::sleep_until(next_check) => {}
+            }
+            // Something may have come meanwhile.
+            if self.extra_poll_at(known_version.get()).is_some_and(|due| due <= Instant::now()) {
+                if self.in_flight.len() == 1 {
+                    info!("discovery does not answer, another poll is opened");
+                }
+                let request =
+                    PollRequest { known_version: known_version.get(), full: false, max_wait: Duration::ZERO };
+                self.open(None, request);
+            }
+        }
+    }
+}
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -7,6 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 use std::collections::HashMap;
+use std::time::Duration;
 use tracing::warn;
 
 /// Lines of a list or of its changes at most, three times the 11,000 of the largest list that is planned for. Each takes
@@ -97,6 +98,14 @@
 }
 
 impl EndpointList {
+    /// What to ask discovery for: the changes after a version, for which it may wait so long, or the full list.
+    pub(crate) fn request_target(changes_after: Option<u64>, max_wait: Duration) -> String {
+        match changes_after {
+            None => "/api/targets".into(),
+            Some(version) => format!("/api/targets?after={version}&wait_ms={}", max_wait.as_millis()),
+        }
+    }
+
     /// What it says. Of entries that are not understood whole one is logged, with their number, as a list may be
     /// long; a word that a backend leaves is taken from them all the same, and else they change nothing. Where a
     /// whole list names one twice, the word that it leaves goes first; in changes the last word counts.
