--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -50,7 +50,7 @@
 
     /// What is left of a time that began when the last byte that was read was written.
     fn still_left(&self, most: Micros, client: &Client) -> Micros {
-        let age = client.stream.age().as_micros() as u64;
+        let age = client.stream.time_since_arrival().as_micros() as u64;
         self.until_end(Micros(most.0.saturating_sub(age)))
     }
 
@@ -69,9 +69,10 @@
         }
         let effect = rules.config.classes[class.0].side_effects;
         let most = rules.network.deadlines[class.0];
-        let (name, left, length) = check(&head, &body, client.stream.sized(), effect, most)?;
+        let (name, left, length) = check(&head, &body, client.stream.has_content_length(), effect, most)?;
         let (body, _kept) =
-            gather(body, length, &client.stream, &self.budget, self.pool.pauses.get().upload_stall).await?;
+            gather(body, length, &client.stream, &self.budget, self.pool.stall_timeouts.get().upload_stall)
+                .await?;
         // The time of a request counts from its last byte; where more is to come it has not begun.
         let most = Micros(left.0.saturating_sub(self.host.reply_margin().0));
         let left = self.still_left(most, client);
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -4,7 +4,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::exchange::{clean, exchange, Broken};
 use crate::relay::Relay;
-use crate::stream::{Gate, Stream};
+use crate::stream::{SendGate, Stream};
 use crate::strip_hop_by_hop;
 use hyper::body::Body;
 use hyper::ext::on_informational;
@@ -72,10 +72,10 @@
 
     /// Asked at the first byte of an attempt. The end of a client may be hidden from hyper, which reads no further
     /// behind bytes that follow a request, and may have come while this process was doing something else.
-    fn gate(&self, leg: AttemptContext) -> Gate {
+    fn gate(&self, leg: AttemptContext) -> SendGate {
         let (client, left) = (self.client.clone(), self.left.clone());
         Box::new(move || {
-            let gone = client.left();
+            let gone = client.is_closed_by_peer();
             if gone {
                 left.notify_one();
             }
@@ -123,15 +123,15 @@
     /// connection came up.
     pub(crate) async fn attempt(
         self: &Rc<Self>, (id, to): (BackendId, SocketAddr), call: &Call, deadline: Instant,
-        cleared: impl Future<Output = bool>, gate: Gate,
+        cleared: impl Future<Output = bool>, gate: SendGate,
     ) -> Ended {
         // A kept connection is looked at when it is used: it may be closed while the journal writes.
-        let fresh = match self.keeps(id) {
+        let fresh = match self.has_idle(id) {
             true => None,
             false => Some(self.connect(to).await),
         };
         let cleared = cleared.await;
-        let taken = || self.take(id, to).map(Ok);
+        let taken = || self.take_idle(id, to).map(Ok);
         let c = match fresh.or_else(taken) {
             Some(connected) => connected,
             None => self.connect(to).await,
@@ -142,7 +142,7 @@
         };
         let left = deadline.saturating_duration_since(Instant::now());
         if !cleared || left.is_zero() || call.body.spent() {
-            self.put(id, c); // an unused connection stays warm
+            self.return_idle(id, c); // an unused connection stays warm
             return Outcome::NeverSent.into();
         }
         let mut request = Request::new(Outgoing::new(&call.body));
@@ -158,16 +158,23 @@
         let length = request.body().size_hint().exact();
         c.stream.begin_request(length, gate);
         let upload = call.body.flow();
-        let ended =
-            exchange(&c.stream, request, &early, upload, self.budget.reserve(), self.pauses.get()).await;
-        if c.stream.withheld() {
-            self.put(id, c);
+        let ended = exchange(
+            &c.stream,
+            request,
+            &early,
+            upload,
+            self.body_budget.reserve(),
+            self.stall_timeouts.get(),
+        )
+        .await;
+        if c.stream.is_request_withheld() {
+            self.return_idle(id, c);
             return Outcome::NeverSent.into();
         }
         // Where chunks hide what is on its way the last byte counts as written once it was given away.
         let given = length.is_none() && upload.is_some_and(|u| u.whole());
         let heard = ended.as_ref().is_ok_and(|e| judge(&e.head) == Outcome::Rejected);
-        if !c.stream.request_written() && !given {
+        if !c.stream.is_request_written() && !given {
             let outcome = if heard { Outcome::Rejected } else { Outcome::ConnectFailed };
             return outcome.into(); // the backend begins with the last byte, and never before it
         }
@@ -176,7 +183,7 @@
             Err(Broken::Spoilt) => return Outcome::Error.into(),
             Err(Broken::Ended) => return Outcome::Reset.into(),
         };
-        self.heard(id);
+        self.record_answer(id);
         let outcome = judge(&reply.head);
         let status = Some(reply.head.status.as_u16());
         let close = reply.head.headers.get_all(CONNECTION).iter().any(|v| v != "keep-alive");
@@ -188,7 +195,7 @@
         let body = match reply.rest {
             None => {
                 if goes_on && clean(&c.stream, reply.conn) {
-                    self.put(id, c);
+                    self.return_idle(id, c);
                 }
                 AnswerBody::Whole(Some(reply.read).filter(|b| !b.is_empty()))
             }
@@ -201,7 +208,7 @@
                     c,
                     goes_on,
                     read: reply.read.len() as u64,
-                    silence: self.pauses.get().relayed_answer_stall,
+                    silence: self.stall_timeouts.get().relayed_answer_stall,
                     into,
                 };
                 tokio::task::spawn_local(back.run(reply.conn, reply.sender, rest));
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -80,7 +80,7 @@
         }
     }
     // A client waits for its answer before it sends more: this one's length is wrong or hides a request.
-    if client.surplus(read.len() as u64) {
+    if client.has_excess_bytes(read.len() as u64) {
         return Err(Fault::Length);
     }
     Ok((Payload::Whole(read.freeze()), kept))
@@ -181,7 +181,7 @@
         let fault = match self.length {
             _ if read > MOST => Some(Fault::TooLong),
             Some(length) if last && read != length => Some(Fault::Length),
-            _ if last && self.client.surplus(read) => Some(Fault::Length),
+            _ if last && self.client.has_excess_bytes(read) => Some(Fault::Length),
             _ if !last && !in_time(self.begun, read) => Some(Fault::Slow),
             _ => None,
         };
--- a/crates/proxy/src/chunks/tests.rs
+++ b/crates/proxy/src/chunked_body/tests.rs
@@ -14,10 +14,10 @@
     for body in bodies {
         let whole = [body, b"GET / HTTP/1.1"].concat();
         for cut in 0..whole.len() {
-            let mut chunks = Chunks::default();
-            let behind = chunks.feed(&whole[..cut]);
+            let mut chunks = ChunkedBodyScanner::default();
+            let behind = chunks.count_bytes_after(&whole[..cut]);
             assert_eq!(behind, cut.saturating_sub(body.len()), "{cut}");
-            assert_eq!(behind + chunks.feed(&whole[cut..]), 14, "{cut}");
+            assert_eq!(behind + chunks.count_bytes_after(&whole[cut..]), 14, "{cut}");
         }
     }
 }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -85,15 +85,17 @@
         if self.busy.get() || self.leaving.get() {
             return false;
         }
-        match self.stream.heard() {
-            Some(_) => !self.stream.unread() && now - self.stream.moved() >= HEAD_REST,
-            None => !self.proven.get() && now - self.accepted >= FIRST_PATIENCE && !self.stream.stirred(),
+        match self.stream.message_started_at() {
+            Some(_) => !self.stream.has_kernel_bytes() && now - self.stream.last_read_at() >= HEAD_REST,
+            None => {
+                !self.proven.get() && now - self.accepted >= FIRST_PATIENCE && !self.stream.has_unread_data()
+            }
         }
     }
 
     /// When its patience ends, as things stand.
     pub(crate) fn due(&self, now: tokio::time::Instant) -> tokio::time::Instant {
-        match self.stream.heard() {
+        match self.stream.message_started_at() {
             _ if self.busy.get() => now,
             None => self.idle_since.get() + IDLE_PATIENCE,
             Some(at) if self.proven.get() => at + HEAD_PATIENCE,
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -88,8 +88,8 @@
 
 /// What the program itself knows of it, as long as nothing is unread.
 fn known(client: &Client) -> Filed {
-    match client.stream.heard() {
-        Some(_) => Filed { resting: Resting::PartialHead, since: client.stream.moved() },
+    match client.stream.message_started_at() {
+        Some(_) => Filed { resting: Resting::PartialHead, since: client.stream.last_read_at() },
         None if client.is_proven() => {
             Filed { resting: Resting::BetweenRequests, since: client.idle_since.get() }
         }
@@ -99,9 +99,9 @@
 
 /// Bytes wait in the kernel, or the other side has closed between requests.
 fn unread(client: &Client) -> bool {
-    match client.stream.heard() {
-        Some(_) => client.stream.unread(),
-        None => client.stream.stirred(),
+    match client.stream.message_started_at() {
+        Some(_) => client.stream.has_kernel_bytes(),
+        None => client.stream.has_unread_data(),
     }
 }
 
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -61,7 +61,7 @@
 /// Sends part of a head; it lies in the kernel of the proxy's side when this returns.
 async fn send_part(client: &Client, peer: &mut Peer) {
     peer.write_all(b"GET /a HTTP/1.1\r\nHo").unwrap();
-    while !client.stream.unread() {
+    while !client.stream.has_kernel_bytes() {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -62,7 +62,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(4), listener.local_addr().unwrap());
     pool.retain_backends(&HashSet::from([BackendId(0)]));
-    pool.put(BackendId(0), pool.connect(to).await.ok().unwrap());
+    pool.return_idle(BackendId(0), pool.connect(to).await.ok().unwrap());
     let kept = listener.accept().unwrap().0;
     let answers = std::thread::spawn(move || {
         let mut peer = listener.accept().unwrap().0;
@@ -73,7 +73,7 @@
         }
         peer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     });
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(REUSE_DELAY).await;
     let cleared = async {
         drop(kept);
         true
@@ -92,7 +92,7 @@
     let refused = pool.connect(to).await.err();
     assert_eq!((refused, pool.open_connections()), (Some(Outcome::NeverSent), 1));
     pool.retain_backends(&HashSet::from([BackendId(0)]));
-    pool.put(BackendId(0), busy);
+    pool.return_idle(BackendId(0), busy);
     let other = pool.connect(to).await;
     assert!(other.is_ok() && pool.open_connections() == 1);
     drop(other);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -29,7 +29,7 @@
 /// request and gives back what it had read too much, so that nothing left from one answer can pass for the next.
 pub(crate) fn clean(stream: &Stream, conn: Driver) -> bool {
     stream.mark_idle();
-    conn.into_parts().read_buf.is_empty() && !stream.stirred()
+    conn.into_parts().read_buf.is_empty() && !stream.has_unread_data()
 }
 
 /// Why no whole answer came: all of these may have run.
@@ -92,8 +92,8 @@
 /// shorter than it says would hold its request to the deadline. Answers of status 1xx are no such beginning.
 async fn stalled(stream: &Stream, early: &AtomicBool, gap: Duration) {
     loop {
-        stream.first_byte().await;
-        stuck(gap, || stream.received()).await;
+        stream.wait_for_first_byte().await;
+        stuck(gap, || stream.bytes_received()).await;
         if !early.swap(false, Relaxed) {
             return;
         }
@@ -105,7 +105,7 @@
 async fn unread(stream: &Stream, upload: Option<&Rc<Upload>>, most: Duration) {
     match upload {
         Some(upload) if !upload.whole() => {
-            stuck(most, || stream.sent() + upload.read()).await;
+            stuck(most, || stream.bytes_sent() + upload.read()).await;
             if upload.whole() {
                 std::future::pending().await // its time runs now: the module's deadline ends it
             }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -19,7 +19,7 @@
 mod body;
 pub mod body_budget;
 pub mod cached_endpoint_list;
-mod chunks;
+mod chunked_body;
 mod client;
 mod clients;
 pub mod config;
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,7 +1,7 @@
 //! A large answer on its way: read from the backend as fast as the client takes it.
 
 use crate::body::{Outgoing, MOST};
-use crate::connection_pool::{Conn, ConnectionPool};
+use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::exchange::{clean, Driver};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -19,7 +19,7 @@
 pub(crate) struct Relay {
     pub pool: Rc<ConnectionPool>,
     pub id: BackendId,
-    pub c: Conn,
+    pub c: PooledConnection,
     pub goes_on: bool,
     pub read: u64,
     /// It may rest for so long.
@@ -61,7 +61,7 @@
         drop(sender);
         let _ = self.into.send(None).await;
         if self.goes_on && !over && clean(&self.c.stream, conn) {
-            self.pool.put(self.id, self.c);
+            self.pool.return_idle(self.id, self.c);
         }
     }
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -148,7 +148,7 @@
             filed = self.clients.filings.take(),
             turned_away = self.faults.take(),
             upstreams = self.pool.open_connections(),
-            connects = self.pool.connects_since_report.take(),
+            connects = self.pool.take_connects(),
             "clients"
         );
     }
@@ -288,7 +288,7 @@
                 _ = cut.as_mut(), if client.is_leaving() && !client.busy.get() => return,
                 _ = due.as_mut() => {
                     let now = tokio::time::Instant::now();
-                    let (next, moved) = (client.due(now), client.stream.sent());
+                    let (next, moved) = (client.due(now), client.stream.bytes_sent());
                     if seen.0 != moved || !client.flowing.get() {
                         seen = (moved, now);
                     }
@@ -299,9 +299,9 @@
                             return; // it reads nothing
                         }
                         due.as_mut().reset(now + BUSY_LOOK);
-                    } else if client.stream.unread() {
+                    } else if client.stream.has_kernel_bytes() {
                         due.as_mut().reset(now + UNREAD_LOOK);
-                    } else if client.stream.heard().is_some() || !client.is_proven() {
+                    } else if client.stream.message_started_at().is_some() || !client.is_proven() {
                         return; // no whole head came
                     } else {
                         conn.as_mut().graceful_shutdown();
@@ -315,11 +315,11 @@
                     // A first request that comes while its connection is closed goes unanswered, so that the young ones
                     // are given their time; what lies unread may be a request.
                     let none_owed = client.is_leaving() && !client.is_proven() && !client.busy.get();
-                    if none_owed && !client.stream.unread() || client.asks_nothing(tokio::time::Instant::now()) {
+                    if none_owed && !client.stream.has_kernel_bytes() || client.asks_nothing(tokio::time::Instant::now()) {
                         return;
                     }
                     // A request that has just come is answered first; `answer` then ends the connection.
-                    if client.busy.get() || !client.stream.stirred() {
+                    if client.busy.get() || !client.stream.has_unread_data() {
                         conn.as_mut().graceful_shutdown();
                     }
                 }
--- /dev/null
+++ b/crates/proxy/src/stream/incoming.rs
@@ -0,0 +1,102 @@
+//! What has been read of the message that is coming.
+
+use super::head::{BodyHeaders, HeadEnd};
+use crate::chunked_body::ChunkedBodyScanner;
+use std::cell::Cell;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// What has been read of the message that is coming.
+pub(super) struct IncomingMessage {
+    head_end: HeadEnd,
+    headers: BodyHeaders,
+    /// Where in a chunked body what was read ends.
+    chunks: Cell<ChunkedBodyScanner>,
+    /// Bytes behind the head; of a chunked body those behind its end.
+    bytes_after_head: Cell<u64>,
+    /// When the first byte of the message was read.
+    started_at: Cell<Option<Instant>>,
+    /// Notified at that byte.
+    started: Notify,
+    /// When something was last read, of this message or one before.
+    last_read_at: Cell<Instant>,
+    /// Bytes read of all messages.
+    total_bytes: Cell<u64>,
+}
+
+impl IncomingMessage {
+    pub(super) fn new() -> IncomingMessage {
+        IncomingMessage {
+            head_end: HeadEnd::pending(),
+            headers: BodyHeaders::default(),
+            chunks: Cell::default(),
+            bytes_after_head: Cell::default(),
+            started_at: Cell::default(),
+            started: Notify::new(),
+            last_read_at: Cell::new(Instant::now()),
+            total_bytes: Cell::default(),
+        }
+    }
+
+    /// What comes from now on is a new message.
+    pub(super) fn reset(&self) {
+        self.started_at.set(None);
+        self.headers.reset();
+        self.chunks.set(ChunkedBodyScanner::default());
+        self.head_end.reset();
+        self.bytes_after_head.set(0);
+    }
+
+    /// Takes bytes that were read now.
+    pub(super) fn record(&self, bytes: &[u8]) {
+        let mut after_head = if self.head_end.is_passed() { bytes.len() } else { self.scan_head(bytes) };
+        if self.headers.has_transfer_encoding() {
+            let mut chunks = self.chunks.get();
+            after_head = chunks.count_bytes_after(&bytes[bytes.len() - after_head..]);
+            self.chunks.set(chunks);
+        }
+        self.bytes_after_head.set(self.bytes_after_head.get() + after_head as u64);
+        self.total_bytes.set(self.total_bytes.get() + bytes.len() as u64);
+        self.last_read_at.set(Instant::now());
+        if !bytes.is_empty() && self.started_at.get().is_none() {
+            self.started_at.set(Some(Instant::now()));
+            self.started.notify_waiters();
+        }
+    }
+
+    /// How many of these bytes lie behind the head.
+    fn scan_head(&self, bytes: &[u8]) -> usize {
+        let after_head = self.head_end.count_bytes_after(bytes);
+        self.headers.scan(&bytes[..bytes.len() - after_head]);
+        after_head
+    }
+
+    pub(super) fn has_content_length(&self) -> bool {
+        self.headers.has_content_length()
+    }
+
+    /// More was read than a message with a body of that size has, or than a chunked one has.
+    pub(super) fn has_excess_bytes(&self, body_bytes: u64) -> bool {
+        let own = if self.headers.has_transfer_encoding() { 0 } else { body_bytes };
+        self.bytes_after_head.get() > own
+    }
+
+    pub(super) fn started_at(&self) -> Option<Instant> {
+        self.started_at.get()
+    }
+
+    /// Ends once the message has begun.
+    pub(super) async fn wait_for_start(&self) {
+        while self.started_at.get().is_none() {
+            self.started.notified().await;
+        }
+    }
+
+    pub(super) fn last_read_at(&self) -> Instant {
+        self.last_read_at.get()
+    }
+
+    pub(super) fn total_bytes(&self) -> u64 {
+        self.total_bytes.get()
+    }
+}
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -1,6 +1,7 @@
 //! The stream on real connections.
 
 use super::*;
+use std::cell::Cell;
 use std::io::{Read as _, Write as _};
 
 async fn pair() -> (Stream, std::net::TcpStream) {
@@ -24,17 +25,17 @@
     for parts in [["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"], ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"]] {
         stream.begin_request(Some(4), Box::new(|| true));
         for part in parts {
-            assert!(!stream.request_written(), "before {part:?}");
+            assert!(!stream.is_request_written(), "before {part:?}");
             write(&mut stream, part.as_bytes()).await;
         }
-        assert!(stream.request_written());
+        assert!(stream.is_request_written());
         peer.read_exact(&mut vec![0; parts.concat().len()]).unwrap();
     }
     stream.begin_request(Some(0), Box::new(|| true));
     write(&mut stream, b"GET / HTTP/1.1\r\n\r").await;
-    assert!(!stream.request_written());
+    assert!(!stream.is_request_written());
     write(&mut stream, b"\n").await;
-    assert!(stream.request_written());
+    assert!(stream.is_request_written());
 }
 
 /// The gate is asked at the first byte, and at no later one: what has begun may run.
@@ -46,7 +47,7 @@
     stream.begin_request(Some(0), Box::new(move || asked.get()));
     let head = b"GET / HTTP/1.1\r\n\r\n";
     let barred = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
-    assert!(barred.is_err() && stream.withheld() && !stream.request_written());
+    assert!(barred.is_err() && stream.is_request_withheld() && !stream.is_request_written());
     assert_eq!(Rc::strong_count(&open), 1, "what the gate held is let go of");
     open.set(true);
     let again = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
@@ -56,7 +57,7 @@
     write(&mut stream, &head[..5]).await;
     open.set(false);
     write(&mut stream, &head[5..]).await;
-    assert!(stream.request_written() && !stream.withheld());
+    assert!(stream.is_request_written() && !stream.is_request_withheld());
     let mut got = vec![0; head.len()];
     peer.read_exact(&mut got).unwrap();
     assert_eq!(got, head);
@@ -66,19 +67,19 @@
 #[tokio::test]
 async fn a_client_that_left_is_seen_behind_its_bytes() {
     let (stream, mut peer) = pair().await;
-    assert!(!stream.left());
+    assert!(!stream.is_closed_by_peer());
     peer.write_all(b"more").unwrap();
-    assert!(!stream.left());
+    assert!(!stream.is_closed_by_peer());
     drop(peer);
-    assert!(stream.left());
+    assert!(stream.is_closed_by_peer());
     let (stream, peer) = pair().await;
     peer.shutdown(std::net::Shutdown::Write).unwrap();
-    assert!(stream.left());
+    assert!(stream.is_closed_by_peer());
     let (stream, mut peer) = pair().await;
     peer.write_all(b"more").unwrap();
     socket2::SockRef::from(&peer).set_linger(Some(std::time::Duration::ZERO)).unwrap();
     drop(peer); // a reset
-    assert!(stream.left());
+    assert!(stream.is_closed_by_peer());
     let (mut stream, mut peer) = pair().await;
     peer.write_all(b"more").unwrap();
     let mut room = [0; 8];
@@ -86,17 +87,20 @@
     std::future::poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, room.unfilled())).await.unwrap();
     socket2::SockRef::from(&peer).set_linger(Some(std::time::Duration::ZERO)).unwrap();
     drop(peer);
-    assert!(stream.left() && stream.left(), "a reset behind bytes that were read is told once only");
+    assert!(
+        stream.is_closed_by_peer() && stream.is_closed_by_peer(),
+        "a reset behind bytes that were read is told once only"
+    );
 }
 
 /// The kernel is asked, not the event loop, which has had no chance to hear of it here.
 #[tokio::test]
 async fn what_the_other_side_does_is_seen_at_once() {
     let (stream, mut peer) = pair().await;
-    assert!(!stream.stirred());
+    assert!(!stream.has_unread_data());
     peer.write_all(b"x").unwrap();
-    assert!(stream.stirred());
+    assert!(stream.has_unread_data());
     let (stream, peer) = pair().await;
     drop(peer);
-    assert!(stream.stirred());
+    assert!(stream.has_unread_data());
 }
