--- /dev/null
+++ b/crates/lotusdeck/src/admin/table.rs
@@ -0,0 +1,56 @@
+//! The status document as a table for people.
+
+use serde_json::Value;
+use std::fmt::Write;
+
+/// Columns of the backends: keys of the document.
+const BACKEND_COLUMNS: [&str; 11] =
+    ["name", "address", "state", "cordoned", "kind", "ready", "share", "held", "room", "errors", "ejected"];
+/// Columns of the kinds of machines.
+const KIND_COLUMNS: [&str; 4] = ["name", "ready", "speed_rps", "share"];
+/// Keys that are shown one a line.
+const SINGLE_KEYS: [&str; 6] =
+    ["accepting", "clients", "open_requests", "open_attempts", "timer_lag_us", "settings_generation"];
+
+/// The document as a table.
+pub(super) fn render(document: &Value) -> String {
+    let mut out = rows(&document["backends"], &BACKEND_COLUMNS);
+    out.push_str(&rows(&document["kinds"], &KIND_COLUMNS));
+    if let Some(counts) = document["counts"].as_object() {
+        let words: Vec<String> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
+        let _ = writeln!(out, "since the start: {}", words.join(", "));
+    }
+    for key in SINGLE_KEYS {
+        let _ = writeln!(out, "{key}: {}", cell(&document[key]));
+    }
+    out
+}
+
+fn cell(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
+        Value::Number(number) if number.is_f64() => {
+            format!("{:.3}", number.as_f64().unwrap_or_default())
+        }
+        other => other.to_string(),
+    }
+}
+
+/// A header, a line for each entry of the array, and an empty line; nothing where it is no array.
+fn rows(array: &Value, columns: &[&str]) -> String {
+    let Some(entries) = array.as_array() else { return String::new() };
+    let mut table: Vec<Vec<String>> = vec![columns.iter().map(|column| (*column).to_string()).collect()];
+    for entry in entries {
+        table.push(columns.iter().map(|column| cell(&entry[*column])).collect());
+    }
+    let width = |column: usize| table.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let widths: Vec<usize> = (0..columns.len()).map(width).collect();
+    let mut out = String::new();
+    for row in &table {
+        let padded = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
+        let line: Vec<String> = padded.collect();
+        let _ = writeln!(out, "{}", line.join("  ").trim_end());
+    }
+    out.push('\n');
+    out
+}
--- /dev/null
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -0,0 +1,90 @@
+//! `lotusdeck check`: all that is wrong with files, at once.
+
+mod location;
+mod node;
+#[cfg(test)]
+mod tests;
+
+use crate::operator::{OperatorFile, KEYS};
+use crate::print;
+use location::{position, Position};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// The arguments of `lotusdeck check`.
+#[derive(clap::Args)]
+pub(crate) struct Args {
+    /// Node configurations (.json) and operator files (.toml).
+    #[arg(required_unless_present = "keys")]
+    files: Vec<PathBuf>,
+    /// List every key of the operator file, with its range and default.
+    #[arg(long)]
+    keys: bool,
+}
+
+/// One thing that is wrong with a file; findings are sorted by their place.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Finding {
+    position: Position,
+    message: String,
+}
+
+/// Prints one line for each fault, or for a sound file.
+pub(crate) fn main(args: &Args) -> ExitCode {
+    if args.keys {
+        print_keys();
+    }
+    let mut all_sound = true;
+    for file in &args.files {
+        let name = file.display();
+        match check(file) {
+            Ok(kind) => print(&format!("{name}: a sound {kind}\n")),
+            Err(findings) => {
+                all_sound = false;
+                for Finding { position, message } in findings {
+                    print(&format!("{name}:{}:{}: {message}\n", position.line, position.column));
+                }
+            }
+        }
+    }
+    if all_sound {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(crate::EXIT_REFUSED)
+    }
+}
+
+fn print_keys() {
+    for key in &KEYS {
+        let path = key.path;
+        let expected = key.value_type.expected();
+        let default = key.value_type.default();
+        let about = key.about;
+        print(&format!("{path}: {expected}, default {default}: {about}\n"));
+    }
+}
+
+/// The kind of a sound file.
+fn check(file: &Path) -> Result<&'static str, Vec<Finding>> {
+    let text = std::fs::read_to_string(file).map_err(|error| {
+        let message = format!("cannot be read: {error}");
+        vec![Finding { position: Position::default(), message }]
+    })?;
+    if file.extension().is_some_and(|extension| extension == "toml") {
+        return check_operator_file(&text);
+    }
+    let findings = node::check(&text);
+    if findings.is_empty() {
+        return Ok("node configuration");
+    }
+    Err(findings)
+}
+
+fn check_operator_file(text: &str) -> Result<&'static str, Vec<Finding>> {
+    let Err(faults) = OperatorFile::parse(text) else { return Ok("operator file") };
+    let finding = |fault: crate::operator::Fault| Finding {
+        position: position(text, fault.offset),
+        message: fault.message,
+    };
+    Err(faults.into_iter().map(finding).collect())
+}
--- /dev/null
+++ b/crates/lotusdeck/src/ledger/format.rs
@@ -0,0 +1,96 @@
+//! Requests of a ledger as a table, as JSON lines and as comma-separated values.
+
+use lotusdeck_ledger::{Attempt, Fate, Request, Verdict};
+use std::fmt::Write;
+
+/// The first line of comma-separated values.
+pub(super) const CSV_HEADER: &str =
+    "proxy,taken_ms,id,class,key,state,attempt,backend,address,sent_ms,fate\n";
+
+fn fate_name(fate: Fate) -> String {
+    match fate {
+        Fate::NeverSent => "never sent".into(),
+        Fate::Answered(status) => format!("sent, answered {status}"),
+        Fate::Unanswered => "sent, ended without an answer".into(),
+        Fate::PossiblySent => "possibly sent".into(),
+    }
+}
+
+fn state_name(request: &Request) -> &'static str {
+    match request.verdict() {
+        Verdict::NeverSent => "never sent",
+        Verdict::Sent => "sent",
+        Verdict::PossiblySent => "possibly sent",
+    }
+}
+
+/// The state as one word, for programs.
+fn state_word(request: &Request) -> String {
+    state_name(request).replace(' ', "-")
+}
+
+/// Seconds with three decimals, of milliseconds.
+fn seconds(ms: u64) -> String {
+    format!("{}.{:03}", ms / 1000, ms % 1000)
+}
+
+/// A line for the request and one for each attempt.
+pub(super) fn table(request: &Request) -> String {
+    let id = if request.id.is_empty() { "(id lost)" } else { &request.id };
+    let taken = request.taken_at.map_or("(time lost)".into(), seconds);
+    let Request { class, key, proxy, .. } = request;
+    let state = state_name(request);
+    let mut out = format!("{id}  {class}/{key}  at {proxy}, taken {taken}: {state}\n");
+    for attempt in &request.attempts {
+        let Attempt { number, backend, address, .. } = attempt;
+        let sent = seconds(attempt.sent_at);
+        let fate = fate_name(attempt.fate);
+        let _ = writeln!(out, "  {number}: {backend} at {address}, {sent}: {fate}");
+    }
+    if request.is_uncertain {
+        out.push_str("  records that may tell of further attempts are missing\n");
+    }
+    out
+}
+
+/// One JSON object and a newline.
+pub(super) fn json(request: &Request) -> String {
+    let mut value = serde_json::to_value(request).unwrap_or_default();
+    if let Some(object) = value.as_object_mut() {
+        object.insert("state".into(), state_word(request).into());
+    }
+    format!("{value}\n")
+}
+
+/// A field of comma-separated values (RFC 4180).
+fn csv_field(text: &str) -> String {
+    if text.contains([',', '"', '\n', '\r']) {
+        format!("\"{}\"", text.replace('"', "\"\""))
+    } else {
+        text.into()
+    }
+}
+
+/// A line for each attempt, or one for a request without any.
+pub(super) fn csv(request: &Request) -> String {
+    let taken_ms = request.taken_at.map_or(String::new(), |taken| taken.to_string());
+    let request_fields = [
+        csv_field(&request.proxy),
+        taken_ms,
+        csv_field(&request.id),
+        csv_field(&request.class),
+        csv_field(&request.key),
+        state_word(request),
+    ];
+    let request_fields = request_fields.join(",");
+    if request.attempts.is_empty() {
+        return format!("{request_fields},,,,,\n");
+    }
+    let line = |attempt: &Attempt| {
+        let backend = csv_field(&attempt.backend);
+        let address = csv_field(&attempt.address);
+        let fate = csv_field(&fate_name(attempt.fate));
+        format!("{request_fields},{},{backend},{address},{},{fate}\n", attempt.number, attempt.sent_at)
+    };
+    request.attempts.iter().map(line).collect()
+}
--- /dev/null
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -0,0 +1,188 @@
+//! `lotusdeck ledger`: what was sent where, read from the folders of one or more proxies, running or crashed.
+
+mod format;
+
+use crate::print;
+use clap::{Subcommand, ValueEnum};
+use lotusdeck_ledger::{Fate, Folder, History, Request, Verdict};
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+/// The arguments of `lotusdeck ledger`.
+#[derive(clap::Args)]
+pub(crate) struct Args {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Requests that fit all that is asked for.
+    Query {
+        #[command(flatten)]
+        filter: Filter,
+        /// A table for people, JSON lines, or comma-separated values.
+        #[arg(long, value_enum, default_value_t = Format::Table)]
+        format: Format,
+        /// Ledger folders; several proxies' may be read together.
+        #[arg(required = true)]
+        folders: Vec<PathBuf>,
+    },
+    /// Tell what is damaged or missing; exit code 1 where anything is.
+    Verify {
+        /// Ledger folders.
+        #[arg(required = true)]
+        folders: Vec<PathBuf>,
+    },
+    /// All requests as JSON lines.
+    Export {
+        /// Ledger folders.
+        #[arg(required = true)]
+        folders: Vec<PathBuf>,
+    },
+}
+
+#[derive(clap::Args)]
+struct Filter {
+    /// Of this correlation id.
+    #[arg(long)]
+    id: Option<String>,
+    /// Concerning this.
+    #[arg(long)]
+    key: Option<String>,
+    /// Sent to this backend, for all one can tell.
+    #[arg(long)]
+    backend: Option<String>,
+    /// Taken at this time or later, in Unix seconds by the proxies' clocks.
+    #[arg(long)]
+    since: Option<f64>,
+    /// Taken before this time.
+    #[arg(long)]
+    until: Option<f64>,
+    /// Clocks may be apart by so much, s: it widens --since and --until.
+    #[arg(long, default_value_t = 1.0)]
+    skew: f64,
+    /// Of this state.
+    #[arg(long, value_enum)]
+    state: Option<State>,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
+enum State {
+    NeverSent,
+    Sent,
+    PossiblySent,
+}
+
+impl State {
+    fn of(request: &Request) -> State {
+        match request.verdict() {
+            Verdict::NeverSent => State::NeverSent,
+            Verdict::Sent => State::Sent,
+            Verdict::PossiblySent => State::PossiblySent,
+        }
+    }
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
+enum Format {
+    Table,
+    Json,
+    Csv,
+}
+
+impl Filter {
+    fn matches(&self, request: &Request) -> bool {
+        self.id.as_ref().is_none_or(|id| *id == request.id)
+            && self.key.as_ref().is_none_or(|key| *key == request.key)
+            && self.backend.as_ref().is_none_or(|backend| may_have_reached(request, backend))
+            && self.matches_time(request)
+            && self.state.is_none_or(|state| state == State::of(request))
+    }
+
+    /// Clocks may be apart; a request whose time is lost may lie anywhere.
+    fn matches_time(&self, request: &Request) -> bool {
+        let Some(taken_ms) = request.taken_at else { return true };
+        let taken_s = taken_ms as f64 / 1e3;
+        self.since.is_none_or(|since| taken_s >= since - self.skew)
+            && self.until.is_none_or(|until| taken_s < until + self.skew)
+    }
+}
+
+fn may_have_reached(request: &Request, backend: &str) -> bool {
+    request.attempts.iter().any(|attempt| attempt.backend == backend && attempt.fate != Fate::NeverSent)
+}
+
+/// Exit codes: 0 read, 1 damage found by `verify`, 2 a folder that cannot be read.
+pub(crate) fn main(args: &Args) -> ExitCode {
+    let (folders, id) = match &args.command {
+        Command::Query { folders, filter, .. } => (folders, filter.id.as_deref()),
+        Command::Verify { folders } | Command::Export { folders } => (folders, None),
+    };
+    let mut history = History::default();
+    for folder in folders {
+        let name = folder.display().to_string();
+        let read = Folder::existing(folder).and_then(|disk| history.add(&name, &disk, id));
+        if let Err(error) = read {
+            eprintln!("lotusdeck: {name}: {error}");
+            return ExitCode::from(crate::EXIT_REFUSED);
+        }
+    }
+    match &args.command {
+        Command::Query { filter, format, .. } => query(&history, filter, *format),
+        Command::Export { .. } => {
+            for request in &history.requests() {
+                print(&format::json(request));
+            }
+        }
+        Command::Verify { .. } => return verify(&history),
+    }
+    ExitCode::SUCCESS
+}
+
+fn query(history: &History, filter: &Filter, format: Format) {
+    let mut found = history.requests();
+    found.retain(|request| filter.matches(request));
+    found.sort_by_key(|request| request.taken_at);
+    if format == Format::Csv {
+        print(format::CSV_HEADER);
+    }
+    for request in &found {
+        print(&match format {
+            Format::Table => format::table(request),
+            Format::Json => format::json(request),
+            Format::Csv => format::csv(request),
+        });
+    }
+    if format == Format::Table {
+        if found.is_empty() {
+            print_none_found(history);
+        }
+        for fault in &history.faults {
+            print(&format!("note: {fault}\n"));
+        }
+    }
+}
+
+fn print_none_found(history: &History) {
+    print(if history.certain() {
+        "none: no record of such a request, and none is missing: it was never sent\n"
+    } else {
+        "none: no record of such a request, but records may be missing: nothing is proved\n"
+    });
+}
+
+fn verify(history: &History) -> ExitCode {
+    let requests = history.requests();
+    let uncertain = requests.iter().filter(|request| request.verdict() == Verdict::PossiblySent).count();
+    let (segments, _) = history.read;
+    print(&format!("{segments} segments, {} requests, {uncertain} possibly sent\n", requests.len()));
+    for fault in &history.faults {
+        print(&format!("{fault}\n"));
+    }
+    if !history.faults.is_empty() {
+        return ExitCode::FAILURE;
+    }
+    print("nothing is damaged\n");
+    ExitCode::SUCCESS
+}
--- /dev/null
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -0,0 +1,156 @@
+//! The ledger as the journal of the core: attempts of requests that must never run twice are recorded before they are
+//! sent.
+
+use crate::operator::LedgerSection;
+use lotusdeck_core::{Journal, RequestLabels, SendPermit};
+use lotusdeck_ledger::{End, Folder, Ledger, LedgerStatus, Mode, OnFailure, Options, Record};
+use lotusdeck_policy::{AttemptNo, Micros, Outcome, RequestId};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tracing::{info, warn};
+
+/// `Retry-After` for clients while nothing can be written: a new segment is tried for twice a second.
+const RETRY_AFTER: Micros = Micros(1_000_000);
+/// How long the end of the process waits for its last record.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Bits of a generation's number that come from the seed.
+const GENERATION_SEED_BITS: u32 = 20;
+/// From MiB to bytes.
+const MB_SHIFT: u32 = 20;
+/// A day, ms.
+const DAY_MS: u64 = 24 * 3600 * 1000;
+
+/// The journal of this process.
+pub(crate) struct LedgerJournal {
+    ledger: Ledger,
+    wait: Duration,
+    /// Free space below which a line warns, bytes.
+    min_free_bytes: u64,
+    /// The correlation ids of requests that are not finished.
+    request_ids: RefCell<HashMap<RequestId, String>>,
+    has_warned: Cell<bool>,
+}
+
+/// Milliseconds since the Unix epoch.
+fn now_ms() -> u64 {
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    unix.as_millis() as u64
+}
+
+impl LedgerJournal {
+    /// Starts a generation in the folder that the operators named; `None` where they named none.
+    ///
+    /// # Errors
+    /// Where the folder cannot be made or no thread started.
+    pub(crate) fn start(
+        section: &LedgerSection, proxy: &str, seed: u64,
+    ) -> std::io::Result<Option<Rc<LedgerJournal>>> {
+        let Some(folder) = &section.folder else { return Ok(None) };
+        let mut options = Options::new(
+            proxy,
+            if section.survives_power_loss { Mode::Power } else { Mode::Process },
+            if section.sends_without_record { OnFailure::GoOn } else { OnFailure::Refuse },
+        );
+        options.segment_bytes = section.segment_mb << MB_SHIFT;
+        options.keep_bytes = section.keep_mb << MB_SHIFT;
+        options.keep = section.keep_days * DAY_MS;
+        options.keep_unresolved = section.keep_unresolved_days * DAY_MS;
+        let disk = Folder::open(folder)?;
+        // Starts of one proxy differ in their seeds; the time makes sure where a seed is given twice.
+        let generation = now_ms() << GENERATION_SEED_BITS | seed & ((1 << GENERATION_SEED_BITS) - 1);
+        let ledger = Ledger::start(disk, options, generation)?;
+        let status = ledger.status();
+        info!(folder = %folder.display(), generation, free = status.free_bytes, failing = status.is_failing, "ledger starts");
+        let journal = LedgerJournal {
+            ledger,
+            wait: section.wait,
+            min_free_bytes: section.warn_free_mb << MB_SHIFT,
+            request_ids: RefCell::default(),
+            has_warned: Cell::new(false),
+        };
+        Ok(Some(Rc::new(journal)))
+    }
+
+    /// Logs what has changed since the last call, every few seconds.
+    pub(crate) fn report(&self) {
+        for segment in self.ledger.take_dropped() {
+            info!(segment, "ledger segment dropped");
+        }
+        let status = self.ledger.status();
+        let is_short = status.is_failing || status.free_bytes < self.min_free_bytes;
+        if is_short != self.has_warned.replace(is_short) {
+            warn!(
+                failing = status.is_failing,
+                free = status.free_bytes,
+                failed = status.records_lost,
+                short = is_short,
+                "ledger space"
+            );
+        }
+        if status.records > 0 {
+            info!(
+                records = status.records,
+                depth = status.queued_records,
+                writes = status.writes,
+                syncs = status.syncs,
+                failed = status.records_lost,
+                "ledger"
+            );
+        }
+    }
+
+    /// Ends the generation in order, if that takes no longer than a moment.
+    pub(crate) async fn close(&self) {
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // cut short, it reads as one that crashed
+    }
+}
+
+impl Journal for LedgerJournal {
+    fn unavailable_for(&self) -> Option<Micros> {
+        (!self.ledger.is_resumed() && self.ledger.status().is_failing).then_some(RETRY_AFTER)
+    }
+
+    fn request_taken(&self, request: RequestId, labels: RequestLabels) {
+        let id = Ledger::text(&labels.id);
+        self.request_ids.borrow_mut().insert(request, id.clone());
+        let class = Ledger::text(&labels.class);
+        let key = Ledger::text(&labels.key);
+        self.ledger.record(Record::Taken { request: request.0, at: now_ms(), id, class, key });
+    }
+
+    fn attempt_intended(
+        &self, request: RequestId, attempt: AttemptNo, backend: &str, address: SocketAddr,
+    ) -> SendPermit {
+        let id = self.request_ids.borrow().get(&request).cloned().unwrap_or_default();
+        let backend = Ledger::text(backend);
+        let address = address.to_string();
+        let record =
+            Record::Intent { request: request.0, attempt: attempt.0, at: now_ms(), id, backend, address };
+        let written = self.ledger.record_durably(record);
+        let wait = self.wait;
+        let sends_anyway = self.ledger.is_resumed();
+        Box::pin(async move { tokio::time::timeout(wait, written).await.unwrap_or(false) || sends_anyway })
+    }
+
+    fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
+        let end = match (outcome, status) {
+            (outcome, _) if outcome.never_ran() => End::NeverSent,
+            (_, Some(status)) => End::Answered(status),
+            _ => End::Unanswered,
+        };
+        self.ledger.record(Record::Ended { request: request.0, attempt: attempt.0, at: now_ms(), end });
+    }
+
+    fn request_finished(&self, request: RequestId) {
+        self.request_ids.borrow_mut().remove(&request);
+        self.ledger.record(Record::Settled { request: request.0 });
+    }
+
+    fn status(&self) -> LedgerStatus {
+        self.ledger.status()
+    }
+}
--- a/crates/lotusdeck/src/logging.rs
+++ b/crates/lotusdeck/src/logging.rs
@@ -12,7 +12,7 @@
     Json,
 }
 
-/// Starts the log.
+/// Starts the log; events below `level` are dropped.
 pub(crate) fn start(format: Format, level: Level) {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(level);
     match format {
--- a/crates/lotusdeck/src/operator/keys.rs
+++ b/crates/lotusdeck/src/operator/keys.rs
@@ -69,7 +69,8 @@
     Key { path, value_type: ValueType::Number { unit, least, most, default }, about }
 }
 
-/// Every key of the plain tables. `[[postgres]]` and `[[limit]]` are read by the modules that use them.
+/// Every key of the plain tables. The keys of `[[postgres]]` and `[[limit]]` are the fields of
+/// their types.
 pub(crate) const KEYS: [Key; 23] = [
     number(
         "http.answer_gap_ms",
--- /dev/null
+++ b/crates/lotusdeck/src/operator/limit.rs
@@ -0,0 +1,90 @@
+//! `[[limit]]`: limits that hold for the whole fleet.
+
+use super::arrays::{parse_array, Expectation};
+use super::Fault;
+use serde::Deserialize;
+use std::collections::HashSet;
+
+/// Limits at most: each is a quota to keep and a row to show, and all are gone through ten times in a term, which takes
+/// 0.4 ms of the event loop at this many.
+pub(super) const MAX_LIMITS: usize = 4_096;
+/// Requests a second at most, over the whole fleet.
+const MAX_RATE_PER_S: f64 = 1e9;
+/// The longest burst, ms of the rate.
+const MAX_BURST_MS: u64 = 60_000;
+
+/// `[[limit]]`.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct LimitSection {
+    /// What it is called in the log and the status.
+    pub name: String,
+    /// The class that it is of; all where absent.
+    #[serde(default)]
+    pub class: Option<String>,
+    /// The tenant that it is of; all, and requests of none, where absent.
+    #[serde(default)]
+    pub tenant: Option<String>,
+    /// Requests a second, over the whole fleet.
+    #[serde(default)]
+    pub rate_per_s: Option<f64>,
+    /// Requests in flight, over the whole fleet.
+    #[serde(default)]
+    pub in_flight: Option<u32>,
+    /// What a quota may gather while it is not used, ms of its rate.
+    #[serde(default = "default_burst_ms")]
+    pub burst_ms: u64,
+}
+
+fn default_burst_ms() -> u64 {
+    200
+}
+
+impl LimitSection {
+    /// The first thing that is wrong with it.
+    fn fault(&self) -> Option<&'static str> {
+        let is_rate_valid = self.rate_per_s.is_none_or(|rate| rate > 0.0 && rate <= MAX_RATE_PER_S);
+        let limits_something = self.rate_per_s.is_some() || self.in_flight.is_some();
+        Expectation::first_failed(&[
+            Expectation { holds: !self.name.is_empty(), message: "name: expected some text" },
+            Expectation { holds: limits_something, message: "expected rate_per_s, in_flight or both" },
+            Expectation {
+                holds: is_rate_valid,
+                message: "rate_per_s: expected a number above 0, 1e9 at most",
+            },
+            Expectation { holds: self.in_flight != Some(0), message: "in_flight: expected 1 at least" },
+            Expectation { holds: self.burst_ms <= MAX_BURST_MS, message: "burst_ms: expected 0 to 60000" },
+        ])
+    }
+}
+
+/// All limits, from the text of an operator file.
+///
+/// # Errors
+/// The first thing that is wrong, and where.
+pub(super) fn parse(text: &str) -> Result<Vec<LimitSection>, Fault> {
+    #[derive(Deserialize)]
+    struct File {
+        #[serde(default)]
+        limit: Vec<toml::Spanned<LimitSection>>,
+    }
+    let file: File = parse_array(text, "limit")?;
+    let mut limits = Vec::new();
+    let mut names = HashSet::new();
+    for spanned in file.limit {
+        let offset = spanned.span().start;
+        let limit = spanned.into_inner();
+        let fault = |message: &str| Fault { offset, message: format!("limit: {message}") };
+        if let Some(message) = limit.fault() {
+            return Err(fault(message));
+        }
+        if !names.insert(limit.name.clone()) {
+            return Err(fault("name: each may be there once"));
+        }
+        if names.len() > MAX_LIMITS {
+            return Err(fault(&format!("expected {MAX_LIMITS} limits at most")));
+        }
+        limits.push(limit);
+    }
+    Ok(limits)
+}
--- a/crates/lotusdeck/src/operator/mod.rs
+++ b/crates/lotusdeck/src/operator/mod.rs
@@ -1,24 +1,34 @@
 //! The operator file: what an installation sets for itself, as TOML. Every key is optional; without one, or without
 //! the file, all is as the defaults say.
 //!
-//! `keys` is the table of keys, `sections` checks values and puts them where they belong, `settings` holds the
-//! settings of the sections that have no module of their own, and `faults` says what can be wrong.
+//! `keys` is the table of keys of the plain tables, and `values` checks values against it and puts them where they
+//! belong; `arrays` reads the arrays of tables. Each section has a module with its type, its defaults and, for an array
+//! of tables, its checks; `faults` says what can be wrong. Nothing here uses the parts of the program that the
+//! sections are for.
 
+mod arrays;
+mod configuration;
 mod faults;
+mod fleet;
 mod keys;
-mod sections;
-mod settings;
+mod ledger;
+mod limit;
+mod postgres;
+mod state;
 #[cfg(test)]
 mod tests;
+mod values;
 
+pub(crate) use configuration::ConfigurationSection;
 pub(crate) use faults::{Fault, OperatorError};
+pub(crate) use fleet::{FleetMember, FleetSection};
 pub(crate) use keys::KEYS;
-pub(crate) use settings::{LedgerSettings, StateSettings};
+pub(crate) use ledger::LedgerSection;
+pub(crate) use limit::LimitSection;
+pub(crate) use postgres::{ClassSection, PostgresSection, ServerSection};
+pub(crate) use state::StateSection;
 
-use crate::configuration::ConfigurationSettings;
-use crate::fleet::{self, FleetSettings, LimitSpec};
-use crate::postgres::{self, Spec};
-use faults::{type_name, unknown};
+use faults::{type_name, unknown_name};
 use keys::tables;
 use lotusdeck_proxy::stall_timeouts::StallTimeouts;
 use std::path::Path;
@@ -27,35 +37,35 @@
 
 /// What the file says, defaults filled in.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Operator {
+pub(crate) struct OperatorFile {
     /// `[http]`.
-    pub pauses: StallTimeouts,
+    pub http: StallTimeouts,
     /// `[ledger]`.
-    pub ledger: LedgerSettings,
+    pub ledger: LedgerSection,
     /// `[[postgres]]`, one for each front.
-    pub postgres: Vec<Spec>,
+    pub postgres: Vec<PostgresSection>,
     /// `[state]`.
-    pub state: StateSettings,
+    pub state: StateSection,
     /// `[fleet]`.
-    pub fleet: FleetSettings,
+    pub fleet: FleetSection,
     /// `[[limit]]`.
-    pub limits: Vec<LimitSpec>,
+    pub limits: Vec<LimitSection>,
     /// `[configuration]`.
-    pub configuration: ConfigurationSettings,
+    pub configuration: ConfigurationSection,
 }
 
-impl Operator {
+impl OperatorFile {
     /// Reads a file; none given means the defaults.
     ///
     /// # Errors
     /// Where anything is wrong nothing of it is taken.
-    pub(crate) fn load(path: Option<&Path>) -> Result<Operator, OperatorError> {
-        let Some(path) = path else { return Ok(Operator::default()) };
-        let unreadable = |error| OperatorError::Unreadable(path.into(), error);
+    pub(crate) fn load(path: Option<&Path>) -> Result<OperatorFile, OperatorError> {
+        let Some(path) = path else { return Ok(OperatorFile::default()) };
+        let unreadable = |source| OperatorError::Unreadable { path: path.into(), source };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
-        Operator::parse(&text).map_err(|faults| {
-            let first = faults.first().map(|fault| fault.text.clone()).unwrap_or_default();
-            OperatorError::Faults(path.into(), first, faults.len())
+        OperatorFile::parse(&text).map_err(|faults| {
+            let first = faults.first().map(|fault| fault.message.clone()).unwrap_or_default();
+            OperatorError::Faults { path: path.into(), first, count: faults.len() }
         })
     }
 
@@ -63,27 +73,27 @@
     ///
     /// # Errors
     /// All faults at once, in their order.
-    pub(crate) fn parse(text: &str) -> Result<Operator, Vec<Fault>> {
+    pub(crate) fn parse(text: &str) -> Result<OperatorFile, Vec<Fault>> {
         let (root, syntax_errors) = DeTable::parse_recoverable(text);
         let is_toml = syntax_errors.is_empty();
         let mut faults: Vec<Fault> = syntax_errors.iter().map(Fault::syntax).collect();
-        let mut operator = Operator::default();
+        let mut operator = OperatorFile::default();
         for (name, entry) in root.get_ref() {
             match name.get_ref().as_ref() {
                 // These are read from the whole text, of which nothing can be said where it is no TOML.
                 "postgres" | "limit" if !is_toml => {}
-                "postgres" => match postgres::read(text) {
-                    Ok(specs) => operator.postgres = specs,
+                "postgres" => match postgres::parse(text) {
+                    Ok(sections) => operator.postgres = sections,
                     Err(fault) => faults.push(fault),
                 },
-                "limit" => match fleet::read(text) {
+                "limit" => match limit::parse(text) {
                     Ok(limits) => operator.limits = limits,
                     Err(fault) => faults.push(fault),
                 },
                 _ => operator.read_table(name, entry, &mut faults),
             }
         }
-        faults.sort_by_key(|fault| fault.at);
+        faults.sort_by_key(|fault| fault.offset);
         if faults.is_empty() {
             Ok(operator)
         } else {
@@ -93,19 +103,21 @@
 
     /// Takes the keys of a plain table, and adds what is wrong with any to `faults`.
     fn read_table(&mut self, name: &Spanned<DeString>, entry: &Spanned<DeValue>, faults: &mut Vec<Fault>) {
-        let (table, at) = (name.get_ref(), name.span().start);
+        let table = name.get_ref();
+        let offset = name.span().start;
         if !tables().any(|known| known == table.as_ref()) {
-            faults.push(Fault { at, text: unknown("table", table, tables()) });
+            faults.push(Fault { offset, message: unknown_name("table", table, tables()) });
             return;
         }
         let DeValue::Table(keys) = entry.get_ref() else {
             let found = type_name(entry.get_ref());
-            faults.push(Fault { at, text: format!("{table}: expected a table, got {found}") });
+            let message = format!("{table}: expected a table, got {found}");
+            faults.push(Fault { offset, message });
             return;
         };
         for (key, value) in keys {
             let path = format!("{table}.{}", key.get_ref());
-            match sections::check(&path, value) {
+            match values::check(&path, value) {
                 Ok(value) => self.set(&path, value),
                 Err(fault) => faults.push(fault),
             }
--- /dev/null
+++ b/crates/lotusdeck/src/operator/postgres.rs
@@ -0,0 +1,224 @@
+//! `[[postgres]]`: fronts for PostgreSQL clients.
+
+use super::arrays::{parse_array, Expectation};
+use super::Fault;
+use lotusdeck_postgres::scram::{ScramError, Verifier};
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// A day, ms.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
+/// Clients of a front at most, and its connections to servers at most.
+const MAX_CONNECTIONS: usize = 100_000;
+
+/// One front.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct PostgresSection {
+    /// Where clients connect: a loopback address.
+    pub listen: SocketAddr,
+    /// Where the list of servers comes from, in the same form as for HTTP; or else `servers`.
+    #[serde(default)]
+    pub discovery: Option<SocketAddr>,
+    /// The servers.
+    #[serde(default, rename = "server")]
+    pub servers: Vec<ServerSection>,
+    /// Databases that clients may ask for.
+    pub databases: Vec<String>,
+    /// Who may connect.
+    #[serde(rename = "user")]
+    pub users: Vec<UserSection>,
+    /// How this proxy logs in to servers.
+    pub login: LoginSection,
+    /// Connections to all servers together.
+    #[serde(default = "default_connections")]
+    pub connections: usize,
+    /// Clients connected at once.
+    #[serde(default = "default_clients")]
+    pub clients: usize,
+    /// Classes by rule, the first that fits; what none fits must never run twice.
+    #[serde(default, rename = "class")]
+    pub classes: Vec<ClassSection>,
+    /// The latency objective of a transaction, ms.
+    #[serde(default = "default_objective_ms", rename = "aim_ms")]
+    pub objective_ms: u64,
+    /// A transaction is ended after this time, ms.
+    #[serde(default = "default_deadline_ms")]
+    pub deadline_ms: u64,
+}
+
+/// One server.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct ServerSection {
+    /// Its id, which `cordon` takes.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// What kind of machine it is.
+    #[serde(default)]
+    pub kind: String,
+}
+
+/// Who may connect.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct UserSection {
+    /// The role.
+    pub name: String,
+    /// What PostgreSQL stores of its password (`pg_authid.rolpassword`).
+    pub verifier: StoredVerifier,
+}
+
+/// A class, and which statements are of it: all that is named has to fit.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct ClassSection {
+    /// A single statement outside a transaction may be retried while nothing of its answer went to the client.
+    #[serde(default, rename = "repeatable")]
+    pub is_idempotent: bool,
+    /// As for the front, where another holds.
+    #[serde(default, rename = "aim_ms")]
+    pub objective_ms: Option<u64>,
+    /// As for the front, where another holds.
+    #[serde(default)]
+    pub deadline_ms: Option<u64>,
+    /// Priority weight against the others, in hundredths: 100 where absent.
+    #[serde(default, rename = "worth_percent")]
+    pub weight_percent: Option<u32>,
+    /// The role.
+    #[serde(default)]
+    pub user: Option<String>,
+    /// The database.
+    #[serde(default)]
+    pub database: Option<String>,
+    /// `application_name` of the start-up packet.
+    #[serde(default)]
+    pub application_name: Option<String>,
+    /// The text of a comment that the statement begins with.
+    #[serde(default)]
+    pub comment: Option<String>,
+    /// What the statement begins with.
+    #[serde(default)]
+    pub prefix: Option<String>,
+}
+
+/// A SCRAM verifier as PostgreSQL stores it.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(try_from = "String")]
+pub(crate) struct StoredVerifier(pub Verifier);
+
+impl TryFrom<String> for StoredVerifier {
+    type Error = ScramError;
+    fn try_from(text: String) -> Result<StoredVerifier, ScramError> {
+        Verifier::parse(&text).map(StoredVerifier)
+    }
+}
+
+/// How this proxy logs in to servers.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct LoginSection {
+    /// The role.
+    pub user: String,
+    /// The database.
+    pub database: String,
+    /// A file whose first line is the password.
+    #[serde(default)]
+    pub password_file: Option<PathBuf>,
+}
+
+fn default_connections() -> usize {
+    40
+}
+
+fn default_clients() -> usize {
+    200
+}
+
+fn default_objective_ms() -> u64 {
+    1_000
+}
+
+fn default_deadline_ms() -> u64 {
+    30_000
+}
+
+/// All fronts, from the text of an operator file.
+///
+/// # Errors
+/// The first thing that is wrong, and where.
+pub(super) fn parse(text: &str) -> Result<Vec<PostgresSection>, Fault> {
+    #[derive(Deserialize)]
+    struct File {
+        #[serde(default)]
+        postgres: Vec<toml::Spanned<PostgresSection>>,
+    }
+    let file: File = parse_array(text, "postgres")?;
+    let mut sections = Vec::new();
+    for spanned in file.postgres {
+        let offset = spanned.span().start;
+        let section = spanned.into_inner();
+        if let Some(message) = section.fault() {
+            return Err(Fault { offset, message: format!("postgres: {message}") });
+        }
+        sections.push(section);
+    }
+    Ok(sections)
+}
+
+impl PostgresSection {
+    /// The first thing that is wrong with it.
+    fn fault(&self) -> Option<&'static str> {
+        let connections = 1..=MAX_CONNECTIONS;
+        Expectation::first_failed(&[
+            Expectation {
+                holds: self.classes.iter().all(|class| self.is_class_valid(class)),
+                message: "class: expected aim_ms from 1 to deadline_ms, and a worth above 0",
+            },
+            Expectation {
+                holds: self.listen.ip().is_loopback(),
+                message: "listen: expected a loopback address",
+            },
+            Expectation {
+                holds: self.discovery.is_some() == self.servers.is_empty(),
+                message: "expected either discovery or [[postgres.server]]",
+            },
+            Expectation { holds: self.has_unique_servers(), message: "server.name: each may be there once" },
+            Expectation { holds: !self.databases.is_empty(), message: "databases: expected one at least" },
+            Expectation { holds: !self.users.is_empty(), message: "user: expected one at least" },
+            Expectation {
+                holds: connections.contains(&self.connections),
+                message: "connections: expected 1 to 100000",
+            },
+            Expectation {
+                holds: connections.contains(&self.clients),
+                message: "clients: expected 1 to 100000",
+            },
+            Expectation {
+                holds: (1..=self.deadline_ms).contains(&self.objective_ms),
+                message: "aim_ms: expected 1 to deadline_ms",
+            },
+            Expectation {
+                holds: self.deadline_ms <= MAX_DEADLINE_MS,
+                message: "deadline_ms: expected a day at most",
+            },
+        ])
+    }
+
+    fn is_class_valid(&self, class: &ClassSection) -> bool {
+        let objective_ms = class.objective_ms.unwrap_or(self.objective_ms);
+        let deadline_ms = class.deadline_ms.unwrap_or(self.deadline_ms);
+        (1..=deadline_ms).contains(&objective_ms)
+            && deadline_ms <= MAX_DEADLINE_MS
+            && class.weight_percent != Some(0)
+    }
+
+    fn has_unique_servers(&self) -> bool {
+        let is_repeated = |index: usize| {
+            self.servers[..index].iter().any(|earlier| earlier.name == self.servers[index].name)
+        };
+        !(0..self.servers.len()).any(is_repeated)
+    }
+}
--- a/crates/lotusdeck/src/operator/tests.rs
+++ b/crates/lotusdeck/src/operator/tests.rs
@@ -1,14 +1,17 @@
-//! Each key of the table is read, its default holds without it, and the documents say the same of it.
+//! Each key of the plain tables is read, its default holds without it, and the documents say the same of it; arrays of
+//! tables are read, and their faults have a place.
 
+use super::fleet::parse_members;
 use super::keys::{tables, ValueType, KEYS};
-use super::Operator;
+use super::limit::MAX_LIMITS;
+use super::{limit, postgres, FleetMember, OperatorFile};
 
 #[test]
 fn every_key_is_read_and_its_default_is_what_holds_without_it() {
     for key in &KEYS {
         let (table, name) = key.path.split_once('.').unwrap();
-        let with = |value: &str| Operator::parse(&format!("[{table}]\n{name} = {value}\n"));
-        assert_eq!(with(&key.value_type.default()), Ok(Operator::default()), "{}", key.path);
+        let with = |value: &str| OperatorFile::parse(&format!("[{table}]\n{name} = {value}\n"));
+        assert_eq!(with(&key.value_type.default()), Ok(OperatorFile::default()), "{}", key.path);
         let (other, wrong) = match key.value_type {
             ValueType::Number { least, most, .. } => (most.to_string(), vec![least - 1, most + 1]),
             ValueType::Choice(words) => (format!("{:?}", words[1]), vec![1]),
@@ -17,20 +20,20 @@
             ValueType::Members => ("\"0@127.0.0.1:7400\"".into(), vec![1]),
         };
         let read = with(&other);
-        assert!(read.is_ok() && read != Ok(Operator::default()), "{}", key.path);
+        assert!(read.is_ok() && read != Ok(OperatorFile::default()), "{}", key.path);
         assert!(wrong.iter().all(|w| with(&w.to_string()).is_err()), "{}", key.path);
     }
-    assert_eq!(Operator::parse(""), Ok(Operator::default()));
+    assert_eq!(OperatorFile::parse(""), Ok(OperatorFile::default()));
 }
 
 /// All faults are told, in their order, each with its place.
 #[test]
 fn all_faults_are_told_at_once() {
     let text = "[http]\nanswer_gap = 5\nupload_stall_ms = \"x\"\nanswer_silence_ms = 1\n[htpp]\nx = 1\n";
-    let faults = Operator::parse(text).unwrap_err();
-    let told: Vec<&str> = faults.iter().map(|f| f.text.as_str()).collect();
+    let faults = OperatorFile::parse(text).unwrap_err();
+    let messages: Vec<&str> = faults.iter().map(|fault| fault.message.as_str()).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "http.answer_gap: no such key; did you mean http.answer_gap_ms?",
             "http.upload_stall_ms: expected a whole number of ms from 50 to 60000, got \"x\"",
@@ -38,8 +41,8 @@
             "htpp: no such table; did you mean http?",
         ]
     );
-    assert_eq!(&text[faults[3].at..faults[3].at + 4], "htpp");
-    assert!(!Operator::parse("[http\n").unwrap_err().is_empty());
+    assert_eq!(&text[faults[3].offset..faults[3].offset + 4], "htpp");
+    assert!(!OperatorFile::parse("[http\n").unwrap_err().is_empty());
 }
 
 /// The operators' page and the code say the same of every key.
@@ -64,9 +67,73 @@
 #[test]
 fn the_deployed_file_holds_the_defaults() {
     let text = include_str!("../../../../deploy/operator.toml");
-    assert_eq!(Operator::parse(text), Ok(Operator::default()));
+    assert_eq!(OperatorFile::parse(text), Ok(OperatorFile::default()));
     for k in &KEYS {
         let (_, name) = k.path.split_once('.').unwrap();
         assert!(text.contains(&format!("{name} = {}", k.value_type.default())), "{}", k.path);
     }
 }
+
+#[test]
+fn limits_are_read_and_faults_have_a_place() {
+    let text = "[[limit]]\nname = \"all\"\nrate_per_s = 100\n\n[[limit]]\nname = \"b\"\nin_flight = 5\nclass = \"page\"\n";
+    let limits = limit::parse(text).unwrap();
+    assert!(limits.len() == 2 && limits[0].rate_per_s == Some(100.0) && limits[1].in_flight == Some(5));
+    assert_eq!(limit::parse("[http]\n"), Ok(Vec::new()));
+    for (from, to, expected) in [
+        ("rate_per_s = 100", "rate_per_s = 0", "above 0"),
+        ("rate_per_s = 100", "rate_per_s = nan", "above 0"),
+        ("rate_per_s = 100", "", "rate_per_s, in_flight or both"),
+        ("in_flight = 5", "in_flight = 0", "1 at least"),
+        ("\"b\"", "\"all\"", "once"),
+        ("class", "klass", "klass"),
+    ] {
+        let fault = limit::parse(&text.replace(from, to)).unwrap_err();
+        assert!(fault.message.contains(expected), "{expected}: {}", fault.message);
+    }
+    let many = |count| (0..count).map(|n| format!("[[limit]]\nname = \"{n}\"\nrate_per_s = 1\n")).collect();
+    let (most, more): (String, String) = (many(MAX_LIMITS), many(MAX_LIMITS + 1));
+    assert_eq!(limit::parse(&most).map(|limits| limits.len()), Ok(MAX_LIMITS));
+    assert!(limit::parse(&more).unwrap_err().message.contains("4096 limits at most"));
+    let offset = limit::parse(&text.replace("\"b\"", "\"all\"")).unwrap_err().offset;
+    assert!(text[offset..].starts_with("[[limit]]") && offset > 0, "{offset}");
+}
+
+#[test]
+fn members_are_positions_and_addresses() {
+    let one = FleetMember { position: 3, address: "10.0.0.1:7400".parse().unwrap() };
+    assert_eq!(parse_members(" 3@10.0.0.1:7400  "), Some(vec![one]));
+    assert_eq!(parse_members(""), Some(Vec::new()));
+    for wrong in ["10.0.0.1:7400", "x@10.0.0.1:7400", "3@10.0.0.1", "3@10.0.0.1:7400,4@10.0.0.2:1"] {
+        assert_eq!(parse_members(wrong), None, "{wrong}");
+    }
+}
+
+const POSTGRES: &str = r#"
+[[postgres]]
+listen = "127.0.0.1:6432"
+databases = ["scores"]
+user = [{ name = "ann", verifier = "SCRAM-SHA-256$4096:c2FsdA==$BwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwc=:BwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwc=" }]
+login = { user = "deck", database = "scores" }
+server = [{ name = "pg-1", address = "127.0.0.1:5433" }]
+"#;
+
+#[test]
+fn postgres_fronts_are_read_and_faults_have_a_place() {
+    let sections = postgres::parse(POSTGRES).unwrap();
+    assert!(sections.len() == 1 && sections[0].connections == 40 && sections[0].deadline_ms == 30_000);
+    assert_eq!(postgres::parse("[http]\n"), Ok(Vec::new()));
+    for (from, to, expected) in [
+        ("127.0.0.1:6432", "0.0.0.0:6432", "loopback"),
+        ("server = [{ name = \"pg-1\", address = \"127.0.0.1:5433\" }]", "", "either discovery"),
+        ("SCRAM-SHA-256$4096", "md5", "expected SCRAM-SHA-256"),
+        ("databases = [\"scores\"]", "databases = []", "one at least"),
+        ("databases", "databaess", "databaess"),
+    ] {
+        let fault = postgres::parse(&POSTGRES.replace(from, to)).unwrap_err();
+        assert!(fault.message.contains(expected), "{}", fault.message);
+    }
+    let wrong = POSTGRES.replace("deck\"", "deck\", pass = 1");
+    let fault = postgres::parse(&wrong).unwrap_err();
+    assert!(wrong[fault.offset..].starts_with("pass"), "at {}: {}", fault.offset, fault.message);
+}
--- a/crates/lotusdeck/src/operator/sections.rs
+++ b/crates/lotusdeck/src/operator/values.rs
@@ -1,11 +1,12 @@
-//! Reading and checking by section: which value fits a key, and where it goes.
+//! Values of the plain tables: which value fits a key, and which field of which section it sets.
 
-use super::faults::{type_name, unknown, Fault};
+use super::configuration::ConfigurationSection;
+use super::faults::{type_name, unknown_name, Fault};
+use super::fleet::{parse_members, FleetMember, FleetSection};
 use super::keys::{ValueType, KEYS};
-use super::settings::{LedgerSettings, StateSettings};
-use super::Operator;
-use crate::configuration::ConfigurationSettings;
-use crate::fleet::{self, FleetSettings};
+use super::ledger::LedgerSection;
+use super::state::StateSection;
+use super::OperatorFile;
 use lotusdeck_proxy::stall_timeouts::StallTimeouts;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,8 +22,8 @@
     Text(String),
     /// A socket address, if one is given.
     Address(Option<SocketAddr>),
-    /// Positions in the fleet and socket addresses.
-    Members(Vec<(u32, SocketAddr)>),
+    /// Other proxies of the fleet.
+    Members(Vec<FleetMember>),
 }
 
 /// Checks the value of the key `path` against the table of keys.
@@ -30,20 +31,20 @@
 /// # Errors
 /// The key is not in the table, or the value does not fit it.
 pub(super) fn check(path: &str, value: &Spanned<DeValue>) -> Result<Value, Fault> {
-    let at = value.span().start;
+    let offset = value.span().start;
     let Some(key) = KEYS.iter().find(|key| key.path == path) else {
         let known = KEYS.iter().map(|key| key.path);
-        return Err(Fault { at, text: unknown("key", path, known) });
+        return Err(Fault { offset, message: unknown_name("key", path, known) });
     };
     fit(&key.value_type, value.get_ref()).ok_or_else(|| {
         let expected = key.value_type.expected();
-        let got = found(value.get_ref());
-        Fault { at, text: format!("{path}: expected {expected}, got {got}") }
+        let got = describe(value.get_ref());
+        Fault { offset, message: format!("{path}: expected {expected}, got {got}") }
     })
 }
 
 /// What was found instead of a fitting value, in words.
-fn found(value: &DeValue) -> String {
+fn describe(value: &DeValue) -> String {
     match value {
         DeValue::Integer(number) => number.as_str().to_string(),
         DeValue::String(text) => format!("{text:?}"),
@@ -66,7 +67,7 @@
         (ValueType::Address, DeValue::String(text)) => {
             text.parse().ok().map(|address| Value::Address(Some(address)))
         }
-        (ValueType::Members, DeValue::String(text)) => fleet::members(text).map(Value::Members),
+        (ValueType::Members, DeValue::String(text)) => parse_members(text).map(Value::Members),
         _ => None,
     }
 }
@@ -77,75 +78,75 @@
     i64::from_str_radix(&digits, number.radix()).ok()
 }
 
-impl Operator {
-    /// Takes a checked value; `path` is a key of the table.
+impl OperatorFile {
+    /// Sets a checked value; `path` is a key of the table.
     pub(super) fn set(&mut self, path: &str, value: Value) {
         match path.split_once('.') {
-            Some(("http", key)) => set_http(&mut self.pauses, key, value),
+            Some(("http", key)) => set_http(&mut self.http, key, value),
             Some(("ledger", key)) => set_ledger(&mut self.ledger, key, value),
             Some(("state", key)) => set_state(&mut self.state, key, value),
             Some(("configuration", key)) => set_configuration(&mut self.configuration, key, value),
             Some(("fleet", key)) => set_fleet(&mut self.fleet, key, value),
-            _ => unread(path),
+            _ => unset_key(path),
         }
     }
 }
 
 /// `[http]`.
-fn set_http(pauses: &mut StallTimeouts, key: &str, value: Value) {
+fn set_http(timeouts: &mut StallTimeouts, key: &str, value: Value) {
     match (key, value) {
-        ("answer_gap_ms", Value::Number(ms)) => pauses.answer_stall = Duration::from_millis(ms),
-        ("answer_silence_ms", Value::Number(ms)) => pauses.relayed_answer_stall = Duration::from_millis(ms),
-        ("upload_stall_ms", Value::Number(ms)) => pauses.upload_stall = Duration::from_millis(ms),
-        ("upload_unread_ms", Value::Number(ms)) => pauses.backend_stall = Duration::from_millis(ms),
-        _ => unread(key),
+        ("answer_gap_ms", Value::Number(ms)) => timeouts.answer_stall = Duration::from_millis(ms),
+        ("answer_silence_ms", Value::Number(ms)) => timeouts.relayed_answer_stall = Duration::from_millis(ms),
+        ("upload_stall_ms", Value::Number(ms)) => timeouts.upload_stall = Duration::from_millis(ms),
+        ("upload_unread_ms", Value::Number(ms)) => timeouts.backend_stall = Duration::from_millis(ms),
+        _ => unset_key(key),
     }
 }
 
 /// `[ledger]`.
-fn set_ledger(ledger: &mut LedgerSettings, key: &str, value: Value) {
+fn set_ledger(ledger: &mut LedgerSection, key: &str, value: Value) {
     match (key, value) {
         ("folder", Value::Text(text)) => ledger.folder = folder(text),
-        ("mode", Value::Text(word)) => ledger.power = word == "power",
-        ("on_failure", Value::Text(word)) => ledger.go_on = word == "go-on",
+        ("mode", Value::Text(word)) => ledger.survives_power_loss = word == "power",
+        ("on_failure", Value::Text(word)) => ledger.sends_without_record = word == "go-on",
         ("wait_ms", Value::Number(ms)) => ledger.wait = Duration::from_millis(ms),
         ("segment_mb", Value::Number(mb)) => ledger.segment_mb = mb,
         ("keep_mb", Value::Number(mb)) => ledger.keep_mb = mb,
         ("keep_days", Value::Number(days)) => ledger.keep_days = days,
         ("keep_unresolved_days", Value::Number(days)) => ledger.keep_unresolved_days = days,
         ("warn_free_mb", Value::Number(mb)) => ledger.warn_free_mb = mb,
-        _ => unread(key),
+        _ => unset_key(key),
     }
 }
 
 /// `[state]`.
-fn set_state(state: &mut StateSettings, key: &str, value: Value) {
+fn set_state(state: &mut StateSection, key: &str, value: Value) {
     match (key, value) {
         ("folder", Value::Text(text)) => state.folder = folder(text),
         ("site", Value::Text(text)) => state.site = text,
         ("half_life_s", Value::Number(s)) => state.half_life = Duration::from_secs(s),
         ("every_ms", Value::Number(ms)) => state.every = Duration::from_millis(ms),
-        _ => unread(key),
+        _ => unset_key(key),
     }
 }
 
 /// `[configuration]`.
-fn set_configuration(configuration: &mut ConfigurationSettings, key: &str, value: Value) {
+fn set_configuration(configuration: &mut ConfigurationSection, key: &str, value: Value) {
     match (key, value) {
         ("source", Value::Address(address)) => configuration.source = address,
-        _ => unread(key),
+        _ => unset_key(key),
     }
 }
 
 /// `[fleet]`.
-fn set_fleet(fleet: &mut FleetSettings, key: &str, value: Value) {
+fn set_fleet(fleet: &mut FleetSection, key: &str, value: Value) {
     match (key, value) {
         ("listen", Value::Address(address)) => fleet.listen = address,
         ("advertise", Value::Address(address)) => fleet.advertise = address,
         ("members", Value::Members(members)) => fleet.members = members,
         ("site", Value::Text(text)) => fleet.site = text,
         ("term_ms", Value::Number(ms)) => fleet.term = Duration::from_millis(ms),
-        _ => unread(key),
+        _ => unset_key(key),
     }
 }
 
@@ -155,6 +156,6 @@
 }
 
 /// A key of the table that no section reads: a mistake in this program, which the test of every key finds.
-fn unread(key: &str) -> ! {
+fn unset_key(key: &str) -> ! {
     unreachable!("a key of the list that nobody reads: {key}")
 }
--- /dev/null
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -0,0 +1,184 @@
+//! Reload: changes of the files on SIGHUP and versions of the configuration source, applied one after the other while
+//! requests are served.
+
+use super::error::ServeError;
+use crate::configuration::{ConfigurationSource, SourceOrder, VersionSettings};
+use crate::operator::{
+    FleetSection, LedgerSection, LimitSection, OperatorFile, PostgresSection, StateSection,
+};
+use lotusdeck_core::Host;
+use lotusdeck_policy::settings::Settings;
+use lotusdeck_policy::DiscoveryMode;
+use lotusdeck_proxy::config::{ActiveConfigFile, ConfigChange};
+use lotusdeck_proxy::stall_timeouts::SharedStallTimeouts;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::signal::unix::Signal;
+use tokio::sync::watch;
+use tracing::{debug, info, warn};
+
+/// The sections of the operator file that are read at start-up only.
+pub(super) struct StartupSections {
+    /// `[ledger]`.
+    pub ledger: LedgerSection,
+    /// `[[postgres]]`.
+    pub postgres: Vec<PostgresSection>,
+    /// `[state]`.
+    pub state: StateSection,
+    /// `[fleet]`.
+    pub fleet: FleetSection,
+    /// `[[limit]]`.
+    pub limits: Vec<LimitSection>,
+}
+
+impl StartupSections {
+    /// # Errors
+    /// One of the sections differs in `operator`.
+    fn check_unchanged(&self, operator: &OperatorFile) -> Result<(), ServeError> {
+        let changed = |sections| Err(ServeError::NeedsRestart { sections });
+        if operator.ledger != self.ledger {
+            return changed("[ledger]");
+        }
+        if operator.postgres != self.postgres {
+            return changed("[[postgres]]");
+        }
+        if operator.state != self.state {
+            return changed("[state]");
+        }
+        if operator.fleet != self.fleet || operator.limits != self.limits {
+            return changed("[fleet] or [[limit]]");
+        }
+        Ok(())
+    }
+}
+
+/// Both files, read and checked.
+struct Files {
+    operator: OperatorFile,
+    node: ConfigChange,
+}
+
+/// Runs work that takes long on another thread, so that the event loop goes on.
+async fn off_event_loop<T: Send + 'static>(
+    work: impl FnOnce() -> T + Send + 'static,
+) -> Result<T, ServeError> {
+    tokio::task::spawn_blocking(work).await.map_err(ServeError::Interrupted)
+}
+
+/// What SIGHUP and versions of a configuration source may change.
+pub(super) struct Reloader {
+    /// Where settings are applied.
+    pub host: Rc<Host>,
+    /// The node configuration in force.
+    pub node_file: ActiveConfigFile,
+    /// The operator file, if there is one.
+    pub operator_path: Option<PathBuf>,
+    /// What may not change while the program runs.
+    pub startup_sections: Arc<StartupSections>,
+    /// `[http]` as it is in force.
+    pub stall_timeouts: SharedStallTimeouts,
+    /// Tells the discovery client where and how to ask.
+    pub discovery: watch::Sender<(SocketAddr, DiscoveryMode)>,
+    /// The source of configuration.
+    pub source: ConfigurationSource,
+    /// The settings in force came from the source.
+    pub has_source_settings: bool,
+}
+
+impl Reloader {
+    /// Applies one change after the other, of files or of a version, in the order in which signals and versions come.
+    /// A signal during a change is handled after it, with the files as they are then.
+    pub(super) async fn run(mut self, mut hangup: Signal) {
+        loop {
+            tokio::select! {
+                signal = hangup.recv() => match signal {
+                    Some(()) => self.reload_files().await,
+                    None => return,
+                },
+                Some(version) = self.source.next_version() => self.apply_version(version).await,
+            }
+        }
+    }
+
+    async fn reload_files(&mut self) {
+        match self.try_reload_files().await {
+            Ok(changed) => {
+                let discovery = self.discovery.borrow().0;
+                info!(%discovery, changed, "settings taken");
+            }
+            Err(error) => warn!(reason = %error, "settings refused, nothing is taken"),
+        }
+    }
+
+    /// Applies both files whole, or nothing of either, and says what changed.
+    async fn try_reload_files(&mut self) -> Result<String, ServeError> {
+        let Files { operator, node } = self.read_files().await?;
+        let order = SourceOrder { source: operator.configuration.source, file: node.file.outline() };
+        self.source.prepare(&order).map_err(ServeError::Configuration)?;
+        let keeps_source_settings = self.has_source_settings && order.source.is_some();
+        let changed = if keeps_source_settings {
+            self.move_discovery(node.discovery);
+            "nothing but what each proxy is told: a source is followed".into()
+        } else {
+            self.apply_settings(node.discovery, node.settings).await?
+        };
+        self.has_source_settings = keeps_source_settings;
+        self.source.set_order(order);
+        self.stall_timeouts.set(operator.http);
+        self.node_file = node.file;
+        Ok(changed)
+    }
+
+    async fn read_files(&self) -> Result<Files, ServeError> {
+        let node_file = self.node_file.clone();
+        let operator_path = self.operator_path.clone();
+        let startup_sections = self.startup_sections.clone();
+        let read = move || {
+            let operator = OperatorFile::load(operator_path.as_deref())?;
+            startup_sections.check_unchanged(&operator)?;
+            let node = node_file.reread()?;
+            Ok(Files { operator, node })
+        };
+        off_event_loop(read).await?
+    }
+
+    /// Puts settings in force and says what changed. The event loop is held for the last step only.
+    async fn apply_settings(&self, discovery: SocketAddr, settings: Settings) -> Result<String, ServeError> {
+        let mode = settings.config.discovery;
+        let settings = Arc::new(settings);
+        let changed = loop {
+            let in_force = self.host.active_settings();
+            let new = settings.clone();
+            let successor = off_event_loop(move || in_force.prepare(Settings::clone(&new))).await?;
+            match self.host.apply_settings(successor) {
+                Ok(changed) => break changed,
+                Err(outdated) => debug!(%outdated, "settings are merged anew"),
+            }
+        };
+        let target = (discovery, mode);
+        self.discovery.send_if_modified(|old| std::mem::replace(old, target) != target);
+        Ok(changed)
+    }
+
+    /// Changes the address of discovery; how it is asked stays.
+    fn move_discovery(&self, address: SocketAddr) {
+        self.discovery.send_if_modified(|old| std::mem::replace(&mut old.0, address) != address);
+    }
+
+    /// Applies the settings of a version, unless another order has come since they were read.
+    async fn apply_version(&mut self, read: VersionSettings) {
+        if read.order != self.source.order() {
+            return;
+        }
+        let discovery = self.discovery.borrow().0;
+        match self.apply_settings(discovery, read.settings).await {
+            Ok(changed) => {
+                self.has_source_settings = true;
+                info!(version = %read.version, changed, "settings taken");
+            }
+            Err(error) => warn!(version = %read.version, reason = %error, "settings refused"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/lotusdeck/src/serve/shutdown.rs
@@ -0,0 +1,22 @@
+//! Graceful shutdown: what ends when the process is asked to stop, and in which order.
+
+use super::signals::StopSignals;
+use crate::ledger_journal::LedgerJournal;
+use crate::postgres::RunningFront;
+use std::rc::Rc;
+use tracing::info;
+
+/// Waits until the process is asked to stop, and drains the PostgreSQL fronts; the HTTP server drains itself after it.
+pub(super) async fn requested(mut signals: StopSignals, fronts: Rc<Vec<RunningFront>>) {
+    signals.wait().await;
+    info!("stopping");
+    fronts.iter().for_each(RunningFront::stop);
+}
+
+/// Ends what outlives the last request.
+pub(super) async fn finish(ledger: Option<Rc<LedgerJournal>>) {
+    if let Some(ledger) = ledger {
+        ledger.close().await;
+    }
+    info!("stopped");
+}
--- /dev/null
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -0,0 +1,222 @@
+//! Start-up: everything that exists before the first client is served, made in an order in which each part can fail
+//! before the next one is begun.
+
+use super::descriptors::left_for_http;
+use super::error::ServeError;
+use crate::fleet::Fleet;
+use crate::ledger_journal::LedgerJournal;
+use crate::operator::{OperatorFile, StateSection};
+use crate::postgres::{self, RunningFront};
+use crate::state::{self, InitialState, StateLocation, StateWriter};
+use lotusdeck_core::cordon::Cordon;
+use lotusdeck_core::{to_duration, Clock, ConnectionPools, FleetLimiter, Host, Journal, OptionalServices};
+use lotusdeck_policy::settings::Settings;
+use lotusdeck_policy::{Balancer, DiscoveryMode, ListUpdate};
+use lotusdeck_proxy::body_budget::BodyBudget;
+use lotusdeck_proxy::config::{ActiveConfigFile, NodeConfig, NodeConfigError};
+use lotusdeck_proxy::connection_pool::ConnectionPool;
+use lotusdeck_proxy::process_slot::ProcessSlot;
+use lotusdeck_proxy::server;
+use lotusdeck_proxy::stall_timeouts::SharedStallTimeouts;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tracing::info;
+
+/// Buffered bodies may take the memory divided by this, for two processes at a time.
+const BODY_MEMORY_DIVISOR: usize = 8;
+
+/// What is still needed of the node configuration once its settings are in force.
+pub(super) struct NodeIdentity {
+    /// The proxy's name.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where operators connect, if anywhere.
+    pub admin: Option<SocketAddr>,
+    /// Where the endpoint list comes from.
+    pub discovery: SocketAddr,
+    /// How it is asked for.
+    pub discovery_mode: DiscoveryMode,
+    /// Spreads this proxy's random choices from those of others.
+    pub seed: u64,
+    /// The file in force.
+    pub file: ActiveConfigFile,
+}
+
+/// What the proxy starts with in place of a list from discovery.
+pub(super) struct InitialList {
+    /// Its version.
+    pub version: u64,
+    /// How many endpoints are in it.
+    pub endpoints: usize,
+}
+
+/// The parts of a proxy, ready to be run.
+pub(super) struct Parts {
+    /// Who this proxy is.
+    pub node: NodeIdentity,
+    /// The balancer and its clock.
+    pub host: Rc<Host>,
+    /// Connections to backends.
+    pub pool: Rc<ConnectionPool>,
+    /// Memory for buffered bodies.
+    pub body_budget: BodyBudget,
+    /// `[http]` as it is in force.
+    pub stall_timeouts: SharedStallTimeouts,
+    /// Another process of this proxy.
+    pub slot: ProcessSlot,
+    /// The journal, where operators ask for one.
+    pub ledger: Option<Rc<LedgerJournal>>,
+    /// The PostgreSQL fronts, which run already.
+    pub fronts: Rc<Vec<RunningFront>>,
+    /// Fleet-wide limits, where operators ask for any.
+    pub fleet: Option<Rc<Fleet>>,
+    /// Writes the state files, where operators name a folder.
+    pub state_writer: Option<StateWriter>,
+    /// The endpoint list that the proxy starts with.
+    pub initial_list: InitialList,
+    /// Descriptors for HTTP.
+    pub descriptors: usize,
+}
+
+/// The state to start with, and the writer of the state files where the operator file names a folder.
+struct OpenedState {
+    initial: InitialState,
+    writer: Option<StateWriter>,
+}
+
+fn open_state(section: &StateSection, node: &mut NodeConfig) -> Result<OpenedState, ServeError> {
+    let known = std::mem::take(&mut node.cached_endpoints);
+    let Some(folder) = &section.folder else {
+        let initial = InitialState { endpoints: known, estimates: None };
+        return Ok(OpenedState { initial, writer: None });
+    };
+    let location = StateLocation::new(section, folder, &node.name);
+    let window = to_duration(node.settings.config.overload_window);
+    let initial = state::restore(section, &location, known, window);
+    let writer =
+        StateWriter::start(location, section.every, &initial.endpoints).map_err(ServeError::State)?;
+    Ok(OpenedState { initial, writer: Some(writer) })
+}
+
+fn load_cordon(node: &NodeConfig) -> Cordon {
+    let cordon = Cordon::load(&node.state_path_prefix());
+    if cordon.count() > 0 {
+        info!(cordoned = cordon.count(), "backends are cordoned from before");
+    }
+    cordon
+}
+
+fn start_fronts(
+    operator: &OperatorFile, node: &NodeConfig, clock: Clock,
+) -> Result<Vec<RunningFront>, ServeError> {
+    let mut fronts = Vec::new();
+    for section in &operator.postgres {
+        fronts.push(postgres::start(section, &node.settings, node.seed, clock, &node.state_path_prefix())?);
+    }
+    Ok(fronts)
+}
+
+impl Parts {
+    /// Makes the parts.
+    ///
+    /// # Errors
+    /// A part cannot be made: the process does not serve.
+    pub(super) async fn new(operator: &OperatorFile, mut node: NodeConfig) -> Result<Parts, ServeError> {
+        let OpenedState { initial, writer } = open_state(&operator.state, &mut node)?;
+        let cordon = load_cordon(&node);
+        let clock = Clock::new();
+        let body_budget = BodyBudget::new(node.memory_bytes / BODY_MEMORY_DIVISOR);
+        let stall_timeouts = SharedStallTimeouts::new(operator.http.into());
+        let slot = ProcessSlot::acquire(&node.state_path_prefix()).await;
+        let pool =
+            Rc::new(ConnectionPool::new(&node.settings.network, body_budget.clone(), stall_timeouts.clone()));
+        let balancer =
+            Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeConfigError::Unsound)?;
+        let ledger =
+            LedgerJournal::start(&operator.ledger, &node.name, node.seed).map_err(ServeError::Ledger)?;
+        let descriptors = left_for_http(node.max_descriptors, &operator.postgres)?;
+        let fronts = Rc::new(start_fronts(operator, &node, clock)?);
+        let fleet = Fleet::new(&operator.fleet, &operator.limits, &node.settings, node.seed)?;
+        let services = OptionalServices {
+            journal: ledger.clone().map(|ledger| ledger as Rc<dyn Journal>),
+            fleet_limiter: fleet.clone().map(|fleet| fleet as Rc<dyn FleetLimiter>),
+        };
+        let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+        let (node, settings) = split_node(node);
+        let host = Host::new(balancer, settings, clock, pools, cordon, services);
+        let initial_list = restore(&host, &initial);
+        let state_writer = writer;
+        Ok(Parts {
+            node,
+            host,
+            pool,
+            body_budget,
+            stall_timeouts,
+            slot,
+            ledger,
+            fronts,
+            fleet,
+            state_writer,
+            initial_list,
+            descriptors,
+        })
+    }
+}
+
+/// The settings, which the host takes, and the rest.
+fn split_node(node: NodeConfig) -> (NodeIdentity, Settings) {
+    let identity = NodeIdentity {
+        name: node.name,
+        listen: node.listen,
+        admin: node.admin,
+        discovery: node.discovery,
+        discovery_mode: node.settings.config.discovery,
+        seed: node.seed,
+        file: node.active_file,
+    };
+    (identity, node.settings)
+}
+
+/// Puts the list from before the restart in place, before anything is served, and the estimates.
+fn restore(host: &Rc<Host>, initial: &InitialState) -> InitialList {
+    host.update_endpoints(ListUpdate::Cached, initial.endpoints.to_update());
+    if let Some(estimates) = &initial.estimates {
+        host.restore_estimates(estimates);
+    }
+    InitialList { version: initial.endpoints.version, endpoints: initial.endpoints.endpoints.len() }
+}
+
+/// The sockets that clients and operators connect to.
+pub(super) struct Listeners {
+    /// For clients.
+    pub clients: TcpListener,
+    /// The clients' listener was handed over by another process.
+    pub is_inherited: bool,
+    /// For operators, where they have an address.
+    pub operators: Option<TcpListener>,
+}
+
+impl Listeners {
+    /// Opens them, or takes over the one that was inherited.
+    ///
+    /// # Errors
+    /// An address cannot be listened on.
+    pub(super) fn open(
+        inherited: Option<std::net::TcpListener>, clients: SocketAddr, operators: Option<SocketAddr>,
+    ) -> Result<Listeners, ServeError> {
+        let failed = |purpose, address| move |source| ServeError::Listen { purpose, address, source };
+        let is_inherited = inherited.is_some();
+        let listener = match inherited {
+            Some(listener) => TcpListener::from_std(listener),
+            None => server::listen(clients),
+        };
+        let clients = listener.map_err(failed("for clients", clients))?;
+        let operators = match operators {
+            Some(address) => Some(server::listen(address).map_err(failed("for operators", address))?),
+            None => None,
+        };
+        Ok(Listeners { clients, is_inherited, operators })
+    }
+}
--- /dev/null
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -0,0 +1,126 @@
+//! What a proxy starts with: the platform's endpoint list or its own, whichever is newer and trusted, and the estimates
+//! that still deserve confidence. Every reason to pass over a file is one line of the log; the proxy then starts as it
+//! would without the file.
+
+use super::files::{ReadEndpoints, StateFileError, StateLocation, ENDPOINTS, ESTIMATES};
+use super::{now_ms, to_millis};
+use crate::operator::StateSection;
+use lotusdeck_proxy::endpoint_list::EndpointList;
+use lotusdeck_state::{choose, Age, AgeWeighting, Confidence, EndpointSource, Estimates};
+use std::collections::HashMap;
+use std::time::Duration;
+use tracing::{info, warn};
+
+/// What a proxy starts with.
+pub(crate) struct InitialState {
+    /// The platform's list or its own.
+    pub endpoints: EndpointList,
+    /// What is left of the estimates at their age; `None` where nothing is.
+    pub estimates: Option<Estimates>,
+}
+
+/// Reads the files. `known` is the platform's list; `window` is the time over which overload is measured.
+pub(crate) fn restore(
+    section: &StateSection, location: &StateLocation, known: EndpointList, window: Duration,
+) -> InitialState {
+    let now_ms = now_ms();
+    let chosen = choose_endpoints(section, location, known, now_ms);
+    let weighting = AgeWeighting {
+        now_ms,
+        half_life_ms: to_millis(section.half_life),
+        window_ms: to_millis(window),
+        write_interval_ms: to_millis(section.every),
+    };
+    let estimates = restore_estimates(location, &chosen.list, weighting);
+    let endpoints = if chosen.is_saved { with_cold_backends(chosen.list, now_ms) } else { chosen.list };
+    InitialState { endpoints, estimates }
+}
+
+fn restore_estimates(
+    location: &StateLocation, endpoints: &EndpointList, weighting: AgeWeighting,
+) -> Option<Estimates> {
+    let saved: Estimates = match location.read(ESTIMATES) {
+        Ok(saved) => saved,
+        Err(StateFileError::Missing) => return None,
+        Err(error) => {
+            let path = location.path(ESTIMATES);
+            warn!(path = %path.display(), %error, "what was learned is not taken; starting without it");
+            return None;
+        }
+    };
+    let started_ms: HashMap<&str, u64> = endpoints.endpoints.iter().filter_map(backend_start).collect();
+    let age = Age::of(saved.written_ms, weighting.now_ms);
+    let estimates = saved.discounted(weighting, |name| started_ms.get(name).copied());
+    let samples = estimates.overall_latency.samples;
+    if samples <= 0.0 {
+        warn!(?age, "what was learned is not taken: too old, of an age that cannot be told, or nothing");
+        return None;
+    }
+    let kinds = estimates.kinds.len();
+    let ejected = estimates.ejected.len();
+    let spent = estimates.warmup_spend.len();
+    info!(?age, samples, kinds, ejected, spent, "what was learned is taken");
+    Some(estimates)
+}
+
+/// The name of a list's entry and when its backend started, 0 where the list does not say: long ago.
+fn backend_start(entry: &serde_json::Value) -> Option<(&str, u64)> {
+    let name = entry.get("name")?.as_str()?;
+    let started_ms = entry.get("since_ms").and_then(serde_json::Value::as_f64).unwrap_or(0.0);
+    Some((name, started_ms as u64))
+}
+
+/// The list to start with.
+struct ChosenEndpoints {
+    list: EndpointList,
+    /// It is the saved one.
+    is_saved: bool,
+}
+
+fn choose_endpoints(
+    section: &StateSection, location: &StateLocation, known: EndpointList, now_ms: u64,
+) -> ChosenEndpoints {
+    let platforms = |list| ChosenEndpoints { list, is_saved: false };
+    let path = location.path(ENDPOINTS);
+    let ReadEndpoints { saved, list } = match location.read_endpoints() {
+        Ok(read) => read,
+        Err(StateFileError::Missing) => {
+            info!(path = %path.display(), "no state kept yet");
+            return platforms(known);
+        }
+        Err(error) => {
+            warn!(path = %path.display(), %error, "state not taken; starting without it");
+            return platforms(known);
+        }
+    };
+    let age = Age::of(saved.written_ms, now_ms);
+    let confidence = Confidence::at_age(age, to_millis(section.half_life));
+    let index = saved.index;
+    let entries = list.endpoints.len();
+    match choose(index, confidence, known.version, known.endpoints.len()) {
+        EndpointSource::SavedEndpoints => {
+            let trust = confidence.0;
+            info!(index, entries, ?age, trust, known = known.version, "state taken: the kept list");
+            ChosenEndpoints { list, is_saved: true }
+        }
+        EndpointSource::Known => {
+            info!(index, known = known.version, "state passed over: the platform's list is as new");
+            platforms(known)
+        }
+        EndpointSource::Untrusted(confidence) => {
+            let trust = confidence.0;
+            warn!(index, ?age, trust, "state not taken: too old, or of an age that cannot be told");
+            platforms(known)
+        }
+    }
+}
+
+/// The saved list with every backend taken as started now. It is used where the platform hands over nothing newer, as
+/// after a loss of power of the platform, when the backends are likely to have restarted as well: each has a slow start
+/// until discovery says when it really started (docs/recovery.md).
+pub(super) fn with_cold_backends(mut list: EndpointList, now_ms: u64) -> EndpointList {
+    for entry in list.endpoints.iter_mut().filter_map(|entry| entry.as_object_mut()) {
+        entry.insert("since_ms".into(), now_ms.into());
+    }
+    list
+}
--- /dev/null
+++ b/crates/lotusdeck/src/state/tests.rs
@@ -0,0 +1,21 @@
+//! Saved lists and file names.
+
+use super::files::file_name;
+use super::restore::with_cold_backends;
+use lotusdeck_proxy::endpoint_list::EndpointList;
+use serde_json::json;
+
+#[test]
+fn a_kept_list_is_taken_as_started_now() {
+    let endpoints = vec![json!({"name": "a", "since_ms": 5}), json!({"name": "b"}), json!(3)];
+    let list = with_cold_backends(EndpointList { version: 2, snapshot: true, endpoints }, 9_000);
+    let started: Vec<Option<u64>> =
+        list.endpoints.iter().map(|entry| entry.get("since_ms")?.as_u64()).collect();
+    assert_eq!(started, [Some(9_000), Some(9_000), None], "what is no entry stays as it was");
+}
+
+#[test]
+fn names_that_a_path_must_not_hold_are_replaced() {
+    assert_eq!(file_name("../n/0 x"), "_n_0_x");
+    assert_eq!(file_name("n-1.a_b"), "n-1.a_b");
+}
--- /dev/null
+++ b/crates/lotusdeck/src/tests.rs
@@ -0,0 +1,9 @@
+//! The command line as a whole.
+
+use super::Cli;
+use clap::CommandFactory;
+
+#[test]
+fn the_command_line_is_sound() {
+    Cli::command().debug_assert();
+}
