--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -118,7 +118,7 @@
             NextStep::Applied(version) => return self.apply_candidate(version).await,
             NextStep::Rejected(reason) => self.log_problem("configuration refused", reason.to_string()),
             NextStep::PollFailed(failure) => {
-                self.log_problem("no answer from the source", failure.to_string())
+                self.log_problem("no answer from the source", failure.to_string());
             }
         }
         Flow::Continue(())
