--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -3,44 +3,44 @@
 use super::id::{AttemptNo, BackendId, RequestId, TimerToken};
 use super::time::Micros;
 
-/// What the module asks of the host, in order.
+/// What the balancer asks of the host, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client gives up.
+    /// Send an attempt; it may run until the client gives up.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// Its destination.
         backend: BackendId,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Final answer: rejected, and the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client had better come again, from now.
+        /// After what time the client had better retry.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer that reports [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// The token it is to carry.
+        /// The token that it reports.
         token: TimerToken,
-        /// When, from now.
+        /// Time until it expires.
         after: Micros,
     },
-    /// Ask discovery for changes from now on.
+    /// Subscribe to the endpoint list.
     WatchEndpoints,
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/policy/src/api/backend.rs
+++ b/crates/policy/src/api/backend.rs
@@ -1,14 +1,14 @@
-//! Entries of the endpoint list.
+//! The endpoint list.
 
 use super::id::{BackendId, CellId, KindId, ZoneId};
 use super::time::Time;
 
-/// A line of the backend list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// Which backend.
+    /// The backend.
     pub id: BackendId,
-    /// A number drawn from its address, the same at every proxy.
+    /// A hash of its name, the same at every proxy: it orders the backends.
     pub order_key: u64,
     /// Its zone.
     pub zone: ZoneId,
@@ -18,31 +18,31 @@
     pub kind: KindId,
     /// What it may be sent.
     pub state: BackendState,
-    /// When it last started; `None` means long ago.
+    /// When its process started; `None` means long ago.
     pub started_at: Option<Time>,
 }
 
 /// What a backend may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Requests.
+    /// New requests.
     Ready,
-    /// Nothing new: it finishes what it has.
+    /// Nothing new: it completes what it has in flight.
     Draining,
-    /// Nothing: it has left.
+    /// Nothing: it has left the list.
     #[default]
     Removed,
 }
 
-/// What sort of news about the list this is.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// The entries that changed.
     Changes,
-    /// The whole list; what is absent is gone.
+    /// The full list; backends that are absent have left it.
     Full,
-    /// The whole list as it was before a restart, perhaps out of date.
+    /// The full list as it was before a restart, perhaps out of date.
     Cached,
-    /// The call or the subscription failed; the list held stays.
+    /// The poll or the subscription failed; the present list stays.
     Failed,
 }
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -3,49 +3,49 @@
 use super::id::{ClassId, TenantId, ZoneId};
 use super::time::Micros;
 
-/// Everything told at start-up.
+/// The configuration of one proxy's balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How many proxies share the traffic, this one included.
+    /// Number of proxies that share the traffic, this one included.
     pub proxy_count: u32,
-    /// Which of them this one is, from 0.
+    /// Index of this proxy among them, from 0.
     pub proxy_index: u32,
-    /// The proxy's own zone.
+    /// The zone of this proxy.
     pub zone: ZoneId,
-    /// The sorts of requests.
+    /// The request classes; a [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
-    /// The customers; may be empty.
+    /// The tenants; may be empty. A [`TenantId`] is an index into them.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request past its tenant's quota, as a part of its class's worth.
+    /// Value of a request beyond its tenant's quota, relative to one within it; from 0 to 1.
     pub over_quota_factor: f64,
-    /// What the operator's goal puts on the whole of the traffic.
+    /// Weight of all traffic in the operators' goal; from 0 to 1.
     pub overall_goal_weight: f64,
-    /// What the operator's goal puts on the worst-served class.
+    /// Weight of the worst-served class in the operators' goal; from 0 to 1.
     pub worst_class_goal_weight: f64,
-    /// What it costs the goal when every request crosses zones once.
+    /// What the goal loses when every request crosses zones once; 0 or more.
     pub cross_zone_cost: f64,
-    /// Where the list of backends comes from.
+    /// How updates of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// Attempts allowed for a request.
+    /// Attempts that a request may have, the first included.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub allow_cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// A request may have two attempts in flight at once.
     pub allow_hedging: bool,
-    /// The least time between two rounds of events.
+    /// Time resolution: no timer is shorter.
     pub tick: Micros,
-    /// Part of its capacity that a backend has at least when it boots.
+    /// The part of its capacity that a backend has when it starts; from 0 to 1.
     pub slow_start_floor: f64,
-    /// A booted backend is warm after this time at most.
+    /// A started backend has its full capacity after this time at most.
     pub slow_start_duration: Micros,
-    /// A cold backend sent more than this multiple of its present capacity ...
+    /// A backend in slow start fails when it is sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... over this time falls over.
+    /// ... over this time.
     pub overload_window: Micros,
 }
 
 impl Config {
-    /// A small sound configuration: one zone, three proxies, one class that is free to repeat.
+    /// A small valid configuration: one zone, three proxies, one class without side effects.
     pub fn example() -> Config {
         Config {
             proxy_count: 3,
@@ -76,52 +76,56 @@
         }
     }
 
-    /// The first field that is out of its range, if any.
+    /// Checks the range of every field.
+    ///
+    /// # Errors
+    /// The first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        let above_zero = |x: f64| x > 0.0 && x.is_finite();
+        let is_part = |number: f64| (0.0..=1.0).contains(&number);
+        let is_positive = |number: f64| number > 0.0 && number.is_finite();
         let classes = &self.classes;
-        let tests = [
-            (self.proxy_count > 0, "proxies", "at least 1"),
-            (self.proxy_index < self.proxy_count, "position", "less than proxies"),
-            (classes.iter().any(|c| !c.retired), "classes", "at least one class"),
-            (classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0"),
-            (classes.iter().all(|c| c.objective_per_work_hint >= 0.0), "aim_stretch", "at least 0"),
-            (classes.iter().all(|c| above_zero(c.priority_weight)), "worth", "a finite number above 0"),
-            (classes.iter().all(|c| part(c.late_value_factor)), "late_worth", "a part from 0 to 1"),
-            (self.tenants.iter().all(|t| above_zero(t.quota_per_s)), "quota_per_s", "a finite rate above 0"),
-            (part(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1"),
-            (part(self.overall_goal_weight), "goal_whole", "a part from 0 to 1"),
-            (part(self.worst_class_goal_weight), "goal_worst_class", "a part from 0 to 1"),
-            (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
-            (self.max_attempts > 0, "max_attempts", "at least 1"),
-            (self.tick.0 > 0, "tick", "a time above 0"),
-            (part(self.slow_start_floor), "cold_from", "a part from 0 to 1"),
-            (above_zero(self.overload_multiple), "fall_multiple", "a finite number above 0"),
-        ];
-        let failed = tests.into_iter().find(|t| !t.0);
-        failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
+        require(self.proxy_count > 0, "proxies", "at least 1")?;
+        require(self.proxy_index < self.proxy_count, "position", "less than proxies")?;
+        require(classes.iter().any(|c| !c.retired), "classes", "at least one class")?;
+        require(classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0")?;
+        require(classes.iter().all(|c| c.objective_per_work_hint >= 0.0), "aim_stretch", "at least 0")?;
+        require(classes.iter().all(|c| is_positive(c.priority_weight)), "worth", "a finite number above 0")?;
+        require(classes.iter().all(|c| is_part(c.late_value_factor)), "late_worth", "a part from 0 to 1")?;
+        require(
+            self.tenants.iter().all(|t| is_positive(t.quota_per_s)),
+            "quota_per_s",
+            "a finite rate above 0",
+        )?;
+        require(is_part(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1")?;
+        require(is_part(self.overall_goal_weight), "goal_whole", "a part from 0 to 1")?;
+        require(is_part(self.worst_class_goal_weight), "goal_worst_class", "a part from 0 to 1")?;
+        require(self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0")?;
+        require(self.max_attempts > 0, "max_attempts", "at least 1")?;
+        require(self.tick.0 > 0, "tick", "a time above 0")?;
+        require(is_part(self.slow_start_floor), "cold_from", "a part from 0 to 1")?;
+        require(is_positive(self.overload_multiple), "fall_multiple", "a finite number above 0")?;
+        Ok(())
     }
 }
 
-/// A sort of request.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time has the full value.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's work hint.
+    /// The latency objective grows by this multiple of the request's work hint.
     pub objective_per_work_hint: f64,
-    /// What a second run would do.
+    /// What running a request twice would do.
     pub side_effects: SideEffects,
-    /// What a request is worth.
+    /// Value of a request relative to those of other classes.
     pub priority_weight: f64,
-    /// The part of the worth left after the aim.
+    /// The part of the value that an answer after the latency objective has; from 0 to 1.
     pub late_value_factor: f64,
-    /// No new request is of it any more; those that are open end under its rules.
+    /// New requests are not of this class any more; open ones end under its rules.
     pub retired: bool,
 }
 
-/// Numbers that mean something else than before: nothing that was learned under them counts any more.
+/// Numbers that have a new meaning: nothing that was learned under them counts any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReassignedIds {
     /// Of classes, in ascending order.
@@ -131,7 +135,7 @@
 }
 
 impl Class {
-    /// A new request of it does no harm where it fails or runs twice.
+    /// A new request of the class does no harm when it fails or runs twice.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.side_effects == SideEffects::None && !self.retired
     }
@@ -140,16 +144,16 @@
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SideEffects {
-    /// Nothing: it may be repeated and refused at will.
+    /// Nothing: it may be repeated and rejected at will.
     None,
-    /// The backends of one scope discard repeats for a time after the first send.
+    /// Requests carry an idempotency key: the backends of one scope discard duplicates for a time.
     IdempotencyKey {
         /// Which backends discard each other's duplicates.
         scope: KeyScope,
-        /// How long after the first send they do.
+        /// How long after the first attempt was sent they do.
         window: Micros,
     },
-    /// A second run does harm.
+    /// It would do harm.
     NonIdempotent,
 }
 
@@ -163,45 +167,53 @@
     }
 }
 
-/// Which backends discard each other's repeats.
+/// Which backends discard each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
-/// A customer.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that earn full worth.
+    /// Requests a second, over all proxies, that have their full value.
     pub quota_per_s: f64,
 }
 
-/// Where the list of backends comes from.
+/// How updates of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Without a subscription.
     Push,
-    /// Changes arrive after [`Action::Follow`]; a proxy that does not ask counts as told after this time.
+    /// After a subscription by [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
     Subscribe {
-        /// A proxy that has not asked for so long counts as notified of every change.
+        /// A proxy that has not subscribed for so long counts as notified of every update.
         poll_within: Micros,
     },
 }
 
-/// Why a configuration was not accepted.
+/// A field of a configuration that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The field at fault.
+    /// The name of the field in operators' terms.
     pub field: &'static str,
     /// What was expected of it.
     pub expected: &'static str,
 }
 
+fn require(condition: bool, field: &'static str, expected: &'static str) -> Result<(), ConfigError> {
+    if condition {
+        Ok(())
+    } else {
+        Err(ConfigError { field, expected })
+    }
+}
+
 impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}: expected {}", self.field, self.expected)
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -13,7 +13,7 @@
     Success,
     /// An error answer; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before it ran.
     Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
@@ -21,7 +21,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NeverSent,
@@ -37,19 +37,19 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The request.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its customer, if any.
+    /// Its tenant, if any.
     pub tenant: Option<TenantId>,
-    /// When the client gives up, from now.
+    /// Time until the client gives up.
     pub time_left: Micros,
-    /// The work expected, on a standard core.
+    /// The expected work, as time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client says that it asked before.
+    /// The client marks the request as a retry of its own.
     pub is_client_retry: bool,
-    /// A part of its body is still to come: its time begins with [`Event::Uploaded`].
+    /// A part of its body is still to come: its time begins with [`Event::BodyReceived`].
     pub body_incomplete: bool,
 }
 
@@ -60,61 +60,63 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// How.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Time since the dispatch.
+    /// Time since its dispatch.
     pub latency: Micros,
-    /// The request has had its final answer; the module owes none.
+    /// The request has had its final answer; the balancer gives none.
     pub request_answered: bool,
-    /// Its body is gone with this attempt: there can be no other.
+    /// The attempt has consumed the request's body: there can be no other.
     pub body_consumed: bool,
 }
 
-/// What the host tells the module.
+/// What the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the backend list.
+    /// An update of the endpoint list.
     EndpointsUpdated {
-        /// What sort of news.
+        /// What the entries are.
         update: ListUpdate,
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// Operators have taken these backends out, and no others: they get nothing new, whatever the list says.
-    /// One that was among them before and is no more may have been restarted meanwhile.
+    /// Operators have taken exactly these backends out of service: they get nothing new, whatever the
+    /// endpoint list says. One that was among them before may have been restarted meanwhile.
     Cordoned {
-        /// All of them.
+        /// All backends that are out of service.
         backends: Vec<BackendId>,
     },
-    /// Other settings hold from now on. Classes and tenants keep their places, but for the renewed ones.
+    /// Another configuration holds from now on. Classes and tenants keep their numbers, but for the
+    /// reassigned ones.
     ConfigApplied {
-        /// All of them.
+        /// The configuration.
         config: Box<Config>,
-        /// Numbers that nothing open speaks of and that now mean something else.
+        /// Numbers that nothing open refers to and that have a new meaning.
         reassigned: ReassignedIds,
     },
-    /// Where proxies talk: attempts that all the others together have out, as far as they told.
+    /// The load that the other proxies report, where proxies gossip.
     FleetLoad {
-        /// So many.
+        /// Attempts that all of them together have in flight.
         in_flight: f64,
     },
-    /// What was learned before this process began, as far as it is still believed.
+    /// What an earlier process learned, as far as it is still trusted.
     Restored(Box<Snapshot>),
-    /// So many processes act for this proxy, this one included: two while one takes over from another.
+    /// The number of processes that act for this proxy, this one included: two while one takes over from the
+    /// other.
     ProcessCount {
-        /// How many.
+        /// Their number.
         count: u32,
     },
     /// A client's request: it is owed one final answer.
     Request(Arrival),
-    /// The last byte of a request's body has come; the attempt that took it is the only one there can be.
+    /// The last byte of a request's body has come; the attempt that consumed it is the only one there can be.
     BodyReceived {
         /// The request.
         request: RequestId,
-        /// When the client gives up, from now.
+        /// Time until the client gives up.
         time_left: Micros,
     },
-    /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
+    /// The answer streams to the client: no time-out of the balancer applies to the attempt any more.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -123,14 +125,14 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; no answer is owed.
+    /// The client disconnected; the request needs no answer.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer {
-        /// Which.
+        /// The token of the timer.
         token: TimerToken,
     },
 }
--- a/crates/policy/src/api/id.rs
+++ b/crates/policy/src/api/id.rs
@@ -9,22 +9,22 @@
 }
 
 ids! {
-    /// One client request; never used again.
+    /// A client request; its number is never used again.
     RequestId(u64);
-    /// One server process's address, numbered by the host.
+    /// A backend: the address of one server process.
     BackendId(u32);
-    /// A place in the network.
+    /// A zone of the network.
     ZoneId(u32);
-    /// A handful of backends that share which keys they have seen.
+    /// A cell: a few backends that know each other's idempotency keys.
     CellId(u64);
-    /// A sort of machine: backends of one kind are taken as equally fast.
+    /// A kind of machine: backends of one kind count as equally fast.
     KindId(u32);
-    /// Index into [`Config::classes`].
+    /// A request class: an index into [`Config::classes`](super::Config::classes).
     ClassId(usize);
-    /// Index into [`Config::tenants`].
+    /// A tenant: an index into [`Config::tenants`](super::Config::tenants).
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
     AttemptNo(u32);
-    /// Names a timer to its owner.
+    /// A timer.
     TimerToken(u64);
 }
--- a/crates/policy/src/api/snapshot.rs
+++ b/crates/policy/src/api/snapshot.rs
@@ -3,7 +3,7 @@
 use super::id::{BackendId, ClassId, KindId};
 use super::time::Micros;
 
-/// A mean and how many samples it is worth: each new sample weighs one among so many.
+/// A mean, and how many samples it is worth: each new sample weighs one among so many.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
     /// The mean.
@@ -12,37 +12,37 @@
     pub samples: f64,
 }
 
-/// What was learned of a kind of machine.
+/// Estimates for a kind of machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KindEstimates {
-    /// Seconds from dispatch to answer, the class mix taken out.
+    /// Seconds from dispatch to answer, with the class mix taken out.
     pub latency: Estimate,
-    /// Requests a second that one backend got meanwhile.
+    /// Requests a second that one backend got while the latency was measured.
     pub flow: Estimate,
 }
 
-/// Work that was sent to a backend while it was cold.
+/// Work that was sent to a backend during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupSpend {
-    /// Where to.
+    /// The backend.
     pub backend: BackendId,
-    /// How long ago, to the tick.
+    /// Time since it was sent, to the tick.
     pub ago: Micros,
-    /// In requests of mean work.
+    /// The work, in requests of mean work.
     pub work: f64,
 }
 
-/// What a module learned, by numbers of the process that holds it.
+/// What a balancer learned, under the numbers of its process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// Seconds from dispatch to answer, of all classes.
     pub overall_latency: Estimate,
-    /// The same by class.
+    /// Seconds from dispatch to answer, by class.
     pub class_latency: Vec<(ClassId, Estimate)>,
-    /// By kind.
+    /// Estimates by kind.
     pub kinds: Vec<(KindId, KindEstimates)>,
-    /// Backends out of use or on trial, and how often in a row they were put out of use.
+    /// Backends that are ejected or on probation, with their consecutive ejections.
     pub ejected: Vec<(BackendId, u32)>,
-    /// Cold budget spent inside the fall window.
+    /// Work sent inside the overload window to backends in slow start.
     pub warmup_spend: Vec<WarmupSpend>,
 }
