--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod disk;
 mod durable_write;
+mod folder;
 mod frame;
 mod history;
 mod index;
@@ -20,8 +21,9 @@
 mod worker;
 mod writer;
 
-pub use disk::{Disk, Folder};
+pub use disk::Disk;
 pub use durable_write::DurableWrite;
+pub use folder::Folder;
 pub use frame::{decode, encode, Damage, Frame, HEADER};
 pub use history::{Attempt, Fate, History, Request, Verdict};
 pub use index::Index;
