--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Whether requests may be sent while nothing can be written: see [`OnFailure::GoOn`].
+    /// Whether requests may be sent while nothing can be written: see [`OnFailure::SendUnrecorded`].
     pub fn sends_unrecorded(&self) -> bool {
-        self.on_failure == OnFailure::GoOn && self.gauges.has_segment.load(Relaxed)
+        self.on_failure == OnFailure::SendUnrecorded && self.gauges.has_segment.load(Relaxed)
     }
 
     /// Ends the generation in order; resolves when its last record is written.
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -15,10 +15,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFailure {
     /// They are not sent.
-    Refuse,
+    RejectRequests,
     /// They are sent, and the gap is recorded once writing works again. This applies once the generation has its first
     /// segment: before that nothing on the disk would show that there may be a gap.
-    GoOn,
+    SendUnrecorded,
 }
 
 /// How to write.
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -134,7 +134,7 @@
             started_at: self.generation.started_at,
             number,
             first_sequence: self.sequence + 1,
-            sends_unrecorded: self.options.on_failure == OnFailure::GoOn,
+            sends_unrecorded: self.options.on_failure == OnFailure::SendUnrecorded,
         };
         self.next_segment += 1;
         self.disk.write(&mut file, 0, &header.encode())?;
--- a/crates/ledger/tests/crash/damage.rs
+++ b/crates/ledger/tests/crash/damage.rs
@@ -10,7 +10,7 @@
 fn flipped_bit_never_makes_a_wrong_certainty() {
     for (steps, close) in [(SHORT.len(), true), (SHORT.len(), false), (10, false)] {
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 700);
+        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
         play.steps(&SHORT[..steps]);
         if close {
             play.step(Step::Close);
@@ -36,7 +36,7 @@
 #[test]
 fn lost_segment_newer_format_and_backward_clock_are_never_shown_wrongly() {
     let disk = MemoryDisk::default();
-    let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 480);
+    let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 480);
     for (position, step) in SHORT.iter().enumerate() {
         play.now = 100_000 - 1000 * position as u64;
         play.step(*step);
@@ -68,7 +68,7 @@
         check_scan(&bytes);
         // A sound segment with random bytes written over a part of it.
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 1 << 12);
+        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
         play.steps(&SHORT);
         let name = disk.list().unwrap().remove(0);
         disk.clone().write(&mut name.clone(), at as u64, &bytes[..bytes.len().min(60)]).unwrap();
--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -11,7 +11,7 @@
     let options = Options {
         segment_bytes: 700,
         keep_bytes: 3000,
-        ..Options::new("n0", Mode::Process, OnFailure::Refuse)
+        ..Options::new("n0", Mode::Process, OnFailure::RejectRequests)
     };
     let (mut writer, _) = Writer::open(disk.clone(), options.clone(), 1, 0);
     writer.append(1, &[record(Step::Take(0), 1), record(Step::Send(0, 0), 1)]).unwrap();
--- a/crates/ledger/tests/crash/main.rs
+++ b/crates/ledger/tests/crash/main.rs
@@ -10,7 +10,7 @@
 use play::{compare, history, id, power_losses, record, Play, Step, SHORT};
 use std::collections::BTreeMap;
 
-const FAILURES: [OnFailure; 2] = [OnFailure::Refuse, OnFailure::GoOn];
+const FAILURES: [OnFailure; 2] = [OnFailure::RejectRequests, OnFailure::SendUnrecorded];
 
 /// After a kill at each step all that was durable is shown, and nothing wrong; with small segments too.
 #[test]
@@ -25,7 +25,7 @@
             // Where nothing is sent unrecorded only what is in flight is uncertain.
             let ends = play.truth.values().flat_map(BTreeMap::values);
             let in_flight = ends.filter(|end| end.is_none()).count();
-            if on_failure == OnFailure::Refuse {
+            if on_failure == OnFailure::RejectRequests {
                 assert_eq!(uncertain, in_flight, "{steps} steps, segments of {room}");
             }
         }
@@ -38,7 +38,7 @@
     let mut cases = 0;
     for steps in 0..=SHORT.len() {
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::Refuse, 1 << 16);
+        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 1 << 16);
         play.steps(&SHORT[..steps]);
         // The next step is written and not synced yet: its attempt has not been sent.
         let next = SHORT.get(steps).copied().unwrap_or(Step::Settle(3));
@@ -67,7 +67,7 @@
     for at in 0..40 {
         let faults = Faults { full_after: Some(at), sync_fails: None, mended_at: Some(at + 1) };
         let disk = MemoryDisk::with_faults(faults);
-        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::Refuse, 641);
+        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 641);
         play.steps(&SHORT);
         for (kept, torn) in power_losses(&disk) {
             let shown = history(&disk.after_power_loss(kept, torn));
@@ -80,9 +80,10 @@
 #[test]
 fn two_generations_in_one_folder_are_both_shown() {
     let disk = MemoryDisk::default();
-    let mut old = Play::new(disk.clone(), Mode::Process, OnFailure::Refuse, 700);
+    let mut old = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
     old.steps(&SHORT[..5]);
-    let options = Options { segment_bytes: 700, ..Options::new("n0", Mode::Process, OnFailure::Refuse) };
+    let options =
+        Options { segment_bytes: 700, ..Options::new("n0", Mode::Process, OnFailure::RejectRequests) };
     let (mut new, begun) = Writer::open(disk.clone(), options, 0xcd, 9000);
     begun.unwrap();
     new.append(9001, &[record(Step::Take(7), 9001), record(Step::Send(7, 0), 9001)]).unwrap();
--- a/crates/ledger/tests/crash/play.rs
+++ b/crates/ledger/tests/crash/play.rs
@@ -96,7 +96,8 @@
             return;
         }
         let is_durable = self.writer.append(self.now, &[record(step, self.now)]).is_ok();
-        let may_send = is_durable || self.on_failure == OnFailure::GoOn && self.writer.has_segment();
+        let may_send =
+            is_durable || self.on_failure == OnFailure::SendUnrecorded && self.writer.has_segment();
         match step {
             Step::Take(request) => {
                 self.truth.entry(id(request)).or_default();
--- a/crates/ledger/tests/crash/random.rs
+++ b/crates/ledger/tests/crash/random.rs
@@ -69,7 +69,7 @@
         let faults = Faults { full_after: full, sync_fails: sync, mended_at: Some(mended) };
         let disk = MemoryDisk::with_faults(faults);
         let mode = if power { Mode::Power } else { Mode::Process };
-        let on_failure = if goes_on { OnFailure::GoOn } else { OnFailure::Refuse };
+        let on_failure = if goes_on { OnFailure::SendUnrecorded } else { OnFailure::RejectRequests };
         let mut play = Play::new(disk.clone(), mode, on_failure, room);
         play.steps(&steps);
         if close {
--- a/crates/lotusdeck/src/journaling.rs
+++ b/crates/lotusdeck/src/journaling.rs
@@ -43,7 +43,7 @@
         let mut options = Options::new(
             proxy,
             if settings.power { Mode::Power } else { Mode::Process },
-            if settings.go_on { OnFailure::GoOn } else { OnFailure::Refuse },
+            if settings.go_on { OnFailure::SendUnrecorded } else { OnFailure::RejectRequests },
         );
         let day = 24 * 3600 * 1000;
         (options.segment_bytes, options.keep_bytes) = (settings.segment_mb << 20, settings.keep_mb << 20);
--- a/crates/lotusdeck/src/state.rs
+++ b/crates/lotusdeck/src/state.rs
@@ -206,7 +206,7 @@
             info!(index, entries, ?age, trust = trust.0, known = known.version, "state taken: the kept list");
             (list, true)
         }
-        EndpointSource::Known => {
+        EndpointSource::PlatformEndpoints => {
             info!(index, known = known.version, "state passed over: the platform's list is as new");
             (known, false)
         }
--- a/crates/state/src/confidence.rs
+++ b/crates/state/src/confidence.rs
@@ -58,7 +58,7 @@
     /// Its own saved list, which is newer than the platform's, or the platform's is empty.
     SavedEndpoints,
     /// The list that the platform hands over: the saved one is not newer.
-    Known,
+    PlatformEndpoints,
     /// The list that the platform hands over: the confidence in the saved one is insufficient.
     Untrusted(Confidence),
 }
@@ -76,6 +76,6 @@
     } else if platform_entries == 0 || saved_version > platform_version {
         EndpointSource::SavedEndpoints
     } else {
-        EndpointSource::Known
+        EndpointSource::PlatformEndpoints
     }
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -318,7 +318,7 @@
     for (name, mode, count) in
         [("process", Mode::Process, args.timed), ("power", Mode::Power, args.timed.min(500))]
     {
-        let options = Options::new("bench", mode, OnFailure::Refuse);
+        let options = Options::new("bench", mode, OnFailure::RejectRequests);
         let (mut writer, begun) = Writer::open(Folder::open(&args.out.join(name))?, options, 1, 0);
         begun.map_err(wrong)?;
         let times = timed(count, |n| {
@@ -327,7 +327,7 @@
         })?;
         say(&format!("{name}, one record a write: {}\n", spread(&times)));
     }
-    let mut options = Options::new("bench", Mode::Process, OnFailure::Refuse);
+    let mut options = Options::new("bench", Mode::Process, OnFailure::RejectRequests);
     options.keep_bytes = u64::MAX;
     let many = args.out.join("many");
     let (mut writer, begun) = Writer::open(Folder::open(&many)?, options, 1, 0);
