--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// The two numbers that tell a frame from arbitrary bytes at little cost.
+/// The header of a frame, not yet checked against the record.
 pub(crate) struct FrameHeader {
     /// Bytes of the record.
     pub(crate) length: usize,
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -8,8 +8,7 @@
 pub use request::{Attempt, Fate, Request, Verdict};
 
 use crate::disk::Disk;
-use crate::index::Index;
-use crate::retention::index_name;
+use crate::index::{self, Index};
 use crate::segment::{read_segment, SegmentKind, HEAD_LEN};
 use generation::Generation;
 use std::collections::BTreeMap;
@@ -136,7 +135,7 @@
 /// The sequence number of the last frame of a segment which by its index does not contain `id`; `None` if the segment
 /// has to be read.
 fn last_sequence_without<D: Disk>(disk: &D, file: &str, id: &str) -> Option<u64> {
-    let bytes = disk.read(&index_name(file)).ok()?;
+    let bytes = disk.read(&index::file_name(file)).ok()?;
     let index = Index::read(&bytes)?;
     (!index.contains(id)).then_some(index.last)
 }
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -13,6 +13,11 @@
 /// Bytes of a hash.
 const HASH_LENGTH: usize = 8;
 
+/// The name of the index file of a segment.
+pub(crate) fn file_name(segment: &str) -> String {
+    segment.replace(".seg", ".idx")
+}
+
 /// The hash of a correlation id.
 pub(crate) fn hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
--- a/crates/ledger/src/retention.rs
+++ b/crates/ledger/src/retention.rs
@@ -1,6 +1,7 @@
 //! Which sealed segments are kept, and which are deleted for their age or the total size.
 
 use crate::disk::Disk;
+use crate::index;
 use crate::options::Options;
 use crate::record::{Millis, Record};
 use crate::segment::{read_segment, LocatedFrame, Scan, SegmentKind};
@@ -24,13 +25,13 @@
     /// A segment of an earlier generation.
     fn inherited(name: String, content: &[u8], now: Millis) -> SealedSegment {
         let scan = read_segment(content);
-        let contents = InheritedRecords::of(&scan, now);
+        let records = InheritedRecords::of(&scan, now);
         SealedSegment {
             name,
             bytes: content.len() as u64, // the reserved space counts, written or not
-            newest_at: contents.newest_at,
+            newest_at: records.newest_at,
             open_requests: BTreeSet::new(),
-            has_unresolved: !contents.open_requests.is_empty() || !scan.damaged.is_empty(),
+            has_unresolved: !records.open_requests.is_empty() || !scan.damaged.is_empty(),
         }
     }
 
@@ -54,11 +55,11 @@
             SegmentKind::Segment(header) => header.started_at,
             _ => now,
         };
-        let mut contents = InheritedRecords { newest_at: started_at, open_requests: BTreeSet::new() };
+        let mut records = InheritedRecords { newest_at: started_at, open_requests: BTreeSet::new() };
         for LocatedFrame { frame, .. } in &scan.frames {
-            contents.apply(&frame.record);
+            records.apply(&frame.record);
         }
-        contents
+        records
     }
 
     fn apply(&mut self, record: &Record) {
@@ -137,7 +138,7 @@
         for segment in surplus {
             // A file that cannot be deleted is found again by the next process.
             let _ = disk.remove(&segment.name);
-            let _ = disk.remove(&index_name(&segment.name));
+            let _ = disk.remove(&index::file_name(&segment.name));
             self.deleted.push(segment.name);
         }
     }
@@ -148,11 +149,6 @@
     }
 }
 
-/// The name of the index of a segment.
-pub(crate) fn index_name(segment: &str) -> String {
-    segment.replace(".seg", ".idx")
-}
-
 /// The segments that earlier generations left: they may contain requests that will never be finished.
 fn read_inherited<D: Disk>(disk: &D, own_prefix: &str, now: Millis) -> Vec<SealedSegment> {
     let mut names = disk.list().unwrap_or_default();
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -5,7 +5,7 @@
 use crate::index;
 use crate::options::{Mode, OnFailure, Options};
 use crate::record::{Millis, Record};
-use crate::retention::{index_name, Retention, SealedSegment};
+use crate::retention::{Retention, SealedSegment};
 use crate::segment::{SegmentHeader, HEAD_LEN};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
@@ -236,7 +236,7 @@
         let Some(open) = self.open.take() else { return };
         let bytes = index::encode(&open.id_hashes, self.sequence);
         // A segment without an index is read in full: nothing is lost.
-        let index = self.disk.create(&index_name(&open.name), 0);
+        let index = self.disk.create(&index::file_name(&open.name), 0);
         let _ = index.and_then(|mut file| self.disk.write(&mut file, 0, &bytes));
         self.retain_segment(open, now);
         self.retention.delete_surplus(&mut self.disk, &self.options, &self.generation.file_prefix(), now);
