--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -53,7 +53,7 @@
         let mut options = Options::new(
             proxy,
             if section.survives_power_loss { Mode::Power } else { Mode::Process },
-            if section.sends_without_record { OnFailure::GoOn } else { OnFailure::Refuse },
+            if section.sends_without_record { OnFailure::SendUnrecorded } else { OnFailure::RejectRequests },
         );
         options.segment_bytes = section.segment_mb << MB_SHIFT;
         options.keep_bytes = section.keep_mb << MB_SHIFT;
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -103,7 +103,7 @@
             info!(index, entries, ?age, trust, known = known.version, "state taken: the kept list");
             ChosenEndpoints { list, is_saved: true }
         }
-        EndpointSource::Known => {
+        EndpointSource::PlatformEndpoints => {
             info!(index, known = known.version, "state passed over: the platform's list is as new");
             platforms(known)
         }
