--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -209,17 +209,24 @@
             }
             connection => proxy.connection = connection,
         }
+        self.run_follower(index);
+    }
+
+    /// Runs a follower until it waits.
+    fn run_follower(&mut self, index: usize) {
+        let now = self.now;
+        let proxy = &mut self.proxies[index];
         loop {
             match proxy.follower.next_step(now) {
                 NextStep::Poll(poll) => {
                     proxy.bytes += HEADER_BYTES;
-                    proxy.connection = Connection::Polling { poll, arrives: now + conditions.latency };
+                    proxy.connection = Connection::Polling { poll, arrives: now + self.conditions.latency };
                     return;
                 }
                 NextStep::Validate => proxy.follower.candidate_validated(now, Ok(())),
                 NextStep::Applied(version) => proxy.applied = Some(AppliedAt { version, at: now }),
                 NextStep::PollFailed(Failure::TimedOut) => {
-                    self.queue.disconnect(id);
+                    self.queue.disconnect(FollowerId(index as u64));
                     proxy.connection = Connection::Idle;
                 }
                 NextStep::Wait(_) => return,
