--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,61 +1,34 @@
-//! One proxy's part in the fleet: its membership and its shares, behind datagrams and a clock that are handed in.
+//! One proxy's part in the fleet: its membership, its quotas and the exchange of load, behind datagrams and a clock that
+//! are passed in.
 
-use crate::load_gossip::{LoadGossip, LoadReport, ReportAges, MAX_REPORTS_PER_DATAGRAM};
-use crate::membership::{Identity, Membership, MembershipError, Seed};
-use crate::quota::{Quota, QuotaAmounts, QuotaConfig, QuotaCounts, QuotaExceeded};
+mod config;
+mod lease_rounds;
+mod load_exchange;
+mod status;
+
+use crate::load_gossip::{LoadReport, ReportAges, MAX_REPORTS_PER_DATAGRAM};
+use crate::membership::{Membership, MembershipError};
+use crate::quota::{Borrower, Quota, QuotaExceeded};
 use crate::wire::{self, Message, WireError};
+use lease_rounds::{LeaseRounds, OutgoingMessage};
+use load_exchange::LoadExchange;
 use rand::rngs::SmallRng;
-use rand::{Rng, RngExt, SeedableRng};
-use serde::Serialize;
-use std::collections::{BTreeMap, VecDeque};
+use rand::{RngExt, SeedableRng};
+use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::num::NonZeroU32;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Rounds of shares in a term: a need is asked for within one, and kept up with five tries before it runs out.
-const ROUNDS: u32 = 10;
-
-/// How often a proxy tells what it holds, and how many it tells: after `k` rounds some `3^k` know, so that a thousand
-/// are told in seven.
-const TELL_EVERY: Duration = Duration::from_millis(100);
-const TELL: usize = 2;
-
-/// A limit that holds for the whole fleet.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Limit {
-    /// What it is called in the log and the status.
-    pub name: String,
-    /// Requests a second.
-    pub rate: Option<f64>,
-    /// Requests at once.
-    pub slots: Option<u32>,
-    /// What each share may gather while it is not used, as a span of its rate.
-    pub burst: Duration,
-}
+pub use config::{Limit, NodeConfig};
+pub use status::QuotaStatus;
 
-/// What a node is told at its start.
-#[derive(Clone, Debug)]
-pub struct NodeConfig {
-    /// Whose fleet; another site's datagrams are not read.
-    pub site: String,
-    /// This proxy.
-    pub identity: Identity,
-    /// Proxies of the fleet.
-    pub fleet_size: NonZeroU32,
-    /// Positions and addresses of some of them.
-    pub seeds: Vec<Seed>,
-    /// The limits, the same at every proxy.
-    pub limits: Vec<Limit>,
-    /// How long a share is lent.
-    pub lease_duration: Duration,
-    /// No request is open for longer.
-    pub max_request_duration: Duration,
-    /// Of the random choice of whom to probe and to ask.
-    pub rng_seed: u64,
-}
+/// Members that a proxy sends its load reports to at a time: after `k` rounds some `3^k` members have a report, a
+/// thousand after seven.
+const GOSSIP_FANOUT: usize = 2;
+/// Keeps the node's random numbers apart from those of its membership, which has the same seed.
+const NODE_RNG_SALT: u64 = 0x666c_6565_7421;
 
-/// Why a datagram is not taken; nothing changed.
+/// Why a datagram is not accepted; nothing changed.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
     /// It is no datagram of this fleet.
@@ -64,287 +37,199 @@
     /// The membership protocol does not accept it.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// A lease is requested of a limit that there is not, or by a proxy that there is not.
+    /// It requests a lease of an unknown limit, or on behalf of an unknown proxy.
     #[error("lease request by proxy {from} for limit {limit}: no such proxy or limit")]
     UnknownLeaseRequest {
-        /// The proxy that requests it, as the datagram says.
+        /// The index of the proxy, according to the datagram.
         from: u32,
-        /// The limit, by its place.
+        /// The limit, by its place among all limits.
         limit: u16,
     },
 }
 
-/// A share, to be shown.
-#[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct QuotaStatus {
-    /// The limit's name.
-    pub limit: String,
-    /// Requests a second that this proxy may admit now.
-    pub rate: f64,
-    /// ... and at once.
-    pub slots: u32,
-    /// Of its own, lent to others.
-    pub lent_rate: f64,
-    /// The same of slots.
-    pub lent_slots: u32,
-    /// Of others', borrowed.
-    pub borrowed_rate: f64,
-    /// The same of slots.
-    pub borrowed_slots: u32,
-    /// Requests taken in and not over.
-    #[serde(rename = "open")]
-    pub in_flight: u32,
-    /// Requests admitted.
-    pub admitted: u64,
-    /// Requests refused.
-    #[serde(rename = "refused")]
-    pub rejected: u64,
+struct Datagram {
+    to: SocketAddr,
+    bytes: Vec<u8>,
 }
 
 /// One proxy's part in the fleet.
 pub struct Node {
     tag: u32,
+    fleet_size: u32,
     membership: Membership,
-    names: Vec<String>,
+    limit_names: Vec<String>,
+    /// In the order of the limits.
     quotas: Vec<Quota>,
-    dice: SmallRng,
-    round_at: Duration,
-    every: Duration,
-    seq: u64,
-    /// What was asked of whom: the limit, by the question's number. A number holds random bits.
-    open: BTreeMap<u64, (u16, Duration)>,
-    term: Duration,
-    size: u32,
-    begun: Duration,
-    gauges: LoadGossip,
-    /// What this proxy holds; `None` where it does not say.
-    held: Option<u32>,
-    tell_at: Duration,
-    out: VecDeque<(SocketAddr, Vec<u8>)>,
+    lease_rounds: LeaseRounds,
+    load: LoadExchange,
+    rng: SmallRng,
+    outgoing: VecDeque<Datagram>,
 }
 
 impl Node {
-    /// A node of a process that starts at `now`.
+    /// The node of a process that starts at `now`.
     pub fn new(config: NodeConfig, now: Duration) -> Node {
-        let NodeConfig {
-            site,
-            identity: own,
-            fleet_size: size,
-            seeds,
-            limits,
-            lease_duration: term,
-            max_request_duration: longest,
-            rng_seed: seed,
-        } = config;
-        let terms = |limit: &Limit| QuotaConfig {
-            rate: limit.rate,
-            slots: limit.slots,
-            burst: limit.burst,
-            lease_duration: term,
-            max_request_duration: longest,
-            fleet_size: size.get(),
-            proxy_index: own.proxy_index,
-        };
-        let shares = limits.iter().map(|limit| Quota::new(terms(limit), now)).collect();
-        let tag = wire::tag(&format!("{site:?} {size} {term:?} {longest:?} {limits:?}"));
+        let tag = config.tag();
+        let quotas = config.limits.iter().map(|limit| Quota::new(config.quota_config(limit), now)).collect();
+        let limit_names = config.limits.into_iter().map(|limit| limit.name).collect();
         Node {
             tag,
-            names: limits.into_iter().map(|limit| limit.name).collect(),
-            quotas: shares,
-            dice: SmallRng::seed_from_u64(seed ^ 0x666c_6565_7421),
-            membership: Membership::new(own, size, seeds, seed),
-            round_at: now,
-            every: term / ROUNDS,
-            seq: 0,
-            open: BTreeMap::new(),
-            term,
-            size: size.get(),
-            begun: now,
-            gauges: LoadGossip::default(),
-            held: None,
-            tell_at: now,
-            out: VecDeque::new(),
+            fleet_size: config.fleet_size.get(),
+            membership: Membership::new(config.identity, config.fleet_size, config.seeds, config.rng_seed),
+            limit_names,
+            quotas,
+            lease_rounds: LeaseRounds::new(config.lease_duration, now),
+            load: LoadExchange::new(now),
+            rng: SmallRng::seed_from_u64(config.rng_seed ^ NODE_RNG_SALT),
+            outgoing: VecDeque::new(),
         }
     }
 
-    /// Who is there.
+    /// The live members of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Bytes that another sent.
+    fn own_index(&self) -> u32 {
+        self.membership.identity().proxy_index
+    }
+
+    /// Whether a proxy of this index belongs to the fleet and is not this one.
+    fn is_other_member(&self, proxy_index: u32) -> bool {
+        proxy_index != self.own_index() && proxy_index < self.fleet_size
+    }
+
+    /// Handles a datagram of another proxy.
     ///
     /// # Errors
-    /// They are no message of this fleet; nothing changed.
-    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
-        let message = wire::decode(self.tag, bytes)?;
-        match message {
-            Message::Swim(data) => self.membership.receive(now, &data)?,
-            Message::LoadReports(told) => {
-                let (own, size) = (self.membership.identity().proxy_index, self.size);
-                let sound = |t: &&LoadReport| t.proxy_index < size && t.proxy_index != own;
-                for t in told.iter().take(MAX_REPORTS_PER_DATAGRAM).filter(sound) {
-                    self.gauges.merge(now, *t);
-                }
-            }
-            Message::LeaseRequest { from, generation, reply_to, limit, nonce, wanted } => {
-                let own = self.membership.identity().proxy_index;
-                let member = from != own && from < self.size;
-                let Some(share) = self.quotas.get_mut(usize::from(limit)).filter(|_| member) else {
+    /// The datagram is not valid; nothing changed.
+    pub fn receive(&mut self, now: Duration, datagram: &[u8]) -> Result<(), ReceiveError> {
+        match wire::decode(self.tag, datagram)? {
+            Message::Swim(packet) => self.membership.receive(now, &packet)?,
+            Message::LoadReports(reports) => self.merge_reports(now, &reports),
+            Message::LeaseRequest { from, generation, reply_to, limit, nonce, requested } => {
+                let is_member = self.is_other_member(from);
+                let Some(quota) = self.quotas.get_mut(usize::from(limit)).filter(|_| is_member) else {
                     return Err(ReceiveError::UnknownLeaseRequest { from, limit });
                 };
-                let granted = share.grant_lease(now, (from, generation), nonce, wanted);
-                self.say(reply_to, &Message::LeaseGrant { from: own, nonce, granted });
+                let borrower = Borrower { proxy_index: from, generation };
+                let granted = quota.grant_lease(now, borrower, nonce, requested);
+                let from = self.own_index();
+                self.send(reply_to, &Message::LeaseGrant { from, nonce, granted });
             }
             Message::LeaseGrant { from, nonce, granted } => {
-                if let Some((limit, _)) = self.open.remove(&nonce) {
-                    if let Some(share) = self.quotas.get_mut(usize::from(limit)) {
-                        share.lease_granted(now, from, nonce, granted);
-                    }
+                let limit = self.lease_rounds.complete(nonce);
+                let quota = limit.and_then(|limit| self.quotas.get_mut(usize::from(limit)));
+                if let Some(quota) = quota {
+                    quota.lease_granted(now, from, nonce, granted);
                 }
             }
         }
         Ok(())
     }
 
-    /// Does what is due; to be called at [`Node::next`] or later.
-    pub fn tick(&mut self, now: Duration) {
-        self.membership.tick(now);
-        self.tell(now);
-        if now < self.round_at {
-            return;
-        }
-        self.round_at = now + self.every;
-        self.open.retain(|_, (_, until)| now < *until);
-        let mut said = Vec::new();
-        let Node { membership, quotas: shares, dice, seq, open, term, .. } = self;
-        let (own, live) = (membership.identity(), membership.live_members());
-        let positions: Vec<u32> = live.keys().copied().collect();
-        for (limit, share) in (0u16..).zip(shares.iter_mut()) {
-            let mut numbers = SmallRng::seed_from_u64(dice.next_u64());
-            let pick = || (!positions.is_empty()).then(|| positions[dice.random_range(0..positions.len())]);
-            // Rising, with 24 random bits below, so that a stranger cannot guess one.
-            let number = || {
-                *seq += 1;
-                *seq << 24 | numbers.next_u64() >> 40
-            };
-            for q in share.request_leases(now, pick, number) {
-                let Some(lender) = live.get(&q.lender) else { continue };
-                open.insert(q.seq, (limit, now + *term));
-                let (from, generation, reply_to) = (own.proxy_index, own.generation, own.address);
-                let ask = Message::LeaseRequest {
-                    from,
-                    generation,
-                    reply_to,
-                    limit,
-                    nonce: q.seq,
-                    wanted: q.wanted,
-                };
-                said.push((lender.address, ask));
+    fn merge_reports(&mut self, now: Duration, reports: &[LoadReport]) {
+        for report in reports.iter().take(MAX_REPORTS_PER_DATAGRAM) {
+            if self.is_other_member(report.proxy_index) {
+                self.load.gossip.merge(now, *report);
             }
         }
-        said.into_iter().for_each(|(to, ask)| self.say(to, &ask));
     }
 
-    /// Tells two others what members hold.
-    fn tell(&mut self, now: Duration) {
-        if now < self.tell_at {
-            return;
+    /// Does what is due; to be called at [`Node::next_tick_at`] or later.
+    pub fn tick(&mut self, now: Duration) {
+        self.membership.tick(now);
+        self.gossip_load(now);
+        let requests = self.lease_rounds.run_due(now, &self.membership, &mut self.quotas, &mut self.rng);
+        for OutgoingMessage { to, message } in requests {
+            self.send(to, &message);
         }
-        self.tell_at = now + TELL_EVERY;
-        let (Some(value), own) = (self.held, self.membership.identity()) else { return };
-        let since = u64::try_from(now.saturating_sub(self.begun).as_micros()).unwrap_or(u64::MAX);
-        let own = LoadReport {
-            proxy_index: own.proxy_index,
-            reported_at: own.generation.saturating_add(since),
-            in_flight: value,
-        };
-        let live: Vec<SocketAddr> = self.membership.live_members().values().map(|m| m.address).collect();
-        for _ in 0..TELL.min(live.len()) {
-            let to = live[self.dice.random_range(0..live.len())];
-            let part = self.gauges.reports_to_send(now, own);
-            self.say(to, &Message::LoadReports(part));
+    }
+
+    /// Sends load reports to members drawn at random, if they are due.
+    fn gossip_load(&mut self, now: Duration) {
+        let Some(own_report) = self.load.due_report(now, self.membership.identity()) else { return };
+        let members = self.membership.live_members().values();
+        let addresses: Vec<SocketAddr> = members.map(|member| member.address).collect();
+        for _ in 0..GOSSIP_FANOUT.min(addresses.len()) {
+            let to = addresses[self.rng.random_range(0..addresses.len())];
+            let reports = self.load.gossip.reports_to_send(now, own_report);
+            self.send(to, &Message::LoadReports(reports));
         }
     }
 
-    /// What this proxy holds at this moment, for the others to know.
-    pub fn set_in_flight(&mut self, held: u32) {
-        self.held = Some(held);
+    /// Sets the load that this proxy reports to the others: its attempts in flight.
+    pub fn set_in_flight(&mut self, in_flight: u32) {
+        self.load.set_in_flight(in_flight);
     }
 
-    /// What all others hold together, as far as is known: those that are not heard of count as the mean.
+    /// The load of all other proxies together, as far as it is known: those without a recent report count as the mean of
+    /// those with one. `None` without any recent report.
     pub fn others_in_flight(&self, now: Duration) -> Option<f64> {
-        self.gauges.others_in_flight(now, self.membership.identity().proxy_index, self.size)
+        self.load.gossip.others_in_flight(now, self.own_index(), self.fleet_size)
     }
 
-    /// How old what is known of the others is: the mean and the most.
+    /// How old the load reports of the others are.
     pub fn report_ages(&self, now: Duration) -> ReportAges {
-        self.gauges.report_ages(now, self.membership.identity().proxy_index)
+        self.load.gossip.report_ages(now, self.own_index())
     }
 
     /// When to call [`Node::tick`].
     pub fn next_tick_at(&self) -> Duration {
-        self.membership.next_tick_at().min(self.round_at).min(self.tell_at)
+        let own = self.lease_rounds.next_round_at().min(self.load.next_at());
+        self.membership.next_tick_at().min(own)
     }
 
-    fn say(&mut self, to: SocketAddr, message: &Message) {
-        self.out.push_back((to, wire::encode(self.tag, message)));
+    fn send(&mut self, to: SocketAddr, message: &Message) {
+        self.outgoing.push_back(Datagram { to, bytes: wire::encode(self.tag, message) });
     }
 
-    /// The next datagram that has to go out.
+    /// The next datagram to be sent, and where to.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        let own = self.out.pop_front();
-        own.or_else(|| {
-            let (to, data) = self.membership.next_datagram()?;
-            Some((to, wire::encode(self.tag, &Message::Swim(data.to_vec()))))
-        })
+        if let Some(datagram) = self.outgoing.pop_front() {
+            return Some((datagram.to, datagram.bytes));
+        }
+        let (to, packet) = self.membership.next_datagram()?;
+        Some((to, wire::encode(self.tag, &Message::Swim(packet.to_vec()))))
     }
 
-    /// Takes a request in under all of `limits`, by their places, or under none of them.
+    /// Admits a request under all of `limits`, given by their places, or under none of them.
     ///
     /// # Errors
-    /// One of them is reached.
+    /// The quota of one of them is exceeded.
     pub fn admit(&mut self, now: Duration, limits: &[u16]) -> Result<(), QuotaExceeded> {
         for limit in limits {
-            if let Some(share) = self.quotas.get_mut(usize::from(*limit)) {
-                share.check_available(now)?;
+            if let Some(quota) = self.quotas.get_mut(usize::from(*limit)) {
+                quota.check_available(now)?;
             }
         }
         for limit in limits {
-            self.quotas.get_mut(usize::from(*limit)).into_iter().for_each(Quota::admit);
+            if let Some(quota) = self.quotas.get_mut(usize::from(*limit)) {
+                quota.admit();
+            }
         }
         Ok(())
     }
 
-    /// A request that was taken in under them is over.
+    /// Releases a request that was admitted under `limits` and has ended.
     pub fn release(&mut self, limits: &[u16]) {
         for limit in limits {
-            self.quotas.get_mut(usize::from(*limit)).into_iter().for_each(Quota::release);
+            if let Some(quota) = self.quotas.get_mut(usize::from(*limit)) {
+                quota.release();
+            }
         }
     }
 
-    /// Another process acts for this proxy beside this one, or does no more.
-    pub fn set_halved(&mut self, now: Duration, halved: bool) {
-        self.quotas.iter_mut().for_each(|share| share.set_halved(now, halved));
+    /// Sets whether another process acts for this proxy as well, each with half of the quotas.
+    pub fn set_halved(&mut self, now: Duration, is_halved: bool) {
+        for quota in &mut self.quotas {
+            quota.set_halved(now, is_halved);
+        }
     }
 
-    /// Every share at `now`.
+    /// The status of all quotas at `now`.
     pub fn quotas(&self, now: Duration) -> impl Iterator<Item = QuotaStatus> + '_ {
-        self.names.iter().zip(&self.quotas).map(move |(name, share)| {
-            let QuotaAmounts { usable, lent, borrowed } = share.amounts(now);
-            let QuotaCounts { in_flight, admitted, rejected } = share.counts();
-            QuotaStatus {
-                limit: name.clone(),
-                rate: usable.rate,
-                slots: usable.slots,
-                lent_rate: lent.rate,
-                lent_slots: lent.slots,
-                borrowed_rate: borrowed.rate,
-                borrowed_slots: borrowed.slots,
-                in_flight,
-                admitted,
-                rejected,
-            }
-        })
+        let quotas = self.limit_names.iter().zip(&self.quotas);
+        quotas.map(move |(limit, quota)| QuotaStatus::new(limit, quota, now))
     }
 }
--- /dev/null
+++ b/crates/fleet/src/quota/borrowed.rs
@@ -0,0 +1,150 @@
+//! The leases that this proxy has been granted by others, and its requests for them.
+
+use super::config::QuotaConfig;
+use crate::amount::Amount;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Lenders of a proxy at the same time: each is asked twice in a lease's duration.
+const MAX_LENDERS: usize = 64;
+/// Members that are asked for more in one round: the power of two choices.
+const LENDERS_PER_ROUND: u32 = 2;
+
+struct BorrowedLease {
+    amount: Amount,
+    expires_at: Duration,
+}
+
+struct PendingRequest {
+    lender: u32,
+    sent_at: Duration,
+    requested: Amount,
+}
+
+/// A request for a lease that is to be sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LeaseRequest {
+    /// The member to ask.
+    pub lender: u32,
+    /// Repeated by the answer.
+    pub seq: u64,
+    /// The requested part of the limit, in place of what this lender granted before.
+    pub requested: Amount,
+}
+
+/// The leases of all lenders, one each.
+#[derive(Default)]
+pub(super) struct BorrowedLeases {
+    by_lender: BTreeMap<u32, BorrowedLease>,
+    pending: BTreeMap<u64, PendingRequest>,
+}
+
+impl BorrowedLeases {
+    /// Everything borrowed by leases that have not run out.
+    pub(super) fn total(&self, at: Duration) -> Amount {
+        let live = self.by_lender.values().filter(|lease| at < lease.expires_at);
+        live.fold(Amount::default(), |sum, lease| sum.plus(lease.amount))
+    }
+
+    /// When each lease runs out.
+    pub(super) fn expirations(&self) -> impl Iterator<Item = Duration> + '_ {
+        self.by_lender.values().map(|lease| lease.expires_at)
+    }
+
+    /// Removes the leases that have run out.
+    pub(super) fn remove_expired(&mut self, now: Duration) {
+        self.by_lender.retain(|_, lease| now < lease.expires_at);
+    }
+
+    /// The requests of one round for what is needed beyond this proxy's own part. `pick_lender` draws one of the other
+    /// live members, `next_seq` the number of a request.
+    pub(super) fn request(
+        &mut self, config: &QuotaConfig, now: Duration, needed: Amount,
+        mut pick_lender: impl FnMut() -> Option<u32>, mut next_seq: impl FnMut() -> u64,
+    ) -> Vec<LeaseRequest> {
+        self.pending.retain(|_, pending| now < pending.sent_at + config.lease_duration);
+        let mut still_needed = needed;
+        let mut requests = self.renewals(config, now, &mut still_needed, &mut next_seq);
+        self.add_new_lenders(config, still_needed, &mut requests, &mut pick_lender, &mut next_seq);
+        for request in &requests {
+            // A late answer to an older request would bring back what this one returns.
+            self.pending.retain(|_, pending| pending.lender != request.lender);
+            let pending =
+                PendingRequest { lender: request.lender, sent_at: now, requested: request.requested };
+            self.pending.insert(request.seq, pending);
+        }
+        requests
+    }
+
+    /// Renews the leases that are still needed and returns the others; subtracts what is retained from `needed`.
+    fn renewals(
+        &mut self, config: &QuotaConfig, now: Duration, needed: &mut Amount,
+        next_seq: &mut impl FnMut() -> u64,
+    ) -> Vec<LeaseRequest> {
+        let more = per_lender_shortage(*needed, self.total(now));
+        let mut requests = Vec::new();
+        for (&lender, lease) in &mut self.by_lender {
+            let retained = config.without_small_rate(lease.amount.min(*needed));
+            needed.rate -= retained.rate;
+            needed.slots -= retained.slots;
+            let was_requested_recently = |pending: &PendingRequest| {
+                pending.lender == lender && now < pending.sent_at + config.lease_duration / 4
+            };
+            if self.pending.values().any(was_requested_recently) {
+                continue;
+            }
+            let is_renewal_due = lease.expires_at.saturating_sub(now) < config.lease_duration / 2;
+            // Slots that are not needed are returned at once: their lender would count them for the longest request.
+            if is_renewal_due || retained.slots < lease.amount.slots {
+                lease.amount = retained;
+                requests.push(LeaseRequest { lender, seq: next_seq(), requested: retained.plus(more) });
+            }
+        }
+        requests
+    }
+
+    /// Adds requests to members that are not lenders yet.
+    fn add_new_lenders(
+        &self, config: &QuotaConfig, needed: Amount, requests: &mut Vec<LeaseRequest>,
+        pick_lender: &mut impl FnMut() -> Option<u32>, next_seq: &mut impl FnMut() -> u64,
+    ) {
+        let requested = config.without_small_rate(Amount {
+            rate: needed.rate / f64::from(LENDERS_PER_ROUND),
+            slots: needed.slots.div_ceil(LENDERS_PER_ROUND),
+        });
+        for _ in 0..LENDERS_PER_ROUND {
+            let is_full = self.by_lender.len() + requests.len() >= MAX_LENDERS;
+            let Some(lender) = pick_lender().filter(|_| !is_full && !requested.is_zero()) else { break };
+            let is_lender = self.by_lender.contains_key(&lender)
+                || self.pending.values().any(|pending| pending.lender == lender)
+                || requests.iter().any(|request| request.lender == lender);
+            if !is_lender {
+                requests.push(LeaseRequest { lender, seq: next_seq(), requested });
+            }
+        }
+    }
+
+    /// Handles a lender's answer; answers without a request are ignored. The lease counts from its request. A lender is
+    /// not believed more than was requested, nor more than any proxy may lend.
+    pub(super) fn handle_grant(
+        &mut self, config: &QuotaConfig, now: Duration, lender: u32, seq: u64, granted: Amount,
+    ) {
+        let Some(pending) = self.pending.get(&seq).filter(|pending| pending.lender == lender) else {
+            return;
+        };
+        let expires_at = pending.sent_at + config.lease_duration;
+        let amount = granted.min(pending.requested).min(config.max_lease());
+        self.pending.remove(&seq);
+        let is_valid = granted.rate.is_finite() && granted.rate >= 0.0;
+        if is_valid && now < expires_at && !amount.is_zero() {
+            self.by_lender.insert(lender, BorrowedLease { amount, expires_at });
+        }
+    }
+}
+
+/// What is needed beyond what is borrowed, divided among the members that are asked in one round.
+fn per_lender_shortage(needed: Amount, borrowed: Amount) -> Amount {
+    let rate = needed.rate - borrowed.rate;
+    let slots = needed.slots.saturating_sub(borrowed.slots);
+    Amount { rate: (rate / f64::from(LENDERS_PER_ROUND)).max(0.0), slots: slots.div_ceil(LENDERS_PER_ROUND) }
+}
--- /dev/null
+++ b/crates/fleet/src/quota/tests.rs
@@ -0,0 +1,34 @@
+use super::*;
+
+/// A borrower that returns all but a trifle and requests again under the next name leaves nothing behind.
+#[test]
+fn borrowers_under_ever_new_names_do_not_fill_the_memory() {
+    let second = Duration::from_secs(1);
+    let config = QuotaConfig {
+        rate: Some(640.0),
+        slots: Some(40),
+        burst: second,
+        lease_duration: second,
+        max_request_duration: 30 * second,
+        fleet_size: 10,
+        proxy_index: 0,
+    };
+    let mut quota = Quota::new(config, Duration::ZERO);
+    let now = 60 * second;
+    let requested = [Amount { rate: 1.0, slots: 0 }, Amount { rate: 0.0, slots: 1 }];
+    for name in 0..10_000u64 {
+        let borrower = Borrower { proxy_index: 3, generation: name };
+        let granted = quota.grant_lease(now, borrower, 1, requested[name as usize % 2]);
+        if name < 2 {
+            assert_eq!(granted, requested[name as usize], "it is granted at all");
+        }
+        quota.grant_lease(now, borrower, 2, Amount { rate: 1e-300, slots: 0 });
+        assert!(quota.granted.len() <= 1, "{} names remembered", quota.granted.len());
+    }
+    // Those that keep their leases: as many as the smallest leases fit into what may be lent.
+    for name in 0..10_000u64 {
+        let borrower = Borrower { proxy_index: 4, generation: name };
+        quota.grant_lease(now, borrower, 1, Amount { rate: 1e9, slots: 9 });
+    }
+    assert!(quota.granted.len() <= 64 + 4, "{}", quota.granted.len());
+}
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,75 +1,67 @@
-//! Datagrams between proxies: a magic number, a tag of all that has to be the same on both sides, then one message in
-//! postcard.
+//! Datagrams between proxies: a magic number, a tag of everything that has to be the same on both sides, then one message
+//! in postcard.
 //!
-//! The tag is drawn from the site, the fleet's size and its limits: proxies that were told of other limits do not
-//! understand each other, and each keeps to its own share meanwhile, as one whose links are cut does.
+//! The tag is a checksum of the site, the fleet's size and its limits: proxies that are configured with other limits do
+//! not understand each other, and each keeps to its own part meanwhile, as one whose links are down does.
+//!
+//! Postcard writes fields and variants by their order, so that the order in the types of this module, in [`Amount`] and
+//! in [`LoadReport`] is fixed.
 
+use crate::amount::Amount;
 use crate::load_gossip::LoadReport;
+use crate::membership::MAX_PACKET_BYTES;
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
 use thiserror::Error;
 
 const MAGIC: [u8; 4] = *b"LDF1";
-/// Magic and tag.
-const HEADER: usize = 8;
-/// The longest datagram that is read: a membership's longest, and this crate's header around it.
-pub const MAX_DATAGRAM_BYTES: usize = crate::membership::MAX_PACKET_BYTES + HEADER + 8;
-
-/// How much of a limit is asked for or lent.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Amount {
-    /// Requests a second.
-    pub rate: f64,
-    /// Requests at once.
-    pub slots: u32,
-}
-
-impl Amount {
-    /// Neither.
-    pub fn is_zero(&self) -> bool {
-        self.rate <= 0.0 && self.slots == 0
-    }
-}
+/// Magic number and tag.
+const HEADER_BYTES: usize = 8;
+/// Variant and length in front of the membership's bytes, at most.
+const MESSAGE_OVERHEAD_BYTES: usize = 8;
+/// The longest datagram that is read: the membership's longest, and this protocol's header around it.
+pub const MAX_DATAGRAM_BYTES: usize = MAX_PACKET_BYTES + HEADER_BYTES + MESSAGE_OVERHEAD_BYTES;
 
-/// What one proxy says to another.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The membership's own bytes.
+    /// A packet of the membership protocol.
     Swim(Vec<u8>),
-    /// What members hold, as far as the sender knows.
+    /// The load of members, as far as the sender knows it.
     LoadReports(Vec<LoadReport>),
-    /// Lend me of this limit, for one term; in place of what you lent me of it before.
+    /// Requests a lease of a limit, in place of what the recipient granted of it before.
     LeaseRequest {
-        /// Who asks, by position.
+        /// The borrower's index.
         from: u32,
-        /// Its generation.
+        /// The borrower's generation.
         generation: u64,
         /// Where the answer goes.
-        reply_to: std::net::SocketAddr,
-        /// Which limit, by its place among them.
+        reply_to: SocketAddr,
+        /// The limit, by its place among all limits.
         limit: u16,
-        /// Named by the answer; drawn at random, so that a stranger cannot answer.
+        /// Repeated by the answer. It has random bits, so that a third party cannot forge an answer.
         nonce: u64,
-        /// How much.
-        wanted: Amount,
+        /// The requested part of the limit.
+        requested: Amount,
     },
-    /// So much is lent, from when it was asked for to one term later; nothing, where there is nothing to spare.
+    /// Grants a lease, which ends one lease duration after it was requested; zero, where there is nothing to spare.
     LeaseGrant {
-        /// Who lends, by position.
+        /// The lender's index.
         from: u32,
-        /// Of the question.
+        /// Of the request.
         nonce: u64,
-        /// How much, at most what was asked for.
+        /// At most what was requested.
         granted: Amount,
     },
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// Not of this protocol.
+    /// It is not of this protocol.
     #[error("not a proxy's datagram")]
     ForeignProtocol,
-    /// Another site, another size of the fleet, or other limits.
+    /// It is of another site, a fleet of another size, or other limits.
     #[error("another site, fleet or set of limits: tag {received:08x}, this proxy's is {own:08x}")]
     TagMismatch {
         /// Of the datagram.
@@ -77,65 +69,42 @@
         /// Of this proxy.
         own: u32,
     },
-    /// It makes no sense.
+    /// Its message cannot be read.
     #[error("message: {0}")]
     Malformed(#[source] postcard::Error),
 }
 
-/// The tag of a text that holds all that has to be the same.
+/// The tag of a text that holds everything that has to be the same on both sides.
 pub fn tag(text: &str) -> u32 {
     crc32c::crc32c(text.as_bytes())
 }
 
-/// A datagram's bytes.
+/// The bytes of a datagram.
 pub fn encode(tag: u32, message: &Message) -> Vec<u8> {
-    let mut out = Vec::with_capacity(64);
-    out.extend_from_slice(&MAGIC);
-    out.extend_from_slice(&tag.to_le_bytes());
-    // Numbers and bytes always serialise; there is no error to carry.
-    out.extend_from_slice(&postcard::to_allocvec(message).unwrap_or_default());
-    out
+    let mut datagram = Vec::with_capacity(64);
+    datagram.extend_from_slice(&MAGIC);
+    datagram.extend_from_slice(&tag.to_le_bytes());
+    // Serializing numbers and bytes into a vector cannot fail.
+    datagram.extend_from_slice(&postcard::to_allocvec(message).unwrap_or_default());
+    datagram
 }
 
-/// A message from a datagram's bytes.
+/// The message of a datagram.
 ///
 /// # Errors
-/// Whatever is wrong with them.
-pub fn decode(own: u32, bytes: &[u8]) -> Result<Message, WireError> {
-    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
+/// The datagram is not of this fleet, or its message cannot be read.
+pub fn decode(own_tag: u32, datagram: &[u8]) -> Result<Message, WireError> {
+    let (magic, rest) = datagram.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
     let (tag, body) = rest.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
     if *magic != MAGIC {
         return Err(WireError::ForeignProtocol);
     }
-    let tag = u32::from_le_bytes(*tag);
-    if tag != own {
-        return Err(WireError::TagMismatch { received: tag, own });
+    let received = u32::from_le_bytes(*tag);
+    if received != own_tag {
+        return Err(WireError::TagMismatch { received, own: own_tag });
     }
     postcard::from_bytes(body).map_err(WireError::Malformed)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn a_message_comes_back_and_another_fleets_does_not() {
-        let grant = Message::LeaseGrant { from: 3, nonce: 9, granted: Amount { rate: 2.5, slots: 4 } };
-        let bytes = encode(7, &grant);
-        assert_eq!(decode(7, &bytes), Ok(grant));
-        assert_eq!(decode(8, &bytes), Err(WireError::TagMismatch { received: 7, own: 8 }));
-        assert_eq!(decode(7, b"GET / HTTP/1.1"), Err(WireError::ForeignProtocol));
-    }
-
-    proptest! {
-        /// Whatever comes is read or refused, never a panic.
-        #[test]
-        fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..200)) {
-            let mut bytes = encode(7, &Message::Swim(Vec::new()));
-            bytes.truncate(HEADER);
-            bytes.extend(body);
-            let _ = decode(7, &bytes);
-        }
-    }
-}
+mod tests;
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 use lotusdeck_fleet::load_gossip::LoadReport;
-use lotusdeck_fleet::wire::{decode, encode, tag, Amount, Message};
-use lotusdeck_fleet::{Identity, Limit, Node, NodeConfig, Seed};
+use lotusdeck_fleet::wire::{decode, encode, tag, Message};
+use lotusdeck_fleet::{Amount, Identity, Limit, Node, NodeConfig, Seed};
 use std::time::Duration;
 
 const TAG: u32 = 0x0102_0304;
@@ -41,7 +41,7 @@
         reply_to: "10.1.2.3:7400".parse().unwrap(),
         limit: 258,
         nonce: 0xab_cdef,
-        wanted: Amount { rate: 12.5, slots: 6 },
+        requested: Amount { rate: 12.5, slots: 6 },
     };
     let expected = "4c4446310403020102078180f9c0c1c48203000a010203e8398202ef9baf05000000000000294006";
     assert_bytes(&request, expected);
@@ -51,7 +51,7 @@
         reply_to: "[2001:db8::1]:7400".parse().unwrap(),
         limit: 1,
         nonce: 1,
-        wanted: Amount { rate: 0.0, slots: 1 },
+        requested: Amount { rate: 0.0, slots: 1 },
     };
     let expected = "4c444631040302010207090120010db8000000000000000000000001e8390101000000000000000001";
     assert_bytes(&request, expected);
