--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,7 +1,6 @@
 //! Operators' calls: HTTP/1.1 on an address of their own, one call per connection.
 
-use crate::answer::plain;
-use crate::body::AnswerBody;
+use crate::answer_body::{plain_answer, AnswerBody};
 use crate::server::Server;
 use crate::stream::Stream;
 use crate::timer::Timer;
@@ -45,18 +44,18 @@
 impl No {
     fn answer(self) -> Response<AnswerBody> {
         match self {
-            No::Unknown => plain(StatusCode::NOT_FOUND, "no such backend\n"),
-            No::Path => plain(StatusCode::NOT_FOUND, "no such call\n"),
+            No::Unknown => plain_answer(StatusCode::NOT_FOUND, "no such backend\n"),
+            No::Path => plain_answer(StatusCode::NOT_FOUND, "no such call\n"),
             No::Method(allow) => {
-                let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
+                let mut answer = plain_answer(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
                 answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
                 answer
             }
-            No::Empty => plain(StatusCode::BAD_REQUEST, "expected the id of a backend as the body\n"),
-            No::TooLong => plain(StatusCode::PAYLOAD_TOO_LARGE, "the id is too long\n"),
-            No::Body => plain(StatusCode::BAD_REQUEST, "the id cannot be read\n"),
-            No::NotReady => plain(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
-            No::Storage(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "could not be saved\n"),
+            No::Empty => plain_answer(StatusCode::BAD_REQUEST, "expected the id of a backend as the body\n"),
+            No::TooLong => plain_answer(StatusCode::PAYLOAD_TOO_LARGE, "the id is too long\n"),
+            No::Body => plain_answer(StatusCode::BAD_REQUEST, "the id cannot be read\n"),
+            No::NotReady => plain_answer(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
+            No::Storage(_) => plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "could not be saved\n"),
         }
     }
 }
@@ -154,16 +153,16 @@
         let (configuration, core) = ((self.configuration)(), self.host.status());
         let document = Document { accepting, clients, configuration, core };
         let text = serde_json::to_vec_pretty(&document).map_err(|_| No::Path)?;
-        let mut answer = plain(StatusCode::OK, "");
+        let mut answer = plain_answer(StatusCode::OK, "");
         answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        *answer.body_mut() = AnswerBody::Whole(Some(text.into()));
+        *answer.body_mut() = AnswerBody::Buffered(Some(text.into()));
         Ok(answer)
     }
 
     async fn call(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, No> {
         let out = match request.uri().path() {
             "/admin/health" if request.method() != Method::GET => return Err(No::Method("GET")),
-            "/admin/health" if self.server.is_accepting() => return Ok(plain(StatusCode::OK, "ok\n")),
+            "/admin/health" if self.server.is_accepting() => return Ok(plain_answer(StatusCode::OK, "ok\n")),
             "/admin/health" => return Err(No::NotReady),
             "/admin/status" if request.method() != Method::GET => return Err(No::Method("GET")),
             "/admin/status" => return self.status(),
@@ -186,6 +185,6 @@
         let changed = self.host.set_cordon(id, out).await.map_err(No::Storage)?;
         let call = if out { "cordon" } else { "uncordon" };
         info!(call, backend = id, changed, "operator call taken");
-        Ok(plain(StatusCode::OK, "ok\n"))
+        Ok(plain_answer(StatusCode::OK, "ok\n"))
     }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,230 +1,194 @@
 //! Attempts: one request to one backend.
 
-use crate::body::{inflow, AnswerBody, Outgoing, Payload};
-use crate::connection_pool::ConnectionPool;
-use crate::exchange::{clean, exchange, Broken};
-use crate::relay::Relay;
-use crate::stream::{SendGate, Stream};
+use crate::answer_body::{stream_answer, AnswerBody};
+use crate::answer_outcome::outcome_of;
+use crate::connection_pool::{ConnectionPool, PooledConnection};
+use crate::exchange::{exchange, is_clean_after_answer, BackendAnswer, ExchangeError};
+use crate::outgoing_body::OutgoingBody;
+use crate::relay::AnswerRelay;
+use crate::stream::SendGate;
 use crate::strip_hop_by_hop;
-use hyper::body::Body;
+use crate::upload::RequestBody;
+use hyper::body::{Body, Incoming};
 use hyper::ext::on_informational;
 use hyper::header::CONNECTION;
 use hyper::http::response::Parts;
-use hyper::{HeaderMap, Method, Request, StatusCode, Uri, Version};
-use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
-use lotusdeck_policy::{AttemptNo, BackendId, Outcome};
-use std::cell::RefCell;
+use hyper::{HeaderMap, Method, Request, Uri, Version};
+use lotusdeck_policy::{BackendId, Outcome};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
-use tokio::sync::Notify;
+use std::time::Duration;
 use tokio::time::Instant;
 
 /// A client's request as it goes on to backends.
-pub struct Call {
+pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Payload,
+    pub body: RequestBody,
 }
 
-/// A served answer.
-pub struct Served {
+/// A backend, and where it listens.
+#[derive(Clone, Copy)]
+pub(crate) struct Destination {
+    pub backend: BackendId,
+    pub address: SocketAddr,
+}
+
+/// The answer of an attempt that succeeded.
+pub(crate) struct ServedAnswer {
     pub headers: HeaderMap,
     pub body: AnswerBody,
 }
 
 /// How an attempt ended.
-pub(crate) struct Ended {
+pub(crate) struct AttemptResult {
     pub outcome: Outcome,
     /// Of its answer, where one came.
     pub status: Option<u16>,
-    /// The answer, where it was served.
-    pub served: Option<Served>,
+    /// The answer, where the attempt succeeded.
+    pub answer: Option<ServedAnswer>,
 }
 
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, status: None, served: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, status: None, answer: None }
     }
 }
 
-/// A client's request under way: the core sends it, and the front fetches the answer that was served.
-pub struct HttpWork {
-    pool: Rc<ConnectionPool>,
-    call: Call,
-    /// Whose request it is.
-    client: Stream,
-    /// Told where the client was found to have left when something was about to be sent for it.
-    pub(crate) left: Rc<Notify>,
-    served: RefCell<Vec<(AttemptNo, Served)>>,
-    statuses: RefCell<Vec<(AttemptNo, u16)>>,
-}
-
-impl HttpWork {
-    /// Of a request that was read; attempts go out on the pool's connections.
-    pub fn new(pool: Rc<ConnectionPool>, call: Call, client: Stream) -> Rc<HttpWork> {
-        let (served, statuses, left) = (RefCell::default(), RefCell::default(), Rc::default());
-        Rc::new(HttpWork { pool, call, client, left, served, statuses })
-    }
-
-    /// Asked at the first byte of an attempt. The end of a client may be hidden from hyper, which reads no further
-    /// behind bytes that follow a request, and may have come while this process was doing something else.
-    fn gate(&self, leg: AttemptContext) -> SendGate {
-        let (client, left) = (self.client.clone(), self.left.clone());
-        Box::new(move || {
-            let gone = client.is_closed_by_peer();
-            if gone {
-                left.notify_one();
-            }
-            !gone && leg.may_send()
-        })
-    }
-
-    /// Its path as the client wrote it.
-    pub fn path(&self) -> &str {
-        self.call.uri.path()
-    }
-
-    /// The answer of an attempt that was served; it can be fetched once.
-    pub fn fetch(&self, attempt: AttemptNo) -> Option<Served> {
-        let mut served = self.served.borrow_mut();
-        let at = served.iter().position(|s| s.0 == attempt)?;
-        Some(served.swap_remove(at).1)
-    }
-}
-
-impl Exchange for HttpWork {
-    fn send_attempt(self: Rc<Self>, leg: AttemptContext) -> AttemptFuture {
-        Box::pin(async move {
-            let (attempt, to, deadline) = (leg.attempt, (leg.backend, leg.address), leg.deadline);
-            let cleared = leg.journaled();
-            let ended = self.pool.attempt(to, &self.call, deadline, cleared, self.gate(leg)).await;
-            self.statuses.borrow_mut().extend(ended.status.map(|s| (attempt, s)));
-            self.served.borrow_mut().extend(ended.served.map(|s| (attempt, s)));
-            ended.outcome
-        })
-    }
-
-    fn body_consumed(&self) -> bool {
-        self.call.body.spent()
-    }
-
-    fn answer_status(&self, attempt: AttemptNo) -> Option<u16> {
-        self.statuses.borrow().iter().find(|s| s.0 == attempt).map(|s| s.1)
-    }
+/// A connection for an attempt, and whether the attempt may be sent.
+struct AttemptConnection {
+    connection: Result<PooledConnection, Outcome>,
+    is_journaled: bool,
 }
 
 impl ConnectionPool {
-    /// Sends `call` to a backend and waits for the answer, or for its first bytes where it is large. `gate` is asked
+    /// Sends `request` to a backend and waits for the answer, or for its first bytes where it is large. `gate` is asked
     /// at the moment of the first byte: the backend may have begun to drain, or the client have left, while the
     /// connection came up.
     pub(crate) async fn attempt(
-        self: &Rc<Self>, (id, to): (BackendId, SocketAddr), call: &Call, deadline: Instant,
-        cleared: impl Future<Output = bool>, gate: SendGate,
-    ) -> Ended {
-        // A kept connection is looked at when it is used: it may be closed while the journal writes.
-        let fresh = match self.has_idle(id) {
-            true => None,
-            false => Some(self.connect(to).await),
-        };
-        let cleared = cleared.await;
-        let taken = || self.take_idle(id, to).map(Ok);
-        let c = match fresh.or_else(taken) {
-            Some(connected) => connected,
-            None => self.connect(to).await,
-        };
-        let c = match c {
-            Ok(c) => c,
+        self: &Rc<Self>, to: Destination, request: &ForwardedRequest, deadline: Instant,
+        journaled: impl Future<Output = bool>, gate: SendGate,
+    ) -> AttemptResult {
+        let AttemptConnection { connection, is_journaled } = self.connect_attempt(to, journaled).await;
+        let connection = match connection {
+            Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        if !cleared || left.is_zero() || call.body.spent() {
-            self.return_idle(id, c); // an unused connection stays warm
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if !is_journaled || time_left.is_zero() || request.body.is_consumed() {
+            self.return_idle(to.backend, connection); // an unused connection stays warm
             return Outcome::NeverSent.into();
         }
-        let mut request = Request::new(Outgoing::new(&call.body));
-        *request.method_mut() = call.method.clone();
-        *request.uri_mut() = call.uri.clone();
-        *request.headers_mut() = call.headers.clone();
-        if let Ok(text) = format!("{:.3}", left.as_secs_f64()).parse() {
-            request.headers_mut().insert("x-time-left", text);
-        }
-        let early = Arc::new(AtomicBool::new(false));
-        let seen = early.clone();
-        on_informational(&mut request, move |_| seen.store(true, Relaxed));
-        let length = request.body().size_hint().exact();
-        c.stream.begin_request(length, gate);
-        let upload = call.body.flow();
-        let ended = exchange(
-            &c.stream,
-            request,
-            &early,
-            upload,
-            self.body_budget.reserve(),
-            self.stall_timeouts.get(),
-        )
-        .await;
-        if c.stream.is_request_withheld() {
-            self.return_idle(id, c);
+        let mut outgoing = outgoing_request(request, time_left);
+        let informational = Arc::new(AtomicBool::new(false));
+        let seen = informational.clone();
+        on_informational(&mut outgoing, move |_| seen.store(true, Relaxed));
+        let length = outgoing.body().size_hint().exact();
+        let stream = &connection.stream;
+        stream.begin_request(length, gate);
+        let upload = request.body.upload();
+        let reservation = self.body_budget.reserve();
+        let timeouts = self.stall_timeouts.get();
+        let answer = exchange(stream, outgoing, &informational, upload, reservation, timeouts).await;
+        if stream.is_request_withheld() {
+            self.return_idle(to.backend, connection);
             return Outcome::NeverSent.into();
         }
-        // Where chunks hide what is on its way the last byte counts as written once it was given away.
-        let given = length.is_none() && upload.is_some_and(|u| u.whole());
-        let heard = ended.as_ref().is_ok_and(|e| judge(&e.head) == Outcome::Rejected);
-        if !c.stream.is_request_written() && !given {
-            let outcome = if heard { Outcome::Rejected } else { Outcome::ConnectFailed };
-            return outcome.into(); // the backend begins with the last byte, and never before it
+        // Where chunks hide what is on its way the last byte counts as written once it was given to hyper.
+        let is_handed_over = length.is_none() && upload.is_some_and(|upload| upload.is_complete());
+        if !stream.is_request_written() && !is_handed_over {
+            // The backend begins with the last byte, and never before it.
+            let is_rejected =
+                answer.as_ref().is_ok_and(|answer| outcome_of(&answer.head) == Outcome::Rejected);
+            return if is_rejected { Outcome::Rejected.into() } else { Outcome::ConnectFailed.into() };
+        }
+        match answer {
+            Ok(answer) => self.finish_attempt(to.backend, connection, answer),
+            Err(ExchangeError::InvalidAnswer) => Outcome::Error.into(),
+            Err(ExchangeError::ConnectionEnded) => Outcome::Reset.into(),
         }
-        let mut reply = match ended {
-            Ok(reply) => reply,
-            Err(Broken::Spoilt) => return Outcome::Error.into(),
-            Err(Broken::Ended) => return Outcome::Reset.into(),
+    }
+
+    /// A connection, and the journal's word on the attempt. A kept connection is checked when it is used: it may be
+    /// closed while the journal writes.
+    async fn connect_attempt(
+        &self, to: Destination, journaled: impl Future<Output = bool>,
+    ) -> AttemptConnection {
+        let new_connection =
+            if self.has_idle(to.backend) { None } else { Some(self.connect(to.address).await) };
+        let is_journaled = journaled.await;
+        let idle_connection = || self.take_idle(to.backend, to.address).map(Ok);
+        let connection = match new_connection.or_else(idle_connection) {
+            Some(connection) => connection,
+            None => self.connect(to.address).await,
         };
-        self.record_answer(id);
-        let outcome = judge(&reply.head);
-        let status = Some(reply.head.status.as_u16());
-        let close = reply.head.headers.get_all(CONNECTION).iter().any(|v| v != "keep-alive");
-        let goes_on =
-            reply.head.version == Version::HTTP_11 && !reply.head.status.is_informational() && !close;
-        strip_hop_by_hop(&mut reply.head.headers);
-        reply.head.headers.remove("x-backend-load");
-        let headers = reply.head.headers;
-        let body = match reply.rest {
+        AttemptConnection { connection, is_journaled }
+    }
+
+    /// Takes the answer for the client, and the connection back where the answer is complete.
+    fn finish_attempt(
+        self: &Rc<Self>, backend: BackendId, connection: PooledConnection, mut answer: BackendAnswer,
+    ) -> AttemptResult {
+        self.record_answer(backend);
+        let outcome = outcome_of(&answer.head);
+        let status = Some(answer.head.status.as_u16());
+        let is_reusable = leaves_connection_open(&answer.head);
+        strip_hop_by_hop(&mut answer.head.headers);
+        answer.head.headers.remove("x-backend-load");
+        let headers = std::mem::take(&mut answer.head.headers);
+        let body = match answer.rest.take() {
             None => {
-                if goes_on && clean(&c.stream, reply.conn) {
-                    self.return_idle(id, c);
+                if is_reusable && is_clean_after_answer(&connection.stream, answer.driver) {
+                    self.return_idle(backend, connection);
                 }
-                AnswerBody::Whole(Some(reply.read).filter(|b| !b.is_empty()))
-            }
-            Some(rest) => {
-                let length = rest.size_hint().exact().map(|n| n + reply.read.len() as u64);
-                let (into, flow) = inflow(reply.read.clone(), length);
-                let back = Relay {
-                    pool: self.clone(),
-                    id,
-                    c,
-                    goes_on,
-                    read: reply.read.len() as u64,
-                    silence: self.stall_timeouts.get().relayed_answer_stall,
-                    into,
-                };
-                tokio::task::spawn_local(back.run(reply.conn, reply.sender, rest));
-                AnswerBody::Flow(flow, None)
+                AnswerBody::Buffered(Some(answer.buffered).filter(|bytes| !bytes.is_empty()))
             }
+            Some(rest) => self.relay(backend, connection, is_reusable, answer, rest),
+        };
+        let answer = (outcome == Outcome::Success).then_some(ServedAnswer { headers, body });
+        AttemptResult { outcome, status, answer }
+    }
+
+    /// Passes the rest of a large answer on in a task of its own; the body that it comes out of.
+    fn relay(
+        self: &Rc<Self>, backend: BackendId, connection: PooledConnection, is_reusable: bool,
+        answer: BackendAnswer, rest: Incoming,
+    ) -> AnswerBody {
+        let bytes_read = answer.buffered.len() as u64;
+        let length = rest.size_hint().exact().map(|left| left + bytes_read);
+        let (client, streamed) = stream_answer(answer.buffered, length);
+        let relay = AnswerRelay {
+            pool: self.clone(),
+            backend,
+            connection,
+            is_reusable,
+            bytes_read,
+            max_pause: self.stall_timeouts.get().relayed_answer_stall,
+            client,
         };
-        Ended { outcome, status, served: (outcome == Outcome::Success).then_some(Served { headers, body }) }
+        tokio::task::spawn_local(relay.run(answer.driver, answer.sender, rest));
+        AnswerBody::Streamed { answer: streamed, on_end: None }
     }
 }
 
-/// What an answer says. Whatever the protocol does not list may have run.
-pub(crate) fn judge(answer: &Parts) -> Outcome {
-    let unprocessed = answer.headers.get("x-unprocessed").is_some_and(|v| v == "1");
-    match answer.status {
-        StatusCode::OK => Outcome::Success,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
-        _ => Outcome::Error,
+/// The request of one attempt that has so much time left.
+fn outgoing_request(request: &ForwardedRequest, time_left: Duration) -> Request<OutgoingBody> {
+    let mut outgoing = Request::new(OutgoingBody::new(&request.body));
+    *outgoing.method_mut() = request.method.clone();
+    *outgoing.uri_mut() = request.uri.clone();
+    *outgoing.headers_mut() = request.headers.clone();
+    if let Ok(seconds) = format!("{:.3}", time_left.as_secs_f64()).parse() {
+        outgoing.headers_mut().insert("x-time-left", seconds);
     }
+    outgoing
+}
+
+/// By this head of an answer the connection can take another request.
+fn leaves_connection_open(head: &Parts) -> bool {
+    let closes = head.headers.get_all(CONNECTION).iter().any(|value| value != "keep-alive");
+    head.version == Version::HTTP_11 && !head.status.is_informational() && !closes
 }
--- a/crates/proxy/src/body_budget.rs
+++ b/crates/proxy/src/body_budget.rs
@@ -3,41 +3,45 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What all bodies that are kept may hold together.
+/// The bytes that all buffered bodies may take in all; copies share them.
 #[derive(Clone, Default)]
-pub struct BodyBudget(Rc<Cell<usize>>);
+pub struct BodyBudget {
+    bytes_left: Rc<Cell<usize>>,
+}
 
 impl BodyBudget {
+    /// A budget of so many bytes.
     pub fn new(bytes: usize) -> BodyBudget {
-        BodyBudget(Rc::new(Cell::new(bytes)))
+        BodyBudget { bytes_left: Rc::new(Cell::new(bytes)) }
     }
 
-    pub fn reserve(&self) -> BodyReservation {
-        BodyReservation { of: self.clone(), bytes: 0 }
+    /// A part of it that is empty yet.
+    pub(crate) fn reserve(&self) -> BodyReservation {
+        BodyReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
 /// A part of the budget, given back when it is dropped.
-pub struct BodyReservation {
-    of: BodyBudget,
+pub(crate) struct BodyReservation {
+    budget: BodyBudget,
     bytes: usize,
 }
 
 impl BodyReservation {
-    /// False where the budget is spent.
-    pub fn grow(&mut self, by: usize) -> bool {
-        let left = self.of.0.get();
-        let fits = by <= left;
-        if fits {
-            self.of.0.set(left - by);
-            self.bytes += by;
+    /// Takes so many bytes more; false where the budget has not as many left.
+    pub(crate) fn grow(&mut self, bytes: usize) -> bool {
+        let bytes_left = self.budget.bytes_left.get();
+        if bytes > bytes_left {
+            return false;
         }
-        fits
+        self.budget.bytes_left.set(bytes_left - bytes);
+        self.bytes += bytes;
+        true
     }
 }
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.of.0.set(self.of.0.get() + self.bytes);
+        self.budget.bytes_left.set(self.budget.bytes_left.get() + self.bytes);
     }
 }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -3,22 +3,22 @@
 //! The order is kept by what the program knows of a connection without asking the kernel: whether it has sent a whole
 //! request, whether part of a head has come, and since when. Choosing the connection to close takes the first of that
 //! order and asks the kernel about that one alone, as bytes may have come that the event loop has not read yet. A
-//! connection found otherwise than it is filed is filed anew. Each such move answers to bytes that came or to a
-//! request that was served since, so that the cost of a choice does not grow with the number of connections.
+//! connection found in another state than its rank says gets a new rank. Each such change answers to bytes that came or
+//! to a request that was served since, so that the cost of a choice does not grow with the number of connections.
 
-use crate::client::{Client, FIRST_PATIENCE, HEAD_REST};
+use crate::client::{Client, SILENT_CONNECTION_AGE, STALLED_HEAD_AGE};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// While connections that never sent a whole request hold more than this part of the places, none of them is too young
-/// to be closed: a quarter leaves most places to clients that use them.
-const UNPROVEN_PART: usize = 4;
-/// Connections filed anew in one choice, a fraction of a microsecond each (twice that where the kernel was asked). Each
-/// is paid for by bytes that came since that connection was filed; the bound keeps a burst of them from holding the
-/// event loop for over a millisecond.
-const MOST_FILED: usize = 1024;
+/// While connections that never sent a valid request hold more than one in so many of the places, none of them is too
+/// young to be closed: a quarter leaves most places to clients that use them.
+const UNPROVEN_SHARE_DIVISOR: usize = 4;
+/// Connections that get a new rank in one choice, a fraction of a microsecond each (twice that where the kernel was
+/// asked). Each is paid for by bytes that came since that connection had its rank; the bound keeps a burst of them from
+/// holding the event loop for over a millisecond.
+const MAX_RECLASSIFIED_PER_CHOICE: usize = 1024;
 
 /// Names a connection as long as it is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -26,7 +26,7 @@
 
 /// What a connection that may be closed is doing; declared in the order in which they are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Resting {
+pub(crate) enum IdleState {
     /// It has sent nothing yet.
     Silent,
     /// Part of a head came.
@@ -35,10 +35,10 @@
     BetweenRequests,
 }
 
-/// Where a connection is filed: by what it does, and since when.
+/// A connection's rank in the order of eviction: by what it does, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Filed {
-    resting: Resting,
+pub(crate) struct EvictionRank {
+    state: IdleState,
     since: Instant,
 }
 
@@ -51,18 +51,18 @@
 
 /// Connections by what they do.
 #[derive(Default)]
-struct Order {
+struct EvictionOrder {
     silent: BTreeSet<Place>,
     partial: BTreeSet<Place>,
     between: BTreeSet<Place>,
 }
 
-impl Order {
-    fn of(&mut self, resting: Resting) -> &mut BTreeSet<Place> {
-        match resting {
-            Resting::Silent => &mut self.silent,
-            Resting::PartialHead => &mut self.partial,
-            Resting::BetweenRequests => &mut self.between,
+impl EvictionOrder {
+    fn of(&mut self, state: IdleState) -> &mut BTreeSet<Place> {
+        match state {
+            IdleState::Silent => &mut self.silent,
+            IdleState::PartialHead => &mut self.partial,
+            IdleState::BetweenRequests => &mut self.between,
         }
     }
 
@@ -71,62 +71,62 @@
     fn first(&self, now: Instant, crowded: bool) -> Option<Place> {
         let old = |place: &&Place, least| now.saturating_duration_since(place.since) >= least;
         let silent = self.silent.first();
-        let due = silent.filter(|place| crowded || old(place, FIRST_PATIENCE));
-        let stopped = self.partial.first().filter(|place| old(place, HEAD_REST));
+        let due = silent.filter(|place| crowded || old(place, SILENT_CONNECTION_AGE));
+        let stopped = self.partial.first().filter(|place| old(place, STALLED_HEAD_AGE));
         due.or(stopped).or(self.between.first()).or(silent).copied()
     }
 }
 
-/// Where a connection found in the kernel's and the program's state belongs.
-enum Found {
-    /// As it was filed: it may be closed.
-    AsFiled,
+/// How a connection's rank compares with its state by the kernel and the program.
+enum RankCheck {
+    /// As its rank says: it may be closed.
+    AsRanked,
     /// A request is open on it, or it is closing already.
-    NotResting,
-    Elsewhere(Filed),
+    NotIdle,
+    Elsewhere(EvictionRank),
 }
 
 /// What the program itself knows of it, as long as nothing is unread.
-fn known(client: &Client) -> Filed {
+fn known_rank(client: &Client) -> EvictionRank {
     match client.stream.message_started_at() {
-        Some(_) => Filed { resting: Resting::PartialHead, since: client.stream.last_read_at() },
-        None if client.is_proven() => {
-            Filed { resting: Resting::BetweenRequests, since: client.idle_since.get() }
+        Some(_) => EvictionRank { state: IdleState::PartialHead, since: client.stream.last_read_at() },
+        None if client.has_sent_request() => {
+            EvictionRank { state: IdleState::BetweenRequests, since: client.idle_since.get() }
         }
-        None => Filed { resting: Resting::Silent, since: client.accepted },
+        None => EvictionRank { state: IdleState::Silent, since: client.accepted_at },
     }
 }
 
 /// Bytes wait in the kernel, or the other side has closed between requests.
-fn unread(client: &Client) -> bool {
+fn has_unread_data(client: &Client) -> bool {
     match client.stream.message_started_at() {
         Some(_) => client.stream.has_kernel_bytes(),
         None => client.stream.has_unread_data(),
     }
 }
 
-fn look(client: &Client, filed: Filed, now: Instant) -> Found {
-    if client.busy.get() || client.is_leaving() {
-        return Found::NotResting;
+fn check_rank(client: &Client, rank: EvictionRank, now: Instant) -> RankCheck {
+    if client.is_busy.get() || client.is_closing() {
+        return RankCheck::NotIdle;
     }
-    let known = known(client);
-    if known.resting != filed.resting || known.since > filed.since {
-        return Found::Elsewhere(known);
+    let known = known_rank(client);
+    if known.state != rank.state || known.since > rank.since {
+        return RankCheck::Elsewhere(known);
     }
-    if unread(client) {
+    if has_unread_data(client) {
         // The event loop is about to read it: it counts as read now.
-        return Found::Elsewhere(Filed { resting: Resting::PartialHead, since: now });
+        return RankCheck::Elsewhere(EvictionRank { state: IdleState::PartialHead, since: now });
     }
-    Found::AsFiled
+    RankCheck::AsRanked
 }
 
 /// Which connection is closed first.
 pub(crate) enum Choice {
-    /// This one, which is marked as leaving.
-    Leaves(Rc<Client>),
+    /// This one, which is marked as closing.
+    Evicted(Rc<Client>),
     /// None: requests are open or on their way on all of them, or they have just come.
     Nobody,
-    /// Not known yet: many had to be filed anew, and there are more of them.
+    /// Not known yet: many had to get a new rank, and there are more of them.
     Unfinished,
 }
 
@@ -159,11 +159,11 @@
 #[derive(Default)]
 pub(crate) struct Clients {
     kept: RefCell<HashMap<ClientId, Rc<Client>>>,
-    order: RefCell<Order>,
+    order: RefCell<EvictionOrder>,
     pub population: Rc<Population>,
     next: Cell<u64>,
-    /// How often a connection was filed, for the report: what choices cost beside one look at the kernel each.
-    pub filings: Cell<u64>,
+    /// How often a connection got a rank, for the log: what choices cost in addition to one look at the kernel each.
+    pub reclassified: Cell<u64>,
 }
 
 impl Clients {
@@ -195,24 +195,24 @@
     /// Keeps a connection that has just been accepted.
     pub(crate) fn insert(&self, client: Rc<Client>) {
         self.population.joined();
-        self.file(&client, Filed { resting: Resting::Silent, since: client.accepted });
+        self.set_rank(&client, EvictionRank { state: IdleState::Silent, since: client.accepted_at });
         self.kept.borrow_mut().insert(client.id, client);
     }
 
     /// Forgets a connection that has ended.
     pub(crate) fn remove(&self, client: &Client) {
-        self.unfile(client);
-        client.leave();
+        self.unrank(client);
+        client.mark_closing();
         self.kept.borrow_mut().remove(&client.id);
     }
 
     /// An answer has ended on it: it waits for the next request.
-    pub(crate) fn rests(&self, client: &Client) {
+    pub(crate) fn record_answered(&self, client: &Client) {
         if !self.kept.borrow().contains_key(&client.id) {
             return; // its connection ended with the answer
         }
-        let resting = if client.is_proven() { Resting::BetweenRequests } else { Resting::Silent };
-        self.file(client, Filed { resting, since: client.idle_since.get() });
+        let state = if client.has_sent_request() { IdleState::BetweenRequests } else { IdleState::Silent };
+        self.set_rank(client, EvictionRank { state, since: client.idle_since.get() });
     }
 
     pub(crate) fn for_each(&self, each: impl Fn(&Client)) {
@@ -220,38 +220,38 @@
     }
 
     /// Chooses the connection that is closed first where `most` may be kept.
-    pub(crate) fn choose_leaving(&self, now: Instant, most: usize) -> Choice {
-        let crowded = self.unproven() > most / UNPROVEN_PART;
-        for _ in 0..MOST_FILED {
+    pub(crate) fn choose_evicted(&self, now: Instant, max_clients: usize) -> Choice {
+        let crowded = self.unproven() > max_clients / UNPROVEN_SHARE_DIVISOR;
+        for _ in 0..MAX_RECLASSIFIED_PER_CHOICE {
             let place = self.order.borrow().first(now, crowded);
             let client = place.and_then(|place| self.kept.borrow().get(&place.id).cloned());
             let Some(client) = client else { return Choice::Nobody };
-            let Some(filed) = client.filed.get() else { return Choice::Nobody };
-            match look(&client, filed, now) {
-                Found::AsFiled => {
-                    self.unfile(&client);
-                    client.leave(); // another call at the same moment chooses another
-                    return Choice::Leaves(client);
+            let Some(rank) = client.rank.get() else { return Choice::Nobody };
+            match check_rank(&client, rank, now) {
+                RankCheck::AsRanked => {
+                    self.unrank(&client);
+                    client.mark_closing(); // another call at the same moment chooses another
+                    return Choice::Evicted(client);
                 }
-                Found::NotResting => self.unfile(&client),
-                Found::Elsewhere(filed) => self.file(&client, filed),
+                RankCheck::NotIdle => self.unrank(&client),
+                RankCheck::Elsewhere(rank) => self.set_rank(&client, rank),
             }
         }
         Choice::Unfinished
     }
 
-    fn file(&self, client: &Client, filed: Filed) {
-        self.unfile(client);
-        self.filings.set(self.filings.get() + 1);
-        client.filed.set(Some(filed));
-        let place = Place { since: filed.since, id: client.id };
-        self.order.borrow_mut().of(filed.resting).insert(place);
+    fn set_rank(&self, client: &Client, rank: EvictionRank) {
+        self.unrank(client);
+        self.reclassified.set(self.reclassified.get() + 1);
+        client.rank.set(Some(rank));
+        let place = Place { since: rank.since, id: client.id };
+        self.order.borrow_mut().of(rank.state).insert(place);
     }
 
-    fn unfile(&self, client: &Client) {
-        if let Some(filed) = client.filed.take() {
-            let place = Place { since: filed.since, id: client.id };
-            self.order.borrow_mut().of(filed.resting).remove(&place);
+    fn unrank(&self, client: &Client) {
+        if let Some(rank) = client.rank.take() {
+            let place = Place { since: rank.since, id: client.id };
+            self.order.borrow_mut().of(rank.state).remove(&place);
         }
     }
 }
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -37,13 +37,13 @@
         let (client, peer) = self.join().await;
         client.prove();
         client.idle_since.set(Instant::now());
-        self.clients.rests(&client);
+        self.clients.record_answered(&client);
         (client, peer)
     }
 
     fn chosen(&self) -> Option<ClientId> {
-        match self.clients.choose_leaving(Instant::now(), MOST) {
-            Choice::Leaves(client) => Some(client.id),
+        match self.clients.choose_evicted(Instant::now(), MOST) {
+            Choice::Evicted(client) => Some(client.id),
             Choice::Nobody => None,
             Choice::Unfinished => panic!("few connections take one turn"),
         }
@@ -74,7 +74,7 @@
     send_part(&partial, &mut b).await;
     read(&partial).await;
     let (silent, _c) = table.join().await;
-    tokio::time::advance(HEAD_REST).await;
+    tokio::time::advance(STALLED_HEAD_AGE).await;
     let (young, _d) = table.join().await;
     let order: Vec<Option<ClientId>> = (0..5).map(|_| table.chosen()).collect();
     let expected = [Some(silent.id), Some(partial.id), Some(between.id), Some(young.id), None];
@@ -87,16 +87,16 @@
     let table = Table::new();
     let (unread, mut a) = table.served().await;
     let (asking, _b) = table.served().await;
-    tokio::time::advance(HEAD_REST).await;
+    tokio::time::advance(STALLED_HEAD_AGE).await;
     send_part(&unread, &mut a).await;
-    asking.busy.set(true);
+    asking.is_busy.set(true);
     assert_eq!(table.chosen(), None);
     // Read, and no more of it comes: it goes once it had the time. The other's answer has ended meanwhile.
     read(&unread).await;
-    asking.busy.set(false);
+    asking.is_busy.set(false);
     asking.idle_since.set(Instant::now());
-    table.clients.rests(&asking);
-    tokio::time::advance(HEAD_REST).await;
+    table.clients.record_answered(&asking);
+    tokio::time::advance(STALLED_HEAD_AGE).await;
     assert_eq!([table.chosen(), table.chosen()], [Some(unread.id), Some(asking.id)]);
 }
 
@@ -109,10 +109,10 @@
         send_part(client, peer).await;
         read(client).await;
     }
-    tokio::time::advance(HEAD_REST / 2).await;
+    tokio::time::advance(STALLED_HEAD_AGE / 2).await;
     send_part(&slow, &mut a).await;
     read(&slow).await;
-    tokio::time::advance(HEAD_REST / 2).await;
+    tokio::time::advance(STALLED_HEAD_AGE / 2).await;
     assert_eq!([table.chosen(), table.chosen()], [Some(stopped.id), None]);
 }
 
@@ -126,12 +126,12 @@
         read(&client).await;
         held.push((client, peer));
     }
-    tokio::time::advance(HEAD_REST + Duration::from_millis(1)).await;
+    tokio::time::advance(STALLED_HEAD_AGE + Duration::from_millis(1)).await;
     for (client, _) in &held {
         assert_eq!(table.chosen(), Some(client.id), "the one that stopped first");
     }
     // Each was filed twice: when it was accepted, and when it was found to have sent part of a head.
-    assert_eq!(table.clients.filings.get(), 400);
+    assert_eq!(table.clients.reclassified.get(), 400);
 }
 
 #[tokio::test(start_paused = true)]
@@ -141,13 +141,13 @@
     let (silent, _b) = table.join().await;
     let counts = || (table.clients.staying(), table.clients.proven(), table.clients.unproven());
     assert_eq!(counts(), (2, 1, 1));
-    tokio::time::advance(FIRST_PATIENCE).await;
+    tokio::time::advance(SILENT_CONNECTION_AGE).await;
     assert_eq!(table.chosen(), Some(silent.id));
     assert_eq!(counts(), (1, 1, 0));
     silent.prove(); // its request came in the last moment: it leaves all the same, once
     table.clients.remove(&silent);
     table.clients.remove(&usual);
     assert_eq!(counts(), (0, 0, 0));
-    table.clients.rests(&usual); // its answer ends after its connection: it is nobody's place
+    table.clients.record_answered(&usual); // its answer ends after its connection: it is nobody's place
     assert_eq!((table.clients.len(), table.chosen()), (0, None));
 }
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -1,8 +1,8 @@
 //! The pool on real connections.
 
 use super::*;
-use crate::attempt::Call;
-use crate::body::Payload;
+use crate::attempt::{Destination, ForwardedRequest};
+use crate::upload::RequestBody;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use lotusdeck_core::ConnectionPools;
@@ -23,13 +23,13 @@
     pool
 }
 
-fn call() -> Call {
+fn request() -> ForwardedRequest {
     let uri = Uri::from_static("/pay/k");
-    Call {
+    ForwardedRequest {
         method: Method::POST,
         uri,
         headers: HeaderMap::new(),
-        body: Payload::Whole(Bytes::from_static(b"cash")),
+        body: RequestBody::Buffered(Bytes::from_static(b"cash")),
     }
 }
 
@@ -42,12 +42,12 @@
 async fn a_backend_that_drains_while_connecting_is_sent_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(4), listener.local_addr().unwrap());
-    let to = (BackendId(0), to);
+    let to = Destination { backend: BackendId(0), address: to };
     let closed = Box::new(|| false);
-    let ended = pool.attempt(to, &call(), soon(), std::future::ready(true), closed).await;
+    let ended = pool.attempt(to, &request(), soon(), std::future::ready(true), closed).await;
     assert_eq!(ended.outcome, Outcome::NeverSent);
     let open = Box::new(|| true);
-    let unsafe_to_send = pool.attempt(to, &call(), soon(), std::future::ready(false), open).await;
+    let unsafe_to_send = pool.attempt(to, &request(), soon(), std::future::ready(false), open).await;
     assert_eq!(unsafe_to_send.outcome, Outcome::NeverSent, "not written down yet");
     let mut peer = listener.accept().unwrap().0;
     drop(pool);
@@ -78,7 +78,15 @@
         drop(kept);
         true
     };
-    let ended = pool.attempt((BackendId(0), to), &call(), soon(), cleared, Box::new(|| true)).await;
+    let ended = pool
+        .attempt(
+            Destination { backend: BackendId(0), address: to },
+            &request(),
+            soon(),
+            cleared,
+            Box::new(|| true),
+        )
+        .await;
     assert_eq!(ended.outcome, Outcome::Success);
     answers.join().unwrap();
 }
--- a/crates/proxy/src/discovery/poll.rs
+++ b/crates/proxy/src/discovery/poll.rs
@@ -4,7 +4,7 @@
 use super::pacing::{EXTRA_POLL_DELAY, OVERDUE_AFTER};
 use super::progress::Progress;
 use crate::endpoint_list::{EndpointList, ParsedEndpointList};
-use crate::exchange::driven;
+use crate::exchange::drive_until_done;
 use crate::stream::Stream;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -146,7 +146,7 @@
         let status = answer.status().as_u16();
         Ok((status, read_body(answer.into_body(), progress).await?))
     };
-    let (status, body) = driven(driver, answer).await.unwrap_or(Err(PollError::Ended))?;
+    let (status, body) = drive_until_done(driver, answer).await.unwrap_or(Err(PollError::Ended))?;
     *idle = Some(connection);
     if status != 200 {
         return Err(PollError::Status(status));
--- a/crates/proxy/src/http_client.rs
+++ b/crates/proxy/src/http_client.rs
@@ -1,6 +1,6 @@
 //! One call after another on a connection of its own, to a source of configuration.
 
-use crate::exchange::driven;
+use crate::exchange::drive_until_done;
 use crate::stream::Stream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -74,7 +74,7 @@
         let body = Limited::new(answer.into_body(), most).collect().await.map_err(RequestError::Http)?;
         Ok((status, body.to_bytes()))
     };
-    let (status, body) = driven(conn, answer).await.unwrap_or(Err(RequestError::Ended))?;
+    let (status, body) = drive_until_done(conn, answer).await.unwrap_or(Err(RequestError::Ended))?;
     if status != 200 {
         return Err(RequestError::Status(status));
     }
--- /dev/null
+++ b/crates/proxy/src/http_exchange.rs
@@ -0,0 +1,107 @@
+//! A client's request under way: the core sends its attempts, and the front fetches the answer of the one that succeeded.
+
+use crate::attempt::{Destination, ForwardedRequest, ServedAnswer};
+use crate::connection_pool::ConnectionPool;
+use crate::stream::{SendGate, Stream};
+use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
+use lotusdeck_policy::AttemptNo;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// A client's request under way.
+pub(crate) struct HttpExchange {
+    pool: Rc<ConnectionPool>,
+    request: ForwardedRequest,
+    /// The connection of the client whose request it is.
+    client: Stream,
+    /// Notified where the client was found to have left when something was about to be sent for it.
+    client_left: Rc<Notify>,
+    answers: RefCell<Vec<AttemptAnswer>>,
+    statuses: RefCell<Vec<AttemptStatus>>,
+}
+
+/// The answer of an attempt that succeeded.
+struct AttemptAnswer {
+    attempt: AttemptNo,
+    answer: ServedAnswer,
+}
+
+/// The status of an attempt's answer.
+struct AttemptStatus {
+    attempt: AttemptNo,
+    status: u16,
+}
+
+impl HttpExchange {
+    /// Of a request that was read; attempts go out on the pool's connections.
+    pub(crate) fn new(
+        pool: Rc<ConnectionPool>, request: ForwardedRequest, client: Stream,
+    ) -> Rc<HttpExchange> {
+        Rc::new(HttpExchange {
+            pool,
+            request,
+            client,
+            client_left: Rc::default(),
+            answers: RefCell::default(),
+            statuses: RefCell::default(),
+        })
+    }
+
+    /// Asked at the first byte of an attempt. The end of a client may be hidden from hyper, which reads no further
+    /// behind bytes that follow a request, and may have come while this process was doing something else.
+    fn send_gate(&self, context: AttemptContext) -> SendGate {
+        let client = self.client.clone();
+        let client_left = self.client_left.clone();
+        Box::new(move || {
+            let has_left = client.is_closed_by_peer();
+            if has_left {
+                client_left.notify_one();
+            }
+            !has_left && context.may_send()
+        })
+    }
+
+    /// Ends where the client was found to have left when something was about to be sent for it.
+    pub(crate) async fn client_left(&self) {
+        self.client_left.notified().await;
+    }
+
+    /// Its path as the client wrote it.
+    pub(crate) fn path(&self) -> &str {
+        self.request.uri.path()
+    }
+
+    /// The answer of an attempt that succeeded; it can be taken once.
+    pub(crate) fn take_answer(&self, attempt: AttemptNo) -> Option<ServedAnswer> {
+        let mut answers = self.answers.borrow_mut();
+        let index = answers.iter().position(|answer| answer.attempt == attempt)?;
+        Some(answers.swap_remove(index).answer)
+    }
+}
+
+impl Exchange for HttpExchange {
+    fn send_attempt(self: Rc<Self>, context: AttemptContext) -> AttemptFuture {
+        Box::pin(async move {
+            let attempt = context.attempt;
+            let to = Destination { backend: context.backend, address: context.address };
+            let deadline = context.deadline;
+            let journaled = context.journaled();
+            let gate = self.send_gate(context);
+            let result = self.pool.attempt(to, &self.request, deadline, journaled, gate).await;
+            let status = result.status.map(|status| AttemptStatus { attempt, status });
+            self.statuses.borrow_mut().extend(status);
+            let answer = result.answer.map(|answer| AttemptAnswer { attempt, answer });
+            self.answers.borrow_mut().extend(answer);
+            result.outcome
+        })
+    }
+
+    fn body_consumed(&self) -> bool {
+        self.request.body.is_consumed()
+    }
+
+    fn answer_status(&self, attempt: AttemptNo) -> Option<u16> {
+        self.statuses.borrow().iter().find(|status| status.attempt == attempt).map(|status| status.status)
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -13,31 +13,40 @@
     reason = "not revised yet"
 )]
 
+mod acceptor;
 pub mod admin;
-mod answer;
+mod answer_body;
+mod answer_outcome;
 mod attempt;
 mod body;
 pub mod body_budget;
 pub mod cached_endpoint_list;
 mod chunked_body;
 mod client;
+mod client_connection;
 mod clients;
 pub mod config;
 pub mod connection_pool;
 pub mod discovery;
 pub mod endpoint_list;
 mod exchange;
-mod fault;
+mod front_state;
 pub mod http_client;
+mod http_exchange;
+mod invalid_request;
 pub mod listener_handover;
+mod outgoing_body;
 pub mod process_slot;
 pub mod queueing_delay;
 mod relay;
 mod request;
+mod request_guards;
+mod request_handler;
 pub mod server;
 pub mod stall_timeouts;
 mod stream;
 mod timer;
+mod upload;
 
 /// Headers that concern one connection only.
 pub fn strip_hop_by_hop(headers: &mut hyper::HeaderMap) {
--- /dev/null
+++ b/crates/proxy/src/outgoing_body.rs
@@ -0,0 +1,78 @@
+//! The body of one attempt, as hyper sends it.
+
+use crate::body::BoxError;
+use crate::invalid_request::InvalidRequest;
+use crate::upload::{RequestBody, Upload};
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use tokio::time::Sleep;
+
+/// One attempt's copy of a client's body.
+pub(crate) struct OutgoingBody {
+    buffered: Option<Bytes>,
+    upload: Option<Rc<Upload>>,
+    /// Runs while the client is waited for.
+    pause_timer: Option<Pin<Box<Sleep>>>,
+    /// Bytes still to be sent, where the length is known.
+    bytes_left: Option<u64>,
+}
+
+impl OutgoingBody {
+    pub(crate) fn new(body: &RequestBody) -> OutgoingBody {
+        let (buffered, upload, length) = match body {
+            RequestBody::Buffered(bytes) => (bytes.clone(), None, Some(bytes.len() as u64)),
+            RequestBody::Streamed(upload) => {
+                (upload.buffered().clone(), Some(upload.clone()), upload.length())
+            }
+        };
+        let buffered = Some(buffered).filter(|bytes| !bytes.is_empty());
+        OutgoingBody { buffered, upload, pause_timer: None, bytes_left: length }
+    }
+}
+
+impl Body for OutgoingBody {
+    type Data = Bytes;
+    type Error = BoxError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+        if let Some(buffered) = self.buffered.take() {
+            self.bytes_left = self.bytes_left.map(|left| left - buffered.len() as u64);
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
+        }
+        let Some(upload) = self.upload.clone() else { return Poll::Ready(None) };
+        let data = match upload.poll_data(cx) {
+            Poll::Ready(data) => data,
+            Poll::Pending => {
+                let start_timer = || Box::pin(tokio::time::sleep(upload.max_pause()));
+                ready!(self.pause_timer.get_or_insert_with(start_timer).as_mut().poll(cx));
+                Some(Err(InvalidRequest::BodyTimeout))
+            }
+        };
+        self.pause_timer = None;
+        Poll::Ready(match data {
+            Some(Ok(data)) => {
+                self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(data.len() as u64));
+                Some(Ok(Frame::data(data)))
+            }
+            Some(Err(fault)) => {
+                upload.end(Some(fault));
+                Some(Err("the client's body is not complete".into()))
+            }
+            None => None,
+        })
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.buffered.is_none() && self.upload.as_ref().is_none_or(|upload| upload.is_complete())
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.bytes_left.map_or_else(SizeHint::default, SizeHint::with_exact)
+    }
+}
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,67 +1,76 @@
 //! A large answer on its way: read from the backend as fast as the client takes it.
 
-use crate::body::{Outgoing, MOST};
+use crate::body::MAX_BODY_BYTES;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
-use crate::exchange::{clean, Driver};
+use crate::exchange::{is_clean_after_answer, Driver};
+use crate::outgoing_body::OutgoingBody;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use lotusdeck_policy::BackendId;
 use std::future::{poll_fn, Future};
-use std::pin::pin;
+use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tracing::debug;
 
-/// Passes the rest of a large answer on, as fast as both sides go, and keeps the connection if it is clean after.
-pub(crate) struct Relay {
+/// Passes the rest of a large answer on, as fast as both sides go, and pools the connection if it is clean afterwards.
+pub(crate) struct AnswerRelay {
     pub pool: Rc<ConnectionPool>,
-    pub id: BackendId,
-    pub c: PooledConnection,
-    pub goes_on: bool,
-    pub read: u64,
-    /// It may rest for so long.
-    pub silence: Duration,
-    pub into: mpsc::Sender<Option<Bytes>>,
+    pub backend: BackendId,
+    pub connection: PooledConnection,
+    /// By its head the answer leaves the connection open.
+    pub is_reusable: bool,
+    /// Bytes of the body that were read before.
+    pub bytes_read: u64,
+    /// The backend may pause for so long.
+    pub max_pause: Duration,
+    /// Takes the frames, and `None` at the end.
+    pub client: mpsc::Sender<Option<Bytes>>,
 }
 
-impl Relay {
+impl AnswerRelay {
     pub(crate) async fn run(
-        self, mut conn: Driver, sender: http1::SendRequest<Outgoing>, mut rest: Incoming,
+        self, mut driver: Driver, sender: http1::SendRequest<OutgoingBody>, rest: Incoming,
     ) {
-        let mut read = self.read;
-        let mut work = pin!(async {
-            loop {
-                let data = match tokio::time::timeout(self.silence, rest.frame()).await {
-                    Ok(None) => return true,
-                    Err(_) | Ok(Some(Err(_))) => return false,
-                    Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // empty: trailers
-                };
-                read += data.len() as u64;
-                if read > MOST || self.into.send(Some(data)).await.is_err() {
-                    return false;
-                }
-            }
-        });
-        let mut over = false;
-        let all = poll_fn(|cx| {
-            over = over || std::pin::Pin::new(&mut conn).poll(cx).is_ready();
+        let AnswerRelay { pool, backend, connection, is_reusable, bytes_read, max_pause, client } = self;
+        let mut work = pin!(pass_on(&client, rest, bytes_read, max_pause));
+        let mut is_connection_over = false;
+        let driven_work = poll_fn(|cx| {
+            is_connection_over = is_connection_over || Pin::new(&mut driver).poll(cx).is_ready();
             work.as_mut().poll(cx)
         });
-        let whole = tokio::select! {
-            whole = all => whole,
-            _ = self.into.closed() => false, // its client left
+        let is_complete = tokio::select! {
+            is_complete = driven_work => is_complete,
+            () = client.closed() => false, // its client left
         };
-        if !whole {
-            debug!(backend = self.id.0, "an answer broke off");
+        if !is_complete {
+            debug!(backend = backend.0, "an answer broke off");
             return;
         }
         drop(sender);
-        let _ = self.into.send(None).await;
-        if self.goes_on && !over && clean(&self.c.stream, conn) {
-            self.pool.return_idle(self.id, self.c);
+        let _ = client.send(None).await;
+        if is_reusable && !is_connection_over && is_clean_after_answer(&connection.stream, driver) {
+            pool.return_idle(backend, connection);
+        }
+    }
+}
+
+/// Whether all of the answer was passed on. `bytes_read`: of its body before.
+async fn pass_on(
+    client: &mpsc::Sender<Option<Bytes>>, mut rest: Incoming, mut bytes_read: u64, max_pause: Duration,
+) -> bool {
+    loop {
+        let data = match tokio::time::timeout(max_pause, rest.frame()).await {
+            Ok(None) => return true,
+            Err(_) | Ok(Some(Err(_))) => return false,
+            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(), // empty: trailers
+        };
+        bytes_read += data.len() as u64;
+        if bytes_read > MAX_BODY_BYTES || client.send(Some(data)).await.is_err() {
+            return false;
         }
     }
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,111 +1,186 @@
-//! What a client's request must be before it is taken: the rest is answered at once and its connection ends.
+//! What a client's request says, and what it must be to be accepted: the rest is answered at once and its connection
+//! ends. The names of the headers that clients send are here only.
 
-use crate::body::MOST;
-use crate::fault::Fault;
+use crate::body::MAX_BODY_BYTES;
+use crate::invalid_request::InvalidRequest;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method};
-use lotusdeck_policy::{Micros, SideEffects};
-
-/// A request's id may be so long.
-const MAX_ID: usize = 128;
+use lotusdeck_core::RequestLabels;
+use lotusdeck_policy::settings::Names;
+use lotusdeck_policy::{ClassId, Micros, SideEffects, TenantId};
 
+const CORRELATION_ID: &str = "x-correlation-id";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const TIME_LEFT: &str = "x-time-left";
+const TENANT: &str = "x-account";
+const WORK_HINT: &str = "x-weight-hint";
+const CLIENT_RETRY: &str = "x-repeat";
+/// The longest id of a request, in bytes.
+const MAX_ID_BYTES: usize = 128;
 /// How often escapes are undone in search of others: whoever stands behind a backend may undo them once more.
-const UNESCAPED: usize = 2;
+const UNESCAPE_ROUNDS: usize = 2;
 
-/// Whether a path keeps its first part however it is read on its way: the class was taken from that part, and with
-/// it the rules on repeats. A backend that resolves dot segments (RFC 3986, 5.2.4), be they escaped, beside empty
+/// Whether a path keeps its first segment however it is read on its way: the class was taken from that segment, and with
+/// it the rules on retries. A backend that resolves dot segments (RFC 3986, 5.2.4), be they escaped, beside empty
 /// segments, behind a backslash or with a parameter, would else run `/preview/../order/k` as another class.
-pub fn stays_in_class(path: &str) -> bool {
+pub(crate) fn stays_in_class(path: &str) -> bool {
     if !path.contains('%') && !path.contains("..") {
         return true; // nothing in it leads upwards
     }
-    let mut read = path.as_bytes().to_vec();
-    for _ in 0..=UNESCAPED {
-        if leaves(&read, |b| b == b'/') || leaves(&read, |b| b == b'/' || b == b'\\') {
+    let mut decoded = path.as_bytes().to_vec();
+    for _ in 0..=UNESCAPE_ROUNDS {
+        let is_slash = |byte| byte == b'/';
+        let is_any_slash = |byte| byte == b'/' || byte == b'\\';
+        if leaves_first_segment(&decoded, is_slash) || leaves_first_segment(&decoded, is_any_slash) {
             return false;
         }
-        read = unescaped(&read);
+        decoded = unescape(&decoded);
     }
     true
 }
 
-/// Whether a dot segment takes the first part away. Empty segments hold nothing: some merge them.
-fn leaves(path: &[u8], ends: impl Fn(u8) -> bool) -> bool {
-    let (mut parts, mut deep) = (path.split(|b| ends(*b)).skip(2), 0u32);
-    parts.any(|part| {
-        match part.split(|b| *b == b';').next().unwrap_or_default() {
+/// Whether a dot segment takes the first segment away. Empty segments hold nothing: some merge them.
+fn leaves_first_segment(path: &[u8], is_separator: impl Fn(u8) -> bool) -> bool {
+    let mut depth = 0u32;
+    for segment in path.split(|byte| is_separator(*byte)).skip(2) {
+        match segment.split(|byte| *byte == b';').next().unwrap_or_default() {
             b"" | b"." => {}
-            b".." if deep == 0 => return true,
-            b".." => deep -= 1,
-            _ => deep += 1,
+            b".." if depth == 0 => return true,
+            b".." => depth -= 1,
+            _ => depth += 1,
         }
-        false
-    })
+    }
+    false
 }
 
 /// With its escapes undone once; what is none stays as it is.
-fn unescaped(path: &[u8]) -> Vec<u8> {
-    let digit = |at: usize| path.get(at).and_then(|b| char::from(*b).to_digit(16));
-    let (mut out, mut at) = (Vec::with_capacity(path.len()), 0);
-    while let Some(&byte) = path.get(at) {
-        let escape = (byte == b'%').then(|| digit(at + 1).zip(digit(at + 2))).flatten();
-        out.push(escape.map_or(byte, |(high, low)| (high * 16 + low) as u8));
-        at += if escape.is_some() { 3 } else { 1 };
+fn unescape(path: &[u8]) -> Vec<u8> {
+    let hex_digit = |position: usize| path.get(position).and_then(|byte| char::from(*byte).to_digit(16));
+    let mut unescaped = Vec::with_capacity(path.len());
+    let mut position = 0;
+    while let Some(&byte) = path.get(position) {
+        let digits = hex_digit(position + 1).zip(hex_digit(position + 2)).filter(|_| byte == b'%');
+        unescaped.push(digits.map_or(byte, |(high, low)| (high * 16 + low) as u8));
+        position += if digits.is_some() { 3 } else { 1 };
     }
-    out
+    unescaped
+}
+
+/// What a valid request says.
+pub(crate) struct ValidRequest {
+    /// The client's id of it.
+    pub id: HeaderValue,
+    /// How long its client waits.
+    pub time_left: Micros,
+    /// The length of its body in bytes, where the head gives it.
+    pub length: Option<u64>,
 }
 
-/// The request's id, how long its client waits, at most `most`, and its body's length where it is told. `sized`:
-/// the head gives a length, be it one that hyper hides.
-pub fn check(
-    head: &Parts, body: &Incoming, sized: bool, effect: SideEffects, most: Micros,
-) -> Result<(HeaderValue, Micros, Option<u64>), Fault> {
+/// Checks the head of a request. `has_content_length`: the head gives a length, be it one that hyper hides. `max_time`:
+/// the deadline of its class.
+///
+/// # Errors
+/// The first thing that is wrong with it.
+pub(crate) fn validate(
+    head: &Parts, body: &Incoming, has_content_length: bool, side_effects: SideEffects, max_time: Micros,
+) -> Result<ValidRequest, InvalidRequest> {
     let headers = &head.headers;
-    let id = single(headers, "x-correlation-id").map_err(|_| Fault::Id)?;
-    let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ID).ok_or(Fault::Id)?;
-    let keys = headers.get_all("idempotency-key").iter().count();
-    let fits = match effect {
-        SideEffects::None => head.method == Method::GET,
-        SideEffects::IdempotencyKey { .. } => head.method == Method::POST && keys == 1,
-        SideEffects::NonIdempotent => head.method == Method::POST && keys <= 1,
-    };
-    if !fits {
-        return Err(Fault::Method);
+    let id = single(headers, CORRELATION_ID, InvalidRequest::CorrelationId)?;
+    let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES);
+    let id = id.ok_or(InvalidRequest::CorrelationId)?;
+    if !fits_class(head, side_effects) {
+        return Err(InvalidRequest::Method);
     }
-    let encoding = single(headers, TRANSFER_ENCODING.as_str()).map_err(|_| Fault::Encoded)?;
-    if encoding.is_some_and(|e| sized || !e.as_bytes().eq_ignore_ascii_case(b"chunked")) {
-        return Err(Fault::Encoded);
+    let encoding = single(headers, TRANSFER_ENCODING.as_str(), InvalidRequest::TransferEncoding)?;
+    let is_chunked = |encoding: &HeaderValue| encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
+    if encoding.is_some_and(|encoding| has_content_length || !is_chunked(encoding)) {
+        return Err(InvalidRequest::TransferEncoding);
     }
-    single(headers, CONTENT_LENGTH.as_str()).map_err(|_| Fault::Length)?;
+    single(headers, CONTENT_LENGTH.as_str(), InvalidRequest::Length)?;
     let length = body.size_hint().lower();
-    if length > MOST {
-        return Err(Fault::TooLong);
+    if length > MAX_BODY_BYTES {
+        return Err(InvalidRequest::TooLong);
     }
     if head.method == Method::GET && (length > 0 || encoding.is_some()) {
-        return Err(Fault::Length);
+        return Err(InvalidRequest::Length);
     }
-    let left = match single(headers, "x-time-left").map_err(|_| Fault::TimeLeft)? {
-        Some(value) => Micros::from_secs(number(value).ok_or(Fault::TimeLeft)?).min(most),
-        None => most,
+    let time_left = match single(headers, TIME_LEFT, InvalidRequest::TimeLeft)? {
+        Some(value) => {
+            let seconds = non_negative_number(value).ok_or(InvalidRequest::TimeLeft)?;
+            Micros::from_secs(seconds).min(max_time)
+        }
+        None => max_time,
     };
-    Ok((id.clone(), left, encoding.is_none().then_some(length)))
+    Ok(ValidRequest { id: id.clone(), time_left, length: encoding.is_none().then_some(length) })
+}
+
+/// Whether the request may be repeated as its class says.
+fn fits_class(head: &Parts, side_effects: SideEffects) -> bool {
+    let keys = head.headers.get_all(IDEMPOTENCY_KEY).iter().count();
+    match side_effects {
+        SideEffects::None => head.method == Method::GET,
+        SideEffects::IdempotencyKey { .. } => head.method == Method::POST && keys == 1,
+        SideEffects::NonIdempotent => head.method == Method::POST && keys <= 1,
+    }
+}
+
+/// The class that the path of a request begins with.
+///
+/// # Errors
+/// There is no such class.
+pub(crate) fn requested_class(names: &Names, path: &str) -> Result<ClassId, InvalidRequest> {
+    let name = path.split('/').nth(1);
+    name.and_then(|name| names.class(name)).ok_or(InvalidRequest::NoSuchClass)
+}
+
+/// The tenant whose request it is, where the settings know it.
+pub(crate) fn requested_tenant(names: &Names, headers: &HeaderMap) -> Option<TenantId> {
+    names.tenant(headers.get(TENANT)?.to_str().ok()?)
+}
+
+/// What a client says of its request that need not be so.
+pub(crate) struct ClientHints {
+    /// The work that it causes.
+    pub work: Option<Micros>,
+    /// The client has sent it before.
+    pub is_retry: bool,
+}
+
+impl ClientHints {
+    pub(crate) fn read(headers: &HeaderMap) -> ClientHints {
+        let work = headers.get(WORK_HINT).and_then(non_negative_number);
+        ClientHints {
+            work: work.map(|micros| Micros(micros as u64)),
+            is_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value == "1"),
+        }
+    }
+}
+
+/// What the journal notes of a request, by its id and path.
+pub(crate) fn correlation_labels(id: &HeaderValue, path: &str) -> RequestLabels {
+    let (class, rest) = path.trim_start_matches('/').split_once('/').unwrap_or((path, ""));
+    let key = rest.rsplit('/').next().unwrap_or_default();
+    let id = String::from_utf8_lossy(id.as_bytes()).into_owned();
+    RequestLabels { id, class: class.into(), key: key.into() }
 }
 
-/// A header that may stand once.
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a HeaderValue>, ()> {
+/// A header that may occur once.
+fn single<'a>(
+    headers: &'a HeaderMap, name: &str, fault: InvalidRequest,
+) -> Result<Option<&'a HeaderValue>, InvalidRequest> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (first, None) => Ok(first),
-        _ => Err(()),
+        _ => Err(fault),
     }
 }
 
-/// A number that makes sense as a span or an amount.
-pub fn number(value: &HeaderValue) -> Option<f64> {
+/// A number that makes sense as a duration or an amount.
+fn non_negative_number(value: &HeaderValue) -> Option<f64> {
     let text = value.to_str().ok()?;
-    text.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
+    text.trim().parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/proxy/src/request_guards.rs
@@ -0,0 +1,72 @@
+//! What has to be undone however a request ends.
+
+use crate::client::Client;
+use crate::front_state::FrontState;
+use hyper::header::HeaderValue;
+use lotusdeck_core::Host;
+use lotusdeck_policy::RequestId;
+use std::cell::RefCell;
+use std::collections::HashSet;
+use std::rc::Rc;
+
+/// A connection with an open request; when it is dropped, at the end of the answer, the connection waits for its next
+/// request.
+pub(crate) struct BusyConnection {
+    pub front: Rc<FrontState>,
+    pub client: Rc<Client>,
+}
+
+impl Drop for BusyConnection {
+    fn drop(&mut self) {
+        self.client.idle_since.set(tokio::time::Instant::now());
+        self.client.stream.mark_idle();
+        self.client.is_busy.set(false);
+        self.client.is_streaming.set(false);
+        self.front.clients.record_answered(&self.client);
+    }
+}
+
+/// Tells the core when hyper drops an unanswered request because its client has left.
+pub(crate) struct UnansweredRequest<'a> {
+    host: &'a Rc<Host>,
+    id: RequestId,
+    is_unanswered: bool,
+}
+
+impl<'a> UnansweredRequest<'a> {
+    pub(crate) fn new(host: &'a Rc<Host>, id: RequestId) -> UnansweredRequest<'a> {
+        UnansweredRequest { host, id, is_unanswered: true }
+    }
+
+    pub(crate) fn mark_answered(&mut self) {
+        self.is_unanswered = false;
+    }
+}
+
+impl Drop for UnansweredRequest<'_> {
+    fn drop(&mut self) {
+        if self.is_unanswered {
+            self.host.client_disconnected(self.id);
+        }
+    }
+}
+
+/// Keeps the id of an open request from being used twice.
+pub(crate) struct OpenId<'a> {
+    open_ids: &'a RefCell<HashSet<HeaderValue>>,
+    id: HeaderValue,
+}
+
+impl<'a> OpenId<'a> {
+    /// `None` where a request of this id is open.
+    pub(crate) fn new(open_ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<OpenId<'a>> {
+        let is_new = open_ids.borrow_mut().insert(id.clone());
+        is_new.then_some(OpenId { open_ids, id })
+    }
+}
+
+impl Drop for OpenId<'_> {
+    fn drop(&mut self) {
+        self.open_ids.borrow_mut().remove(&self.id);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/request_handler.rs
@@ -0,0 +1,212 @@
+//! The way of one request: read, validated, handed to the core, answered.
+
+use crate::answer_body::{plain_answer, AnswerBody};
+use crate::attempt::ForwardedRequest;
+use crate::body_budget::BodyBudget;
+use crate::client::Client;
+use crate::connection_pool::ConnectionPool;
+use crate::front_state::FrontState;
+use crate::http_exchange::HttpExchange;
+use crate::invalid_request::InvalidRequest;
+use crate::request::{
+    correlation_labels, requested_class, requested_tenant, stays_in_class, validate, ClientHints,
+};
+use crate::request_guards::{OpenId, UnansweredRequest};
+use crate::strip_hop_by_hop;
+use crate::upload::{buffer_body, RequestBody, Upload};
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use lotusdeck_core::{Answer, Host};
+use lotusdeck_policy::{Arrival, Micros, RequestId, Time};
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// Handles the requests of all clients.
+pub(crate) struct RequestHandler {
+    host: Rc<Host>,
+    pool: Rc<ConnectionPool>,
+    body_budget: BodyBudget,
+    front: Rc<FrontState>,
+    /// The ids of the requests that are open.
+    open_ids: RefCell<HashSet<HeaderValue>>,
+}
+
+/// The time that a request has.
+struct RequestTime {
+    /// From its last byte on.
+    allowed: Micros,
+    /// From now on.
+    left: Micros,
+    deadline: Time,
+}
+
+/// A request that was submitted to the core and waits for its answer.
+struct SubmittedRequest {
+    id: RequestId,
+    answer: oneshot::Receiver<Answer>,
+    exchange: Rc<HttpExchange>,
+    /// Of its body, where a part is still with the client.
+    upload: Option<Rc<Upload>>,
+    time: RequestTime,
+}
+
+impl RequestHandler {
+    pub(crate) fn new(
+        host: Rc<Host>, pool: Rc<ConnectionPool>, body_budget: BodyBudget, front: Rc<FrontState>,
+    ) -> RequestHandler {
+        RequestHandler { host, pool, body_budget, front, open_ids: RefCell::default() }
+    }
+
+    /// Answers a request.
+    pub(crate) async fn handle(
+        &self, client: &Rc<Client>, request: Request<Incoming>,
+    ) -> Response<AnswerBody> {
+        let mut is_invalid = false;
+        let mut answer = match request.uri().path() {
+            "/-/ready" => plain_answer(StatusCode::OK, "ready\n"),
+            _ => self.forward(client, request).await.unwrap_or_else(|fault| {
+                self.front.invalid_requests.set(self.front.invalid_requests.get() + 1);
+                is_invalid = true; // what comes next on the connection may be no request at all
+                let (status, text) = fault.answer();
+                plain_answer(status, text)
+            }),
+        };
+        client.is_streaming.set(matches!(answer.body(), AnswerBody::Streamed { .. }));
+        if is_invalid || self.front.is_stopping.get() || self.front.is_crowded() {
+            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        answer
+    }
+
+    /// What is left of a time that began when the last byte that was read was written, and of the time before the
+    /// program ends: what is accepted is answered by then.
+    fn time_left(&self, allowed: Micros, client: &Client) -> Micros {
+        let elapsed = client.stream.time_since_arrival().as_micros() as u64;
+        let left = Micros(allowed.0.saturating_sub(elapsed));
+        let Some(deadline) = self.front.shutdown_deadline.get() else { return left };
+        let until_end = deadline.saturating_duration_since(tokio::time::Instant::now());
+        left.min(Micros(until_end.as_micros() as u64))
+    }
+
+    async fn forward(
+        &self, client: &Client, request: Request<Incoming>,
+    ) -> Result<Response<AnswerBody>, InvalidRequest> {
+        let (head, body) = request.into_parts();
+        let settings = self.host.settings(); // this request's own to its end, whatever comes meanwhile
+        let class = requested_class(&settings.names, head.uri.path())?;
+        let tenant = requested_tenant(&settings.names, &head.headers);
+        let _ids = self.host.hold_ids(class, tenant);
+        if !stays_in_class(head.uri.path()) {
+            return Err(InvalidRequest::Path);
+        }
+        let side_effects = settings.config.classes[class.0].side_effects;
+        let max_time = settings.network.deadlines[class.0];
+        let valid = validate(&head, &body, client.stream.has_content_length(), side_effects, max_time)?;
+        let max_pause = self.pool.stall_timeouts.get().upload_stall;
+        let (body, _reservation) =
+            buffer_body(body, valid.length, &client.stream, &self.body_budget, max_pause).await?;
+        // The time of a request counts from its last byte; where more is to come it has not begun.
+        let allowed = Micros(valid.time_left.0.saturating_sub(self.host.reply_margin().0));
+        let left = self.time_left(allowed, client);
+        let time = RequestTime { allowed, left, deadline: self.host.clock.now() + left };
+        let hints = ClientHints::read(&head.headers);
+        let arrival = Arrival {
+            request: RequestId(0),
+            class,
+            tenant,
+            time_left: time.left,
+            work_hint: hints.work,
+            is_client_retry: hints.is_retry,
+            body_incomplete: body.upload().is_some(),
+        };
+        let upload = body.upload().cloned();
+        let forwarded = forwarded_request(head.method, &head.uri, head.headers, body)?;
+        let exchange = HttpExchange::new(self.pool.clone(), forwarded, client.stream.clone());
+        let labelled = exchange.clone();
+        let label_id = valid.id.clone();
+        let labels = move || correlation_labels(&label_id, labelled.path());
+        let _open_id = OpenId::new(&self.open_ids, valid.id).ok_or(InvalidRequest::IdInUse)?;
+        client.prove();
+        let (id, answer) = self.host.submit(arrival, exchange.clone(), side_effects, labels);
+        let submitted = SubmittedRequest { id, answer, exchange: exchange.clone(), upload, time };
+        let answer = self.wait_for_answer(submitted, client).await?;
+        Ok(to_response(answer, &exchange, settings.network.max_retry_after))
+    }
+
+    /// The core's answer; `None` where it has none.
+    async fn wait_for_answer(
+        &self, submitted: SubmittedRequest, client: &Client,
+    ) -> Result<Option<Answer>, InvalidRequest> {
+        let SubmittedRequest { id, answer, exchange, upload, time } = submitted;
+        let deadline = Cell::new(time.deadline);
+        let mut unanswered = UnansweredRequest::new(&self.host, id);
+        let mut answer = pin!(answer);
+        let deadline_passed = async {
+            if let Some(upload) = &upload {
+                upload.completed().await?;
+                let left = self.time_left(time.allowed, client);
+                deadline.set(self.host.clock.now() + left);
+                self.host.body_received(id, left);
+            }
+            tokio::time::sleep_until(self.host.clock.instant(deadline.get())).await;
+            Ok::<_, InvalidRequest>(())
+        };
+        let answer = tokio::select! {
+            biased;
+            answer = answer.as_mut() => answer,
+            () = exchange.client_left() => return Err(InvalidRequest::ClientLeft), // the guard tells the core
+            passed = deadline_passed => {
+                passed?; // no valid request after all: the guard tells the core that nobody waits
+                self.host.deadline_expired(id);
+                answer.await
+            }
+        };
+        if let Some(fault) = upload.as_ref().and_then(|upload| upload.fault()) {
+            unanswered.mark_answered();
+            return Err(fault); // whatever became of the attempt that it ended
+        }
+        if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
+            upload.discard_rest();
+        }
+        unanswered.mark_answered();
+        Ok(answer.ok())
+    }
+}
+
+fn forwarded_request(
+    method: Method, uri: &Uri, mut headers: HeaderMap, body: RequestBody,
+) -> Result<ForwardedRequest, InvalidRequest> {
+    strip_hop_by_hop(&mut headers);
+    let origin_form = uri.path_and_query().map(|target| target.as_str().parse());
+    let uri = origin_form.and_then(Result::ok).ok_or(InvalidRequest::Target)?;
+    Ok(ForwardedRequest { method, uri, headers, body })
+}
+
+fn to_response(
+    answer: Option<Answer>, exchange: &HttpExchange, max_retry_after: Option<Micros>,
+) -> Response<AnswerBody> {
+    match answer {
+        Some(Answer::Served(attempt)) => match exchange.take_answer(attempt) {
+            Some(served) => {
+                let mut response = Response::new(served.body);
+                *response.headers_mut() = served.headers;
+                response
+            }
+            None => plain_answer(StatusCode::BAD_GATEWAY, "failed\n"),
+        },
+        Some(Answer::Rejected(retry_after)) => {
+            let mut response = plain_answer(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+            let seconds = max_retry_after.map(|longest| retry_after.min(longest).secs());
+            if let Some(Ok(text)) = seconds.map(|seconds| format!("{seconds:.3}").parse()) {
+                response.headers_mut().insert(RETRY_AFTER, text);
+            }
+            response
+        }
+        Some(Answer::Failed) => plain_answer(StatusCode::BAD_GATEWAY, "failed\n"),
+        Some(Answer::TimedOut) | None => plain_answer(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
+    }
+}
--- a/crates/proxy/src/stall_timeouts.rs
+++ b/crates/proxy/src/stall_timeouts.rs
@@ -1,4 +1,4 @@
-//! How long parts of a message may rest before the message counts as broken off.
+//! How long parts of a message may pause before the message counts as broken off.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,13 +7,13 @@
 /// The pauses that end an answer or a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StallTimeouts {
-    /// The next byte of an answer that has begun comes so soon.
+    /// Between two bytes of an answer that has begun.
     pub answer_stall: Duration,
-    /// Once a large answer is on its way to the client it may rest longer: there is no other to be had.
+    /// The same once a large answer is on its way to the client: it may pause longer, as there is no other to be had.
     pub relayed_answer_stall: Duration,
-    /// A client sends no byte of its body for so long: with a head's time under the 3 s that any client is owed.
+    /// Between two bytes of a client's body: with a head's time under the 3 s that any client is owed.
     pub upload_stall: Duration,
-    /// A backend that takes no byte of a request's body for so long has gone.
+    /// Between two bytes of a request's body that a backend takes: after that it has gone.
     pub backend_stall: Duration,
 }
 
@@ -28,5 +28,18 @@
     }
 }
 
-/// The pauses in force; whoever holds a copy sees a change at once.
+/// The timeouts in force; whoever holds a copy sees a change at once.
 pub type SharedStallTimeouts = Rc<Cell<StallTimeouts>>;
+
+/// Ends when `count`, of bytes that have moved, has not changed for so long.
+pub(crate) async fn wait_for_stall(timeout: Duration, count: impl Fn() -> u64) {
+    let mut last_count = count();
+    loop {
+        tokio::time::sleep(timeout).await;
+        let new_count = count();
+        if new_count == last_count {
+            return;
+        }
+        last_count = new_count;
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upload.rs
@@ -0,0 +1,246 @@
+//! A client's body: buffered completely where it is small, passed on frame by frame where it is not.
+
+use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
+use crate::body_budget::{BodyBudget, BodyReservation};
+use crate::invalid_request::InvalidRequest;
+use crate::stream::Stream;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use std::cell::{Cell, Ref, RefCell};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// After this time a body has to come at the least rate.
+const RATE_GRACE: Duration = Duration::from_secs(2);
+/// The least rate of a body, in bytes a second: an eighth of the slowest client's.
+const MIN_BYTES_PER_SECOND: f64 = 8192.0;
+
+/// A client's body as it goes on to backends.
+pub(crate) enum RequestBody {
+    /// All of it was read.
+    Buffered(Bytes),
+    /// A part of it is still with the client.
+    Streamed(Rc<Upload>),
+}
+
+impl RequestBody {
+    /// No other attempt can send it.
+    pub(crate) fn is_consumed(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload) if upload.is_consumed())
+    }
+
+    /// What is still coming of it.
+    pub(crate) fn upload(&self) -> Option<&Rc<Upload>> {
+        match self {
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(upload) => Some(upload),
+        }
+    }
+}
+
+/// A body of which a part is still with the client.
+pub(crate) struct Upload {
+    /// What was read before the first attempt: kept until more is read.
+    buffered: RefCell<Bytes>,
+    remaining: RefCell<Option<Incoming>>,
+    length: Option<u64>,
+    bytes_read: Cell<u64>,
+    started_at: Instant,
+    is_consumed: Cell<bool>,
+    is_complete: Cell<bool>,
+    fault: Cell<Option<InvalidRequest>>,
+    /// Notified when it is complete or at fault.
+    ended: Notify,
+    client: Stream,
+    /// Its client may pause for so long.
+    max_pause: Duration,
+}
+
+/// Reads the body up to its end, or until it is too much to buffer. `length`: in bytes, where the head gives it.
+///
+/// # Errors
+/// Why it is not the body of a valid request.
+pub(crate) async fn buffer_body(
+    mut body: Incoming, length: Option<u64>, client: &Stream, budget: &BodyBudget, max_pause: Duration,
+) -> Result<(RequestBody, BodyReservation), InvalidRequest> {
+    let mut reservation = budget.reserve();
+    let started_at = Instant::now();
+    let mut buffered = BytesMut::new();
+    loop {
+        let frame = match tokio::time::timeout(max_pause, body.frame()).await {
+            Err(_) => return Err(InvalidRequest::BodyTimeout),
+            Ok(None) => break,
+            Ok(Some(Err(_))) => return Err(InvalidRequest::Body),
+            Ok(Some(Ok(frame))) => frame,
+        };
+        let Ok(data) = frame.into_data() else { continue }; // trailers are not passed on
+        buffered.extend_from_slice(&data);
+        if !is_fast_enough(started_at, buffered.len() as u64) {
+            return Err(InvalidRequest::BodyTimeout);
+        }
+        if length.is_some_and(|length| length == buffered.len() as u64) {
+            break;
+        }
+        if !reservation.grow(data.len()) || buffered.len() > MAX_BUFFERED_BYTES {
+            let upload = Upload {
+                buffered: RefCell::new(buffered.clone().freeze()),
+                remaining: RefCell::new(Some(body)),
+                length,
+                bytes_read: Cell::new(buffered.len() as u64),
+                started_at,
+                is_consumed: Cell::new(false),
+                is_complete: Cell::new(false),
+                fault: Cell::new(None),
+                ended: Notify::new(),
+                client: client.clone(),
+                max_pause,
+            };
+            return Ok((RequestBody::Streamed(Rc::new(upload)), reservation));
+        }
+    }
+    // A client waits for its answer before it sends more: this one's length is wrong or hides a request.
+    if client.has_excess_bytes(buffered.len() as u64) {
+        return Err(InvalidRequest::Length);
+    }
+    Ok((RequestBody::Buffered(buffered.freeze()), reservation))
+}
+
+fn is_fast_enough(started_at: Instant, bytes_read: u64) -> bool {
+    started_at.elapsed() < RATE_GRACE + Duration::from_secs_f64(bytes_read as f64 / MIN_BYTES_PER_SECOND)
+}
+
+impl Upload {
+    /// What was read before the first attempt.
+    pub(crate) fn buffered(&self) -> Ref<'_, Bytes> {
+        self.buffered.borrow()
+    }
+
+    /// The length of the body in bytes, where the head gives it.
+    pub(crate) fn length(&self) -> Option<u64> {
+        self.length
+    }
+
+    /// How long its client may pause.
+    pub(crate) fn max_pause(&self) -> Duration {
+        self.max_pause
+    }
+
+    /// Part of it was passed on and dropped: no other attempt can send it.
+    pub(crate) fn is_consumed(&self) -> bool {
+        self.is_consumed.get()
+    }
+
+    /// Bytes that have come of it.
+    pub(crate) fn bytes_read(&self) -> u64 {
+        self.bytes_read.get()
+    }
+
+    /// Its last byte has come and was passed on.
+    pub(crate) fn is_complete(&self) -> bool {
+        self.is_complete.get()
+    }
+
+    /// Why it is not the body of a valid request.
+    pub(crate) fn fault(&self) -> Option<InvalidRequest> {
+        self.fault.get()
+    }
+
+    /// Waits until it is complete, or found to be invalid.
+    pub(crate) async fn completed(&self) -> Result<(), InvalidRequest> {
+        loop {
+            let ended = self.ended.notified();
+            match self.fault.get() {
+                Some(fault) => return Err(fault),
+                None if self.is_complete.get() => return Ok(()),
+                None => ended.await,
+            }
+        }
+    }
+
+    /// Ends it, as complete where there is no fault.
+    pub(crate) fn end(&self, fault: Option<InvalidRequest>) {
+        self.fault.set(fault);
+        self.is_complete.set(fault.is_none());
+        self.ended.notify_waiters();
+    }
+
+    /// Reads and drops what the client still sends after its answer: an answer that meets bytes nobody reads would be
+    /// lost on its way.
+    pub(crate) fn discard_rest(&self) {
+        let Some(mut remaining) = self.remaining.take() else { return };
+        let mut bytes_read = self.bytes_read.get();
+        let started_at = self.started_at;
+        let max_pause = self.max_pause;
+        tokio::task::spawn_local(async move {
+            while let Ok(Some(Ok(frame))) = tokio::time::timeout(max_pause, remaining.frame()).await {
+                bytes_read += frame.data_ref().map_or(0, |data| data.len() as u64);
+                if bytes_read > MAX_BODY_BYTES || !is_fast_enough(started_at, bytes_read) {
+                    return;
+                }
+            }
+        });
+    }
+
+    /// The next data of it; `None` at its end.
+    pub(crate) fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, InvalidRequest>>> {
+        let mut remaining = self.remaining.borrow_mut();
+        let Some(body) = remaining.as_mut().filter(|_| !self.is_complete.get()) else {
+            return Poll::Ready(None);
+        };
+        let data = match ready!(poll_nonempty_data(body, cx)) {
+            Some(Err(fault)) => return Poll::Ready(Some(Err(fault))),
+            Some(Ok(data)) => Some(data),
+            None => None,
+        };
+        self.is_consumed.set(true);
+        self.buffered.take();
+        let bytes_read = self.bytes_read.get() + data.as_ref().map_or(0, |data| data.len() as u64);
+        self.bytes_read.set(bytes_read);
+        let is_last = data.is_none() || self.length == Some(bytes_read);
+        if let Err(fault) = self.check_progress(bytes_read, is_last) {
+            return Poll::Ready(Some(Err(fault)));
+        }
+        if is_last {
+            self.end(None);
+        }
+        Poll::Ready(data.map(Ok))
+    }
+
+    fn check_progress(&self, bytes_read: u64, is_last: bool) -> Result<(), InvalidRequest> {
+        if bytes_read > MAX_BODY_BYTES {
+            return Err(InvalidRequest::TooLong);
+        }
+        if is_last && self.length.is_some_and(|length| bytes_read != length) {
+            return Err(InvalidRequest::Length);
+        }
+        if is_last && self.client.has_excess_bytes(bytes_read) {
+            return Err(InvalidRequest::Length);
+        }
+        if !is_last && !is_fast_enough(self.started_at, bytes_read) {
+            return Err(InvalidRequest::BodyTimeout);
+        }
+        Ok(())
+    }
+}
+
+/// The next data that is not empty; `None` at the end. Trailers are not passed on.
+fn poll_nonempty_data(
+    body: &mut Incoming, cx: &mut Context<'_>,
+) -> Poll<Option<Result<Bytes, InvalidRequest>>> {
+    loop {
+        match ready!(Pin::new(&mut *body).poll_frame(cx)) {
+            Some(Ok(frame)) => match frame.into_data() {
+                Ok(data) if data.is_empty() => {}
+                Ok(data) => return Poll::Ready(Some(Ok(data))),
+                Err(_trailers) => {}
+            },
+            Some(Err(_)) => return Poll::Ready(Some(Err(InvalidRequest::Body))),
+            None => return Poll::Ready(None),
+        }
+    }
+}
