--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -160,12 +160,12 @@
     let file = folder.join("n0.state");
     let seed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64 | 1;
     println!("seed {seed}");
-    let mut dice = seed;
+    let mut rng = seed;
     let mut roll = |n: u64| {
-        dice ^= dice << 13;
-        dice ^= dice >> 7;
-        dice ^= dice << 17;
-        dice % n
+        rng ^= rng << 13;
+        rng ^= rng >> 7;
+        rng ^= rng << 17;
+        rng % n
     };
     let entries: Vec<String> =
         (0..4000).map(|i| entry(&format!("backend-{i:05}"), backend.address, "SERVING")).collect();
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -7,14 +7,14 @@
 )]
 
 use lotusdeck_testbed::campaign;
-use lotusdeck_testbed::drive::run::{play, Outcome};
+use lotusdeck_testbed::driver::run::{play, Outcome};
 use lotusdeck_testbed::experiment::Experiment;
 use lotusdeck_testbed::fleet::{self, Script, Way};
 use lotusdeck_testbed::ledger;
 use lotusdeck_testbed::oracle::Broken;
 use lotusdeck_testbed::report::figures::Figures;
-use lotusdeck_testbed::virt;
-use lotusdeck_testbed::virt::policy::Which;
+use lotusdeck_testbed::virtual_time;
+use lotusdeck_testbed::virtual_time::policy::PolicyChoice;
 use lotusdeck_testbed::world::plan::Plan;
 use std::ops::Range;
 use std::path::Path;
@@ -146,7 +146,7 @@
     let experiment = Experiment::parse("short", text).unwrap();
     let (seed, (real, played)) = first_verdict(&experiment, 31..34, "near", |plan, outcome| {
         let (real, _) = counted(plan, outcome)?;
-        Ok((real, Figures::of(plan, &virt::play(plan, Which::Halb).unwrap()).0))
+        Ok((real, Figures::of(plan, &virtual_time::play(plan, PolicyChoice::Halb).unwrap()).0))
     });
     let apart = (real.whole.part() - played.whole.part()).abs();
     assert!(
--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Experiment, ExperimentError, Trouble, What as Turn};
 use crate::fault_proxy::script::{Fault, Place, Way, What};
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 
 /// A deployment in which every path of a request is met within seconds. Connections are few, so that answers and
 /// their faults come on connections that are used again.
@@ -33,19 +33,19 @@
 /// It does not read as an experiment: a fault in this file.
 pub fn experiment(seed: u64) -> Result<Experiment, ExperimentError> {
     let mut e = Experiment::parse("campaign", BASE)?;
-    let mut dice = Dice::new(seed, "campaign");
+    let mut rng = Rng::new(seed, "campaign");
     e.seed = seed;
-    e.injury = (0..1 + dice.below(MOST)).map(|_| injury(&mut dice)).collect();
-    e.trouble = (0..dice.below(MOST)).map(|_| trouble(&mut dice, e.proxies)).collect();
+    e.injury = (0..1 + rng.below(MOST)).map(|_| injury(&mut rng)).collect();
+    e.trouble = (0..rng.below(MOST)).map(|_| trouble(&mut rng, e.proxies)).collect();
     Ok(e)
 }
 
-fn injury(dice: &mut Dice) -> Fault {
-    let way = if dice.unit() < 0.65 { Way::Down } else { Way::Up };
-    let place = [Place::Start, Place::Body, Place::Middle, Place::End][dice.below(4)];
-    let bytes = 1 + dice.below(9);
-    let ms = 1 + dice.below(if way == Way::Up { MOST_UP_MS as usize } else { 500 }) as u64;
-    let what = match dice.below(10) {
+fn injury(rng: &mut Rng) -> Fault {
+    let way = if rng.unit() < 0.65 { Way::Down } else { Way::Up };
+    let place = [Place::Start, Place::Body, Place::Middle, Place::End][rng.below(4)];
+    let bytes = 1 + rng.below(9);
+    let ms = 1 + rng.below(if way == Way::Up { MOST_UP_MS as usize } else { 500 }) as u64;
+    let what = match rng.below(10) {
         0 => What::HalfClose,
         1 => What::Cut,
         2 => What::Reset,
@@ -58,7 +58,7 @@
         _ if way == Way::Up => What::Stall { ms },
         7 => What::Flip { bytes },
         // Behind an answer lies what nobody asked for: it must never pass for the answer to the next request.
-        8 => What::Insert { text: BEHIND[dice.below(BEHIND.len())].into() },
+        8 => What::Insert { text: BEHIND[rng.below(BEHIND.len())].into() },
         // No longer than the first line: a body that a repeat of more has shifted is as long as it should be.
         _ => What::Repeat { bytes },
     };
@@ -69,11 +69,11 @@
     };
     Fault {
         connections: None,
-        part: 0.02 + 0.3 * dice.unit(),
+        part: 0.02 + 0.3 * rng.unit(),
         way,
         after_bytes: None,
         until_bytes: None,
-        message: Some(1 + dice.below(4) as u64),
+        message: Some(1 + rng.below(4) as u64),
         place: Some(fixed.unwrap_or(place)),
         after_ms: None,
         on: None,
@@ -82,7 +82,7 @@
     }
 }
 
-fn trouble(dice: &mut Dice, proxies: usize) -> Trouble {
+fn trouble(rng: &mut Rng, proxies: usize) -> Trouble {
     let turns = [
         Turn::Kill,
         Turn::Drain,
@@ -93,20 +93,20 @@
         Turn::RestartProxy,
         Turn::Reload,
     ];
-    let what = turns[dice.below(turns.len())];
+    let what = turns[rng.below(turns.len())];
     let backends = matches!(what, Turn::Kill | Turn::Drain | Turn::Slow | Turn::Hang);
     let proxy = matches!(what, Turn::KillProxy | Turn::RestartProxy | Turn::Reload);
     let lasts = !matches!(what, Turn::Drain | Turn::Reload);
     Trouble {
-        at_s: 0.3 + 1.7 * dice.unit(),
+        at_s: 0.3 + 1.7 * rng.unit(),
         what,
-        part: backends.then(|| 0.2 + 0.3 * dice.unit()),
+        part: backends.then(|| 0.2 + 0.3 * rng.unit()),
         kind: None,
         zone: None,
         who: None,
-        proxy: proxy.then(|| dice.below(proxies)),
-        for_s: lasts.then(|| 0.3 + 0.7 * dice.unit()),
-        factor: (what == Turn::Slow).then(|| 0.1 + 0.4 * dice.unit()),
+        proxy: proxy.then(|| rng.below(proxies)),
+        for_s: lasts.then(|| 0.3 + 0.7 * rng.unit()),
+        factor: (what == Turn::Slow).then(|| 0.1 + 0.4 * rng.unit()),
     }
 }
 
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -5,7 +5,7 @@
 
 pub use draw::experiment;
 
-use crate::drive::run::play;
+use crate::driver::run::play;
 use crate::experiment::{Effect, Experiment};
 use crate::oracle::{story, Broken};
 use crate::record::{How, What as Saw};
--- a/crates/testbed/src/crowd_cost.rs
+++ b/crates/testbed/src/crowd_cost.rs
@@ -1,8 +1,8 @@
 //! What a new connection costs a proxy whose places are all held by clients that sent part of a head and no more:
 //! processor time by the number of connections that it keeps.
 
-use crate::drive::proxies::Proxy;
-use crate::drive::run::RunError;
+use crate::driver::proxies::Proxy;
+use crate::driver::run::RunError;
 use crate::experiment::{Experiment, ExperimentError};
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
--- a/crates/testbed/src/drive/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -5,7 +5,7 @@
 use super::{Clock, Log};
 use crate::experiment::Effect;
 use crate::record::{body, TryId, What, LISTEN_ON};
-use crate::world::deal::Deal;
+use crate::world::dispatcher::RequestDispatcher;
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
 use lotusdeck_policy::{Micros, Time};
@@ -36,7 +36,7 @@
     clock: Clock,
     log: Log,
     fronts: RefCell<Vec<Front>>,
-    deal: RefCell<Deal>,
+    deal: RefCell<RequestDispatcher>,
     open: Cell<usize>,
     idle: Notify,
     /// How late first tries were sent, in microseconds.
@@ -59,7 +59,7 @@
     pub fn new(plan: Arc<Plan>, clock: Clock, log: Log, proxies: &[SocketAddr]) -> Rc<Clients> {
         let front = |address: &SocketAddr| Front { address: *address, idle: Vec::new(), shunned: Time(0) };
         let late = Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds in order");
-        let deal = Deal::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
+        let deal = RequestDispatcher::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
         Rc::new(Clients {
             plan,
             clock,
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -5,8 +5,8 @@
 use crate::report::compare::interval;
 use crate::report::figures::{Figures, Tally};
 use crate::session::{say, SessionError};
-use crate::virt::policy::Which;
-use crate::virt::{play, VirtualError};
+use crate::virtual_time::policy::PolicyChoice;
+use crate::virtual_time::{play, VirtualError};
 use crate::world::plan::Plan;
 use clap::ValueEnum;
 use indicatif::ProgressBar;
@@ -27,7 +27,7 @@
     experiments: Vec<PathBuf>,
     /// Policies; all where none is named.
     #[arg(long, value_enum, value_delimiter = ',')]
-    policies: Vec<Which>,
+    policies: Vec<PolicyChoice>,
     /// Seeds for each: the experiment's own and those behind it.
     #[arg(long, default_value_t = 8)]
     seeds: u64,
@@ -39,7 +39,7 @@
 /// The figures of one policy over all seeds, in the order of the seeds.
 pub struct Row {
     /// Which.
-    pub policy: Which,
+    pub policy: PolicyChoice,
     /// One a seed.
     pub runs: Vec<Figures>,
     /// Where worth was lost, one a seed.
@@ -51,11 +51,11 @@
 /// # Errors
 /// Where the experiment makes no settings for a proxy.
 pub fn rows(
-    experiment: &Experiment, policies: &[Which], seeds: u64, done: &(dyn Fn() + Sync),
+    experiment: &Experiment, policies: &[PolicyChoice], seeds: u64, done: &(dyn Fn() + Sync),
 ) -> Result<Vec<Row>, VirtualError> {
     let plans: Vec<Arc<Plan>> =
         (0..seeds).into_par_iter().map(|n| Arc::new(Plan::draw(experiment, experiment.seed + n))).collect();
-    let all: Vec<(Which, &Arc<Plan>)> =
+    let all: Vec<(PolicyChoice, &Arc<Plan>)> =
         policies.iter().flat_map(|w| plans.iter().map(move |p| (*w, p))).collect();
     let played: Vec<(Figures, Losses)> = all
         .par_iter()
@@ -76,7 +76,7 @@
 }
 
 /// The name by which a policy is asked for.
-pub fn name(which: Which) -> String {
+pub fn name(which: PolicyChoice) -> String {
     which.to_possible_value().map_or_else(String::new, |v| v.get_name().to_string())
 }
 
@@ -186,7 +186,7 @@
 /// # Errors
 /// An experiment at fault.
 pub fn main(args: &Args) -> Result<(), SessionError> {
-    let all = Which::value_variants().to_vec();
+    let all = PolicyChoice::value_variants().to_vec();
     let policies = if args.policies.is_empty() { all } else { args.policies.clone() };
     for path in &args.experiments {
         let experiment = Experiment::load(path)?;
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -3,9 +3,9 @@
 
 use super::run::Relay;
 use super::script::{Framing, Route, Script};
-use crate::drive::run::{allow, thread, RunError};
-use crate::drive::usage::Usage;
-use crate::drive::wire::listen;
+use crate::driver::run::{allow, thread, RunError};
+use crate::driver::usage::Usage;
+use crate::driver::wire::listen;
 use crate::overhead::{measure, median, Point, Seen};
 use crate::session::{say, SessionError};
 use std::net::SocketAddr;
--- a/crates/testbed/src/fault_proxy/links.rs
+++ b/crates/testbed/src/fault_proxy/links.rs
@@ -2,7 +2,7 @@
 //! others as its address. What happens to a datagram is drawn by seed, link and its number on that link, never by the
 //! order in which links are used.
 
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -125,11 +125,11 @@
             let Some(place) = wires.places.get(to).copied().flatten() else { continue };
             let link = wires.links.get(&(from, to)).copied().unwrap_or_default();
             let count = wires.counts.entry((from, to)).or_default();
-            let mut dice = Dice::new(seed, &format!("links/{from}/{to}/{}", count.0 + count.1));
-            let lost = dice.unit() < link.loss;
-            let copies = 1 + usize::from(dice.unit() < link.doubled);
-            let delay = |dice: &mut Dice| link.delay_ms + link.jitter_ms * dice.unit();
-            let copies: Vec<f64> = (0..copies).filter(|_| !lost).map(|_| delay(&mut dice)).collect();
+            let mut rng = Rng::new(seed, &format!("links/{from}/{to}/{}", count.0 + count.1));
+            let lost = rng.unit() < link.loss;
+            let copies = 1 + usize::from(rng.unit() < link.doubled);
+            let delay = |rng: &mut Rng| link.delay_ms + link.jitter_ms * rng.unit();
+            let copies: Vec<f64> = (0..copies).filter(|_| !lost).map(|_| delay(&mut rng)).collect();
             *count = (count.0 + u64::from(!lost), count.1 + u64::from(lost));
             (copies, place)
         };
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -12,7 +12,7 @@
 pub mod run;
 pub mod script;
 
-use crate::drive::wire::listen;
+use crate::driver::wire::listen;
 use crate::session::{say, SessionError};
 use run::Relay;
 use script::Script;
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -4,7 +4,7 @@
 use super::frame::{Framer, Mark};
 use super::plan::{Due, When};
 use super::script::{Framing, Way, What};
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 use std::collections::VecDeque;
 
 /// Bytes held at most before the sender is read no more.
@@ -62,7 +62,7 @@
     /// When the last piece goes out, and when a narrowed direction is free again.
     last: u64,
     free: u64,
-    latency: Option<(u64, u64, Dice)>,
+    latency: Option<(u64, u64, Rng)>,
     rate: Option<u64>,
     split: Option<usize>,
     /// Pieces that come within so long go out together; those of now go at this time.
@@ -222,7 +222,7 @@
         match what {
             What::Stall { ms } => self.hold = self.hold.max(now.saturating_add(us(ms))),
             What::Latency { ms, jitter_ms } => {
-                self.latency = Some((us(ms), us(jitter_ms), Dice::new(seed, "latency")))
+                self.latency = Some((us(ms), us(jitter_ms), Rng::new(seed, "latency")))
             }
             What::Bandwidth { bytes_per_s } => self.rate = Some(bytes_per_s),
             What::Split { bytes } => self.split = Some(bytes),
@@ -290,8 +290,8 @@
         let mut at = now.max(self.hold);
         if let Out::Bytes(bytes) = &out {
             self.held += bytes.len();
-            if let Some((least, more, dice)) = &mut self.latency {
-                at = at.saturating_add(*least).saturating_add((dice.unit() * *more as f64) as u64);
+            if let Some((least, more, rng)) = &mut self.latency {
+                at = at.saturating_add(*least).saturating_add((rng.unit() * *more as f64) as u64);
             }
             if let Some((span, until)) = &mut self.merge {
                 let due = until.filter(|due| now <= *due).unwrap_or(now.saturating_add(*span));
--- a/crates/testbed/src/fault_proxy/plan.rs
+++ b/crates/testbed/src/fault_proxy/plan.rs
@@ -2,7 +2,7 @@
 //! connection, never by the order in which connections come, so that the same seed always gives the same plan.
 
 use super::script::{Fault, Place, Script, Way, What};
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -41,19 +41,19 @@
     let Some(from) = script.route.get(route) else { return Vec::new() };
     let one = |(index, fault): (usize, &Fault)| {
         // A stream for each fault: another one beside it leaves its draws as they were.
-        let mut dice = Dice::new(script.seed, &format!("relay/{}/{connection}/{index}", from.name));
+        let mut rng = Rng::new(script.seed, &format!("relay/{}/{connection}/{index}", from.name));
         let meant = fault.connections.as_ref().is_none_or(|c| c.contains(&connection));
-        if dice.unit() >= fault.part || !meant {
+        if rng.unit() >= fault.part || !meant {
             return None;
         }
         let byte = fault.after_bytes.map(|least| {
             let span = fault.until_bytes.map_or(0, |most| most - least);
-            When::Byte(least + (dice.unit() * (span + 1) as f64) as u64)
+            When::Byte(least + (rng.unit() * (span + 1) as f64) as u64)
         });
         let message = fault.message.map(|n| When::Message(n, fault.place.unwrap_or_default()));
         let time = fault.after_ms.map(|ms| When::After(ms.saturating_mul(1000)));
         let when = byte.or(message).or(time).or(fault.on.clone().map(When::Word))?;
-        let seed = (dice.unit() * (1u64 << 53) as f64) as u64;
+        let seed = (rng.unit() * (1u64 << 53) as f64) as u64;
         Some(Due { index, way: fault.way, when, gives: fault.gives.clone(), what: fault.what.clone(), seed })
     };
     from.fault.iter().enumerate().filter_map(one).collect()
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -3,7 +3,7 @@
 use super::pipe::{Out, Pipe};
 use super::plan::{draw, Due};
 use super::script::{Route, Script, Way};
-use crate::drive::wire::listen;
+use crate::driver::wire::listen;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet rig: several real processes of the program, behind the lab's relay, lose power or restart together, once
 //! blank and once with the lists that they kept on disk (docs/recovery.md); seeds in turn, both ways interleaved.
 
-use crate::drive::run::{play, Outcome};
+use crate::driver::run::{play, Outcome};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::record::What;
 use crate::report::figures::Figures;
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,13 +1,13 @@
 //! The ledger against the truth: kills under load, compared with what the stand-ins saw; and what it costs alone.
 
-use crate::drive::run::{self, Outcome};
+use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, What as Happens};
 use crate::oracle::{judge, story};
 use crate::record::{seconds, How, TryId, What};
 use crate::report::figures::Spread;
 use crate::session::{program, say, SessionError};
-use crate::world::dice::Dice;
 use crate::world::plan::Plan;
+use crate::world::rng::Rng;
 use hdrhistogram::Histogram;
 use indicatif::ProgressBar;
 use lotusdeck_ledger::{Disk, End, Fate, Folder, History, Mode, OnFailure, Options, Record, Verdict, Writer};
@@ -58,7 +58,7 @@
          discovery = {{ lag_ms = 100.0, detect_ms = 300.0 }}\n"
     );
     let mut experiment = Experiment::parse("ledger-soak", &text)?;
-    let mut dice = Dice::new(seed, "kills");
+    let mut rng = Rng::new(seed, "kills");
     let mut at = 0.5;
     let one = |what, at_s, for_s, proxy, part| Trouble {
         at_s,
@@ -76,7 +76,7 @@
         if n % 5 == 2 {
             experiment.trouble.push(one(Happens::Kill, at + 0.1, 0.2, None, Some(0.1)));
         }
-        at += BETWEEN.0 + (BETWEEN.1 - BETWEEN.0) * dice.unit();
+        at += BETWEEN.0 + (BETWEEN.1 - BETWEEN.0) * rng.unit();
     }
     experiment.duration_s = at + 0.5;
     Ok(experiment)
@@ -373,7 +373,7 @@
     let read = began.elapsed().as_secs_f64();
     let count = all.requests().len();
     let whole = began.elapsed().as_secs_f64();
-    let memory = crate::drive::usage::Usage::of(std::process::id()).map_or(0, |u| u.memory);
+    let memory = crate::driver::usage::Usage::of(std::process::id()).map_or(0, |u| u.memory);
     say(&format!(
         "all read back in {read:.2} s, {count} requests concluded in {whole:.2} s, {} MB in memory\n",
         memory >> 20
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub mod campaign;
 pub mod crowd_cost;
-pub mod drive;
+pub mod driver;
 pub mod duel;
 pub mod experiment;
 pub mod fault_proxy;
@@ -30,5 +30,5 @@
 pub mod scale;
 pub mod session;
 pub mod swings;
-pub mod virt;
+pub mod virtual_time;
 pub mod world;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -13,7 +13,7 @@
 )]
 
 use clap::{Parser, Subcommand};
-use lotusdeck_testbed::drive;
+use lotusdeck_testbed::driver;
 use lotusdeck_testbed::experiment::Experiment;
 use lotusdeck_testbed::report::compare;
 use lotusdeck_testbed::report::figures::Figures;
@@ -153,7 +153,7 @@
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
             let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, drive::relay::run(listen, to)).map_err(fault)?;
+            local.block_on(&runtime, driver::relay::run(listen, to)).map_err(fault)?;
             Ok(true)
         }
         Command::Compare { a, b } => {
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,11 +1,11 @@
 //! What a proxy costs: the same load direct, through a plain byte relay, and through lotusdeck, interleaved.
 
-use crate::drive::discovery::Service;
-use crate::drive::proxies::Proxy;
-use crate::drive::run::{thread, RunError};
-use crate::drive::usage::Usage;
-use crate::drive::wire::{listen, Link};
-use crate::drive::{Clock, Log};
+use crate::driver::discovery::Service;
+use crate::driver::proxies::Proxy;
+use crate::driver::run::{thread, RunError};
+use crate::driver::usage::Usage;
+use crate::driver::wire::{listen, Link};
+use crate::driver::{Clock, Log};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
--- a/crates/testbed/src/paper.rs
+++ b/crates/testbed/src/paper.rs
@@ -4,7 +4,7 @@
 
 use crate::report::plot::{self, Field, Line};
 use crate::session::{say, SessionError};
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 use crate::world::station::{Build, Station};
 use lotusdeck_policy::{halb_shares, Micros, Time};
 use rayon::prelude::*;
@@ -51,7 +51,7 @@
 /// With the error of the mean, by batches of jobs.
 pub fn simulate(kinds: &Kinds, shares: &[f64], rate: f64, jobs: usize, seed: u64) -> (f64, f64) {
     const BATCHES: usize = 20;
-    let mut dice = Dice::new(seed, "paper");
+    let mut rng = Rng::new(seed, "paper");
     let build = |speed: f64| Build {
         cores: 1.0,
         speed,
@@ -72,16 +72,16 @@
     let unit = 1e3;
     let (mut now, mut ended) = (0.0, Vec::new());
     for job in 0..jobs {
-        now += dice.exponential(1.0 / rate);
+        now += rng.exponential(1.0 / rate);
         let at = Time((now * unit * 1e6) as u64);
-        let server = dice.weighted(&weights);
+        let server = rng.weighted(&weights);
         ended.clear();
         stations[server].due(at, &mut ended);
         ended
             .iter()
             .for_each(|(end, job)| took[*job as usize] = end.0 as f64 / unit / 1e6 - came[*job as usize]);
         came.push(now);
-        stations[server].bring(at, job as u64, dice.exponential(unit));
+        stations[server].bring(at, job as u64, rng.exponential(unit));
     }
     ended.clear();
     stations.iter_mut().for_each(|s| s.due(Time(u64::MAX / 2), &mut ended));
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -3,7 +3,7 @@
 
 use super::server::{Chance, Committed, Server};
 use super::{front, Front, PASSWORD};
-use crate::drive::run::{thread, RunError};
+use crate::driver::run::{thread, RunError};
 use crate::overhead::{interleave, median, start_relay, Rounds, Seen, Way};
 use crate::session::{program, say, SessionError};
 use std::fmt::Write;
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -6,11 +6,11 @@
 
 pub use cost::{main as cost, Cost};
 
-use crate::drive::discovery::Service;
-use crate::drive::proxies::Proxy;
-use crate::drive::run::RunError;
-use crate::drive::wire::Reserved;
-use crate::drive::{Clock, Log};
+use crate::driver::discovery::Service;
+use crate::driver::proxies::Proxy;
+use crate::driver::run::RunError;
+use crate::driver::wire::Reserved;
+use crate::driver::{Clock, Log};
 use crate::experiment::Experiment;
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
--- a/crates/testbed/src/postgres/server.rs
+++ b/crates/testbed/src/postgres/server.rs
@@ -1,8 +1,8 @@
 //! A model of a server of the PostgreSQL protocol (version 3; PostgreSQL documentation, "Message Formats"). It keeps a log
 //! of what was committed, dies at moments drawn by chance, and comes back on the same port.
 
-use crate::drive::wire::Reserved;
-use crate::world::dice::Dice;
+use crate::driver::wire::Reserved;
+use crate::world::rng::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
     place: Reserved,
     chance: Chance,
     committed: Committed,
-    dice: RefCell<Dice>,
+    rng: RefCell<Rng>,
     dies: Notify,
     deaths: Cell<usize>,
 }
@@ -76,9 +76,9 @@
     pub(super) fn new(
         number: usize, chance: Chance, committed: Committed, seed: u64,
     ) -> std::io::Result<Rc<Server>> {
-        let dice = RefCell::new(Dice::new(seed, &format!("postgres {number}")));
+        let rng = RefCell::new(Rng::new(seed, &format!("postgres {number}")));
         let (place, dies, deaths) = (Reserved::take(None)?, Notify::new(), Cell::new(0));
-        Ok(Rc::new(Server { number, place, chance, committed, dice, dies, deaths }))
+        Ok(Rc::new(Server { number, place, chance, committed, rng, dies, deaths }))
     }
 
     /// Where it listens.
@@ -120,14 +120,14 @@
             }
             self.deaths.set(self.deaths.get() + 1);
             drop((listener, sessions));
-            let away = self.dice.borrow_mut().exponential(self.chance.away);
+            let away = self.rng.borrow_mut().exponential(self.chance.away);
             tokio::time::sleep(Duration::from_secs_f64(away)).await;
         }
     }
 
     /// Dies here, with that chance: nothing of this session happens any more.
     async fn perhaps_die(&self, chance: f64) {
-        if self.dice.borrow_mut().unit() < chance {
+        if self.rng.borrow_mut().unit() < chance {
             self.dies.notify_one();
             std::future::pending::<()>().await;
         }
@@ -196,7 +196,7 @@
                 _ => {}
             }
             if matches!(kind, b'Q' | b'S') {
-                if self.dice.borrow_mut().unit() < self.chance.halfway {
+                if self.rng.borrow_mut().unit() < self.chance.halfway {
                     tcp.write_all(&out).await?;
                     self.perhaps_die(1.0).await;
                 }
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -1,6 +1,6 @@
 //! Where worth is lost: each arrival that earned less than its worth, by cause, from what the stand-ins saw.
 
-use crate::drive::run::Outcome;
+use crate::driver::run::Outcome;
 use crate::record::{How, What};
 use crate::world::backend::Health;
 use crate::world::plan::{Act, Plan};
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,6 +1,6 @@
 //! Figures of a run, from what the stand-ins saw.
 
-use crate::drive::run::{Outcome, Sample};
+use crate::driver::run::{Outcome, Sample};
 use crate::oracle::{judge, lost_with_proxies, Broken};
 use crate::record::{How, What};
 use crate::world::plan::Plan;
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -3,7 +3,7 @@
 use super::figures::{Figures, Tally};
 use super::plot::COLORS;
 use super::table::table;
-use crate::drive::run::{told, Sample};
+use crate::driver::run::{told, Sample};
 use crate::world::plan::Plan;
 use plotters::coord::Shift;
 use plotters::prelude::*;
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -1,6 +1,6 @@
 //! Whether proxies swing together: how a kind's share of the traffic moves, beyond chance, and in what period.
 
-use crate::drive::run::Outcome;
+use crate::driver::run::Outcome;
 use crate::record::What;
 use crate::world::plan::Plan;
 use lotusdeck_policy::Micros;
--- a/crates/testbed/src/report/swing/tests.rs
+++ b/crates/testbed/src/report/swing/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 
 /// A wave is found with its period; chance alone stays below the mark.
 #[test]
 fn a_period_is_found_and_chance_is_not() {
-    let mut dice = Dice::new(4, "swing");
-    let noise: Vec<f64> = (0..300).map(|_| dice.unit()).collect();
+    let mut rng = Rng::new(4, "swing");
+    let noise: Vec<f64> = (0..300).map(|_| rng.unit()).collect();
     assert_eq!(strongest(&noise), None);
     let wave = |(t, x): (usize, &f64)| x + 0.5 * (std::f64::consts::TAU * t as f64 / 20.0).sin();
     let waved: Vec<f64> = noise.iter().enumerate().map(wave).collect();
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -3,7 +3,7 @@
 
 use super::document;
 use super::experiment::Capacity;
-use crate::drive::wire::{listen, Link, Stir};
+use crate::driver::wire::{listen, Link, Stir};
 use crate::world::discovery::Status;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -2,8 +2,8 @@
 
 use super::directory::Change;
 use super::experiment::Churn;
-use crate::world::dice::Dice;
 use crate::world::discovery::Status;
+use crate::world::rng::Rng;
 use std::hash::Hasher;
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
@@ -22,10 +22,10 @@
 
 /// Restarts of single backends, drawn evenly, one after the other.
 pub fn restarts(churn: &Churn, backends: usize, seed: u64) -> Vec<Event> {
-    let mut dice = Dice::new(seed, "scale restarts");
+    let mut rng = Rng::new(seed, "scale restarts");
     let every = 1.0 / churn.restarts_per_s;
     let restart = |number: usize| {
-        let backend = dice.below(backends);
+        let backend = rng.below(backends);
         STAGES.iter().enumerate().map(move |(stage, status)| {
             let at = (number as f64 + stage as f64 / STAGES.len() as f64) * every;
             let changes = vec![Change { backend, status: *status }];
@@ -37,7 +37,7 @@
 
 /// The backends of a group that goes at once; as many as there are, where it is larger.
 pub fn group(count: usize, backends: usize, seed: u64) -> Vec<usize> {
-    Dice::new(seed, "scale group").some(backends, count)
+    Rng::new(seed, "scale group").some(backends, count)
 }
 
 /// The same change for all of them.
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -2,7 +2,7 @@
 //! that a pause of the proxy shows in every request that fell into it.
 
 use super::document;
-use crate::drive::wire::Link;
+use crate::driver::wire::Link;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -70,7 +70,7 @@
     Late(String),
     /// Descriptors cannot be had.
     #[error(transparent)]
-    Descriptors(#[from] crate::drive::run::RunError),
+    Descriptors(#[from] crate::driver::run::RunError),
     /// Generated settings were not accepted.
     #[error("settings: {0}")]
     Settings(String),
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,9 +1,9 @@
 //! Real processes of the program under a scale experiment: start, new settings, and what they use.
 
 use super::document::{self, Place, Size};
-use crate::drive::proxies::call;
-use crate::drive::usage::Usage;
-use crate::drive::wire::Reserved;
+use crate::driver::proxies::call;
+use crate::driver::usage::Usage;
+use crate::driver::wire::Reserved;
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/scale/proxies.rs
+++ b/crates/testbed/src/scale/proxies.rs
@@ -7,7 +7,7 @@
 use super::record::{quantile, Gathered, Metric};
 use super::stand_ins::{Hollow, StandIns};
 use super::{Rig, ScaleRunError};
-use crate::drive::run::allow;
+use crate::driver::run::allow;
 use crate::world::discovery::Status;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -8,7 +8,7 @@
 use super::record::{quantile, Gathered, Metric};
 use super::stand_ins::StandIns;
 use super::{Rig, ScaleRunError};
-use crate::drive::run::thread;
+use crate::driver::run::thread;
 use lotusdeck_policy::settings::{IdsInUse, Names, Settings};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/testbed/src/scale/stand_ins.rs
+++ b/crates/testbed/src/scale/stand_ins.rs
@@ -5,7 +5,7 @@
 use super::events::Event;
 use super::experiment::Capacity;
 use super::{hollow, ScaleRunError};
-use crate::drive::run::thread;
+use crate::driver::run::thread;
 use crate::overhead::answering_backends;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -3,7 +3,7 @@
 use super::experiment::AxisPlan;
 use super::record::{Gathered, Metric};
 use super::Rig;
-use crate::world::dice::Dice;
+use crate::world::rng::Rng;
 use lotusdeck_fleet::{Identity, Node, NodeConfig, Seed};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -57,7 +57,7 @@
     nodes: Vec<Node>,
     now: Duration,
     wire: BinaryHeap<Datagram>,
-    dice: Dice,
+    rng: Rng,
     sent: u64,
     bytes: u64,
     spent: Duration,
@@ -91,7 +91,7 @@
             nodes: (0..members).map(node).collect(),
             now,
             wire: BinaryHeap::new(),
-            dice: Dice::new(seed, "scale talk"),
+            rng: Rng::new(seed, "scale talk"),
             sent: 0,
             bytes: 0,
             spent: Duration::ZERO,
@@ -149,7 +149,7 @@
             let to = usize::from(to.port() - FIRST_PORT);
             self.bytes += bytes.len() as u64;
             self.sent += 1;
-            let at = self.now.as_micros() as u64 + (self.dice.unit() * DELAY_S * 1e6) as u64;
+            let at = self.now.as_micros() as u64 + (self.rng.unit() * DELAY_S * 1e6) as u64;
             self.wire.push(Reverse((at, self.sent, to, bytes)));
         }
     }
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -1,13 +1,13 @@
 //! A session at the lab: an experiment played so many times, its results in a folder.
 
-use crate::drive::run::{self, RunError};
+use crate::driver::run::{self, RunError};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::fault_proxy::script::ScriptError;
 use crate::oracle::{story, MOST_TOLD};
 use crate::report::figures::Figures;
 use crate::report::{page, table};
-use crate::virt::policy::Which;
-use crate::virt::{self, VirtualError};
+use crate::virtual_time::policy::PolicyChoice;
+use crate::virtual_time::{self, VirtualError};
 use crate::world::plan::Plan;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::Write;
@@ -63,8 +63,8 @@
     #[arg(long = "virtual")]
     pub virtual_time: bool,
     /// Another policy than the product's, in virtual time only.
-    #[arg(long, value_enum, default_value_t = Which::Halb, requires = "virtual_time")]
-    pub policy: Which,
+    #[arg(long, value_enum, default_value_t = PolicyChoice::Halb, requires = "virtual_time")]
+    pub policy: PolicyChoice,
     /// The lotusdeck to play; the one beside this program, or the one that cargo builds, where absent.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
@@ -150,7 +150,7 @@
             }
         };
         let outcome = match options.virtual_time {
-            true => virt::play(&plan, options.policy)?,
+            true => virtual_time::play(&plan, options.policy)?,
             false => runtime.block_on(run::play(plan.clone(), &program, &place, &progress))?,
         };
         bar.finish_and_clear();
--- a/crates/testbed/src/swings.rs
+++ b/crates/testbed/src/swings.rs
@@ -5,8 +5,8 @@
 use crate::report::plot::{self, Field, Line};
 use crate::report::swing::{swings, Swing, BIN};
 use crate::session::{say, SessionError};
-use crate::virt::play;
-use crate::virt::policy::Which;
+use crate::virtual_time::play;
+use crate::virtual_time::policy::PolicyChoice;
 use crate::world::plan::Plan;
 use indicatif::ProgressBar;
 use rayon::prelude::*;
@@ -21,7 +21,7 @@
     experiment: PathBuf,
     /// Policies.
     #[arg(long, value_enum, value_delimiter = ',', default_value = "halb,true-halb,peak-ewma")]
-    policies: Vec<Which>,
+    policies: Vec<PolicyChoice>,
     /// Seeds for each; the first one is plotted.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
@@ -40,7 +40,7 @@
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let experiment = Experiment::load(&args.experiment)?;
     let bar = ProgressBar::new(args.seeds * args.policies.len() as u64);
-    let one = |which: Which, seed: u64| -> Result<Vec<Swing>, SessionError> {
+    let one = |which: PolicyChoice, seed: u64| -> Result<Vec<Swing>, SessionError> {
         let plan = Arc::new(Plan::draw(&experiment, experiment.seed + seed));
         let outcome = play(&plan, which)?;
         bar.inc(1);
--- a/crates/testbed/src/virt/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::proxy::Proxy;
 use super::{Simulation, VirtualError, ONE_WAY};
-use crate::drive::run::told;
+use crate::driver::run::told;
 use crate::record::{Turn, What};
 use crate::world::backend::Health;
 use crate::world::discovery::Status;
--- a/crates/testbed/src/virt/rivals.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -1,8 +1,8 @@
 //! Textbook policies, to be played against the module on the same arrivals and troubles. They keep the rules on
 //! repeats and drains, and know nothing of ramps, crowds or worth.
 
-use super::policy::{Policy, Sight};
-use crate::world::dice::Dice;
+use super::policy::{GlobalView, Policy};
+use crate::world::rng::Rng;
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -37,10 +37,10 @@
 }
 
 /// One proxy's rival policy.
-pub(super) struct Rival {
+pub(super) struct BaselinePolicy {
     choice: Choice,
     config: Config,
-    dice: Dice,
+    rng: Rng,
     ready: Vec<BackendId>,
     listed: BTreeMap<BackendId, bool>,
     cordoned: Vec<BackendId>,
@@ -49,13 +49,13 @@
     turn: usize,
 }
 
-impl Rival {
+impl BaselinePolicy {
     /// One that knows nothing yet.
-    pub(super) fn new(choice: Choice, config: Config, seed: u64) -> Rival {
-        let dice = Dice::new(seed, "rival");
+    pub(super) fn new(choice: Choice, config: Config, seed: u64) -> BaselinePolicy {
+        let rng = Rng::new(seed, "rival");
         let (ready, listed, cordoned) = (Vec::new(), BTreeMap::new(), Vec::new());
         let (peers, open) = (HashMap::new(), HashMap::new());
-        Rival { choice, config, dice, ready, listed, cordoned, peers, open, turn: 0 }
+        BaselinePolicy { choice, config, rng, ready, listed, cordoned, peers, open, turn: 0 }
     }
 
     fn list(&mut self) {
@@ -63,7 +63,7 @@
         self.ready = self.listed.iter().filter_map(may).collect();
     }
 
-    fn draw(&mut self, tried: &[BackendId], sight: Sight) -> Option<BackendId> {
+    fn draw(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
         let fresh: Vec<BackendId>;
         let from: &[BackendId] = if tried.is_empty() {
             &self.ready
@@ -79,8 +79,8 @@
             let p = self.peers.get(b);
             p.map_or(EWMA_START, |p| p.ewma.max(EWMA_START) * f64::from(p.held + 1))
         };
-        let dice = &mut self.dice;
-        let two = [from[dice.below(from.len())], from[dice.below(from.len())]];
+        let rng = &mut self.rng;
+        let two = [from[rng.below(from.len())], from[rng.below(from.len())]];
         Some(match &self.choice {
             Choice::Random => two[0],
             Choice::RoundRobin => {
@@ -89,7 +89,7 @@
             }
             Choice::LeastOutstanding => {
                 // Ties are broken at random, or all proxies would go the same way.
-                let start = self.dice.below(from.len());
+                let start = self.rng.below(from.len());
                 let order = (0..from.len()).map(|i| from[(start + i) % from.len()]);
                 order.min_by_key(held)?
             }
@@ -110,23 +110,23 @@
             Choice::Weighted(weights) => {
                 let own: Vec<f64> =
                     from.iter().map(|b| weights.get(b.0 as usize).copied().unwrap_or(0.0)).collect();
-                from[self.dice.weighted(&own)]
+                from[self.rng.weighted(&own)]
             }
             Choice::Oracle => {
-                let load = |b: &BackendId| sight.get(b.0 as usize).copied().unwrap_or(f64::INFINITY);
+                let load = |b: &BackendId| global_view.get(b.0 as usize).copied().unwrap_or(f64::INFINITY);
                 *from.iter().min_by(|a, b| load(a).total_cmp(&load(b)))?
             }
         })
     }
 
     /// Sends a request, or ends it where it may not or cannot be sent again.
-    fn send(&mut self, now: Time, id: RequestId, sight: Sight, actions: &mut Vec<Action>) {
+    fn send(&mut self, now: Time, id: RequestId, global_view: GlobalView, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
         let may = (free || !open.ran) && tried.len() < self.config.max_attempts as usize;
         let harmless = free || !open.ran;
-        match if may { self.draw(&tried, sight) } else { None } {
+        match if may { self.draw(&tried, global_view) } else { None } {
             Some(backend) => {
                 self.peers.entry(backend).or_default().held += 1;
                 if let Some(open) = self.open.get_mut(&id) {
@@ -153,8 +153,8 @@
     }
 }
 
-impl Policy for Rival {
-    fn handle(&mut self, now: Time, event: Event, sight: Sight, actions: &mut Vec<Action>) {
+impl Policy for BaselinePolicy {
+    fn handle(&mut self, now: Time, event: Event, global_view: GlobalView, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { update, backends } => {
                 if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
@@ -170,7 +170,7 @@
             Event::ConfigApplied { config, .. } => self.config = *config,
             Event::Request(a) => {
                 self.open.insert(a.request, Open { class: a.class.0, tried: Vec::new(), ran: false });
-                self.send(now, a.request, sight, actions);
+                self.send(now, a.request, global_view, actions);
             }
             Event::AttemptEnded(end) => {
                 let Some(open) = self.open.get_mut(&end.request) else { return };
@@ -186,7 +186,7 @@
                     self.open.remove(&end.request);
                     actions.push(Action::Fail { request: end.request });
                 } else {
-                    self.send(now, end.request, sight, actions);
+                    self.send(now, end.request, global_view, actions);
                 }
             }
             Event::ClientDisconnected { request } => {
--- a/crates/testbed/src/virt/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -7,6 +7,7 @@
 
 mod acts;
 mod backends;
+mod baseline_policies;
 mod clients;
 mod discovery;
 mod event;
@@ -14,23 +15,22 @@
 pub mod policy;
 mod proxies;
 mod proxy;
-mod rivals;
 
-use crate::drive::proxies::configuration;
-use crate::drive::run::Outcome as Ran;
+use crate::driver::proxies::configuration;
+use crate::driver::run::Outcome as Ran;
 use crate::record::{Record, TryId, Turn, What, LISTEN_ON};
 use crate::world::backend::Backend;
-use crate::world::deal::Deal;
-use crate::world::dice::Dice;
 use crate::world::discovery::Discovery;
+use crate::world::dispatcher::RequestDispatcher;
 use crate::world::plan::Plan;
+use crate::world::rng::Rng;
 use crate::world::station::Ticket;
 use clients::WaitingClient;
 use event::{Event, EventQueue, SentAttempt};
 use hdrhistogram::Histogram;
 use lotusdeck_policy::settings::{Faults, Settings};
 use lotusdeck_policy::{ConfigError, ListUpdate, Micros, Time};
-use policy::Which;
+use policy::PolicyChoice;
 use proxy::Proxy;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -69,16 +69,16 @@
     /// When discovery is through with the calls that it has.
     calls_end: Time,
     proxies: Vec<Proxy>,
-    which: Which,
+    which: PolicyChoice,
     /// Clients whose try is at a proxy.
     waiting: HashMap<TryId, WaitingClient>,
-    deal: Deal,
+    deal: RequestDispatcher,
     /// Until when clients open no connection to each proxy.
     shunned: Vec<Time>,
     records: Vec<Record>,
-    dice: Dice,
-    /// What a policy that sees everything looks at: see [`policy::Sight`].
-    sight: Vec<f64>,
+    rng: Rng,
+    /// What a policy that sees everything looks at: see [`policy::GlobalView`].
+    global_view: Vec<f64>,
     /// Attempts out at each proxy, round by round, the oldest first: what is told is so old.
     gossip: VecDeque<Vec<f64>>,
 }
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// Where the experiment makes no settings for a proxy.
-pub fn play(plan: &Arc<Plan>, which: Which) -> Result<Ran, VirtualError> {
+pub fn play(plan: &Arc<Plan>, which: PolicyChoice) -> Result<Ran, VirtualError> {
     let mut simulation = Simulation::new(plan, which)?;
     simulation.run()?;
     let late = Histogram::new(2).expect("two digits");
@@ -103,7 +103,7 @@
 
 impl Simulation<'_> {
     /// All as it is before anything happens.
-    fn new(plan: &Plan, which: Which) -> Result<Simulation<'_>, VirtualError> {
+    fn new(plan: &Plan, which: PolicyChoice) -> Result<Simulation<'_>, VirtualError> {
         let settings = proxy_settings(plan)?;
         let mut proxies = Vec::new();
         for (proxy, own) in settings.iter().enumerate() {
@@ -126,11 +126,11 @@
             proxies,
             which,
             waiting: HashMap::new(),
-            deal: Deal::new(experiment.proxies, experiment.clients.skew, plan.seed),
+            deal: RequestDispatcher::new(experiment.proxies, experiment.clients.skew, plan.seed),
             shunned: vec![Time(0); experiment.proxies],
             records: Vec::new(),
-            dice: Dice::new(plan.seed, "virtual"),
-            sight: vec![0.0; count],
+            rng: Rng::new(plan.seed, "virtual"),
+            global_view: vec![0.0; count],
             gossip: VecDeque::new(),
         })
     }
--- a/crates/testbed/src/virt/policy.rs
+++ b/crates/testbed/src/virtual_time/policy.rs
@@ -1,6 +1,6 @@
 //! What chooses in a run in virtual time: the real decision module, or a rival that the product never holds.
 
-use super::rivals::{Choice, Rival};
+use super::baseline_policies::{BaselinePolicy, Choice};
 use crate::world::plan::Plan;
 use lotusdeck_policy::settings::Settings;
 use lotusdeck_policy::{Action, Balancer, ConfigError, Event, Time};
@@ -8,12 +8,12 @@
 
 /// What a policy that sees everything may look at: for each backend the seconds of work that it holds, over its
 /// present speed; infinite where it serves nothing.
-pub type Sight<'a> = &'a [f64];
+pub type GlobalView<'a> = &'a [f64];
 
 /// One proxy's decisions.
 pub trait Policy {
     /// Takes one event and adds the actions it calls for.
-    fn handle(&mut self, now: Time, event: Event, sight: Sight, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Time, event: Event, global_view: GlobalView, actions: &mut Vec<Action>);
     /// It looks at the sight: reckoning that costs a walk over the fleet.
     fn sees(&self) -> bool {
         false
@@ -21,7 +21,7 @@
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Time, event: Event, _: Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Time, event: Event, _: GlobalView, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
 }
@@ -29,7 +29,7 @@
 /// Which policy plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
-pub enum Which {
+pub enum PolicyChoice {
     /// The product's own module: HALB, learning as it goes.
     #[default]
     Halb,
@@ -51,26 +51,26 @@
     Oracle,
 }
 
-impl Which {
+impl PolicyChoice {
     /// One proxy's instance.
     ///
     /// # Errors
     /// Where the module does not take the settings.
     pub fn build(self, settings: &Settings, plan: &Plan, seed: u64) -> Result<Box<dyn Policy>, ConfigError> {
         let choice = match self {
-            Which::Halb => return Ok(Box::new(Balancer::new(settings.config.clone(), seed)?)),
-            Which::Random => Choice::Random,
-            Which::RoundRobin => Choice::RoundRobin,
-            Which::LeastOutstanding => Choice::LeastOutstanding,
-            Which::TwoChoices => Choice::TwoChoices,
-            Which::PeakEwma => Choice::PeakEwma,
-            Which::TrueSpeed => {
+            PolicyChoice::Halb => return Ok(Box::new(Balancer::new(settings.config.clone(), seed)?)),
+            PolicyChoice::Random => Choice::Random,
+            PolicyChoice::RoundRobin => Choice::RoundRobin,
+            PolicyChoice::LeastOutstanding => Choice::LeastOutstanding,
+            PolicyChoice::TwoChoices => Choice::TwoChoices,
+            PolicyChoice::PeakEwma => Choice::PeakEwma,
+            PolicyChoice::TrueSpeed => {
                 Choice::Weighted(plan.fleet.iter().map(|b| b.build.cores * b.build.speed).collect())
             }
-            Which::TrueHalb => Choice::Weighted(true_halb(plan)),
-            Which::Oracle => Choice::Oracle,
+            PolicyChoice::TrueHalb => Choice::Weighted(true_halb(plan)),
+            PolicyChoice::Oracle => Choice::Oracle,
         };
-        Ok(Box::new(Rival::new(choice, settings.config.clone(), seed)))
+        Ok(Box::new(BaselinePolicy::new(choice, settings.config.clone(), seed)))
     }
 }
 
--- a/crates/testbed/src/virt/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -25,7 +25,7 @@
             self.look();
         }
         let mut wishes = Vec::new();
-        self.proxies[proxy].pump(module_time(self.now), &self.sight, &mut wishes);
+        self.proxies[proxy].pump(module_time(self.now), &self.global_view, &mut wishes);
         for wish in wishes {
             self.carry_out(proxy, wish);
         }
@@ -33,10 +33,10 @@
 
     /// Brings what policies may look at up to now.
     fn look(&mut self) {
-        for (sight, backend) in self.sight.iter_mut().zip(&self.backends) {
+        for (global_view, backend) in self.global_view.iter_mut().zip(&self.backends) {
             let serves = backend.health == Health::Up;
             let speed = backend.capacity(self.now);
-            *sight = if serves { (backend.held().0 as f64 + 1.0) / speed } else { f64::INFINITY };
+            *global_view = if serves { (backend.held().0 as f64 + 1.0) / speed } else { f64::INFINITY };
         }
     }
 
@@ -93,7 +93,7 @@
         }
         self.proxies[proxy].sent(key, ticket);
         let life = self.proxies[proxy].life();
-        let jitter = Micros(self.dice.exponential(ONE_WAY.0 as f64 / 2.0) as u64);
+        let jitter = Micros(self.rng.exponential(ONE_WAY.0 as f64 / 2.0) as u64);
         let attempt = SentAttempt { proxy, life, key, id };
         self.after(Micros(ONE_WAY.0 + jitter.0), Event::Reach { attempt, backend, ticket });
     }
--- a/crates/testbed/src/virt/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -1,6 +1,6 @@
 //! A proxy in virtual time: what the core does on sockets, without them.
 
-use super::policy::{Policy, Sight, Which};
+use super::policy::{GlobalView, Policy, PolicyChoice};
 use crate::record::TryId;
 use crate::world::plan::Plan;
 use crate::world::station::Ticket;
@@ -60,7 +60,7 @@
 
 impl Proxy {
     pub(super) fn new(
-        number: usize, settings: &Settings, plan: &Plan, which: Which, life: u32,
+        number: usize, settings: &Settings, plan: &Plan, which: PolicyChoice, life: u32,
     ) -> Result<Proxy, ConfigError> {
         let own = settings.clone();
         let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(life) << 48;
@@ -217,13 +217,13 @@
     }
 
     /// Passes all events on and tells what is asked for.
-    pub(super) fn pump(&mut self, now: Time, sight: Sight, wishes: &mut Vec<Stage>) {
+    pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, wishes: &mut Vec<Stage>) {
         for request in std::mem::take(&mut self.served) {
             self.finish(request, Answer::Served, wishes);
         }
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            self.policy.handle(now, event, sight, &mut actions);
+            self.policy.handle(now, event, global_view, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(now, action, wishes);
             }
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -2,8 +2,8 @@
 //! so that one model serves real sockets and virtual time alike. Time counts from the start of the run.
 
 pub mod backend;
-pub mod deal;
-pub mod dice;
 pub mod discovery;
+pub mod dispatcher;
 pub mod plan;
+pub mod rng;
 pub mod station;
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -2,7 +2,7 @@
 //! plan on every machine, and its hash tells.
 
 use super::backend::{FallRule, Spec};
-use super::dice::{Dice, Zipf};
+use super::rng::{Rng, Zipf};
 use super::station::Build;
 use crate::experiment::{Experiment, Trouble, What};
 use lotusdeck_policy::{Micros, Time};
@@ -137,7 +137,7 @@
 
 /// A Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
 fn arrivals(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
-    let (mut when, mut what) = (Dice::new(seed, "arrivals"), Dice::new(seed, "requests"));
+    let (mut when, mut what) = (Rng::new(seed, "arrivals"), Rng::new(seed, "requests"));
     let zipf = Zipf::new(experiment.clients.keys, experiment.clients.zipf);
     let shares: Vec<f64> = experiment.class.iter().map(|c| c.share).collect();
     let ends = experiment.load.phase.iter().flat_map(|p| [p.at_s, p.at_s + p.over_s]);
@@ -170,7 +170,7 @@
     let mut out = Vec::new();
     for (i, t) in experiment.trouble.iter().enumerate() {
         let purpose = t.who.as_ref().map_or(format!("trouble {i}"), |who| format!("trouble of {who}"));
-        let whom = whom(t, fleet, &mut Dice::new(seed, &purpose));
+        let whom = whom(t, fleet, &mut Rng::new(seed, &purpose));
         let (at, end) = (time(t.at_s), t.for_s.map(|span| time(t.at_s + span)));
         let after = |span: f64| time(t.at_s + span);
         let factor = t.factor.unwrap_or(1.0);
@@ -211,14 +211,14 @@
     out
 }
 
-fn whom(t: &Trouble, fleet: &[Spec], dice: &mut Dice) -> Vec<usize> {
+fn whom(t: &Trouble, fleet: &[Spec], rng: &mut Rng) -> Vec<usize> {
     let meant = |i: &usize| {
         t.kind.as_ref().is_none_or(|k| fleet[*i].kind == *k)
             && t.zone.as_ref().is_none_or(|z| fleet[*i].zone == *z)
     };
     let may: Vec<usize> = (0..fleet.len()).filter(meant).collect();
     let count = t.part.map_or(may.len(), |part| (part * may.len() as f64).round() as usize);
-    dice.some(may.len(), count).into_iter().map(|i| may[i]).collect()
+    rng.some(may.len(), count).into_iter().map(|i| may[i]).collect()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/world/dice.rs
+++ b/crates/testbed/src/world/rng.rs
@@ -5,13 +5,13 @@
 
 /// A stream of random numbers. Each purpose has a stream of its own, so that a change to one part of an
 /// experiment leaves the draws of the others as they were.
-pub struct Dice(Pcg64Mcg);
+pub struct Rng(Pcg64Mcg);
 
-impl Dice {
+impl Rng {
     /// The stream for one purpose.
-    pub fn new(seed: u64, purpose: &str) -> Dice {
+    pub fn new(seed: u64, purpose: &str) -> Rng {
         let mixed = xxhash_rust::xxh3::xxh3_64_with_seed(purpose.as_bytes(), seed);
-        Dice(Pcg64Mcg::seed_from_u64(mixed))
+        Rng(Pcg64Mcg::seed_from_u64(mixed))
     }
 
     /// Even from 0 up to 1.
@@ -68,8 +68,8 @@
     }
 
     /// One rank.
-    pub fn draw(&self, dice: &mut Dice) -> usize {
-        let at = dice.unit() * self.0[self.0.len() - 1];
+    pub fn draw(&self, rng: &mut Rng) -> usize {
+        let at = rng.unit() * self.0[self.0.len() - 1];
         self.0.partition_point(|sum| *sum <= at).min(self.0.len() - 1)
     }
 }
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -6,7 +6,7 @@
     reason = "a test stops at what it did not expect"
 )]
 
-use lotusdeck_testbed::drive::wire::listen;
+use lotusdeck_testbed::driver::wire::listen;
 use lotusdeck_testbed::fault_proxy::run::{hash, Done, Relay};
 use lotusdeck_testbed::fault_proxy::script::Script;
 use std::future::Future;
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -12,8 +12,8 @@
 use lotusdeck_testbed::oracle::judge;
 use lotusdeck_testbed::report::figures::Figures;
 use lotusdeck_testbed::report::swing::swings;
-use lotusdeck_testbed::virt::play;
-use lotusdeck_testbed::virt::policy::Which;
+use lotusdeck_testbed::virtual_time::play;
+use lotusdeck_testbed::virtual_time::policy::PolicyChoice;
 use lotusdeck_testbed::world::plan::Plan;
 use std::path::Path;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
         }
         e.duration_s = e.duration_s.min(14.0);
         let plan = Arc::new(Plan::draw(&e, 3));
-        let outcome = play(&plan, Which::Halb).unwrap();
+        let outcome = play(&plan, PolicyChoice::Halb).unwrap();
         let broken = judge(&plan, &outcome.records);
         assert!(broken.is_empty(), "{}: {:?}", e.name, &broken[..broken.len().min(3)]);
     }
@@ -48,12 +48,14 @@
 fn the_same_seed_gives_the_same_run() {
     let e = experiment("fifth-dies-cold.toml");
     let plan = Arc::new(Plan::draw(&e, 5));
-    let (a, b) = (play(&plan, Which::Halb).unwrap(), play(&plan, Which::Halb).unwrap());
+    let (a, b) = (play(&plan, PolicyChoice::Halb).unwrap(), play(&plan, PolicyChoice::Halb).unwrap());
     assert_eq!(a.records, b.records);
-    let parallel = rows(&e, &[Which::Halb, Which::TwoChoices], 2, &|| {}).unwrap();
-    let first =
-        Figures::of(&Plan::draw(&e, e.seed), &play(&Arc::new(Plan::draw(&e, e.seed)), Which::Halb).unwrap())
-            .0;
+    let parallel = rows(&e, &[PolicyChoice::Halb, PolicyChoice::TwoChoices], 2, &|| {}).unwrap();
+    let first = Figures::of(
+        &Plan::draw(&e, e.seed),
+        &play(&Arc::new(Plan::draw(&e, e.seed)), PolicyChoice::Halb).unwrap(),
+    )
+    .0;
     assert_eq!(parallel[0].runs[0].whole.earned, first.whole.earned);
     assert_ne!(parallel[1].runs[0].whole.latency_ms, first.whole.latency_ms);
 }
@@ -63,7 +65,7 @@
 fn sight_is_worth_something() {
     let mut e = experiment("first-look.toml");
     e.load.part = Some(0.8);
-    let rows = rows(&e, &[Which::Oracle, Which::Random], 3, &|| {}).unwrap();
+    let rows = rows(&e, &[PolicyChoice::Oracle, PolicyChoice::Random], 3, &|| {}).unwrap();
     let mean = |r: usize| rows[r].runs.iter().map(|f| f.whole.latency_ms.p99).sum::<f64>() / 3.0;
     assert!(mean(0) * 1.5 < mean(1), "oracle {} ms, random {} ms", mean(0), mean(1));
 }
@@ -77,7 +79,7 @@
     e.kind.iter_mut().for_each(|k| k.count /= 2);
     (e.trouble[0].at_s, e.trouble[0].for_s) = (4.0, Some(3.0));
     let plan = Arc::new(Plan::draw(&e, 2));
-    for s in swings(&plan, &play(&plan, Which::Halb).unwrap(), 8.0) {
+    for s in swings(&plan, &play(&plan, PolicyChoice::Halb).unwrap(), 8.0) {
         assert!(s.in_step < 3.0, "{}: in step {:.1}, deviation {:.3}", s.kind, s.in_step, s.deviation);
     }
 }
