--- /dev/null
+++ b/crates/postgres/src/carry/tests.rs
@@ -0,0 +1,106 @@
+use super::*;
+
+/// A session and a server's connection, both without sockets.
+#[derive(Default)]
+struct Play {
+    carry: Carry,
+    track: Track,
+    up: Pieces,
+    down: Pieces,
+    prepared: Prepared,
+}
+
+impl Play {
+    fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<(u8, Bytes)> {
+        let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
+        messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
+        // It comes byte by byte.
+        let mut from = BytesMut::new();
+        for byte in whole {
+            from.put_u8(byte);
+            self.carry.up(&mut self.up, &mut self.track, &mut from, &mut to, &mut self.prepared).unwrap();
+        }
+        assert!(from.is_empty());
+        std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).collect()
+    }
+
+    fn down(&mut self, messages: &[(u8, &[u8])]) -> String {
+        let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
+        messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
+        let mut from = BytesMut::new();
+        for byte in whole {
+            from.put_u8(byte);
+            let parts = (&mut self.down, &mut self.track);
+            self.carry.down(parts.0, parts.1, &mut from, &mut to, &mut self.prepared).unwrap();
+        }
+        std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).map(|m| char::from(m.0)).collect()
+    }
+}
+
+fn kinds(messages: &[(u8, Bytes)]) -> String {
+    messages.iter().map(|m| char::from(m.0)).collect()
+}
+
+const PARSE: (u8, &[u8]) = (b'P', b"s0\0select 1\0\0\0");
+const BIND: (u8, &[u8]) = (b'B', b"\0s0\0\0\0\0\0\0\0");
+const SYNC: (u8, &[u8]) = (b'S', b"");
+const READY: (u8, &[u8]) = (b'Z', b"I");
+
+#[test]
+fn a_text_is_parsed_once_and_again_where_it_lacks() {
+    let mut p = Play::default();
+    let sent = p.up(&[PARSE, SYNC]);
+    assert!(
+        kinds(&sent) == "PS" && sent[0].1.starts_with(b"ld_") && sent[0].1.ends_with(PARSE.1[3..].as_ref())
+    );
+    assert_eq!(p.down(&[(b'1', b""), READY]), "1Z");
+    let sent = p.up(&[BIND, SYNC]);
+    assert!(kinds(&sent) == "BS" && sent[0].1.starts_with(b"\0ld_") && sent[0].1.ends_with(&BIND.1[3..]));
+    assert_eq!(p.down(&[(b'2', b""), READY]), "2Z");
+    // Another server: it is parsed in between, and the client hears nothing of that.
+    p.prepared.clear();
+    assert_eq!(kinds(&p.up(&[BIND, SYNC])), "PBS");
+    assert_eq!(p.down(&[(b'1', b""), (b'2', b""), READY]), "2Z");
+    // The same text under another name is there already.
+    assert_eq!(kinds(&p.up(&[(b'P', b"s1\0select 1\0\0\0"), SYNC])), "CS");
+    assert_eq!(p.down(&[(b'3', b""), READY]), "1Z");
+    // A close concerns the client's own name only.
+    let sent = p.up(&[(b'C', b"Ss0\0"), SYNC]);
+    assert_eq!(sent[0].1, &b"Ss0\0"[..]);
+    assert_eq!(p.down(&[(b'3', b""), READY]), "3Z");
+    assert!(p.track.idle() && p.prepared.len() == 1);
+}
+
+/// What failed is not taken for prepared, also where the next try was sent before the failure was known.
+#[test]
+fn what_failed_to_parse_is_told_again() {
+    let mut p = Play::default();
+    p.up(&[PARSE, SYNC]);
+    assert_eq!(p.down(&[(b'E', b"\0")]), "E");
+    assert_eq!(kinds(&p.up(&[PARSE, SYNC])), "PS", "the error was known");
+    assert_eq!(p.down(&[READY, (b'E', b"\0"), READY]), "ZEZ");
+    assert_eq!(kinds(&p.up(&[PARSE, SYNC, PARSE, SYNC])), "PSCPS", "it was not");
+    assert_eq!(p.down(&[(b'E', b"\0"), READY, (b'3', b""), (b'1', b""), READY]), "EZ1Z");
+    assert_eq!(p.prepared.len(), 1);
+}
+
+#[test]
+fn sessions_have_bounds() {
+    let mut p = Play::default();
+    let long = [b"s\0".as_ref(), &vec![b'x'; MAX_STATEMENT]].concat();
+    let (mut from, mut to) = (BytesMut::new(), BytesMut::new());
+    put(&mut from, b'P', &long);
+    let passed = p.carry.up(&mut p.up, &mut p.track, &mut from, &mut to, &mut p.prepared);
+    assert_eq!(passed, Err((0, Over::TooMuch)));
+    assert!(to.is_empty());
+    for (text, traces) in [
+        ("SET x = 1", true),
+        ("set local x = 1", false),
+        ("select 1; listen a", true),
+        ("update settings", false),
+        ("create TEMP table t()", true),
+        ("select pg_advisory_lock(1)", true),
+    ] {
+        assert_eq!(leaves_traces(text.as_bytes()), traces, "{text}");
+    }
+}
--- /dev/null
+++ b/crates/postgres/src/scram/tests.rs
@@ -0,0 +1,45 @@
+use super::*;
+
+/// The exchange of RFC 7677, section 3: user `user`, password `pencil`.
+#[test]
+fn the_example_of_the_rfc_holds() {
+    let salt = BASE64_STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").unwrap();
+    let verifier = Verifier::of_password(b"pencil", &salt, 4096);
+    let (exchange, answer) = Exchange::begin(
+        verifier.clone(),
+        "n,,n=user,r=rOprNGfwEbeRWgbNEkqO",
+        "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0",
+    )
+    .unwrap();
+    let nonce = "rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0";
+    assert_eq!(answer, format!("r={nonce},s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"));
+    let last = format!("c=biws,r={nonce},p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ=");
+    assert_eq!(exchange.end(&last).unwrap(), "v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=");
+    let (again, _) =
+        Exchange::begin(verifier, "n,,n=user,r=rOprNGfwEbeRWgbNEkqO", "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0")
+            .unwrap();
+    let wrong = last.replace("p=dH", "p=aH");
+    assert_eq!(again.end(&wrong), Err(ScramError::Wrong));
+}
+
+#[test]
+fn stored_verifiers_are_read_and_bad_ones_told() {
+    let keys = BASE64_STANDARD.encode([7; 32]);
+    let text = format!("SCRAM-SHA-256$4096:c2FsdA==${keys}:{keys}");
+    let verifier = Verifier::parse(&text).unwrap();
+    assert_eq!(verifier.stored(), text);
+    assert!(verifier.iterations == 4096 && verifier.salt == b"salt" && verifier.stored == [7; 32]);
+    for bad in [
+        "md5abc",
+        "SCRAM-SHA-256$x:c2FsdA==$a:b",
+        "SCRAM-SHA-256$4096:$a:b",
+        "SCRAM-SHA-256$1:c2FsdA==$YQ==:YQ==",
+    ] {
+        assert!(Verifier::parse(bad).is_err(), "{bad}");
+    }
+    let nobody = |name| Verifier::of_nobody(name, &[1; 32], Some(&verifier));
+    let a = nobody("x");
+    assert!(a == nobody("x") && a != nobody("y"));
+    assert_eq!((a.iterations, a.salt.len()), (verifier.iterations, verifier.salt.len()));
+    assert!(Exchange::begin(a, "p=tls-unique,,n=,r=abc", "s").is_err());
+}
