--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -130,7 +130,7 @@
     fn idle(&self, upstream: &Upstream) -> bool {
         let cut = !self.up.borrow().at_boundary() || !self.down.borrow().at_boundary();
         let waiting = !upstream.input.borrow().is_empty() || !upstream.output.borrow().is_empty();
-        self.track.get().idle() && !cut && !waiting
+        self.track.get().is_idle() && !cut && !waiting
     }
 
     async fn upward(&self, upstream: &Upstream) -> Outcome {
@@ -142,7 +142,7 @@
             }
             if let Some(why) = why {
                 // A farewell behind statements that are out holds once these are answered.
-                self.farewell.set(why == Over::Left && self.track.get().owed() > 0);
+                self.farewell.set(why == Over::Left && self.track.get().pending_ready() > 0);
                 if !self.farewell.get() {
                     self.end(why);
                 }
@@ -173,7 +173,7 @@
             if self.idle(upstream) {
                 return Outcome::Success;
             }
-            if self.farewell.get() && self.track.get().owed() == 0 {
+            if self.farewell.get() && self.track.get().pending_ready() == 0 {
                 self.end(Over::Left);
             }
         }
--- a/crates/postgres/src/carry.rs
+++ b/crates/postgres/src/carry.rs
@@ -234,7 +234,7 @@
         if pieces.pass(from, to, see)? == 0 {
             return Ok(false);
         }
-        let copying = track.copying();
+        let copying = track.is_copying();
         track.sent(kind);
         match kind {
             b'P' => self.expect(Expected::Unnamed)?,
@@ -352,7 +352,7 @@
             if pieces.pass(from, to, see)? == 0 {
                 return Ok(());
             }
-            track.came(kind, seen);
+            track.received(kind, seen);
             // Behind an error all is read over to the next Sync: what it kept from being answered is not prepared.
             if matches!(kind, b'E' | b'Z') {
                 while let Some(owed) = self.expected.front().filter(|e| **e != Expected::Ready) {
--- a/crates/postgres/src/carry/tests.rs
+++ b/crates/postgres/src/carry/tests.rs
@@ -68,7 +68,7 @@
     let sent = p.up(&[(b'C', b"Ss0\0"), SYNC]);
     assert_eq!(sent[0].1, &b"Ss0\0"[..]);
     assert_eq!(p.down(&[(b'3', b""), READY]), "3Z");
-    assert!(p.track.idle() && p.prepared.len() == 1);
+    assert!(p.track.is_idle() && p.prepared.len() == 1);
 }
 
 /// What failed is not taken for prepared, also where the next try was sent before the failure was known.
--- a/crates/postgres/src/classes.rs
+++ b/crates/postgres/src/classes.rs
@@ -1,22 +1,23 @@
-//! Which class a transaction is of: the first rule that fits what is known when its first message is there. Sans-IO.
+//! The class of a transaction: that of the first rule that matches what is known when its first message is there.
+//! Sans-IO.
 
 use lotusdeck_policy::ClassId;
 
-/// Who asks, from the start-up packet.
+/// The client, according to its start-up packet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Who {
+pub struct ClientIdentity {
     /// The role.
     pub user: String,
     /// The database.
     pub database: String,
-    /// What the program calls itself.
+    /// `application_name`.
     pub application: String,
 }
 
-/// One rule: all that it names has to fit.
+/// One rule: everything that it names has to match.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// The class that it gives.
+    /// The class of the transactions that match.
     pub class: ClassId,
     /// The role.
     pub user: Option<String>,
@@ -24,9 +25,9 @@
     pub database: Option<String>,
     /// `application_name` of the start-up packet.
     pub application: Option<String>,
-    /// The text of a comment that the statement begins with, spaces at its ends apart.
+    /// The text of a comment that the statement begins with, without spaces at its ends.
     pub comment: Option<String>,
-    /// What the statement begins with, behind comments, whatever the case of its letters.
+    /// What the statement begins with, after comments, regardless of case.
     pub prefix: Option<String>,
 }
 
@@ -34,54 +35,68 @@
 pub fn statement(kind: u8, body: &[u8]) -> Option<&str> {
     let text = match kind {
         b'Q' => body,
-        b'P' => &body[body.iter().position(|b| *b == 0)? + 1..],
+        b'P' => &body[body.iter().position(|byte| *byte == 0)? + 1..],
         _ => return None,
     };
-    std::str::from_utf8(text.split(|b| *b == 0).next()?).ok()
+    std::str::from_utf8(text.split(|byte| *byte == 0).next()?).ok()
 }
 
-/// A statement without the comments and spaces before it, and the first of the comments.
-fn stripped(text: &str) -> (&str, Option<&str>) {
-    let (mut rest, mut first) = (text.trim_start(), None);
+/// A statement without leading comments and spaces, and the first of the comments.
+struct StrippedStatement<'a> {
+    text: &'a str,
+    comment: Option<&'a str>,
+}
+
+fn strip_comments(statement: &str) -> StrippedStatement<'_> {
+    let mut text = statement.trim_start();
+    let mut first_comment = None;
     loop {
-        let (comment, behind) = if let Some(line) = rest.strip_prefix("--") {
+        let (comment, rest) = if let Some(line) = text.strip_prefix("--") {
             line.split_once('\n').unwrap_or((line, ""))
-        } else if let Some((comment, behind)) = rest.strip_prefix("/*").and_then(|r| r.split_once("*/")) {
-            (comment, behind)
+        } else if let Some(split) = text.strip_prefix("/*").and_then(|rest| rest.split_once("*/")) {
+            split
         } else {
-            return (rest, first);
+            return StrippedStatement { text, comment: first_comment };
         };
-        first = first.or(Some(comment.trim()));
-        rest = behind.trim_start();
+        first_comment = first_comment.or(Some(comment.trim()));
+        text = rest.trim_start();
     }
 }
 
-/// The class of a transaction that begins with that text; the last class of all, `otherwise`, where no rule fits.
-pub fn class(rules: &[Rule], who: &Who, text: Option<&str>, otherwise: ClassId) -> ClassId {
-    let (rest, comment) = text.map_or(("", None), stripped);
-    let is = |asked: &Option<String>, got: &str| asked.as_ref().is_none_or(|a| a == got);
-    let begins =
-        |prefix: &String| rest.get(..prefix.len()).is_some_and(|head| head.eq_ignore_ascii_case(prefix));
-    let fits = |r: &&Rule| {
-        is(&r.user, &who.user)
-            && is(&r.database, &who.database)
-            && is(&r.application, &who.application)
-            && r.comment.as_ref().is_none_or(|c| comment == Some(c))
-            && r.prefix.as_ref().is_none_or(begins)
-    };
-    rules.iter().find(fits).map_or(otherwise, |r| r.class)
+impl Rule {
+    fn matches(&self, client: &ClientIdentity, statement: &StrippedStatement<'_>) -> bool {
+        let is = |expected: &Option<String>, got: &str| expected.as_ref().is_none_or(|text| text == got);
+        let begins_with = |prefix: &String| {
+            let head = statement.text.get(..prefix.len());
+            head.is_some_and(|head| head.eq_ignore_ascii_case(prefix))
+        };
+        is(&self.user, &client.user)
+            && is(&self.database, &client.database)
+            && is(&self.application, &client.application)
+            && self.comment.as_ref().is_none_or(|comment| statement.comment == Some(comment))
+            && self.prefix.as_ref().is_none_or(begins_with)
+    }
+}
+
+/// The class of a transaction that begins with that text; `default` where no rule matches.
+pub fn class(rules: &[Rule], client: &ClientIdentity, text: Option<&str>, default: ClassId) -> ClassId {
+    let statement = strip_comments(text.unwrap_or(""));
+    rules.iter().find(|rule| rule.matches(client, &statement)).map_or(default, |rule| rule.class)
 }
 
-/// One statement outside a transaction, which may be said again as it is: no second one behind it, and nothing that
-/// begins or ends a transaction or reads rows from the client. Sure rather than sharp: a semicolon in a text counts.
-pub fn single(kind: u8, body: &[u8]) -> bool {
+/// First words of statements that begin or end a transaction, change the session, or read rows from the client; an empty
+/// statement is among them.
+const NOT_REPEATABLE: [&str; 11] =
+    ["", "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "prepare", "copy", "set"];
+
+/// Whether a message is one statement outside a transaction that can be sent again as it is. In doubt it is not: a
+/// semicolon inside a literal counts as a second statement.
+pub fn is_repeatable(kind: u8, body: &[u8]) -> bool {
     let Some(text) = statement(kind, body).filter(|_| kind == b'Q') else { return false };
-    let (rest, _) = stripped(text);
-    let rest = rest.trim_end().trim_end_matches(';');
-    let word = rest.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("").to_ascii_lowercase();
-    let control =
-        ["", "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "prepare", "copy", "set"];
-    !rest.contains(';') && !control.contains(&word.as_str())
+    let text = strip_comments(text).text.trim_end().trim_end_matches(';');
+    let first_word = text.split(|character: char| !character.is_ascii_alphabetic()).next().unwrap_or("");
+    let first_word = first_word.to_ascii_lowercase();
+    !text.contains(';') && !NOT_REPEATABLE.contains(&first_word.as_str())
 }
 
 #[cfg(test)]
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::bridge::{Client, Transaction};
 use crate::carry::Over;
-use crate::classes::{class, single, statement, Rule, Who};
+use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
 use crate::error::Trouble;
 use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
 use crate::track::Track;
@@ -40,7 +40,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Who may come, and what is stored of the password.
+/// ClientIdentity may come, and what is stored of the password.
 #[derive(Clone, Debug)]
 pub struct User {
     /// The role.
@@ -54,7 +54,7 @@
 pub struct FrontSettings {
     /// Databases that clients may ask for.
     pub databases: Vec<String>,
-    /// Who may come.
+    /// ClientIdentity may come.
     pub users: Vec<User>,
     /// Clients at once.
     pub clients: usize,
@@ -260,7 +260,7 @@
     }
 
     /// The figures of a session that stands; `None` where none was asked for.
-    async fn log_in(&self, new: &Newcomer) -> Result<Option<((i32, i32), Who)>, NoSession> {
+    async fn log_in(&self, new: &Newcomer) -> Result<Option<((i32, i32), ClientIdentity)>, NoSession> {
         let (minor, asked) = loop {
             match new.opening().await? {
                 Opening::Ssl | Opening::Gss => {
@@ -322,7 +322,7 @@
         new.output.replace(out);
         drain(&new.output, &new.tcp).await?;
         let application = of("application_name").unwrap_or_default().to_string();
-        let who = Who { user: user.into(), database: database.into(), application };
+        let who = ClientIdentity { user: user.into(), database: database.into(), application };
         Ok(Some(((number(pid), number(secret)), who)))
     }
 
@@ -336,7 +336,7 @@
         let _ = drain(&RefCell::new(packet), &tcp).await; // a cancel is a wish
     }
 
-    async fn serve(self: &Rc<Self>, client: &Rc<Client>, who: &Who) {
+    async fn serve(self: &Rc<Self>, client: &Rc<Client>, who: &ClientIdentity) {
         let mut stop = self.stop.subscribe();
         loop {
             let first = tokio::select! {
@@ -364,12 +364,16 @@
                 ),
                 (None, Answer::Served(_)) => continue,
                 // Declared safe, and not to be repeated any more by this proxy: what was lost is the server.
-                (None, Answer::Rejected(_)) if client.lost.get() && client.track.get().unknown() => unknown(),
+                (None, Answer::Rejected(_))
+                    if client.lost.get() && client.track.get().is_result_unknown() =>
+                {
+                    unknown()
+                }
                 (None, Answer::Rejected(after)) => Trouble::refused(after, client.sent.get()),
                 (None, Answer::TimedOut) => late(),
                 // Withdrawn by the module, a moment before the client's time was up.
                 (None, Answer::Failed) if client.sent.get() && !client.lost.get() => late(),
-                (None, Answer::Failed) if client.track.get().unknown() => unknown(),
+                (None, Answer::Failed) if client.track.get().is_result_unknown() => unknown(),
                 (None, Answer::Failed) => {
                     Trouble::error("08006", "the server was lost before anything was done")
                 }
@@ -401,7 +405,7 @@
     }
 
     /// One transaction through the core.
-    async fn transaction(self: &Rc<Self>, client: &Rc<Client>, who: &Who) -> Answer {
+    async fn transaction(self: &Rc<Self>, client: &Rc<Client>, who: &ClientIdentity) -> Answer {
         let settings = self.host.settings();
         let (class, replay) = {
             let input = client.input.borrow();
@@ -411,7 +415,8 @@
             let last = ClassId(settings.config.classes.len().saturating_sub(1));
             let class = class(&self.settings.rules, who, text, last);
             let safe = settings.config.classes[class.0].side_effects == SideEffects::None;
-            let may = |(h, body): &(Head, &[u8])| safe && h.length <= MAX_REPLAY && single(h.kind, body);
+            let may =
+                |(h, body): &(Head, &[u8])| safe && h.length <= MAX_REPLAY && is_repeatable(h.kind, body);
             let replay = whole.filter(may).map(|(h, _)| Bytes::copy_from_slice(&input[..HEAD + h.length]));
             (class, replay)
         };
@@ -455,7 +460,7 @@
             return false; // half of a message is with the client: nothing can follow it
         }
         let track = client.track.get();
-        let waits = track.owed() > 0 || track.unsynced() || !client.sent.get();
+        let waits = track.pending_ready() > 0 || track.needs_sync() || !client.sent.get();
         if trouble.fatal || !waits {
             Trouble { fatal: true, ..trouble }.put(&mut client.output.borrow_mut());
             return false; // a transaction that was open, with nobody waiting: the session cannot tell otherwise
@@ -467,12 +472,12 @@
         }
         // What is still owed to it is as many ends; without a Sync it is not listening yet.
         let ends = |kind| matches!(kind, b'Q' | b'F' | b'S');
-        if (track.owed() == 0 || track.unsynced()) && self.skip(client, ends).await.is_err() {
+        if (track.pending_ready() == 0 || track.needs_sync()) && self.skip(client, ends).await.is_err() {
             return false;
         }
         ready(&mut client.output.borrow_mut());
         // Each part of a pipeline that is out is told so: an end without a word would pass for an empty answer.
-        for _ in 1..track.owed() {
+        for _ in 1..track.pending_ready() {
             trouble.put(&mut client.output.borrow_mut());
             ready(&mut client.output.borrow_mut());
         }
--- a/crates/postgres/src/track.rs
+++ b/crates/postgres/src/track.rs
@@ -1,24 +1,33 @@
-//! Where a server connection stands within a transaction, from the messages that pass: when it may serve another client.
-//! ("Message Flow": each Query, FunctionCall and Sync is answered by one ReadyForQuery.)
+//! The state of a server connection within a transaction, from the messages that pass in both directions: when it may
+//! serve another client ("Message Flow": each Query, FunctionCall and Sync is answered by one ReadyForQuery).
+
+/// The transaction status of ReadyForQuery outside a transaction.
+const STATUS_IDLE: u8 = b'I';
 
 /// Follows both directions of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Track {
     /// ReadyForQuery messages that are still to come.
-    owed: u32,
+    pending_ready: u32,
     /// The status in the last one: idle, in a transaction, or in one that has failed.
-    status: u8,
-    /// Messages of the extended protocol without a Sync behind them.
-    unsynced: bool,
-    /// The server takes rows; it reads no Sync meanwhile.
-    copying: bool,
-    /// A statement is out that no CommandComplete or error has answered.
-    running: bool,
+    transaction_status: u8,
+    /// Messages of the extended protocol without a Sync after them.
+    needs_sync: bool,
+    /// The server receives rows; it ignores a Sync meanwhile.
+    is_copying: bool,
+    /// A statement was sent that no ReadyForQuery has completed.
+    is_running: bool,
 }
 
 impl Default for Track {
     fn default() -> Track {
-        Track { owed: 0, status: b'I', unsynced: false, copying: false, running: false }
+        Track {
+            pending_ready: 0,
+            transaction_status: STATUS_IDLE,
+            needs_sync: false,
+            is_copying: false,
+            is_running: false,
+        }
     }
 }
 
@@ -26,53 +35,63 @@
     /// The client sends a message of that type.
     pub fn sent(&mut self, kind: u8) {
         match kind {
-            b'Q' | b'F' => (self.owed, self.running) = (self.owed + 1, true),
-            // While rows are taken a Sync is read over; the one behind CopyDone or CopyFail counts.
-            b'S' if !self.copying => (self.owed, self.unsynced) = (self.owed + 1, false),
-            b'E' => (self.unsynced, self.running) = (true, true),
-            b'P' | b'B' | b'D' | b'C' => self.unsynced = true,
-            b'c' | b'f' => self.copying = false,
+            b'Q' | b'F' => {
+                self.pending_ready += 1;
+                self.is_running = true;
+            }
+            // While rows are received a Sync is ignored; the one after CopyDone or CopyFail counts.
+            b'S' if !self.is_copying => {
+                self.pending_ready += 1;
+                self.needs_sync = false;
+            }
+            b'E' => {
+                self.needs_sync = true;
+                self.is_running = true;
+            }
+            b'P' | b'B' | b'D' | b'C' => self.needs_sync = true,
+            b'c' | b'f' => self.is_copying = false,
             _ => {}
         }
     }
 
-    /// The server sends a message of that type, with that byte behind its head.
-    pub fn came(&mut self, kind: u8, first: Option<u8>) {
+    /// The server sends a message of that type, whose body begins with that byte.
+    pub fn received(&mut self, kind: u8, first: Option<u8>) {
         match kind {
             b'Z' => {
-                (self.owed, self.status) = (self.owed.saturating_sub(1), first.unwrap_or(b'I'));
-                self.running &= self.owed > 0;
-                self.copying = false;
+                self.pending_ready = self.pending_ready.saturating_sub(1);
+                self.transaction_status = first.unwrap_or(STATUS_IDLE);
+                self.is_running &= self.pending_ready > 0;
+                self.is_copying = false;
             }
-            b'G' | b'W' => self.copying = true,
-            b'E' => self.copying = false,
+            b'G' | b'W' => self.is_copying = true,
+            b'E' => self.is_copying = false,
             _ => {}
         }
     }
 
-    /// Nothing is under way and no transaction is open: another client's may follow.
-    pub fn idle(&self) -> bool {
-        self.owed == 0 && !self.unsynced && self.status == b'I'
+    /// Whether nothing is pending and no transaction is open: another client may use the connection.
+    pub fn is_idle(&self) -> bool {
+        self.pending_ready == 0 && !self.needs_sync && self.transaction_status == STATUS_IDLE
     }
 
-    /// The server takes rows.
-    pub fn copying(&self) -> bool {
-        self.copying
+    /// Whether the server receives rows.
+    pub fn is_copying(&self) -> bool {
+        self.is_copying
     }
 
-    /// A statement may have done its work, or may yet: how it ended is not known.
-    pub fn unknown(&self) -> bool {
-        self.running
+    /// Whether the result of a statement is unknown: it may have been executed, or may yet be.
+    pub fn is_result_unknown(&self) -> bool {
+        self.is_running
     }
 
     /// ReadyForQuery messages that the client still waits for.
-    pub fn owed(&self) -> u32 {
-        self.owed
+    pub fn pending_ready(&self) -> u32 {
+        self.pending_ready
     }
 
-    /// It has to send a Sync before it is answered.
-    pub fn unsynced(&self) -> bool {
-        self.unsynced
+    /// Whether the client has to send a Sync before it is answered.
+    pub fn needs_sync(&self) -> bool {
+        self.needs_sync
     }
 }
 
