--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -4,7 +4,7 @@
 use crate::carry::{Carry, Over, MAX_PREPARED};
 use crate::track::Track;
 use crate::upstream::{drain, fill, Servers, Upstream};
-use crate::wire::{Pieces, WireError};
+use crate::wire::{CancelKey, Forwarder, WireError};
 use bytes::{BufMut, Bytes, BytesMut};
 use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
 use lotusdeck_policy::{AttemptNo, Outcome};
@@ -14,6 +14,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
+/// Where a CancelRequest for a transaction is sent.
+#[derive(Clone, Copy)]
+pub(crate) struct CancelTarget {
+    pub server: SocketAddr,
+    pub key: CancelKey,
+}
+
 /// A client's connection, and how far its streams have come.
 pub(crate) struct Client {
     pub tcp: TcpStream,
@@ -21,8 +28,8 @@
     pub input: RefCell<BytesMut>,
     pub output: RefCell<BytesMut>,
     /// Where its messages to servers, and theirs to it, are cut at this moment.
-    pub up: RefCell<Pieces>,
-    pub down: RefCell<Pieces>,
+    pub up: RefCell<Forwarder>,
+    pub down: RefCell<Forwarder>,
     pub track: Cell<Track>,
     /// Its prepared statements.
     pub carry: RefCell<Carry>,
@@ -40,7 +47,7 @@
     pub over: Cell<Option<Over>>,
     pub ended: Notify,
     /// Where a CancelRequest of its would go.
-    pub at: Cell<Option<(SocketAddr, (i32, i32))>>,
+    pub at: Cell<Option<CancelTarget>>,
 }
 
 impl Client {
@@ -72,10 +79,11 @@
 
     /// What the client has said goes on to its server, as far as it may.
     fn pass_up(&self, upstream: &Upstream) -> Option<Over> {
-        let (mut pieces, mut track) = (self.up.borrow_mut(), self.track.get());
+        let (mut forwarder, mut track) = (self.up.borrow_mut(), self.track.get());
         let (mut from, mut to) = (self.input.borrow_mut(), upstream.output.borrow_mut());
         let mut prepared = upstream.prepared.borrow_mut();
-        let passed = self.carry.borrow_mut().up(&mut pieces, &mut track, &mut from, &mut to, &mut prepared);
+        let passed =
+            self.carry.borrow_mut().up(&mut forwarder, &mut track, &mut from, &mut to, &mut prepared);
         self.track.set(track);
         let (moved, why) = passed.map_or_else(|(moved, why)| (moved, Some(why)), |moved| (moved, None));
         self.sent.set(self.sent.get() || moved > 0);
@@ -89,10 +97,11 @@
     }
 
     fn pass_down(&self, upstream: &Upstream) -> Result<(), WireError> {
-        let (mut pieces, mut track) = (self.down.borrow_mut(), self.track.get());
+        let (mut forwarder, mut track) = (self.down.borrow_mut(), self.track.get());
         let (mut from, mut to) = (upstream.input.borrow_mut(), self.output.borrow_mut());
         let mut prepared = upstream.prepared.borrow_mut();
-        let passed = self.carry.borrow_mut().down(&mut pieces, &mut track, &mut from, &mut to, &mut prepared);
+        let passed =
+            self.carry.borrow_mut().down(&mut forwarder, &mut track, &mut from, &mut to, &mut prepared);
         self.track.set(track);
         self.answered.set(self.answered.get() || !to.is_empty());
         passed
@@ -117,8 +126,8 @@
             self.track.set(Track::default());
             [&self.sent, &self.lost].into_iter().for_each(|flag| flag.set(false));
             self.taken.set(0);
-            *self.up.borrow_mut() = Pieces::default();
-            *self.down.borrow_mut() = Pieces::default();
+            *self.up.borrow_mut() = Forwarder::default();
+            *self.down.borrow_mut() = Forwarder::default();
         }
     }
 
@@ -128,7 +137,7 @@
     }
 
     fn idle(&self, upstream: &Upstream) -> bool {
-        let cut = !self.up.borrow().at_boundary() || !self.down.borrow().at_boundary();
+        let cut = !self.up.borrow().is_at_boundary() || !self.down.borrow().is_at_boundary();
         let waiting = !upstream.input.borrow().is_empty() || !upstream.output.borrow().is_empty();
         self.track.get().is_idle() && !cut && !waiting
     }
@@ -198,7 +207,7 @@
                 self.servers.put(leg.backend, upstream);
                 return Outcome::NeverSent;
             }
-            self.client.at.set(Some((upstream.to, upstream.key)));
+            self.client.at.set(Some(CancelTarget { server: upstream.to, key: upstream.cancel_key }));
             self.client.carry.borrow_mut().begin();
             let outcome = tokio::select! {
                 biased;
--- a/crates/postgres/src/carry.rs
+++ b/crates/postgres/src/carry.rs
@@ -3,7 +3,7 @@
 //! from one buffer to another, with those of its own in between, and takes the answers to these out again.
 
 use crate::track::Track;
-use crate::wire::{head, message, put, Head, Pieces, WireError, HEAD};
+use crate::wire::{header, message, put, Forwarder, Header, Message, WireError, HEADER_BYTES};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -132,12 +132,12 @@
     /// # Errors
     /// Why the session ends; all before it has moved.
     pub(crate) fn up(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<usize, (usize, Over)> {
         let before = from.len();
         loop {
-            let step = self.step(pieces, track, from, to, prepared);
+            let step = self.step(forwarder, track, from, to, prepared);
             let taken = before - from.len();
             match step {
                 Ok(true) => {}
@@ -149,22 +149,22 @@
 
     /// One message, or a part of one; whether there may be more to move.
     fn step(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<bool, Over> {
-        if !pieces.at_boundary() {
-            pieces.pass(from, to, |_, _| false)?;
-            return Ok(pieces.at_boundary());
+        if !forwarder.is_at_boundary() {
+            forwarder.forward(from, to, |_, _| false)?;
+            return Ok(forwarder.is_at_boundary());
         }
-        let Some(Head { kind, length }) = head(from)? else { return Ok(false) };
-        let there = &from[HEAD..from.len().min(HEAD + length)];
+        let Some(Header { kind, length }) = header(from)? else { return Ok(false) };
+        let there = &from[HEADER_BYTES..from.len().min(HEADER_BYTES + length)];
         match kind {
             b'X' => return Err(Over::Left),
             b'P' if there.first().is_some_and(|b| *b != 0) => {
                 if length > MAX_STATEMENT {
                     return Err(Over::TooMuch);
                 }
-                let Some((_, mut body)) = message(from, MAX_STATEMENT)? else { return Ok(false) };
+                let Some(Message { mut body, .. }) = message(from, MAX_STATEMENT)? else { return Ok(false) };
                 let end = ends(&body, 0).ok_or(Over::Unreadable)?;
                 let its = body.split_to(end);
                 body.advance(1);
@@ -187,10 +187,10 @@
                     let new = name(&its.key);
                     to.put_u8(b'B');
                     to.put_u32((length + 4 + new.len() - (end - portal - 1)) as u32);
-                    to.put_slice(&from[HEAD..HEAD + portal + 1]);
+                    to.put_slice(&from[HEADER_BYTES..HEADER_BYTES + portal + 1]);
                     to.put_slice(new.as_bytes());
-                    from.advance(HEAD + end);
-                    pieces.behind(length - end);
+                    from.advance(HEADER_BYTES + end);
+                    forwarder.continue_message(length - end);
                     track.sent(b'B');
                     return Ok(true);
                 }
@@ -199,7 +199,7 @@
                 if length > MAX_NAME {
                     return Err(Over::Unreadable);
                 }
-                let Some((_, body)) = message(from, MAX_NAME)? else { return Ok(false) };
+                let Some(Message { body, .. }) = message(from, MAX_NAME)? else { return Ok(false) };
                 let its = &body[1..ends(&body, 1).ok_or(Over::Unreadable)?];
                 match self.own.get(its).cloned() {
                     Some(its) => {
@@ -216,7 +216,7 @@
                     return Err(Over::Unreadable);
                 }
                 // Others may use the text: to the server goes the client's own name, which it never heard of.
-                let Some((_, body)) = message(from, MAX_NAME)? else { return Ok(false) };
+                let Some(Message { body, .. }) = message(from, MAX_NAME)? else { return Ok(false) };
                 let its = &body[1..ends(&body, 1).ok_or(Over::Unreadable)?];
                 self.bytes -= self.own.remove(its).map_or(0, |old| old.text.len());
                 put(to, b'C', &body);
@@ -230,8 +230,8 @@
             _ => {}
         }
         let mut first_one = true;
-        let see = |_: Head, _: Option<u8>| std::mem::take(&mut first_one);
-        if pieces.pass(from, to, see)? == 0 {
+        let see = |_: Header, _: Option<u8>| std::mem::take(&mut first_one);
+        if forwarder.forward(from, to, see)? == 0 {
             return Ok(false);
         }
         let copying = track.is_copying();
@@ -309,17 +309,17 @@
     /// # Errors
     /// A length that no message can have.
     pub(crate) fn down(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<(), WireError> {
         loop {
-            if !pieces.at_boundary() {
-                pieces.pass(from, to, |_, _| false)?;
-                if !pieces.at_boundary() {
+            if !forwarder.is_at_boundary() {
+                forwarder.forward(from, to, |_, _| false)?;
+                if !forwarder.is_at_boundary() {
                     return Ok(());
                 }
             }
-            let Some(Head { kind, length }) = head(from)? else { return Ok(()) };
+            let Some(Header { kind, length }) = header(from)? else { return Ok(()) };
             if matches!(kind, b'1' | b'3') && length == 0 {
                 let owed = self.expected.front().copied();
                 if let (b'1', Some(Expected::Parsed { key, .. })) = (kind, owed) {
@@ -338,18 +338,18 @@
                     Told::Closed => from[0] = b'3',
                     Told::Parsed => from[0] = b'1',
                     Told::Nothing => {
-                        from.advance(HEAD);
+                        from.advance(HEADER_BYTES);
                         continue;
                     }
                 }
             }
             let (mut seen, mut first_one) = (None, true);
-            let see = |_: Head, first: Option<u8>| {
+            let see = |_: Header, first: Option<u8>| {
                 let goes = std::mem::take(&mut first_one);
                 seen = if goes { first } else { seen };
                 goes
             };
-            if pieces.pass(from, to, see)? == 0 {
+            if forwarder.forward(from, to, see)? == 0 {
                 return Ok(());
             }
             track.received(kind, seen);
--- a/crates/postgres/src/carry/tests.rs
+++ b/crates/postgres/src/carry/tests.rs
@@ -5,13 +5,13 @@
 struct Play {
     carry: Carry,
     track: Track,
-    up: Pieces,
-    down: Pieces,
+    up: Forwarder,
+    down: Forwarder,
     prepared: Prepared,
 }
 
 impl Play {
-    fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<(u8, Bytes)> {
+    fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<Message> {
         let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
         messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
         // It comes byte by byte.
@@ -33,12 +33,14 @@
             let parts = (&mut self.down, &mut self.track);
             self.carry.down(parts.0, parts.1, &mut from, &mut to, &mut self.prepared).unwrap();
         }
-        std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).map(|m| char::from(m.0)).collect()
+        std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap())
+            .map(|message| char::from(message.kind))
+            .collect()
     }
 }
 
-fn kinds(messages: &[(u8, Bytes)]) -> String {
-    messages.iter().map(|m| char::from(m.0)).collect()
+fn kinds(messages: &[Message]) -> String {
+    messages.iter().map(|message| char::from(message.kind)).collect()
 }
 
 const PARSE: (u8, &[u8]) = (b'P', b"s0\0select 1\0\0\0");
@@ -51,11 +53,15 @@
     let mut p = Play::default();
     let sent = p.up(&[PARSE, SYNC]);
     assert!(
-        kinds(&sent) == "PS" && sent[0].1.starts_with(b"ld_") && sent[0].1.ends_with(PARSE.1[3..].as_ref())
+        kinds(&sent) == "PS"
+            && sent[0].body.starts_with(b"ld_")
+            && sent[0].body.ends_with(PARSE.1[3..].as_ref())
     );
     assert_eq!(p.down(&[(b'1', b""), READY]), "1Z");
     let sent = p.up(&[BIND, SYNC]);
-    assert!(kinds(&sent) == "BS" && sent[0].1.starts_with(b"\0ld_") && sent[0].1.ends_with(&BIND.1[3..]));
+    assert!(
+        kinds(&sent) == "BS" && sent[0].body.starts_with(b"\0ld_") && sent[0].body.ends_with(&BIND.1[3..])
+    );
     assert_eq!(p.down(&[(b'2', b""), READY]), "2Z");
     // Another server: it is parsed in between, and the client hears nothing of that.
     p.prepared.clear();
@@ -66,7 +72,7 @@
     assert_eq!(p.down(&[(b'3', b""), READY]), "1Z");
     // A close concerns the client's own name only.
     let sent = p.up(&[(b'C', b"Ss0\0"), SYNC]);
-    assert_eq!(sent[0].1, &b"Ss0\0"[..]);
+    assert_eq!(sent[0].body, &b"Ss0\0"[..]);
     assert_eq!(p.down(&[(b'3', b""), READY]), "3Z");
     assert!(p.track.is_idle() && p.prepared.len() == 1);
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -7,7 +7,10 @@
 use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
 use crate::track::Track;
 use crate::upstream::{drain, fill, Servers};
-use crate::wire::{head, message, opening, put, Head, Opening, WireError, HEAD};
+use crate::wire::{
+    header, message, opening, put, CancelKey, Header, Message, Opening, Parameter, WireError,
+    CANCEL_REQUEST_CODE, HEADER_BYTES,
+};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{Answer, Host, RequestLabels};
@@ -70,7 +73,7 @@
     /// Salts of users that do not exist.
     secret: [u8; 32],
     /// By the figures that a CancelRequest names.
-    sessions: RefCell<HashMap<(i32, i32), Weak<Client>>>,
+    sessions: RefCell<HashMap<CancelKey, Weak<Client>>>,
     count: Cell<usize>,
     stop: watch::Sender<bool>,
 }
@@ -134,9 +137,11 @@
     async fn proof(&self) -> Result<bytes::Bytes, NoSession> {
         loop {
             match message(&mut self.input.borrow_mut(), MAX_LOGIN)? {
-                Some((b'p', body)) => return Ok(body),
-                Some((kind, _)) => {
-                    return Err(WireError::Malformed(char::from(kind), "a proof is due").into())
+                Some(Message { kind: b'p', body }) => return Ok(body),
+                Some(Message { kind, .. }) => {
+                    return Err(
+                        WireError::Malformed { kind: char::from(kind), reason: "a proof is due" }.into()
+                    )
                 }
                 None => {}
             }
@@ -151,7 +156,12 @@
         offer.extend([0, 0]);
         self.say(b'R', &offer).await?;
         let mut first = self.proof().await?;
-        let bad = || NoSession::from(WireError::Malformed('p', "no SASLInitialResponse of SCRAM-SHA-256"));
+        let bad = || {
+            NoSession::from(WireError::Malformed {
+                kind: 'p',
+                reason: "no SASLInitialResponse of SCRAM-SHA-256",
+            })
+        };
         let end = first.iter().position(|b| *b == 0).ok_or_else(bad)?;
         if &first[..end] != MECHANISM.as_bytes() || first.len() < end + 5 {
             return Err(bad());
@@ -260,26 +270,26 @@
     }
 
     /// The figures of a session that stands; `None` where none was asked for.
-    async fn log_in(&self, new: &Newcomer) -> Result<Option<((i32, i32), ClientIdentity)>, NoSession> {
+    async fn log_in(&self, new: &Newcomer) -> Result<Option<(CancelKey, ClientIdentity)>, NoSession> {
         let (minor, asked) = loop {
             match new.opening().await? {
                 Opening::Ssl | Opening::Gss => {
                     new.output.borrow_mut().put_u8(b'N');
                     drain(&new.output, &new.tcp).await?;
                 }
-                Opening::Cancel(pid, secret) => {
-                    self.cancel((pid, secret)).await;
+                Opening::Cancel(key) => {
+                    self.cancel(key).await;
                     return Ok(None);
                 }
-                Opening::Start(minor, asked) => break (minor, asked),
+                Opening::Start { minor, parameters: asked } => break (minor, asked),
             }
         };
         if self.count.get() > self.settings.clients {
             return Err(NoSession::Trouble(Trouble::fatal("53300", "too many clients already")));
         }
-        let of = |name: &str| asked.iter().find(|a| a.0 == name).map(|a| a.1.as_str());
+        let of = |name: &str| asked.iter().find(|a| a.name == name).map(|a| a.value.as_str());
         let unknown: Vec<&str> =
-            asked.iter().map(|a| a.0.as_str()).filter(|name| name.starts_with("_pq_.")).collect();
+            asked.iter().map(|a| a.name.as_str()).filter(|name| name.starts_with("_pq_.")).collect();
         if minor > 0 || !unknown.is_empty() {
             let mut body = 0u32.to_be_bytes().to_vec();
             body.extend((unknown.len() as u32).to_be_bytes());
@@ -308,13 +318,15 @@
         let number = |b: &[u8]| i32::from_be_bytes([b[0], b[1], b[2], b[3]]);
         let mut out = new.output.take();
         put(&mut out, b'R', &0u32.to_be_bytes());
-        let mut params: Vec<(String, String)> =
-            PARAMS.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect();
-        for (name, value) in self.servers.params() {
-            params.retain(|p| p.0 != name);
-            params.push((name, value));
+        let mut params: Vec<Parameter> = PARAMS
+            .iter()
+            .map(|(name, value)| Parameter { name: name.to_string(), value: value.to_string() })
+            .collect();
+        for parameter in self.servers.params() {
+            params.retain(|known| known.name != parameter.name);
+            params.push(parameter);
         }
-        for (name, value) in params {
+        for Parameter { name, value } in params {
             put(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
         }
         put(&mut out, b'K', &key);
@@ -323,16 +335,21 @@
         drain(&new.output, &new.tcp).await?;
         let application = of("application_name").unwrap_or_default().to_string();
         let who = ClientIdentity { user: user.into(), database: database.into(), application };
-        Ok(Some(((number(pid), number(secret)), who)))
+        Ok(Some((CancelKey { process_id: number(pid), secret: number(secret) }, who)))
     }
 
     /// Passed on to the server that runs the session's transaction at this moment, and to no other.
-    async fn cancel(&self, key: (i32, i32)) {
+    async fn cancel(&self, key: CancelKey) {
         let client = self.sessions.borrow().get(&key).and_then(Weak::upgrade);
-        let Some((to, (pid, secret))) = client.and_then(|c| c.at.get()) else { return };
-        let Ok(Ok(tcp)) = tokio::time::timeout(FAREWELL, TcpStream::connect(to)).await else { return };
+        let Some(target) = client.and_then(|client| client.at.get()) else { return };
+        let Ok(Ok(tcp)) = tokio::time::timeout(FAREWELL, TcpStream::connect(target.server)).await else {
+            return;
+        };
         let mut packet = BytesMut::new();
-        [16, 80_877_102, pid, secret].into_iter().for_each(|word| packet.put_i32(word));
+        packet.put_u32(16);
+        packet.put_u32(CANCEL_REQUEST_CODE);
+        packet.put_i32(target.key.process_id);
+        packet.put_i32(target.key.secret);
         let _ = drain(&RefCell::new(packet), &tcp).await; // a cancel is a wish
     }
 
@@ -391,8 +408,8 @@
             self.rest(client).await?;
             let whole = {
                 let input = client.input.borrow();
-                let head = head(&input)?;
-                head.filter(|h| input.len() >= HEAD + h.length.min(MAX_REPLAY)).map(|h| h.kind)
+                let head = header(&input)?;
+                head.filter(|h| input.len() >= HEADER_BYTES + h.length.min(MAX_REPLAY)).map(|h| h.kind)
             };
             match whole {
                 Some(b'X') => return Err(Over::Left),
@@ -409,15 +426,16 @@
         let settings = self.host.settings();
         let (class, replay) = {
             let input = client.input.borrow();
-            let head = head(&input).ok().flatten();
-            let whole = head.and_then(|h| Some((h, input.get(HEAD..HEAD + h.length)?)));
+            let head = header(&input).ok().flatten();
+            let whole = head.and_then(|h| Some((h, input.get(HEADER_BYTES..HEADER_BYTES + h.length)?)));
             let text = whole.and_then(|(h, body)| statement(h.kind, body));
             let last = ClassId(settings.config.classes.len().saturating_sub(1));
             let class = class(&self.settings.rules, who, text, last);
             let safe = settings.config.classes[class.0].side_effects == SideEffects::None;
             let may =
-                |(h, body): &(Head, &[u8])| safe && h.length <= MAX_REPLAY && is_repeatable(h.kind, body);
-            let replay = whole.filter(may).map(|(h, _)| Bytes::copy_from_slice(&input[..HEAD + h.length]));
+                |(h, body): &(Header, &[u8])| safe && h.length <= MAX_REPLAY && is_repeatable(h.kind, body);
+            let replay =
+                whole.filter(may).map(|(h, _)| Bytes::copy_from_slice(&input[..HEADER_BYTES + h.length]));
             (class, replay)
         };
         client.begin(replay);
@@ -456,7 +474,7 @@
     /// Tells a client that its transaction has come to nothing, in its turn; whether the session goes on.
     async fn tell(&self, client: &Rc<Client>, trouble: Trouble) -> bool {
         debug!(code = trouble.code, fatal = trouble.fatal, "transaction not served");
-        if !client.down.borrow().at_boundary() {
+        if !client.down.borrow().is_at_boundary() {
             return false; // half of a message is with the client: nothing can follow it
         }
         let track = client.track.get();
@@ -487,12 +505,12 @@
 
     /// Reads over what is left of a message that was cut.
     async fn rest(&self, client: &Rc<Client>) -> Result<(), Over> {
-        while !client.up.borrow().at_boundary() {
+        while !client.up.borrow().is_at_boundary() {
             let (mut input, mut sink) = (client.input.take(), BytesMut::new());
-            let passed = client.up.borrow_mut().pass(&mut input, &mut sink, |_, _| false);
+            let passed = client.up.borrow_mut().forward(&mut input, &mut sink, |_, _| false);
             client.input.replace(input);
             passed?;
-            if !client.up.borrow().at_boundary() {
+            if !client.up.borrow().is_at_boundary() {
                 more(client).await?;
             }
         }
@@ -503,16 +521,16 @@
     async fn skip(&self, client: &Rc<Client>, ends: impl Fn(u8) -> bool) -> Result<(), Over> {
         loop {
             self.rest(client).await?;
-            let head = head(&client.input.borrow())?;
-            let Some(Head { kind, length }) = head else {
+            let head = header(&client.input.borrow())?;
+            let Some(Header { kind, length }) = head else {
                 more(client).await?;
                 continue;
             };
             if kind == b'X' {
                 return Err(Over::Left);
             }
-            client.input.borrow_mut().advance(HEAD);
-            client.up.borrow_mut().behind(length);
+            client.input.borrow_mut().advance(HEADER_BYTES);
+            client.up.borrow_mut().continue_message(length);
             if ends(kind) {
                 return self.rest(client).await;
             }
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: how they are made, logged in, kept and closed.
 
 use crate::carry::Prepared;
-use crate::wire::{message, put, WireError};
+use crate::wire::{message, put, CancelKey, Message, Parameter, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{to_duration, ConnectionPools};
 use lotusdeck_policy::settings::NetworkSettings;
@@ -85,7 +85,7 @@
     pub input: RefCell<BytesMut>,
     pub output: RefCell<BytesMut>,
     /// For CancelRequest.
-    pub key: (i32, i32),
+    pub cancel_key: CancelKey,
     /// The texts that it has prepared.
     pub prepared: RefCell<Prepared>,
     since: Instant,
@@ -101,7 +101,7 @@
     keep: Cell<Duration>,
     connect_timeout: Cell<Duration>,
     /// What the last server to be logged in to said of itself.
-    params: RefCell<Vec<(String, String)>>,
+    params: RefCell<Vec<Parameter>>,
 }
 
 /// Why a server was not logged in to.
@@ -145,7 +145,7 @@
     }
 
     /// What servers say of themselves: names and values for ParameterStatus.
-    pub fn params(&self) -> Vec<(String, String)> {
+    pub fn params(&self) -> Vec<Parameter> {
         self.params.borrow().clone()
     }
 
@@ -198,7 +198,16 @@
             Ok(Ok((tcp, input, key))) => {
                 let (input, output) = (RefCell::new(input), RefCell::default());
                 let prepared = RefCell::default();
-                Ok(Upstream { tcp, to, input, output, key, prepared, since: Instant::now(), _slot: slot })
+                Ok(Upstream {
+                    tcp,
+                    to,
+                    input,
+                    output,
+                    cancel_key: key,
+                    prepared,
+                    since: Instant::now(),
+                    _slot: slot,
+                })
             }
             Ok(Err(Refusal::Said(code))) if code == "53300" || code == "57P03" => Err(Outcome::Rejected),
             Ok(Err(refusal)) => {
@@ -214,7 +223,7 @@
         }
     }
 
-    async fn log_in(&self, to: SocketAddr) -> Result<(TcpStream, BytesMut, (i32, i32)), Refusal> {
+    async fn log_in(&self, to: SocketAddr) -> Result<(TcpStream, BytesMut, CancelKey), Refusal> {
         let tcp = TcpStream::connect(to).await?;
         tcp.set_nodelay(true)?;
         let (input, output) = (RefCell::<BytesMut>::default(), RefCell::<BytesMut>::default());
@@ -229,11 +238,11 @@
         start.put_u8(0);
         output.borrow_mut().put_u32(start.len() as u32 + 4);
         output.borrow_mut().put_slice(&start);
-        let (mut scram, mut key, mut params) = (None, (0, 0), Vec::new());
+        let (mut scram, mut key, mut params) = (None, CancelKey::default(), Vec::new());
         loop {
             drain(&output, &tcp).await?;
             let next = message(&mut input.borrow_mut(), MAX_GREETING)?;
-            let Some((kind, mut body)) = next else {
+            let Some(Message { kind, mut body }) = next else {
                 if fill(&tcp, &input).await? == 0 {
                     return Err(Refusal::Io);
                 }
@@ -242,7 +251,10 @@
             match kind {
                 b'R' => self.prove(&mut body, &mut scram, &mut output.borrow_mut())?,
                 b'S' => params.extend(pair(&body)),
-                b'K' if body.len() >= 8 => key = (body.get_i32(), body.get_i32()),
+                b'K' if body.len() >= 8 => {
+                    key.process_id = body.get_i32();
+                    key.secret = body.get_i32();
+                }
                 b'E' => return Err(Refusal::Said(code(&body))),
                 b'Z' => {
                     *self.params.borrow_mut() = params;
@@ -256,7 +268,7 @@
     fn prove(
         &self, body: &mut Bytes, scram: &mut Option<ScramSha256>, out: &mut BytesMut,
     ) -> Result<(), Refusal> {
-        const SHORT: Refusal = Refusal::Wire(WireError::Malformed('R', "too short"));
+        const SHORT: Refusal = Refusal::Wire(WireError::Malformed { kind: 'R', reason: "too short" });
         if body.len() < 4 {
             return Err(SHORT);
         }
@@ -288,9 +300,9 @@
 }
 
 /// Name and value, each ended by a zero byte.
-fn pair(body: &[u8]) -> Option<(String, String)> {
+fn pair(body: &[u8]) -> Option<Parameter> {
     let mut texts = body.split(|b| *b == 0).map(|t| String::from_utf8_lossy(t).into_owned());
-    Some((texts.next()?, texts.next()?))
+    Some(Parameter { name: texts.next()?, value: texts.next()? })
 }
 
 /// The code of an error.
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -1,175 +1,251 @@
-//! Framing: where messages begin and end, and what a client may say before its session stands ("Message Formats").
-//! Nothing of a body has to be in memory to be passed on.
+//! Framing: the boundaries of messages, and the packets that open a connection ("Message Formats"). The body of a message
+//! does not have to be in memory to be forwarded.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// A start-up packet may be so long (PostgreSQL's own MAX_STARTUP_PACKET_LENGTH).
-pub const MAX_STARTUP: usize = 10_000;
-/// A type and a length.
-pub const HEAD: usize = 5;
-/// No message is longer (PostgreSQL's own bound on an allocation).
-pub const MAX_MESSAGE: usize = 0x3fff_ffff;
+/// The longest start-up packet (PostgreSQL's own MAX_STARTUP_PACKET_LENGTH).
+pub const MAX_STARTUP_BYTES: usize = 10_000;
+/// Bytes of a message's header: its type and its length.
+pub const HEADER_BYTES: usize = 5;
+/// The longest message (PostgreSQL's own bound on an allocation).
+pub const MAX_MESSAGE_BYTES: usize = 0x3fff_ffff;
 
-/// What cannot be read.
+/// Bytes of a length word, which counts itself.
+const LENGTH_BYTES: usize = 4;
+/// Bytes in front of the rest of a start-up packet: its length and its code.
+const STARTUP_HEADER_BYTES: usize = 8;
+/// The major version of the protocol that is served.
+const PROTOCOL_MAJOR: u32 = 3;
+/// The code of a CancelRequest.
+pub(crate) const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_REQUEST_CODE: u32 = 80_877_104;
+
+/// Why a message or a packet cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The length word holds less than its own four bytes, or more than the bound.
-    #[error("message {0:?}: a length of {1} where 4 to {2} is possible")]
-    Length(char, u32, usize),
+    /// The length word is less than its own four bytes, or more than the bound.
+    #[error("message {kind:?}: a length of {length} where 4 to {max} is possible")]
+    Length {
+        /// The message's type; `-` for a packet without one.
+        kind: char,
+        /// The length word.
+        length: u32,
+        /// The bound.
+        max: usize,
+    },
     /// A start-up packet for another protocol.
-    #[error("protocol {0}.{1} is not served, 3.0 is")]
-    Version(u16, u16),
+    #[error("protocol {major}.{minor} is not served, 3.0 is")]
+    UnsupportedVersion {
+        /// The protocol's major version.
+        major: u16,
+        /// The protocol's minor version.
+        minor: u16,
+    },
     /// A start-up packet that is no list of names and values.
     #[error("start-up packet: {0}")]
     Startup(&'static str),
     /// A message that does not fit its type.
-    #[error("message {0:?}: {1}")]
-    Malformed(char, &'static str),
+    #[error("message {kind:?}: {reason}")]
+    Malformed {
+        /// The message's type.
+        kind: char,
+        /// What is wrong with it.
+        reason: &'static str,
+    },
 }
 
-/// The head of a message.
+/// The header of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// Its type.
+pub struct Header {
+    /// The message's type.
     pub kind: u8,
-    /// Bytes behind the head.
+    /// Bytes of its body.
     pub length: usize,
 }
 
-/// The head that a buffer begins with; `None` while it is not whole.
+/// A complete message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Message {
+    /// Its type.
+    pub kind: u8,
+    /// The bytes after its header.
+    pub body: Bytes,
+}
+
+/// The header that a buffer begins with; `None` while it is not complete.
 ///
 /// # Errors
 /// A length that no message can have.
-pub fn head(bytes: &[u8]) -> Result<Option<Head>, WireError> {
-    let Some(head) = bytes.get(..HEAD) else { return Ok(None) };
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]);
-    match (length as usize).checked_sub(4).filter(|n| *n <= MAX_MESSAGE) {
-        Some(length) => Ok(Some(Head { kind: head[0], length })),
-        None => Err(WireError::Length(char::from(head[0]), length, MAX_MESSAGE)),
+pub fn header(bytes: &[u8]) -> Result<Option<Header>, WireError> {
+    let Some(header) = bytes.get(..HEADER_BYTES) else { return Ok(None) };
+    let kind = header[0];
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]);
+    match (length as usize).checked_sub(LENGTH_BYTES).filter(|body| *body <= MAX_MESSAGE_BYTES) {
+        Some(body) => Ok(Some(Header { kind, length: body })),
+        None => Err(WireError::Length { kind: char::from(kind), length, max: MAX_MESSAGE_BYTES }),
     }
 }
 
-/// A whole message of a bounded length; `None` while it is not there.
+/// Takes a complete message from a buffer; `None` while it is not there.
 ///
 /// # Errors
-/// One that is longer than `most`, or has a length that no message can have.
-pub fn message(buffer: &mut BytesMut, most: usize) -> Result<Option<(u8, Bytes)>, WireError> {
-    let Some(head) = head(buffer)? else { return Ok(None) };
-    if head.length > most {
-        return Err(WireError::Length(char::from(head.kind), head.length as u32 + 4, most));
+/// A body that is longer than `max_body`, or a length that no message can have.
+pub fn message(buffer: &mut BytesMut, max_body: usize) -> Result<Option<Message>, WireError> {
+    let Some(Header { kind, length }) = header(buffer)? else { return Ok(None) };
+    if length > max_body {
+        let length = (length + LENGTH_BYTES) as u32;
+        return Err(WireError::Length { kind: char::from(kind), length, max: max_body });
     }
-    if buffer.len() < HEAD + head.length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(HEAD);
-    Ok(Some((head.kind, buffer.split_to(head.length).freeze())))
+    buffer.advance(HEADER_BYTES);
+    Ok(Some(Message { kind, body: buffer.split_to(length).freeze() }))
 }
 
 /// Appends a message.
 pub fn put(out: &mut BytesMut, kind: u8, body: &[u8]) {
-    out.reserve(HEAD + body.len());
+    out.reserve(HEADER_BYTES + body.len());
     out.put_u8(kind);
-    out.put_u32(body.len() as u32 + 4);
+    out.put_u32((body.len() + LENGTH_BYTES) as u32);
     out.put_slice(body);
 }
 
-/// What a client says first.
+/// Identifies a session in a CancelRequest.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct CancelKey {
+    /// The process of the server, as it names it.
+    pub process_id: i32,
+    /// Proves that the request comes from the session's client.
+    pub secret: i32,
+}
+
+/// A name and its value in a start-up packet or a ParameterStatus.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Parameter {
+    /// The parameter's name.
+    pub name: String,
+    /// Its value.
+    pub value: String,
+}
+
+/// The first packet of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// May we speak TLS?
+    /// Asks whether TLS is supported.
     Ssl,
-    /// May we speak GSSAPI?
+    /// Asks whether GSSAPI encryption is supported.
     Gss,
-    /// Stop what the session of these figures is doing.
-    Cancel(i32, i32),
-    /// A session, with the minor version that it speaks and what it asks for.
-    Start(u16, Vec<(String, String)>),
+    /// Cancels the statement of this session.
+    Cancel(CancelKey),
+    /// Begins a session.
+    Start {
+        /// The minor version of the protocol.
+        minor: u16,
+        /// The parameters of the session.
+        parameters: Vec<Parameter>,
+    },
 }
 
-/// Takes an opening from a buffer; `None` while it is not whole.
+/// Takes the first packet from a buffer; `None` while it is not complete.
 ///
 /// # Errors
-/// What cannot be an opening of protocol 3.
+/// A packet that cannot open a connection of protocol 3.
 pub fn opening(buffer: &mut BytesMut) -> Result<Option<Opening>, WireError> {
     let word = |at: usize| buffer.get(at..at + 4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
     let Some(length) = word(0) else { return Ok(None) };
-    if !(8..=MAX_STARTUP as u32).contains(&length) {
-        return Err(WireError::Length('-', length, MAX_STARTUP));
+    if !(STARTUP_HEADER_BYTES as u32..=MAX_STARTUP_BYTES as u32).contains(&length) {
+        return Err(WireError::Length { kind: '-', length, max: MAX_STARTUP_BYTES });
     }
-    let (Some(code), true) = (word(4), buffer.len() >= length as usize) else { return Ok(None) };
+    let Some(code) = word(4).filter(|_| buffer.len() >= length as usize) else { return Ok(None) };
     let mut packet = buffer.split_to(length as usize);
-    packet.advance(8);
+    packet.advance(STARTUP_HEADER_BYTES);
     match (code, packet.len()) {
-        (80_877_103, 0) => Ok(Some(Opening::Ssl)),
-        (80_877_104, 0) => Ok(Some(Opening::Gss)),
-        (80_877_102, 8) => Ok(Some(Opening::Cancel(packet.get_i32(), packet.get_i32()))),
-        (80_877_102..=80_877_104, _) => Err(WireError::Startup("a request of another length")),
-        _ if code >> 16 != 3 => Err(WireError::Version((code >> 16) as u16, code as u16)),
-        _ => pairs(&packet).map(|pairs| Some(Opening::Start(code as u16, pairs))),
+        (SSL_REQUEST_CODE, 0) => Ok(Some(Opening::Ssl)),
+        (GSS_REQUEST_CODE, 0) => Ok(Some(Opening::Gss)),
+        (CANCEL_REQUEST_CODE, 8) => {
+            let process_id = packet.get_i32();
+            Ok(Some(Opening::Cancel(CancelKey { process_id, secret: packet.get_i32() })))
+        }
+        (CANCEL_REQUEST_CODE | SSL_REQUEST_CODE | GSS_REQUEST_CODE, _) => {
+            Err(WireError::Startup("a request of another length"))
+        }
+        _ => {
+            let (major, minor) = ((code >> 16) as u16, code as u16);
+            if u32::from(major) != PROTOCOL_MAJOR {
+                return Err(WireError::UnsupportedVersion { major, minor });
+            }
+            Ok(Some(Opening::Start { minor, parameters: parameters(&packet)? }))
+        }
     }
 }
 
-fn pairs(packet: &[u8]) -> Result<Vec<(String, String)>, WireError> {
-    let mut texts = packet.split(|b| *b == 0);
-    let mut out = Vec::new();
+fn parameters(packet: &[u8]) -> Result<Vec<Parameter>, WireError> {
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| WireError::Startup("no UTF-8"));
+    let mut texts = packet.split(|byte| *byte == 0);
+    let mut parameters = Vec::new();
     loop {
         let name = texts.next().ok_or(WireError::Startup("no zero byte at its end"))?;
         if name.is_empty() {
-            // The zero behind the last pair, and nothing behind that.
-            let over = texts.next().is_some_and(|rest| rest.is_empty()) && texts.next().is_none();
-            return if over { Ok(out) } else { Err(WireError::Startup("bytes behind its end")) };
+            // The zero byte after the last parameter, and nothing after that.
+            let is_end = texts.next().is_some_and(|rest| rest.is_empty()) && texts.next().is_none();
+            return if is_end { Ok(parameters) } else { Err(WireError::Startup("bytes behind its end")) };
         }
         let value = texts.next().ok_or(WireError::Startup("a name without a value"))?;
-        let text =
-            |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| WireError::Startup("no UTF-8"));
-        out.push((text(name)?, text(value)?));
+        parameters.push(Parameter { name: text(name)?, value: text(value)? });
     }
 }
 
-/// Passes messages on as they come, piece by piece, and tells where each begins.
+/// Forwards messages piece by piece as they arrive, and reports where each begins.
 #[derive(Debug, Default)]
-pub struct Pieces {
+pub struct Forwarder {
     /// Bytes of the present message that are still to come.
-    left: usize,
+    remaining: usize,
 }
 
-impl Pieces {
-    /// Between two messages.
-    pub fn at_boundary(&self) -> bool {
-        self.left == 0
+impl Forwarder {
+    /// Whether the last message is complete.
+    pub fn is_at_boundary(&self) -> bool {
+        self.remaining == 0
     }
 
-    /// So many bytes of a message whose beginning went another way are still to come.
-    pub fn behind(&mut self, left: usize) {
-        self.left = left;
+    /// Continues with a message of which only the last `remaining` bytes are still to come: its beginning was handled
+    /// elsewhere.
+    pub fn continue_message(&mut self, remaining: usize) {
+        self.remaining = remaining;
     }
 
-    /// Moves from `from` to `to` what may go: at each message's beginning `see` is told its head and the first byte
-    /// behind it, where it has one, and says whether it goes too. How many bytes moved.
+    /// Moves what may be forwarded from `from` to `to`. At the beginning of each message `inspect` gets its header and
+    /// the first byte of its body, if there is one, and returns whether the message is forwarded. Returns the number of
+    /// bytes moved.
     ///
     /// # Errors
-    /// A length that no message can have: all before it has moved.
-    pub fn pass(
-        &mut self, from: &mut BytesMut, to: &mut BytesMut, mut see: impl FnMut(Head, Option<u8>) -> bool,
+    /// A length that no message can have; everything before it was moved.
+    pub fn forward(
+        &mut self, from: &mut BytesMut, to: &mut BytesMut,
+        mut inspect: impl FnMut(Header, Option<u8>) -> bool,
     ) -> Result<usize, WireError> {
         let mut moved = 0;
         loop {
-            if self.left > 0 {
-                let count = self.left.min(from.len());
+            if self.remaining > 0 {
+                let count = self.remaining.min(from.len());
                 to.put_slice(&from[..count]);
                 from.advance(count);
-                (self.left, moved) = (self.left - count, moved + count);
-                if self.left > 0 {
+                self.remaining -= count;
+                moved += count;
+                if self.remaining > 0 {
                     return Ok(moved);
                 }
             }
-            let Some(head) = head(from)? else { return Ok(moved) };
-            let first = from.get(HEAD).copied().filter(|_| head.length > 0);
-            if head.length > 0 && first.is_none() || !see(head, first) {
+            let Some(header) = header(from)? else { return Ok(moved) };
+            let first = from.get(HEADER_BYTES).copied().filter(|_| header.length > 0);
+            let is_first_byte_missing = header.length > 0 && first.is_none();
+            if is_first_byte_missing || !inspect(header, first) {
                 return Ok(moved);
             }
-            self.left = HEAD + head.length;
+            self.remaining = HEADER_BYTES + header.length;
         }
     }
 }
--- a/crates/postgres/src/wire/tests.rs
+++ b/crates/postgres/src/wire/tests.rs
@@ -9,30 +9,33 @@
 }
 
 #[test]
-fn openings_are_read_cut_at_every_byte() {
+fn opening_is_read_when_cut_at_every_byte() {
     let start = packet(3 << 16, b"user\0ann\0database\0scores\0\0");
-    let pair = |a: &str, b: &str| (a.to_string(), b.to_string());
-    let pairs = vec![pair("user", "ann"), pair("database", "scores")];
-    for (whole, due) in [
-        (start, Opening::Start(0, pairs)),
+    let parameter = |name: &str, value: &str| Parameter { name: name.into(), value: value.into() };
+    let parameters = vec![parameter("user", "ann"), parameter("database", "scores")];
+    for (packet_bytes, expected) in [
+        (start, Opening::Start { minor: 0, parameters }),
         (packet(80_877_103, b""), Opening::Ssl),
         (packet(80_877_104, b""), Opening::Gss),
-        (packet(80_877_102, &[0, 0, 0, 7, 255, 255, 255, 255]), Opening::Cancel(7, -1)),
+        (
+            packet(80_877_102, &[0, 0, 0, 7, 255, 255, 255, 255]),
+            Opening::Cancel(CancelKey { process_id: 7, secret: -1 }),
+        ),
     ] {
-        for cut in 0..whole.len() {
-            let mut part = BytesMut::from(&whole[..cut]);
-            assert_eq!(opening(&mut part), Ok(None), "{due:?} cut at {cut}");
+        for cut in 0..packet_bytes.len() {
+            let mut part = BytesMut::from(&packet_bytes[..cut]);
+            assert_eq!(opening(&mut part), Ok(None), "{expected:?} cut at {cut}");
             assert_eq!(part.len(), cut);
         }
-        let mut more = whole.clone();
+        let mut more = packet_bytes.clone();
         more.put_slice(b"Q");
-        assert_eq!(opening(&mut more), Ok(Some(due)));
+        assert_eq!(opening(&mut more), Ok(Some(expected)));
         assert_eq!(&more[..], b"Q");
     }
 }
 
 #[test]
-fn bad_openings_are_told_apart() {
+fn invalid_opening_names_its_fault() {
     let fault = |mut bytes: BytesMut| opening(&mut bytes).unwrap_err().to_string();
     assert!(fault(BytesMut::from(&[0, 0, 0, 7][..])).contains("a length of 7"));
     assert!(fault(BytesMut::from(&[0xff; 4][..])).contains("10000"));
@@ -44,31 +47,31 @@
 
 /// However a stream is cut, the same bytes come out and each message is seen once.
 #[test]
-fn pieces_pass_whole_messages_cut_at_every_byte() {
+fn messages_are_forwarded_when_cut_at_every_byte() {
     let mut stream = BytesMut::new();
     put(&mut stream, b'P', b"s\0select 1\0\0\0");
     put(&mut stream, b'S', b"");
     put(&mut stream, b'Z', b"I");
     for cut in 0..=stream.len() {
-        let (mut pieces, mut out, mut seen) = (Pieces::default(), BytesMut::new(), Vec::new());
+        let (mut forwarder, mut out, mut seen) = (Forwarder::default(), BytesMut::new(), Vec::new());
         let mut from = BytesMut::new();
         for part in [&stream[..cut], &stream[cut..]] {
             from.put_slice(part);
-            let see = |h: Head, first| {
-                seen.push((h.kind, first));
+            let inspect = |header: Header, first| {
+                seen.push((header.kind, first));
                 true
             };
-            pieces.pass(&mut from, &mut out, see).unwrap();
+            forwarder.forward(&mut from, &mut out, inspect).unwrap();
         }
         assert_eq!(seen, [(b'P', Some(b's')), (b'S', None), (b'Z', Some(b'I'))], "cut at {cut}");
-        assert!(out == stream && pieces.at_boundary() && from.is_empty(), "cut at {cut}");
+        assert!(out == stream && forwarder.is_at_boundary() && from.is_empty(), "cut at {cut}");
     }
-    // What may not go stays, head and all.
+    // What is not forwarded stays, with its header.
     let (mut out, mut from) = (BytesMut::new(), stream.clone());
-    let moved = Pieces::default().pass(&mut from, &mut out, |h, _| h.kind != b'S').unwrap();
+    let moved = Forwarder::default().forward(&mut from, &mut out, |header, _| header.kind != b'S').unwrap();
     assert!(moved == out.len() && from[0] == b'S');
     let mut short = BytesMut::from(&[b'D', 0, 0, 0, 3][..]);
-    assert!(Pieces::default().pass(&mut short, &mut out, |_, _| true).is_err());
+    assert!(Forwarder::default().forward(&mut short, &mut out, |_, _| true).is_err());
 }
 
 proptest::proptest! {
@@ -83,7 +86,7 @@
         let mut from = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = message(&mut from, 1000) {}
         let (mut from, mut out) = (BytesMut::from(&bytes[..]), BytesMut::new());
-        let _ = Pieces::default().pass(&mut from, &mut out, |_, _| true);
+        let _ = Forwarder::default().forward(&mut from, &mut out, |_, _| true);
         assert!(out.len() + from.len() == bytes.len() && bytes.starts_with(&out));
     }
 }
--- a/crates/postgres/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -10,7 +10,7 @@
 
 use bytes::{BufMut, BytesMut};
 use lotusdeck_policy::Micros;
-use lotusdeck_postgres::wire::{message, put};
+use lotusdeck_postgres::wire::{message, put, Message};
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 use rig::{stand_in, Rig};
 use std::future::Future;
@@ -67,7 +67,7 @@
     /// The next message; `None` at the end.
     async fn next(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
-            if let Some((kind, body)) = message(&mut self.input, 1 << 24).unwrap() {
+            if let Some(Message { kind, body }) = message(&mut self.input, 1 << 24).unwrap() {
                 return Some((kind, body.to_vec()));
             }
             if self.tcp.read_buf(&mut self.input).await.unwrap_or(0) == 0 {
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 use lotusdeck_policy::*;
 use lotusdeck_postgres::classes::Rule;
 use lotusdeck_postgres::scram::Verifier;
-use lotusdeck_postgres::wire::{message, opening, put, Opening};
+use lotusdeck_postgres::wire::{message, opening, put, Message, Opening};
 use lotusdeck_postgres::{Front, FrontSettings, Login, Servers, User};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -64,11 +64,11 @@
     let (mut input, mut out) = (BytesMut::new(), BytesMut::new());
     loop {
         match opening(&mut input).unwrap() {
-            Some(Opening::Cancel(pid, secret)) => {
-                seen.cancels.borrow_mut().push((pid, secret));
+            Some(Opening::Cancel(key)) => {
+                seen.cancels.borrow_mut().push((key.process_id, key.secret));
                 return seen.cancelled.notify_one();
             }
-            Some(Opening::Start(..)) => break,
+            Some(Opening::Start { .. }) => break,
             Some(_) => tcp.write_all(b"N").await.unwrap(),
             None => {
                 if tcp.read_buf(&mut input).await.unwrap_or(0) == 0 {
@@ -90,7 +90,7 @@
             return;
         }
         out.clear();
-        let Some((kind, body)) = message(&mut input, 1 << 20).unwrap() else {
+        let Some(Message { kind, body }) = message(&mut input, 1 << 20).unwrap() else {
             let read = tokio::select! {
                 read = tcp.read_buf(&mut input) => read.unwrap_or(0),
                 _ = seen.dies.notified(), if copying => 0,
