--- a/crates/postgres/src/carry.rs
+++ b/crates/postgres/src/carry.rs
@@ -3,7 +3,7 @@
 //! from one buffer to another, with those of its own in between, and takes the answers to these out again.
 
 use crate::track::Track;
-use crate::wire::{head, message, put, Head, Pieces, WireError, HEAD};
+use crate::wire::{header, message, put, Forwarder, Header, Message, WireError, HEADER_BYTES};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -132,12 +132,12 @@
     /// # Errors
     /// Why the session ends; all before it has moved.
     pub(crate) fn up(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<usize, (usize, Over)> {
         let before = from.len();
         loop {
-            let step = self.step(pieces, track, from, to, prepared);
+            let step = self.step(forwarder, track, from, to, prepared);
             let taken = before - from.len();
             match step {
                 Ok(true) => {}
@@ -149,22 +149,22 @@
 
     /// One message, or a part of one; whether there may be more to move.
     fn step(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<bool, Over> {
-        if !pieces.at_boundary() {
-            pieces.pass(from, to, |_, _| false)?;
-            return Ok(pieces.at_boundary());
+        if !forwarder.is_at_boundary() {
+            forwarder.forward(from, to, |_, _| false)?;
+            return Ok(forwarder.is_at_boundary());
         }
-        let Some(Head { kind, length }) = head(from)? else { return Ok(false) };
-        let there = &from[HEAD..from.len().min(HEAD + length)];
+        let Some(Header { kind, length }) = header(from)? else { return Ok(false) };
+        let there = &from[HEADER_BYTES..from.len().min(HEADER_BYTES + length)];
         match kind {
             b'X' => return Err(Over::Left),
             b'P' if there.first().is_some_and(|b| *b != 0) => {
                 if length > MAX_STATEMENT {
                     return Err(Over::TooMuch);
                 }
-                let Some((_, mut body)) = message(from, MAX_STATEMENT)? else { return Ok(false) };
+                let Some(Message { mut body, .. }) = message(from, MAX_STATEMENT)? else { return Ok(false) };
                 let end = ends(&body, 0).ok_or(Over::Unreadable)?;
                 let its = body.split_to(end);
                 body.advance(1);
@@ -187,10 +187,10 @@
                     let new = name(&its.key);
                     to.put_u8(b'B');
                     to.put_u32((length + 4 + new.len() - (end - portal - 1)) as u32);
-                    to.put_slice(&from[HEAD..HEAD + portal + 1]);
+                    to.put_slice(&from[HEADER_BYTES..HEADER_BYTES + portal + 1]);
                     to.put_slice(new.as_bytes());
-                    from.advance(HEAD + end);
-                    pieces.behind(length - end);
+                    from.advance(HEADER_BYTES + end);
+                    forwarder.continue_message(length - end);
                     track.sent(b'B');
                     return Ok(true);
                 }
@@ -199,7 +199,7 @@
                 if length > MAX_NAME {
                     return Err(Over::Unreadable);
                 }
-                let Some((_, body)) = message(from, MAX_NAME)? else { return Ok(false) };
+                let Some(Message { body, .. }) = message(from, MAX_NAME)? else { return Ok(false) };
                 let its = &body[1..ends(&body, 1).ok_or(Over::Unreadable)?];
                 match self.own.get(its).cloned() {
                     Some(its) => {
@@ -216,7 +216,7 @@
                     return Err(Over::Unreadable);
                 }
                 // Others may use the text: to the server goes the client's own name, which it never heard of.
-                let Some((_, body)) = message(from, MAX_NAME)? else { return Ok(false) };
+                let Some(Message { body, .. }) = message(from, MAX_NAME)? else { return Ok(false) };
                 let its = &body[1..ends(&body, 1).ok_or(Over::Unreadable)?];
                 self.bytes -= self.own.remove(its).map_or(0, |old| old.text.len());
                 put(to, b'C', &body);
@@ -230,11 +230,11 @@
             _ => {}
         }
         let mut first_one = true;
-        let see = |_: Head, _: Option<u8>| std::mem::take(&mut first_one);
-        if pieces.pass(from, to, see)? == 0 {
+        let see = |_: Header, _: Option<u8>| std::mem::take(&mut first_one);
+        if forwarder.forward(from, to, see)? == 0 {
             return Ok(false);
         }
-        let copying = track.copying();
+        let copying = track.is_copying();
         track.sent(kind);
         match kind {
             b'P' => self.expect(Expected::Unnamed)?,
@@ -309,17 +309,17 @@
     /// # Errors
     /// A length that no message can have.
     pub(crate) fn down(
-        &mut self, pieces: &mut Pieces, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
+        &mut self, forwarder: &mut Forwarder, track: &mut Track, from: &mut BytesMut, to: &mut BytesMut,
         prepared: &mut Prepared,
     ) -> Result<(), WireError> {
         loop {
-            if !pieces.at_boundary() {
-                pieces.pass(from, to, |_, _| false)?;
-                if !pieces.at_boundary() {
+            if !forwarder.is_at_boundary() {
+                forwarder.forward(from, to, |_, _| false)?;
+                if !forwarder.is_at_boundary() {
                     return Ok(());
                 }
             }
-            let Some(Head { kind, length }) = head(from)? else { return Ok(()) };
+            let Some(Header { kind, length }) = header(from)? else { return Ok(()) };
             if matches!(kind, b'1' | b'3') && length == 0 {
                 let owed = self.expected.front().copied();
                 if let (b'1', Some(Expected::Parsed { key, .. })) = (kind, owed) {
@@ -338,21 +338,21 @@
                     Told::Closed => from[0] = b'3',
                     Told::Parsed => from[0] = b'1',
                     Told::Nothing => {
-                        from.advance(HEAD);
+                        from.advance(HEADER_BYTES);
                         continue;
                     }
                 }
             }
             let (mut seen, mut first_one) = (None, true);
-            let see = |_: Head, first: Option<u8>| {
+            let see = |_: Header, first: Option<u8>| {
                 let goes = std::mem::take(&mut first_one);
                 seen = if goes { first } else { seen };
                 goes
             };
-            if pieces.pass(from, to, see)? == 0 {
+            if forwarder.forward(from, to, see)? == 0 {
                 return Ok(());
             }
-            track.came(kind, seen);
+            track.received(kind, seen);
             // Behind an error all is read over to the next Sync: what it kept from being answered is not prepared.
             if matches!(kind, b'E' | b'Z') {
                 while let Some(owed) = self.expected.front().filter(|e| **e != Expected::Ready) {
@@ -370,113 +370,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A session and a server's connection, both without sockets.
-    #[derive(Default)]
-    struct Play {
-        carry: Carry,
-        track: Track,
-        up: Pieces,
-        down: Pieces,
-        prepared: Prepared,
-    }
-
-    impl Play {
-        fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<(u8, Bytes)> {
-            let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
-            messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
-            // It comes byte by byte.
-            let mut from = BytesMut::new();
-            for byte in whole {
-                from.put_u8(byte);
-                self.carry.up(&mut self.up, &mut self.track, &mut from, &mut to, &mut self.prepared).unwrap();
-            }
-            assert!(from.is_empty());
-            std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).collect()
-        }
-
-        fn down(&mut self, messages: &[(u8, &[u8])]) -> String {
-            let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
-            messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
-            let mut from = BytesMut::new();
-            for byte in whole {
-                from.put_u8(byte);
-                let parts = (&mut self.down, &mut self.track);
-                self.carry.down(parts.0, parts.1, &mut from, &mut to, &mut self.prepared).unwrap();
-            }
-            std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).map(|m| char::from(m.0)).collect()
-        }
-    }
-
-    fn kinds(messages: &[(u8, Bytes)]) -> String {
-        messages.iter().map(|m| char::from(m.0)).collect()
-    }
-
-    const PARSE: (u8, &[u8]) = (b'P', b"s0\0select 1\0\0\0");
-    const BIND: (u8, &[u8]) = (b'B', b"\0s0\0\0\0\0\0\0\0");
-    const SYNC: (u8, &[u8]) = (b'S', b"");
-    const READY: (u8, &[u8]) = (b'Z', b"I");
-
-    #[test]
-    fn a_text_is_parsed_once_and_again_where_it_lacks() {
-        let mut p = Play::default();
-        let sent = p.up(&[PARSE, SYNC]);
-        assert!(
-            kinds(&sent) == "PS"
-                && sent[0].1.starts_with(b"ld_")
-                && sent[0].1.ends_with(PARSE.1[3..].as_ref())
-        );
-        assert_eq!(p.down(&[(b'1', b""), READY]), "1Z");
-        let sent = p.up(&[BIND, SYNC]);
-        assert!(kinds(&sent) == "BS" && sent[0].1.starts_with(b"\0ld_") && sent[0].1.ends_with(&BIND.1[3..]));
-        assert_eq!(p.down(&[(b'2', b""), READY]), "2Z");
-        // Another server: it is parsed in between, and the client hears nothing of that.
-        p.prepared.clear();
-        assert_eq!(kinds(&p.up(&[BIND, SYNC])), "PBS");
-        assert_eq!(p.down(&[(b'1', b""), (b'2', b""), READY]), "2Z");
-        // The same text under another name is there already.
-        assert_eq!(kinds(&p.up(&[(b'P', b"s1\0select 1\0\0\0"), SYNC])), "CS");
-        assert_eq!(p.down(&[(b'3', b""), READY]), "1Z");
-        // A close concerns the client's own name only.
-        let sent = p.up(&[(b'C', b"Ss0\0"), SYNC]);
-        assert_eq!(sent[0].1, &b"Ss0\0"[..]);
-        assert_eq!(p.down(&[(b'3', b""), READY]), "3Z");
-        assert!(p.track.idle() && p.prepared.len() == 1);
-    }
-
-    /// What failed is not taken for prepared, also where the next try was sent before the failure was known.
-    #[test]
-    fn what_failed_to_parse_is_told_again() {
-        let mut p = Play::default();
-        p.up(&[PARSE, SYNC]);
-        assert_eq!(p.down(&[(b'E', b"\0")]), "E");
-        assert_eq!(kinds(&p.up(&[PARSE, SYNC])), "PS", "the error was known");
-        assert_eq!(p.down(&[READY, (b'E', b"\0"), READY]), "ZEZ");
-        assert_eq!(kinds(&p.up(&[PARSE, SYNC, PARSE, SYNC])), "PSCPS", "it was not");
-        assert_eq!(p.down(&[(b'E', b"\0"), READY, (b'3', b""), (b'1', b""), READY]), "EZ1Z");
-        assert_eq!(p.prepared.len(), 1);
-    }
-
-    #[test]
-    fn sessions_have_bounds() {
-        let mut p = Play::default();
-        let long = [b"s\0".as_ref(), &vec![b'x'; MAX_STATEMENT]].concat();
-        let (mut from, mut to) = (BytesMut::new(), BytesMut::new());
-        put(&mut from, b'P', &long);
-        let passed = p.carry.up(&mut p.up, &mut p.track, &mut from, &mut to, &mut p.prepared);
-        assert_eq!(passed, Err((0, Over::TooMuch)));
-        assert!(to.is_empty());
-        for (text, traces) in [
-            ("SET x = 1", true),
-            ("set local x = 1", false),
-            ("select 1; listen a", true),
-            ("update settings", false),
-            ("create TEMP table t()", true),
-            ("select pg_advisory_lock(1)", true),
-        ] {
-            assert_eq!(leaves_traces(text.as_bytes()), traces, "{text}");
-        }
-    }
-}
+mod tests;
