--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -21,19 +21,19 @@
 /// Log lines about a failing listener come no faster.
 const WARNING_INTERVAL: Micros = Micros(1_000_000);
 /// Where no connection ends by itself the limit is checked again after this time.
-const ROOM_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether a place becomes free where all are taken.
+/// Whether a connection is closed to make room.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Room {
+pub(crate) enum Eviction {
     /// A connection was told to close.
-    Soon,
+    Requested,
     /// Requests are open or on their way on all connections.
-    None,
+    NobodyIdle,
     /// The search has to go on in another turn of the event loop.
-    Unknown,
+    Unfinished,
 }
 
 /// Accepts client connections.
@@ -73,8 +73,8 @@
     }
 
     /// Ends when a connection has ended, or after a short time.
-    pub(crate) async fn wait_for_room(&self) {
-        let _ = tokio::time::timeout(ROOM_CHECK_INTERVAL, self.client_left.notified()).await;
+    pub(crate) async fn wait_for_departure(&self) {
+        let _ = tokio::time::timeout(CAPACITY_CHECK_INTERVAL, self.client_left.notified()).await;
     }
 
     /// Accepts one connection, once there is room.
@@ -82,12 +82,12 @@
         let clients = &self.front.clients;
         let max_clients = &self.front.max_clients;
         while clients.len() >= max_clients.get() + self.extra_clients.get() {
-            if clients.staying() > max_clients.get() && self.make_room() == Room::Unknown {
+            if clients.staying() > max_clients.get() && self.evict_one() == Eviction::Unfinished {
                 queueing_delay::yield_to_poll().await;
                 continue;
             }
             // Those that were told to close have to be given the time: telling more makes no room sooner.
-            self.wait_for_room().await;
+            self.wait_for_departure().await;
         }
         match self.queue.accept(listener).await {
             Ok((tcp, since)) => self.take_in(tcp, since),
@@ -97,14 +97,14 @@
 
     /// Out of descriptors, or a client that left in the queue: never the end of the program.
     async fn recover(&self, error: &std::io::Error) {
-        let made_room = self.make_room() == Room::Soon || self.pool.close_longest_idle();
+        let has_capacity = self.evict_one() == Eviction::Requested || self.pool.close_longest_idle();
         let now = self.host.clock.now();
         if now - self.last_warning_at.get() >= WARNING_INTERVAL {
             self.last_warning_at.set(now);
             let clients = self.front.clients.len();
             warn!(%error, clients, upstreams = self.pool.open_connections(), "accept failed");
         }
-        if !made_room || error.kind() != std::io::ErrorKind::ConnectionAborted {
+        if !has_capacity || error.kind() != std::io::ErrorKind::ConnectionAborted {
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         }
     }
@@ -128,16 +128,16 @@
     }
 
     /// Tells the connection that is evicted first to close.
-    pub(crate) fn make_room(&self) -> Room {
+    pub(crate) fn evict_one(&self) -> Eviction {
         let max_clients = self.front.max_clients.get();
         match self.front.clients.choose_evicted(tokio::time::Instant::now(), max_clients) {
             Choice::Evicted(client) => {
                 self.evicted.set(self.evicted.get() + 1);
                 client.close_requested.notify_one();
-                Room::Soon
+                Eviction::Requested
             }
-            Choice::Nobody => Room::None,
-            Choice::Unfinished => Room::Unknown,
+            Choice::Nobody => Eviction::NobodyIdle,
+            Choice::Unfinished => Eviction::Unfinished,
         }
     }
 
@@ -145,7 +145,7 @@
     fn take_in(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
         let clients = &self.front.clients;
         if clients.staying() >= self.front.max_clients.get() {
-            self.make_room();
+            self.evict_one();
         }
         self.accepted.set(self.accepted.get() + 1);
         let stream = Stream::accepted(tcp, queued_since);
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: HTTP/1.1 on an address of their own, one call per connection.
+//! The operators' calls: HTTP/1.1 on an address of their own, one call per connection.
 
 use crate::answer_body::{plain_answer, AnswerBody};
 use crate::server::Server;
@@ -21,41 +21,48 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-/// Callers at a time. Beyond it the oldest goes: a call is over within milliseconds, so that one is silent.
+/// Calls in flight at a time. Beyond it the oldest is dropped: a call is over within milliseconds, so that one is silent.
 pub const MAX_CONCURRENT_CALLS: usize = 12;
-/// A call is over after this time, whole or not.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// The longest id of a backend that a call may name.
-const MAX_ID: usize = 256;
-const MAX_HEAD: usize = 8 * 1024;
+/// A call is dropped after this time.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The longest id of a backend that a call may name, in bytes.
+const MAX_ID_BYTES: usize = 256;
+/// The largest head of a call, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Why a call is answered with a no.
-enum No {
-    Unknown,
+/// Why a call is rejected.
+enum RejectedCall {
+    UnknownBackend,
     Path,
     Method(&'static str),
-    Empty,
+    EmptyBody,
     TooLong,
     Body,
     NotReady,
     Storage(CordonError),
 }
 
-impl No {
+impl RejectedCall {
     fn answer(self) -> Response<AnswerBody> {
         match self {
-            No::Unknown => plain_answer(StatusCode::NOT_FOUND, "no such backend\n"),
-            No::Path => plain_answer(StatusCode::NOT_FOUND, "no such call\n"),
-            No::Method(allow) => {
+            RejectedCall::UnknownBackend => plain_answer(StatusCode::NOT_FOUND, "no such backend\n"),
+            RejectedCall::Path => plain_answer(StatusCode::NOT_FOUND, "no such call\n"),
+            RejectedCall::Method(allow) => {
                 let mut answer = plain_answer(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
                 answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
                 answer
             }
-            No::Empty => plain_answer(StatusCode::BAD_REQUEST, "expected the id of a backend as the body\n"),
-            No::TooLong => plain_answer(StatusCode::PAYLOAD_TOO_LARGE, "the id is too long\n"),
-            No::Body => plain_answer(StatusCode::BAD_REQUEST, "the id cannot be read\n"),
-            No::NotReady => plain_answer(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
-            No::Storage(_) => plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "could not be saved\n"),
+            RejectedCall::EmptyBody => {
+                plain_answer(StatusCode::BAD_REQUEST, "expected the id of a backend as the body\n")
+            }
+            RejectedCall::TooLong => plain_answer(StatusCode::PAYLOAD_TOO_LARGE, "the id is too long\n"),
+            RejectedCall::Body => plain_answer(StatusCode::BAD_REQUEST, "the id cannot be read\n"),
+            RejectedCall::NotReady => plain_answer(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
+            RejectedCall::Storage(_) => {
+                plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "could not be saved\n")
+            }
         }
     }
 }
@@ -65,19 +72,19 @@
 pub struct ConfigurationStatus {
     /// Where the source is.
     pub source: String,
-    /// The version held, as `EPOCH-NUMBER`.
+    /// The version in force, as `EPOCH-NUMBER`.
     pub version: Option<String>,
-    /// `empty`, `current`, `refusing` or `cut off`.
+    /// Its state: `empty`, `current`, `refusing` or `cut off`.
     #[serde(rename = "standing")]
     pub state: &'static str,
-    /// The later version that is refused here.
+    /// The later version that is rejected here.
     #[serde(rename = "refused")]
     pub rejected_version: Option<String>,
-    /// At most so long ago the version held was the source's latest, ms.
+    /// At most so long ago the version in force was the source's latest, in ms.
     pub age_ms: Option<u64>,
 }
 
-/// Tells it; `None` where no source is followed.
+/// Gives the present status; `None` where no source is followed.
 pub type ConfigurationStatusSource = Box<dyn Fn() -> Option<ConfigurationStatus>>;
 
 /// The operators' side of the proxy.
@@ -85,27 +92,34 @@
     host: Rc<Host>,
     server: Rc<Server>,
     configuration: ConfigurationStatusSource,
-    /// Those whose calls are not over, the oldest first.
-    callers: RefCell<VecDeque<(u64, AbortHandle)>>,
+    /// The calls in flight, the oldest first.
+    calls: RefCell<VecDeque<CallInFlight>>,
+}
+
+/// A call in flight.
+struct CallInFlight {
+    number: u64,
+    task: AbortHandle,
 }
 
 impl Admin {
+    /// Calls about these two, and about what `configuration` tells.
     pub fn new(host: Rc<Host>, server: Rc<Server>, configuration: ConfigurationStatusSource) -> Rc<Admin> {
-        Rc::new(Admin { host, server, configuration, callers: RefCell::default() })
+        Rc::new(Admin { host, server, configuration, calls: RefCell::default() })
     }
 
     /// Takes calls for as long as the program runs.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        let mut next = 0;
+        let mut next_number = 0;
         loop {
             match listener.accept().await {
                 Ok((tcp, _)) => {
-                    next += 1;
-                    self.take_in(next, tcp);
+                    next_number += 1;
+                    self.take_in(next_number, tcp);
                 }
-                Err(e) => {
-                    warn!("operators' listener: {e}");
-                    tokio::time::sleep(Duration::from_millis(50)).await;
+                Err(error) => {
+                    warn!(%error, "operators' listener failed");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -116,23 +130,28 @@
         let task = tokio::task::spawn_local(async move {
             let service = service_fn(|request| async { Ok::<_, Infallible>(admin.answer(request).await) });
             let mut builder = http1::Builder::new();
-            builder.keep_alive(false).half_close(true).max_buf_size(MAX_HEAD).timer(Timer);
-            let call = builder.header_read_timeout(PATIENCE).serve_connection(Stream::new(tcp), service);
-            let _ = tokio::time::timeout(PATIENCE, call).await; // a caller that leaves early is no news
-            admin.callers.borrow_mut().retain(|c| c.0 != number);
+            builder.keep_alive(false).half_close(true).max_buf_size(MAX_HEAD_BYTES).timer(Timer);
+            let call = builder.header_read_timeout(CALL_TIMEOUT).serve_connection(Stream::new(tcp), service);
+            let _ = tokio::time::timeout(CALL_TIMEOUT, call).await; // a caller may leave early
+            admin.calls.borrow_mut().retain(|call| call.number != number);
         });
-        let mut callers = self.callers.borrow_mut();
-        callers.push_back((number, task.abort_handle()));
-        if callers.len() > MAX_CONCURRENT_CALLS {
-            callers.pop_front().into_iter().for_each(|(_, oldest)| oldest.abort());
+        let mut calls = self.calls.borrow_mut();
+        calls.push_back(CallInFlight { number, task: task.abort_handle() });
+        if calls.len() > MAX_CONCURRENT_CALLS {
+            if let Some(oldest) = calls.pop_front() {
+                oldest.task.abort();
+            }
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let called = format!("{} {}", request.method(), request.uri().path());
-        self.call(request).await.unwrap_or_else(|no| {
-            let reason = if let No::Storage(e) = &no { e.to_string() } else { String::new() };
-            let answer = no.answer();
+        self.call(request).await.unwrap_or_else(|rejected| {
+            let reason = match &rejected {
+                RejectedCall::Storage(error) => error.to_string(),
+                _ => String::new(),
+            };
+            let answer = rejected.answer();
             let call = format!("{called:.120}");
             warn!(call, status = answer.status().as_u16(), reason, "operator refused");
             answer
@@ -140,7 +159,7 @@
     }
 
     /// All that this process knows and does, as one document.
-    fn status(&self) -> Result<Response<AnswerBody>, No> {
+    fn status(&self) -> Result<Response<AnswerBody>, RejectedCall> {
         #[derive(serde::Serialize)]
         struct Document {
             accepting: bool,
@@ -149,41 +168,51 @@
             #[serde(flatten)]
             core: lotusdeck_core::Status,
         }
-        let (accepting, clients) = (self.server.is_accepting(), self.server.client_count());
-        let (configuration, core) = ((self.configuration)(), self.host.status());
-        let document = Document { accepting, clients, configuration, core };
-        let text = serde_json::to_vec_pretty(&document).map_err(|_| No::Path)?;
+        let document = Document {
+            accepting: self.server.is_accepting(),
+            clients: self.server.client_count(),
+            configuration: (self.configuration)(),
+            core: self.host.status(),
+        };
+        let text = serde_json::to_vec_pretty(&document).map_err(|_| RejectedCall::Path)?;
         let mut answer = plain_answer(StatusCode::OK, "");
         answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         *answer.body_mut() = AnswerBody::Buffered(Some(text.into()));
         Ok(answer)
     }
 
-    async fn call(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, No> {
-        let out = match request.uri().path() {
-            "/admin/health" if request.method() != Method::GET => return Err(No::Method("GET")),
+    async fn call(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, RejectedCall> {
+        let is_get = request.method() == Method::GET;
+        let is_cordoned = match request.uri().path() {
+            "/admin/health" | "/admin/status" if !is_get => return Err(RejectedCall::Method("GET")),
             "/admin/health" if self.server.is_accepting() => return Ok(plain_answer(StatusCode::OK, "ok\n")),
-            "/admin/health" => return Err(No::NotReady),
-            "/admin/status" if request.method() != Method::GET => return Err(No::Method("GET")),
+            "/admin/health" => return Err(RejectedCall::NotReady),
             "/admin/status" => return self.status(),
             "/admin/cordon" => true,
             "/admin/uncordon" => false,
-            _ => return Err(No::Path),
+            _ => return Err(RejectedCall::Path),
         };
         if request.method() != Method::PUT {
-            return Err(No::Method("PUT"));
+            return Err(RejectedCall::Method("PUT"));
         }
-        let body = Limited::new(request.into_body(), MAX_ID).collect().await;
-        let body = body.map_err(|e| if e.is::<hyper::Error>() { No::Body } else { No::TooLong })?.to_bytes();
-        let id = std::str::from_utf8(&body).map_err(|_| No::Body)?.trim();
+        let body = Limited::new(request.into_body(), MAX_ID_BYTES).collect().await;
+        let body = body.map_err(|error| {
+            if error.is::<hyper::Error>() {
+                RejectedCall::Body
+            } else {
+                RejectedCall::TooLong
+            }
+        })?;
+        let body = body.to_bytes();
+        let id = std::str::from_utf8(&body).map_err(|_| RejectedCall::Body)?.trim();
         if id.is_empty() {
-            return Err(No::Empty);
+            return Err(RejectedCall::EmptyBody);
         }
         if !self.host.knows_backend(id) {
-            return Err(No::Unknown);
+            return Err(RejectedCall::UnknownBackend);
         }
-        let changed = self.host.set_cordon(id, out).await.map_err(No::Storage)?;
-        let call = if out { "cordon" } else { "uncordon" };
+        let changed = self.host.set_cordon(id, is_cordoned).await.map_err(RejectedCall::Storage)?;
+        let call = if is_cordoned { "cordon" } else { "uncordon" };
         info!(call, backend = id, changed, "operator call taken");
         Ok(plain_answer(StatusCode::OK, "ok\n"))
     }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -4,10 +4,10 @@
 use crate::answer_outcome::outcome_of;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::exchange::{exchange, is_clean_after_answer, BackendAnswer, ExchangeError};
+use crate::hop_by_hop::strip_hop_by_hop;
 use crate::outgoing_body::OutgoingBody;
 use crate::relay::AnswerRelay;
 use crate::stream::SendGate;
-use crate::strip_hop_by_hop;
 use crate::upload::RequestBody;
 use hyper::body::{Body, Incoming};
 use hyper::ext::on_informational;
@@ -99,12 +99,9 @@
             return Outcome::NeverSent.into();
         }
         // Where chunks hide what is on its way the last byte counts as written once it was given to hyper.
-        let is_handed_over = length.is_none() && upload.is_some_and(|upload| upload.is_complete());
-        if !stream.is_request_written() && !is_handed_over {
-            // The backend begins with the last byte, and never before it.
-            let is_rejected =
-                answer.as_ref().is_ok_and(|answer| outcome_of(&answer.head) == Outcome::Rejected);
-            return if is_rejected { Outcome::Rejected.into() } else { Outcome::ConnectFailed.into() };
+        let is_given_to_hyper = length.is_none() && upload.is_some_and(|upload| upload.is_complete());
+        if !stream.is_request_written() && !is_given_to_hyper {
+            return outcome_of_partial_request(answer.as_ref().ok()).into();
         }
         match answer {
             Ok(answer) => self.finish_attempt(to.backend, connection, answer),
@@ -175,6 +172,14 @@
     }
 }
 
+/// The outcome of an attempt whose last byte did not go out: a backend begins with that byte, and never before it.
+fn outcome_of_partial_request(answer: Option<&BackendAnswer>) -> Outcome {
+    match answer.map(|answer| outcome_of(&answer.head)) {
+        Some(Outcome::Rejected) => Outcome::Rejected,
+        _ => Outcome::ConnectFailed,
+    }
+}
+
 /// The request of one attempt that has so much time left.
 fn outgoing_request(request: &ForwardedRequest, time_left: Duration) -> Request<OutgoingBody> {
     let mut outgoing = Request::new(OutgoingBody::new(&request.body));
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -6,8 +6,10 @@
 use crate::request_guards::BusyConnection;
 use crate::request_handler::RequestHandler;
 use crate::timer::Timer;
+use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
+use hyper::{Request, Response};
 use std::convert::Infallible;
 use std::pin::pin;
 use std::rc::Rc;
@@ -94,17 +96,22 @@
     CloseAction::AwaitAnswer
 }
 
+async fn answer(
+    handler: &RequestHandler, front: &Rc<FrontState>, client: &Rc<Client>, request: Request<Incoming>,
+) -> Response<AnswerBody> {
+    client.is_busy.set(true);
+    let mut answer = handler.handle(client, request).await;
+    let busy = BusyConnection { front: front.clone(), client: client.clone() };
+    if let AnswerBody::Streamed { on_end, .. } = answer.body_mut() {
+        *on_end = Some(Box::new(busy)); // it is busy until the last byte is on its way
+    }
+    answer
+}
+
 /// Serves a client connection to its end.
 pub(crate) async fn serve(handler: &RequestHandler, front: &Rc<FrontState>, client: &Rc<Client>) {
-    let service = service_fn(|request| async {
-        client.is_busy.set(true);
-        let mut answer = handler.handle(client, request).await;
-        let busy = BusyConnection { front: front.clone(), client: client.clone() };
-        if let AnswerBody::Streamed { on_end, .. } = answer.body_mut() {
-            *on_end = Some(Box::new(busy)); // it is busy until the last byte is on its way
-        }
-        Ok::<_, Infallible>(answer)
-    });
+    let service =
+        service_fn(|request| async { Ok::<_, Infallible>(answer(handler, front, client, request).await) });
     let mut builder = http1::Builder::new();
     builder.max_buf_size(MAX_HEAD_BYTES).timer(Timer).header_read_timeout(None);
     let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -1,4 +1,4 @@
-//! The kept client connections, and the order in which they are closed to make room for new ones.
+//! The open client connections, and the order in which they are closed to make room for new ones.
 //!
 //! The order is kept by what the program knows of a connection without asking the kernel: whether it has sent a whole
 //! request, whether part of a head has come, and since when. Choosing the connection to close takes the first of that
@@ -14,13 +14,13 @@
 
 /// While connections that never sent a valid request hold more than one in so many of the places, none of them is too
 /// young to be closed: a quarter leaves most places to clients that use them.
-const UNPROVEN_SHARE_DIVISOR: usize = 4;
+const MAX_UNPROVEN_DIVISOR: usize = 4;
 /// Connections that get a new rank in one choice, a fraction of a microsecond each (twice that where the kernel was
 /// asked). Each is paid for by bytes that came since that connection had its rank; the bound keeps a burst of them from
 /// holding the event loop for over a millisecond.
 const MAX_RECLASSIFIED_PER_CHOICE: usize = 1024;
 
-/// Names a connection as long as it is kept.
+/// Names a connection as long as it is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct ClientId(u64);
 
@@ -42,9 +42,9 @@
     since: Instant,
 }
 
-/// A connection's place among those that do the same, the longest first.
+/// A connection among those in the same state, the longest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct EvictionCandidate {
     since: Instant,
     id: ClientId,
 }
@@ -52,13 +52,13 @@
 /// Connections by what they do.
 #[derive(Default)]
 struct EvictionOrder {
-    silent: BTreeSet<Place>,
-    partial: BTreeSet<Place>,
-    between: BTreeSet<Place>,
+    silent: BTreeSet<EvictionCandidate>,
+    partial: BTreeSet<EvictionCandidate>,
+    between: BTreeSet<EvictionCandidate>,
 }
 
 impl EvictionOrder {
-    fn of(&mut self, state: IdleState) -> &mut BTreeSet<Place> {
+    fn of(&mut self, state: IdleState) -> &mut BTreeSet<EvictionCandidate> {
         match state {
             IdleState::Silent => &mut self.silent,
             IdleState::PartialHead => &mut self.partial,
@@ -67,12 +67,13 @@
     }
 
     /// The first to go by what is known without the kernel. Of those that have just come none goes before clients that
-    /// wait between requests, unless `crowded`.
-    fn first(&self, now: Instant, crowded: bool) -> Option<Place> {
-        let old = |place: &&Place, least| now.saturating_duration_since(place.since) >= least;
+    /// wait between requests, unless `is_overloaded`.
+    fn first(&self, now: Instant, is_overloaded: bool) -> Option<EvictionCandidate> {
+        let old =
+            |candidate: &&EvictionCandidate, least| now.saturating_duration_since(candidate.since) >= least;
         let silent = self.silent.first();
-        let due = silent.filter(|place| crowded || old(place, SILENT_CONNECTION_AGE));
-        let stopped = self.partial.first().filter(|place| old(place, STALLED_HEAD_AGE));
+        let due = silent.filter(|candidate| is_overloaded || old(candidate, SILENT_CONNECTION_AGE));
+        let stopped = self.partial.first().filter(|candidate| old(candidate, STALLED_HEAD_AGE));
         due.or(stopped).or(self.between.first()).or(silent).copied()
     }
 }
@@ -155,10 +156,10 @@
     }
 }
 
-/// All client connections that are kept.
+/// All client connections that are open.
 #[derive(Default)]
 pub(crate) struct Clients {
-    kept: RefCell<HashMap<ClientId, Rc<Client>>>,
+    by_id: RefCell<HashMap<ClientId, Rc<Client>>>,
     order: RefCell<EvictionOrder>,
     pub population: Rc<Population>,
     next: Cell<u64>,
@@ -168,7 +169,7 @@
 
 impl Clients {
     pub(crate) fn len(&self) -> usize {
-        self.kept.borrow().len()
+        self.by_id.borrow().len()
     }
 
     /// Connections that were not told to leave.
@@ -192,23 +193,23 @@
         ClientId(self.next.get())
     }
 
-    /// Keeps a connection that has just been accepted.
+    /// Adds a connection that has just been accepted.
     pub(crate) fn insert(&self, client: Rc<Client>) {
         self.population.joined();
         self.set_rank(&client, EvictionRank { state: IdleState::Silent, since: client.accepted_at });
-        self.kept.borrow_mut().insert(client.id, client);
+        self.by_id.borrow_mut().insert(client.id, client);
     }
 
     /// Forgets a connection that has ended.
     pub(crate) fn remove(&self, client: &Client) {
         self.unrank(client);
         client.mark_closing();
-        self.kept.borrow_mut().remove(&client.id);
+        self.by_id.borrow_mut().remove(&client.id);
     }
 
     /// An answer has ended on it: it waits for the next request.
     pub(crate) fn record_answered(&self, client: &Client) {
-        if !self.kept.borrow().contains_key(&client.id) {
+        if !self.by_id.borrow().contains_key(&client.id) {
             return; // its connection ended with the answer
         }
         let state = if client.has_sent_request() { IdleState::BetweenRequests } else { IdleState::Silent };
@@ -216,15 +217,15 @@
     }
 
     pub(crate) fn for_each(&self, each: impl Fn(&Client)) {
-        self.kept.borrow().values().for_each(|client| each(client));
+        self.by_id.borrow().values().for_each(|client| each(client));
     }
 
-    /// Chooses the connection that is closed first where `most` may be kept.
+    /// Chooses the connection that is closed first where `max_clients` may be open.
     pub(crate) fn choose_evicted(&self, now: Instant, max_clients: usize) -> Choice {
-        let crowded = self.unproven() > max_clients / UNPROVEN_SHARE_DIVISOR;
+        let is_overloaded = self.unproven() > max_clients / MAX_UNPROVEN_DIVISOR;
         for _ in 0..MAX_RECLASSIFIED_PER_CHOICE {
-            let place = self.order.borrow().first(now, crowded);
-            let client = place.and_then(|place| self.kept.borrow().get(&place.id).cloned());
+            let candidate = self.order.borrow().first(now, is_overloaded);
+            let client = candidate.and_then(|candidate| self.by_id.borrow().get(&candidate.id).cloned());
             let Some(client) = client else { return Choice::Nobody };
             let Some(rank) = client.rank.get() else { return Choice::Nobody };
             match check_rank(&client, rank, now) {
@@ -244,14 +245,14 @@
         self.unrank(client);
         self.reclassified.set(self.reclassified.get() + 1);
         client.rank.set(Some(rank));
-        let place = Place { since: rank.since, id: client.id };
-        self.order.borrow_mut().of(rank.state).insert(place);
+        let candidate = EvictionCandidate { since: rank.since, id: client.id };
+        self.order.borrow_mut().of(rank.state).insert(candidate);
     }
 
     fn unrank(&self, client: &Client) {
         if let Some(rank) = client.rank.take() {
-            let place = Place { since: rank.since, id: client.id };
-            self.order.borrow_mut().of(rank.state).remove(&place);
+            let candidate = EvictionCandidate { since: rank.since, id: client.id };
+            self.order.borrow_mut().of(rank.state).remove(&candidate);
         }
     }
 }
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -86,10 +86,7 @@
                     let full_requested = request.full || polls.any_full();
                     self.reschedule_full_list(full_requested, received.list.snapshot, mode);
                     polls.drain().for_each(|poll| self.finish_in_background(poll));
-                    if !self.apply(request, received) {
-                        warn!("discovery answered with changes to a poll for the full list");
-                        tokio::time::sleep(backoff(1)).await;
-                    }
+                    self.apply_or_back_off(request, received).await;
                 }
                 Err(error) => {
                     failures += 1;
@@ -140,6 +137,14 @@
         }
     }
 
+    /// Applies an answer; where it is invalid there is a pause before the next poll.
+    async fn apply_or_back_off(&self, request: PollRequest, received: ParsedEndpointList) {
+        if !self.apply(request, received) {
+            warn!("discovery answered with changes to a poll for the full list");
+            tokio::time::sleep(backoff(1)).await;
+        }
+    }
+
     /// Applies an answer. False: it is invalid, as changes to no list at all.
     fn apply(&self, request: PollRequest, received: ParsedEndpointList) -> bool {
         let known_version = self.version.get();
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -143,7 +143,7 @@
     };
     wait_for_stall(timeout, || stream.bytes_sent() + upload.bytes_read()).await;
     if upload.is_complete() {
-        std::future::pending().await // the deadline of the request runs now and ends it
+        std::future::pending::<()>().await; // the deadline of the request runs now and ends it
     }
 }
 
@@ -155,16 +155,16 @@
     work: impl Future<Output = T>,
 ) -> Option<T> {
     let mut work = pin!(work);
-    let mut is_over = false;
+    let mut has_ended = false;
     poll_fn(|cx| {
         if let Poll::Ready(done) = work.as_mut().poll(cx) {
             return Poll::Ready(Some(done));
         }
-        if is_over {
+        if has_ended {
             return Poll::Ready(None);
         }
         if Pin::new(&mut *driver).poll(cx).is_ready() {
-            is_over = true;
+            has_ended = true;
             cx.waker().wake_by_ref(); // once more for what it brought before it ended
         }
         work.as_mut().poll(cx).map(Some)
--- a/crates/proxy/src/process_slot.rs
+++ b/crates/proxy/src/process_slot.rs
@@ -1,4 +1,4 @@
-//! Whether another process of this proxy serves beside this one, as during an upgrade.
+//! Whether another process of this proxy serves at the same time, as during an upgrade.
 
 use std::fs::{File, TryLockError};
 use std::io;
@@ -6,43 +6,42 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How often the other's lock is looked at.
+/// How often the lock of the other process is checked.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A lock may be held for an instant by one who only looks.
-const TRIES: u32 = 50;
-const PAUSE: Duration = Duration::from_millis(2);
+/// How often a lock is tried: it may be held for an instant by a process that only checks it.
+const MAX_TRIES: u32 = 50;
+const RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// This process's place among the two that there may be. The kernel frees it when the process ends.
+/// This process's slot of the two that a proxy has. The kernel frees it when the process ends.
 pub struct ProcessSlot {
-    /// Held for as long as the process runs.
+    /// Locked for as long as the process runs.
     _own: Option<File>,
     other: Option<File>,
 }
 
 impl ProcessSlot {
-    /// Takes a free place. Where none can be had the process counts as alone: it serves all the same.
+    /// Takes a free slot. Where none can be had the process counts as alone: it serves all the same.
     pub async fn acquire(base: &Path) -> ProcessSlot {
-        let places = [place(base, 0), place(base, 1)];
-        for _ in 0..TRIES {
-            for (own, other) in [(0, 1), (1, 0)] {
-                match lock(&places[own]) {
-                    Ok(Some(file)) => {
-                        return ProcessSlot { _own: Some(file), other: open(&places[other]).ok() }
-                    }
+        let first = lock_path(base, 0);
+        let second = lock_path(base, 1);
+        for _ in 0..MAX_TRIES {
+            for (own, other) in [(&first, &second), (&second, &first)] {
+                match lock(own) {
+                    Ok(Some(file)) => return ProcessSlot { _own: Some(file), other: open(other).ok() },
                     Ok(None) => {}
-                    Err(e) => {
-                        warn!("cannot tell whether another process serves: {e}");
+                    Err(error) => {
+                        warn!(%error, "cannot tell whether another process serves");
                         return ProcessSlot { _own: None, other: None };
                     }
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         warn!("two other processes serve already");
-        ProcessSlot { _own: None, other: open(&places[0]).ok() }
+        ProcessSlot { _own: None, other: open(&first).ok() }
     }
 
-    /// Another process holds the other place.
+    /// Whether another process holds the other slot.
     pub fn other_is_running(&self) -> bool {
         let Some(other) = &self.other else { return false };
         match other.try_lock_shared() {
@@ -56,7 +55,7 @@
     }
 }
 
-fn place(base: &Path, number: u32) -> PathBuf {
+fn lock_path(base: &Path, number: u32) -> PathBuf {
     base.with_extension(format!("process.{number}"))
 }
 
@@ -64,13 +63,13 @@
     File::options().create(true).append(true).open(path)
 }
 
-/// `None`: another holds it.
+/// `None`: another process holds the lock.
 fn lock(path: &Path) -> io::Result<Option<File>> {
     let file = open(path)?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
         Err(TryLockError::WouldBlock) => Ok(None),
-        Err(TryLockError::Error(e)) => Err(e),
+        Err(TryLockError::Error(error)) => Err(error),
     }
 }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -37,9 +37,9 @@
     ) {
         let AnswerRelay { pool, backend, connection, is_reusable, bytes_read, max_pause, client } = self;
         let mut work = pin!(pass_on(&client, rest, bytes_read, max_pause));
-        let mut is_connection_over = false;
+        let mut has_connection_ended = false;
         let driven_work = poll_fn(|cx| {
-            is_connection_over = is_connection_over || Pin::new(&mut driver).poll(cx).is_ready();
+            has_connection_ended = has_connection_ended || Pin::new(&mut driver).poll(cx).is_ready();
             work.as_mut().poll(cx)
         });
         let is_complete = tokio::select! {
@@ -52,7 +52,7 @@
         }
         drop(sender);
         let _ = client.send(None).await;
-        if is_reusable && !is_connection_over && is_clean_after_answer(&connection.stream, driver) {
+        if is_reusable && !has_connection_ended && is_clean_after_answer(&connection.stream, driver) {
             pool.return_idle(backend, connection);
         }
     }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -6,18 +6,18 @@
 use crate::client::Client;
 use crate::connection_pool::ConnectionPool;
 use crate::front_state::FrontState;
+use crate::hop_by_hop::strip_hop_by_hop;
 use crate::http_exchange::HttpExchange;
 use crate::invalid_request::InvalidRequest;
 use crate::request::{
     correlation_labels, requested_class, requested_tenant, stays_in_class, validate, ClientHints,
 };
 use crate::request_guards::{OpenId, UnansweredRequest};
-use crate::strip_hop_by_hop;
 use crate::upload::{buffer_body, RequestBody, Upload};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use lotusdeck_core::{Answer, Host};
+use lotusdeck_core::{Answer, Host, RequestLabels};
 use lotusdeck_policy::{Arrival, Micros, RequestId, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -76,7 +76,7 @@
             }),
         };
         client.is_streaming.set(matches!(answer.body(), AnswerBody::Streamed { .. }));
-        if is_invalid || self.front.is_stopping.get() || self.front.is_crowded() {
+        if is_invalid || self.front.is_stopping.get() || self.front.is_near_limit() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -92,6 +92,13 @@
         left.min(Micros(until_end.as_micros() as u64))
     }
 
+    /// The time of a request counts from its last byte; where more is to come it has not begun.
+    fn request_time(&self, time_left: Micros, client: &Client) -> RequestTime {
+        let allowed = Micros(time_left.0.saturating_sub(self.host.reply_margin().0));
+        let left = self.time_left(allowed, client);
+        RequestTime { allowed, left, deadline: self.host.clock.now() + left }
+    }
+
     async fn forward(
         &self, client: &Client, request: Request<Incoming>,
     ) -> Result<Response<AnswerBody>, InvalidRequest> {
@@ -109,10 +116,7 @@
         let max_pause = self.pool.stall_timeouts.get().upload_stall;
         let (body, _reservation) =
             buffer_body(body, valid.length, &client.stream, &self.body_budget, max_pause).await?;
-        // The time of a request counts from its last byte; where more is to come it has not begun.
-        let allowed = Micros(valid.time_left.0.saturating_sub(self.host.reply_margin().0));
-        let left = self.time_left(allowed, client);
-        let time = RequestTime { allowed, left, deadline: self.host.clock.now() + left };
+        let time = self.request_time(valid.time_left, client);
         let hints = ClientHints::read(&head.headers);
         let arrival = Arrival {
             request: RequestId(0),
@@ -126,9 +130,7 @@
         let upload = body.upload().cloned();
         let forwarded = forwarded_request(head.method, &head.uri, head.headers, body)?;
         let exchange = HttpExchange::new(self.pool.clone(), forwarded, client.stream.clone());
-        let labelled = exchange.clone();
-        let label_id = valid.id.clone();
-        let labels = move || correlation_labels(&label_id, labelled.path());
+        let labels = labels_of(valid.id.clone(), exchange.clone());
         let _open_id = OpenId::new(&self.open_ids, valid.id).ok_or(InvalidRequest::IdInUse)?;
         client.prove();
         let (id, answer) = self.host.submit(arrival, exchange.clone(), side_effects, labels);
@@ -177,6 +179,11 @@
     }
 }
 
+/// Gives the labels of a request once the journal wants them.
+fn labels_of(id: HeaderValue, exchange: Rc<HttpExchange>) -> impl FnOnce() -> RequestLabels {
+    move || correlation_labels(&id, exchange.path())
+}
+
 fn forwarded_request(
     method: Method, uri: &Uri, mut headers: HeaderMap, body: RequestBody,
 ) -> Result<ForwardedRequest, InvalidRequest> {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,6 +1,6 @@
 //! The clients' side of the proxy: the listener, the limits and the graceful shutdown.
 
-use crate::acceptor::{Acceptor, Room};
+use crate::acceptor::{Acceptor, Eviction};
 use crate::body_budget::BodyBudget;
 use crate::connection_pool::ConnectionPool;
 use crate::front_state::FrontState;
@@ -75,7 +75,9 @@
     pub fn set_client_limits(&self, max_clients: usize, extra_clients: usize) {
         self.front.max_clients.set(max_clients);
         self.acceptor.extra_clients.set(extra_clients);
-        while self.front.clients.staying() > max_clients && self.acceptor.make_room() != Room::None {}
+        while self.front.clients.staying() > max_clients && self.acceptor.evict_one() != Eviction::NobodyIdle
+        {
+        }
     }
 
     /// Logs the counts of clients and connections since the last call.
@@ -117,7 +119,7 @@
         while self.client_count() > 0 && Instant::now() < ends_at {
             // Told again and again: one whose request had just arrived is not closed at the first time.
             self.front.clients.for_each(|client| client.close_requested.notify_one());
-            self.acceptor.wait_for_room().await;
+            self.acceptor.wait_for_departure().await;
         }
     }
 
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -87,19 +87,8 @@
             break;
         }
         if !reservation.grow(data.len()) || buffered.len() > MAX_BUFFERED_BYTES {
-            let upload = Upload {
-                buffered: RefCell::new(buffered.clone().freeze()),
-                remaining: RefCell::new(Some(body)),
-                length,
-                bytes_read: Cell::new(buffered.len() as u64),
-                started_at,
-                is_consumed: Cell::new(false),
-                is_complete: Cell::new(false),
-                fault: Cell::new(None),
-                ended: Notify::new(),
-                client: client.clone(),
-                max_pause,
-            };
+            let buffered = buffered.clone().freeze();
+            let upload = Upload::new(buffered, body, length, client.clone(), started_at, max_pause);
             return Ok((RequestBody::Streamed(Rc::new(upload)), reservation));
         }
     }
@@ -115,6 +104,25 @@
 }
 
 impl Upload {
+    fn new(
+        buffered: Bytes, remaining: Incoming, length: Option<u64>, client: Stream, started_at: Instant,
+        max_pause: Duration,
+    ) -> Upload {
+        Upload {
+            bytes_read: Cell::new(buffered.len() as u64),
+            buffered: RefCell::new(buffered),
+            remaining: RefCell::new(Some(remaining)),
+            length,
+            started_at,
+            is_consumed: Cell::new(false),
+            is_complete: Cell::new(false),
+            fault: Cell::new(None),
+            ended: Notify::new(),
+            client,
+            max_pause,
+        }
+    }
+
     /// What was read before the first attempt.
     pub(crate) fn buffered(&self) -> Ref<'_, Bytes> {
         self.buffered.borrow()
