--- /dev/null
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -0,0 +1,178 @@
+//! Backends: what they do with requests, and what a test sees of it.
+
+use super::message::Message;
+use super::PATIENCE;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{mpsc, Arc, Condvar, Mutex};
+
+/// What a backend does with a request.
+#[derive(Clone, Debug)]
+pub(crate) enum Reply {
+    /// A status, a header line or none, a body.
+    Answer(u16, &'static str, String),
+    /// The same, and the connection is closed without a word of it.
+    AnswerAndClose(u16, String),
+    /// These bytes, each piece in a segment of its own, and the connection stays open.
+    Pieces(Vec<String>),
+    /// The same, and the connection is closed behind them.
+    PiecesAndClose(Vec<String>),
+    /// The first bytes, the others when the gate opens.
+    Paused(String, Arc<Gate>, String),
+    /// The connection ends after the whole request.
+    Reset,
+    /// Nothing, until the proxy gives up.
+    Silence,
+    /// Nothing until the gate opens, then 200.
+    Gate(Arc<Gate>),
+    /// Nothing until the gate opens, then the connection ends.
+    GateReset(Arc<Gate>),
+}
+
+pub(crate) fn ok(body: &str) -> Reply {
+    Reply::Answer(200, "", body.into())
+}
+
+/// Opened once, for all that wait.
+#[derive(Debug, Default)]
+pub(crate) struct Gate(Mutex<bool>, Condvar);
+
+impl Gate {
+    pub(crate) fn open(&self) {
+        *self.0.lock().unwrap() = true;
+        self.1.notify_all();
+    }
+    pub(crate) fn wait(&self) {
+        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open).unwrap();
+    }
+}
+
+#[derive(Debug)]
+pub(crate) enum Seen {
+    Connected,
+    Request(Message),
+    /// A connection ended, from either side.
+    Closed,
+}
+
+pub(crate) struct BackendServer {
+    pub address: SocketAddr,
+    pub seen: mpsc::Receiver<Seen>,
+    pub connections: Arc<AtomicU32>,
+    pub requests: Arc<AtomicU32>,
+    /// Requests of which the whole answer is written, with all that comes behind it.
+    pub answered: Arc<AtomicU32>,
+}
+
+impl BackendServer {
+    pub(crate) fn start(reply: impl Fn(u32) -> Reply + Send + Sync + 'static) -> BackendServer {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (tell, seen) = mpsc::channel();
+        let (connections, requests) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
+        let answered = Arc::new(AtomicU32::new(0));
+        let done = answered.clone();
+        let (opened, count, reply) = (connections.clone(), requests.clone(), Arc::new(reply));
+        std::thread::spawn(move || {
+            for tcp in listener.incoming().flatten() {
+                opened.fetch_add(1, Ordering::SeqCst);
+                let _ = tell.send(Seen::Connected);
+                let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
+                let done = done.clone();
+                std::thread::spawn(move || serve(tcp, &tell, [&count, &done], &*reply));
+            }
+        });
+        BackendServer { address, seen, connections, requests, answered }
+    }
+
+    /// Waits for the next request.
+    pub(crate) fn request(&self) -> Message {
+        loop {
+            if let Seen::Request(message) =
+                self.seen.recv_timeout(PATIENCE).expect("a request at the backend")
+            {
+                return message;
+            }
+        }
+    }
+
+    /// Waits until a connection ends.
+    pub(crate) fn closed(&self) {
+        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+    }
+
+    pub(crate) fn count(&self) -> u32 {
+        self.requests.load(Ordering::SeqCst)
+    }
+}
+
+fn serve(
+    tcp: TcpStream, tell: &mpsc::Sender<Seen>, [count, answered]: [&AtomicU32; 2],
+    reply: &dyn Fn(u32) -> Reply,
+) {
+    let mut reader = BufReader::new(tcp.try_clone().unwrap());
+    let mut out = tcp;
+    while let Some(message) = Message::read(&mut reader) {
+        let number = count.fetch_add(1, Ordering::SeqCst);
+        let _ = tell.send(Seen::Request(message));
+        let mut send = |status: u16, header: &str, body: &str| {
+            let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
+            let length = body.len();
+            let text = format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
+            out.write_all(text.as_bytes()).is_ok()
+        };
+        let go_on = match reply(number) {
+            Reply::Answer(status, header, body) => send(status, header, &body),
+            Reply::AnswerAndClose(status, body) => {
+                send(status, "", &body);
+                let _ = out.shutdown(std::net::Shutdown::Both);
+                false
+            }
+            Reply::Pieces(pieces) => {
+                out.set_nodelay(true).unwrap();
+                pieces.iter().all(|piece| out.write_all(piece.as_bytes()).is_ok())
+            }
+            Reply::PiecesAndClose(pieces) => {
+                out.set_nodelay(true).unwrap();
+                pieces.iter().for_each(|piece| drop(out.write_all(piece.as_bytes())));
+                false
+            }
+            Reply::Paused(first, gate, rest) => {
+                let begun = out.write_all(first.as_bytes()).is_ok();
+                gate.wait();
+                begun && out.write_all(rest.as_bytes()).is_ok()
+            }
+            Reply::Reset => false,
+            Reply::Silence => true,
+            Reply::GateReset(gate) => {
+                gate.wait();
+                false
+            }
+            Reply::Gate(gate) => {
+                gate.wait();
+                send(200, "", "gated")
+            }
+        };
+        answered.fetch_add(1, Ordering::SeqCst);
+        if !go_on {
+            break;
+        }
+    }
+    let _ = tell.send(Seen::Closed);
+}
+
+/// A port on which nobody listens: connections to it are refused for as long as it is held.
+pub(crate) struct Refusing(socket2::Socket);
+
+impl Refusing {
+    pub(crate) fn new() -> Refusing {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
+        socket.bind(&any.into()).unwrap();
+        Refusing(socket)
+    }
+    pub(crate) fn address(&self) -> SocketAddr {
+        self.0.local_addr().unwrap().as_socket().unwrap()
+    }
+}
--- /dev/null
+++ b/crates/lotusdeck/tests/rig/client.rs
@@ -0,0 +1,31 @@
+//! A client on one connection.
+
+use super::message::Message;
+use super::PATIENCE;
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// A client on one connection.
+pub(crate) struct Client(pub BufReader<TcpStream>);
+
+impl Client {
+    pub(crate) fn connect(to: SocketAddr) -> Client {
+        let tcp = TcpStream::connect(to).unwrap();
+        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+        Client(BufReader::new(tcp))
+    }
+    pub(crate) fn send(&mut self, request: &str) {
+        self.0.get_mut().write_all(request.as_bytes()).unwrap();
+    }
+    pub(crate) fn answer(&mut self) -> Option<Message> {
+        Message::read(&mut self.0)
+    }
+    pub(crate) fn ask(&mut self, request: &str) -> Message {
+        self.send(request);
+        self.answer().expect("a whole answer")
+    }
+    /// The proxy ended the connection, with nothing more on it.
+    pub(crate) fn ended(&mut self) -> bool {
+        matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
+    }
+}
--- /dev/null
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -0,0 +1,248 @@
+//! The program under test.
+
+use super::client::Client;
+use super::discovery::DiscoveryServer;
+use super::fixtures::{list, SETTINGS};
+use super::message::Message;
+use super::{next, PATIENCE};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::OwnedFd;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
+use std::sync::mpsc;
+use std::time::Instant;
+
+/// The program, with a configuration of its own.
+pub(crate) struct Proxy {
+    pub child: Child,
+    pub address: SocketAddr,
+    /// Where operators call.
+    pub admin: SocketAddr,
+    pub discovery: Rc<DiscoveryServer>,
+    log: mpsc::Receiver<String>,
+    /// Its `$TMPDIR`.
+    pub tmp: PathBuf,
+    /// Where its configuration is, and what stands there.
+    pub config: (PathBuf, String),
+}
+
+impl Proxy {
+    pub(crate) fn start(known: &[String]) -> Proxy {
+        Launch::new(known).run()
+    }
+
+    pub(crate) fn with(known: &[String], sockets: u32, settings: &str) -> Proxy {
+        Launch { sockets, settings, ..Launch::new(known) }.run()
+    }
+
+    /// With a limit on descriptors that need not be the one it is told.
+    pub(crate) fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
+        Launch { sockets, settings, descriptors, ..Launch::new(known) }.run()
+    }
+
+    /// With an operator file.
+    pub(crate) fn operated(known: &[String], operator: &Path) -> Proxy {
+        Launch { operator: Some(operator), ..Launch::new(known) }.run()
+    }
+
+    /// With an operator file, and no file longer than so many blocks of 512 bytes.
+    pub(crate) fn operated_within(known: &[String], operator: &Path, blocks: Option<u32>) -> Proxy {
+        Launch { operator: Some(operator), file_blocks: blocks, ..Launch::new(known) }.run()
+    }
+
+    /// With an operator file and settings of its own.
+    pub(crate) fn operated_by(known: &[String], operator: &Path, settings: &str) -> Proxy {
+        Launch { operator: Some(operator), settings, ..Launch::new(known) }.run()
+    }
+
+    /// On a listening socket that somebody else holds.
+    pub(crate) fn inheriting(known: &[String], listener: &TcpListener) -> Proxy {
+        Launch { listener: Some(listener), ..Launch::new(known) }.run()
+    }
+
+    /// A new process beside this one: the same listener, directory and discovery, another address for calls.
+    pub(crate) fn successor(&self, known: &[String], listener: &TcpListener) -> Proxy {
+        let launch = Launch::sharing(known, self.tmp.clone(), self.discovery.clone());
+        Launch { listener: Some(listener), ..launch }.run()
+    }
+
+    /// An operator's call; the status of its answer.
+    pub(crate) fn call(&self, method: &str, path: &str, body: &str) -> u16 {
+        let length = body.len();
+        let request =
+            format!("{method} {path} HTTP/1.1\r\nHost: o\r\nContent-Length: {length}\r\n\r\n{body}");
+        Client::connect(self.admin).ask(&request).status()
+    }
+
+    pub(crate) fn client(&self) -> Client {
+        Client::connect(self.address)
+    }
+
+    /// One request on a connection of its own.
+    pub(crate) fn ask(&self, request: &str) -> Message {
+        self.client().ask(request)
+    }
+
+    /// Waits for a line of the log.
+    pub(crate) fn logged(&self, what: &str) -> String {
+        let end = Instant::now() + PATIENCE;
+        let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
+        std::iter::from_fn(next).find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what:?}"))
+    }
+
+    /// Another file in place of its configuration, and the signal for it.
+    pub(crate) fn reconfigure(&self, file: &str) {
+        std::fs::write(&self.config.0, file).unwrap();
+        self.signal("HUP");
+    }
+
+    pub(crate) fn signal(&self, name: &str) {
+        let done = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
+        assert!(done.success());
+    }
+
+    /// Another configuration, in which discovery is elsewhere.
+    pub(crate) fn move_discovery(&self, to: SocketAddr) {
+        let moved = self.config.1.replace(&self.discovery.address.to_string(), &to.to_string());
+        std::fs::write(&self.config.0, moved).unwrap();
+    }
+}
+
+/// What the program is started with.
+struct Launch<'a> {
+    /// The list that the platform hands over.
+    known: &'a [String],
+    /// The limit on descriptors that it is told.
+    sockets: u32,
+    settings: &'a str,
+    /// The limit on descriptors that it has.
+    descriptors: u32,
+    tmp: PathBuf,
+    listener: Option<&'a TcpListener>,
+    discovery: Rc<DiscoveryServer>,
+    operator: Option<&'a Path>,
+    /// The longest file that it may write, in blocks of 512 bytes.
+    file_blocks: Option<u32>,
+}
+
+impl<'a> Launch<'a> {
+    fn new(known: &'a [String]) -> Launch<'a> {
+        let tmp = std::env::temp_dir().join(format!("lotusdeck-{}-{}", std::process::id(), next()));
+        Launch::sharing(known, tmp, Rc::new(DiscoveryServer::start()))
+    }
+
+    /// With a directory and discovery that may be another process's as well.
+    fn sharing(known: &'a [String], tmp: PathBuf, discovery: Rc<DiscoveryServer>) -> Launch<'a> {
+        Launch {
+            known,
+            sockets: 1024,
+            settings: SETTINGS,
+            descriptors: 1024,
+            tmp,
+            listener: None,
+            discovery,
+            operator: None,
+            file_blocks: None,
+        }
+    }
+
+    /// Starts it, and waits until it takes clients.
+    fn run(self) -> Proxy {
+        let config = self.config();
+        std::fs::create_dir_all(&self.tmp).unwrap();
+        let path = written(&config);
+        let mut child = self.command(&path).spawn().unwrap();
+        let mut log = BufReader::new(child.stderr.take().unwrap());
+        let (sender, lines) = mpsc::channel();
+        let address = logged_address(&mut log, &sender, "listens");
+        let admin = logged_address(&mut log, &sender, "operators call");
+        std::thread::spawn(move || {
+            for line in log.lines().map_while(Result::ok) {
+                eprintln!("{line}");
+                let _ = sender.send(line);
+            }
+        });
+        let Launch { discovery, tmp, .. } = self;
+        Proxy { child, address, admin, log: lines, discovery, tmp, config: (path, config) }
+    }
+
+    fn config(&self) -> String {
+        let at = self.discovery.address;
+        let known = list(4, true, self.known);
+        let Launch { sockets, settings, .. } = self;
+        format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{at}","admin_addr":"127.0.0.1:0",
+            "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
+            "known":{known},"settings":{settings}}}"#
+        )
+    }
+
+    fn command(&self, config: &Path) -> Command {
+        let mut command = limited(Some(config), self.descriptors);
+        if let Some(listener) = self.listener {
+            let socket: OwnedFd = listener.try_clone().unwrap().into();
+            command.stdin(socket).env("NODE_SOCKET_FD", "3");
+        }
+        if let Some(operator) = self.operator {
+            command.env("NODE_OPERATOR", operator);
+        }
+        if let Some(blocks) = self.file_blocks {
+            command.env("FILE_BLOCKS", blocks.to_string());
+        }
+        command.env("TMPDIR", &self.tmp);
+        command
+    }
+}
+
+/// Waits for the line of the log whose message is `message`, and reads its address.
+fn logged_address(log: &mut impl BufRead, sender: &mpsc::Sender<String>, message: &str) -> SocketAddr {
+    loop {
+        let mut line = String::new();
+        assert!(log.read_line(&mut line).unwrap() > 0, "the program ended before it logged {message:?}");
+        let _ = sender.send(line.clone());
+        if let Some(fields) = line.split(&format!(": {message} ")).nth(1) {
+            let address = fields.split("address=").nth(1).unwrap();
+            return address.split_whitespace().next().unwrap().parse().unwrap();
+        }
+    }
+}
+
+impl Drop for Proxy {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// The program's command, with a configuration or without any.
+pub(crate) fn launch(config: Option<&str>) -> Command {
+    limited(config.map(written).as_deref(), 1024)
+}
+
+fn written(config: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("lotusdeck-{}-{}.json", std::process::id(), next()));
+    std::fs::write(&path, config).unwrap();
+    path
+}
+
+fn limited(config: Option<&Path>, descriptors: u32) -> Command {
+    let mut command = Command::new("sh");
+    // A socket that is handed down comes as the standard input and becomes descriptor 3, as in service.
+    let line = format!(
+        "ulimit -n {descriptors}; ulimit -f ${{FILE_BLOCKS:-unlimited}}; exec \"$0\" serve 3<&0 </dev/null"
+    );
+    command.args(["-c", &line, env!("CARGO_BIN_EXE_lotusdeck")]);
+    command
+        .env_remove("NODE_ADMIN_ADDR")
+        .env_remove("NODE_SOCKET_FD")
+        .env_remove("NODE_CONFIG")
+        .env_remove("NODE_OPERATOR")
+        .stdin(Stdio::null());
+    command.stderr(Stdio::piped()).stdout(Stdio::null());
+    if let Some(path) = config {
+        command.env("NODE_CONFIG", path);
+    }
+    command
+}
