--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -116,9 +116,11 @@
             NextStep::Continue => tokio::task::yield_now().await,
             NextStep::Validate => self.validate_candidate(),
             NextStep::Applied(version) => return self.apply_candidate(version).await,
-            NextStep::Rejected(reason) => self.log_problem("configuration refused", reason.to_string()),
+            NextStep::Rejected(reason) => {
+                self.log_problem("configuration version rejected", reason.to_string());
+            }
             NextStep::PollFailed(failure) => {
-                self.log_problem("no answer from the source", failure.to_string());
+                self.log_problem("configuration poll failed", failure.to_string());
             }
         }
         Flow::Continue(())
@@ -182,7 +184,7 @@
     fn log_recovery(&mut self, source: SocketAddr, now: Duration) {
         let is_current = self.follower.status(now).sync_state == SyncState::Current;
         if is_current && self.logged_problem.take().is_some() {
-            info!(%source, "the source of configuration is back");
+            info!(%source, "configuration source recovered");
         }
     }
 
@@ -233,7 +235,7 @@
                 self.apply_candidate(version).await
             }
             Err(reason) => {
-                self.log_problem("the version held does not fit the node configuration", reason.to_string());
+                self.log_problem("applied version does not fit the node configuration", reason.to_string());
                 Flow::Continue(())
             }
         }
@@ -243,7 +245,7 @@
         if self.logged_problem.as_ref() != Some(&reason) {
             let applied = self.follower.applied_version();
             let in_force = applied.map_or("none".into(), |version| version.to_string());
-            warn!(reason, in_force, "{message}");
+            warn!(error = reason, in_force, "{message}");
         }
         self.logged_problem = Some(reason);
     }
--- a/crates/lotusdeck/src/fleet/gossip.rs
+++ b/crates/lotusdeck/src/fleet/gossip.rs
@@ -65,7 +65,7 @@
         if *logged_generation != generation {
             *logged_generation = generation;
             let members = node.membership().live_members().len();
-            info!(members, "proxies of the fleet that are there");
+            info!(members, "fleet membership changed");
         }
     }
 
@@ -74,7 +74,7 @@
             () = sleep_until(deadline) => {}
             readable = socket.readable() => {
                 if let Err(error) = readable {
-                    warn!(%error, "fleet: cannot read");
+                    warn!(%error, "fleet receive failed");
                     sleep(RETRY_INTERVAL).await;
                 }
                 self.receive(socket, buffer);
@@ -88,12 +88,12 @@
             match UdpSocket::bind(address).await {
                 Ok(socket) => {
                     let address = socket.local_addr().unwrap_or(address);
-                    info!(%address, "talks to the fleet");
+                    info!(%address, "fleet listening");
                     return socket;
                 }
                 Err(error) if !has_warned => {
                     has_warned = true;
-                    warn!(%address, %error, "fleet: address not free; only this proxy's own shares until it is");
+                    warn!(%address, %error, "fleet address in use; only this proxy's own quotas until it is free");
                 }
                 Err(_) => {}
             }
@@ -112,7 +112,7 @@
                 let before = self.undecodable_datagrams.get();
                 self.undecodable_datagrams.set(before + 1);
                 if before.is_multiple_of(UNDECODABLE_LOG_INTERVAL) {
-                    warn!(%from, %error, unread = before + 1, "fleet: datagram not understood");
+                    warn!(%from, %error, rejected = before + 1, "fleet datagram rejected");
                 }
             }
             self.send_queued(Some(socket));
@@ -123,7 +123,7 @@
     fn send_queued(&self, socket: Option<&UdpSocket>) {
         while let Some((to, bytes)) = self.next_datagram() {
             if let Some(Err(error)) = socket.map(|socket| socket.try_send_to(&bytes, to)) {
-                debug!(%to, %error, "fleet: datagram not sent"); // lost, as any may be
+                debug!(%to, %error, "fleet datagram not sent"); // lost, as any may be
             }
         }
     }
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -64,7 +64,7 @@
         let generation = now_ms() << GENERATION_SEED_BITS | seed & ((1 << GENERATION_SEED_BITS) - 1);
         let ledger = Ledger::start(disk, options, generation)?;
         let status = ledger.status();
-        info!(folder = %folder.display(), generation, free = status.free_bytes, failing = status.is_failing, "ledger starts");
+        info!(folder = %folder.display(), generation, free_bytes = status.free_bytes, failing = status.is_failing, "ledger started");
         let journal = LedgerJournal {
             ledger,
             wait: section.wait,
@@ -85,8 +85,8 @@
         if is_short != self.has_warned.replace(is_short) {
             warn!(
                 failing = status.is_failing,
-                free = status.free_bytes,
-                failed = status.records_lost,
+                free_bytes = status.free_bytes,
+                lost_records = status.records_lost,
                 short = is_short,
                 "ledger space"
             );
@@ -94,10 +94,10 @@
         if status.records > 0 {
             info!(
                 records = status.records,
-                depth = status.queued_records,
+                queued_records = status.queued_records,
                 writes = status.writes,
                 syncs = status.syncs,
-                failed = status.records_lost,
+                lost_records = status.records_lost,
                 "ledger"
             );
         }
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -104,7 +104,7 @@
     let Listen { listener, address, front } = listen;
     spawn_local(front.clone().run(listener));
     let server_count = section.servers.len();
-    info!(%address, servers = server_count, users = section.users.len(), "takes postgres clients");
+    info!(%address, servers = server_count, users = section.users.len(), "postgres listening");
     Ok(RunningFront { address, front, host, servers })
 }
 
--- a/crates/lotusdeck/src/serve/mod.rs
+++ b/crates/lotusdeck/src/serve/mod.rs
@@ -117,7 +117,7 @@
 fn log_listening(parts: &Parts, clients: &TcpListener) {
     let address = clients.local_addr().unwrap_or(parts.node.listen);
     let known = parts.initial_list.endpoints;
-    info!(name = parts.node.name, %address, known, "listens");
+    info!(name = parts.node.name, %address, known, "listening");
 }
 
 /// Starts what persists estimates, and returns what persists endpoint lists.
@@ -171,7 +171,7 @@
     spawn_local(limits.follow_other_process(slot, has_other_process, host.clone()));
     if let Some(listener) = operators {
         let address = listener.local_addr().ok().or(node.admin);
-        info!(address = address.map(tracing::field::display), "operators call");
+        info!(address = address.map(tracing::field::display), "listening for operators");
         let configuration = Box::new(move || source_status.current());
         spawn_local(Admin::new(host.clone(), server.clone(), configuration).run(listener));
     }
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -106,9 +106,9 @@
         match self.try_reload_files().await {
             Ok(changed) => {
                 let discovery = self.discovery.borrow().0;
-                info!(%discovery, changed, "settings taken");
+                info!(%discovery, changed, "configuration applied");
             }
-            Err(error) => warn!(reason = %error, "settings refused, nothing is taken"),
+            Err(error) => warn!(%error, "configuration rejected, nothing applied"),
         }
     }
 
@@ -154,7 +154,7 @@
             let successor = off_event_loop(move || in_force.prepare(Settings::clone(&new))).await?;
             match self.host.apply_settings(successor) {
                 Ok(changed) => break changed,
-                Err(outdated) => debug!(%outdated, "settings are merged anew"),
+                Err(outdated) => debug!(%outdated, "configuration changed meanwhile, merged again"),
             }
         };
         let target = (discovery, mode);
@@ -176,9 +176,9 @@
         match self.apply_settings(discovery, read.settings).await {
             Ok(changed) => {
                 self.has_source_settings = true;
-                info!(version = %read.version, changed, "settings taken");
+                info!(version = %read.version, changed, "configuration applied");
             }
-            Err(error) => warn!(version = %read.version, reason = %error, "settings refused"),
+            Err(error) => warn!(version = %read.version, %error, "configuration rejected"),
         }
     }
 }
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -103,7 +103,7 @@
 fn load_cordon(node: &NodeConfig) -> Cordon {
     let cordon = Cordon::load(&node.state_path_prefix());
     if cordon.count() > 0 {
-        info!(cordoned = cordon.count(), "backends are cordoned from before");
+        info!(cordoned = cordon.count(), "cordoned backends restored");
     }
     cordon
 }
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -44,7 +44,7 @@
         Err(StateFileError::Missing) => return None,
         Err(error) => {
             let path = location.path(ESTIMATES);
-            warn!(path = %path.display(), %error, "what was learned is not taken; starting without it");
+            warn!(path = %path.display(), %error, "estimates not restored; starting without them");
             return None;
         }
     };
@@ -53,13 +53,13 @@
     let estimates = saved.discounted(weighting, |name| started_ms.get(name).copied());
     let samples = estimates.overall_latency.samples;
     if samples <= 0.0 {
-        warn!(?age, "what was learned is not taken: too old, of an age that cannot be told, or nothing");
+        warn!(?age, "estimates not restored: too old, of unknown age, or empty");
         return None;
     }
     let kinds = estimates.kinds.len();
     let ejected = estimates.ejected.len();
     let spent = estimates.warmup_spend.len();
-    info!(?age, samples, kinds, ejected, spent, "what was learned is taken");
+    info!(?age, samples, kinds, ejected, spent, "estimates restored");
     Some(estimates)
 }
 
@@ -85,11 +85,11 @@
     let ReadEndpoints { saved, list } = match location.read_endpoints() {
         Ok(read) => read,
         Err(StateFileError::Missing) => {
-            info!(path = %path.display(), "no state kept yet");
+            info!(path = %path.display(), "no saved endpoint list");
             return platforms(known);
         }
         Err(error) => {
-            warn!(path = %path.display(), %error, "state not taken; starting without it");
+            warn!(path = %path.display(), %error, "endpoint list not restored; starting without it");
             return platforms(known);
         }
     };
@@ -99,17 +99,17 @@
     let entries = list.endpoints.len();
     match choose(index, confidence, known.version, known.endpoints.len()) {
         EndpointSource::SavedEndpoints => {
-            let trust = confidence.0;
-            info!(index, entries, ?age, trust, known = known.version, "state taken: the kept list");
+            let confidence = confidence.0;
+            info!(index, entries, ?age, confidence, known = known.version, "endpoint list restored");
             ChosenEndpoints { list, is_saved: true }
         }
         EndpointSource::PlatformEndpoints => {
-            info!(index, known = known.version, "state passed over: the platform's list is as new");
+            info!(index, known = known.version, "saved endpoint list not used: the platform's is as new");
             platforms(known)
         }
         EndpointSource::Untrusted(confidence) => {
-            let trust = confidence.0;
-            warn!(index, ?age, trust, "state not taken: too old, or of an age that cannot be told");
+            let confidence = confidence.0;
+            warn!(index, ?age, confidence, "endpoint list not restored: too old or of unknown age");
             platforms(known)
         }
     }
--- a/crates/lotusdeck/src/state/writer.rs
+++ b/crates/lotusdeck/src/state/writer.rs
@@ -120,7 +120,7 @@
         let is_held = match file.try_lock() {
             Ok(()) => true,
             Err(TryLockError::WouldBlock) => {
-                warn!(path = %path.display(), "another process keeps this proxy's state; this one only reads until it ends");
+                warn!(path = %path.display(), "state is locked by another process; this one only reads until it ends");
                 false
             }
             Err(TryLockError::Error(error)) => return Err(error),
@@ -135,11 +135,11 @@
         }
         match self.file.lock() {
             Ok(()) => {
-                info!(path = %self.path.display(), "the other process ended; this one keeps the state now");
+                info!(path = %self.path.display(), "the other process ended; this one writes the state now");
                 Some(self)
             }
             Err(error) => {
-                warn!(%error, path = %self.path.display(), "state is not kept by this process");
+                warn!(%error, path = %self.path.display(), "state lock failed; this process does not write the state");
                 None
             }
         }
@@ -183,7 +183,7 @@
             }
             // The file in place stays as it was: whole, only older.
             Err(error) if !self.is_failing => {
-                warn!(%error, %path, "state cannot be written; the last one stays");
+                warn!(%error, %path, "state write failed; the last one stays");
                 self.is_failing = true;
             }
             Ok(()) | Err(_) => {}
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -115,9 +115,9 @@
     assert!(took(0.8) > 0.7, "the answer may rest for a minute: the client's time ends first");
     std::fs::write(&operator, "[http]\nanswer_gap_ms = 1\n").unwrap();
     proxy.signal("HUP");
-    assert!(proxy.logged("settings refused").contains("answer_gap_ms"));
+    assert!(proxy.logged("configuration rejected").contains("answer_gap_ms"));
     std::fs::write(&operator, stalled(20)).unwrap();
     proxy.signal("HUP");
-    proxy.logged("settings taken");
+    proxy.logged("configuration applied");
     assert!(took(3.0) < 2.5, "it rested for too long");
 }
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -64,7 +64,7 @@
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
         let proxy = Proxy::operated_by(&known, &self.operators[n], &settings);
-        let line = proxy.logged("talks to the fleet");
+        let line = proxy.logged("fleet listening");
         let at = line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap();
         self.links.member(n, at.parse().unwrap());
         proxy
@@ -283,13 +283,13 @@
     let settings =
         SETTINGS.replace("\"position\":0", "\"position\":3").replace("\"group_size\":1", "\"group_size\":4");
     let stranger = Proxy::operated_by(&[], &other, &settings);
-    let line = stranger.logged("talks to the fleet");
+    let line = stranger.logged("fleet listening");
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
     fleet.links.member(3, at);
     until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
-        .logged("datagram not understood")
+        .logged("fleet datagram rejected")
         .contains("another site, fleet or set of limits"));
 }
 
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -174,7 +174,7 @@
     dropped.send(&get("read", "d1"));
     paid.request();
     proxy.reconfigure(&other_settings(&proxy.config.1));
-    let line = proxy.logged("settings taken");
+    let line = proxy.logged("configuration applied");
     for told in ["with class draw", "without class read", "attempts 1 instead of 4"] {
         assert!(line.contains(told), "{line}");
     }
@@ -188,7 +188,7 @@
     assert_ne!(dropped.answer().unwrap().status(), 404, "its class was there when it came");
     assert!(paid.count() <= before + 1, "the unsafe one is not repeated");
     proxy.reconfigure(&proxy.config.1);
-    assert!(proxy.logged("settings taken").contains("with class read"));
+    assert!(proxy.logged("configuration applied").contains("with class read"));
     assert_eq!(proxy.ask(&get("read", "n4")).status(), 200, "a class may come back");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
@@ -205,14 +205,14 @@
     paid.request();
     let without = proxy.config.1.replace(r#""name":"pay""#, r#""name":"cash""#);
     proxy.reconfigure(&without);
-    assert!(proxy.logged("settings taken").contains("without class pay"));
+    assert!(proxy.logged("configuration applied").contains("without class pay"));
     let free = without.replace(r#""name":"cash""#, r#""name":"draw""#).replace("single_shot", "free");
     let free = free.replace(r#""name":"vote""#, r#""name":"poll""#);
     for (file, told) in
         [(&free, "with class draw"), (&without, "with class cash"), (&free, "with class poll")]
     {
         proxy.reconfigure(file);
-        assert!(proxy.logged("settings taken").contains(told));
+        assert!(proxy.logged("configuration applied").contains(told));
     }
     assert_eq!(proxy.ask(&get("draw", "n2")).status(), 200);
     let before = paid.count();
@@ -243,8 +243,8 @@
     assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the one before is not read yet");
     writer.write_all(other_settings(&proxy.config.1).as_bytes()).unwrap();
     drop(writer);
-    assert!(proxy.logged("settings taken").contains("with class draw"));
-    let line = proxy.logged("settings taken");
+    assert!(proxy.logged("configuration applied").contains("with class draw"));
+    let line = proxy.logged("configuration applied");
     assert!(line.contains("with class view") && line.contains("without class draw"), "{line}");
     assert_eq!(proxy.ask(&get("view", "1")).status(), 200);
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 404);
@@ -285,7 +285,7 @@
     ];
     for file in broken {
         proxy.reconfigure(&file);
-        proxy.logged("settings refused");
+        proxy.logged("configuration rejected");
         assert_eq!(proxy.ask(&get("draw", "1")).status(), 404, "{file}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{file}");
     }
@@ -293,7 +293,7 @@
     waits.send((200, list(9, true, &both(&a, &b)))).unwrap();
     let (_, _waits) = proxy.discovery.call(); // discovery is where it was
     proxy.reconfigure(&good);
-    proxy.logged("settings taken");
+    proxy.logged("configuration applied");
     elsewhere.call();
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 200);
 }
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -29,7 +29,7 @@
 
 /// Where the front listens, as the log tells.
 fn port(proxy: &Proxy) -> u16 {
-    let line = proxy.logged("takes postgres clients");
+    let line = proxy.logged("postgres listening");
     let at = line.split("address=127.0.0.1:").nth(1).unwrap();
     at.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -150,7 +150,7 @@
     };
     assert!(!advised());
     proxy.reconfigure(&proxy.config.1.replace("\"retry_after\":false", "\"retry_after\":true"));
-    proxy.logged("settings taken");
+    proxy.logged("configuration applied");
     assert!(advised());
 }
 
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -47,7 +47,7 @@
     let (operator, _) = keeping("power", 600);
     kept(&operator, &[entry("b0", first.address, "SERVING")]);
     let proxy = Proxy::operated(&[], &operator);
-    assert!(proxy.logged("state taken").contains("index=9"));
+    assert!(proxy.logged("endpoint list restored").contains("index=9"));
     let (_, answer) = proxy.discovery.call();
     assert_eq!(proxy.ask(&read(3.0)).body, b"first", "served with discovery silent");
     let told = Instant::now();
@@ -81,7 +81,7 @@
     for (bytes, told) in cases {
         std::fs::write(&file, bytes).unwrap();
         let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-        assert!(proxy.logged("state not taken").contains(told), "{told}");
+        assert!(proxy.logged("endpoint list not restored").contains(told), "{told}");
         assert_eq!(proxy.ask(&read(3.0)).body, b"known");
     }
 }
@@ -108,7 +108,7 @@
         std::fs::write(folder.join("n0.state"), encode(&saved)).unwrap();
         let proxy = Proxy::operated(&[], &operator);
         if taken {
-            proxy.logged("state taken");
+            proxy.logged("endpoint list restored");
             let told: Vec<(u16, bool)> = (0..8)
                 .map(|_| proxy.ask(&read(3.0)))
                 .map(|m| (m.status(), m.header("retry-after").is_some()))
@@ -118,7 +118,7 @@
             assert!(told.iter().all(|t| *t == (200, false) || *t == (503, true)), "{told:?}");
             assert!(told.iter().filter(|t| t.0 == 200).count() >= 4, "{told:?}");
         } else {
-            assert!(proxy.logged("state not taken").contains("too old"));
+            assert!(proxy.logged("endpoint list not restored").contains("too old"));
         }
     }
 }
@@ -129,9 +129,9 @@
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, _) = keeping("two", 600);
     let first = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    first.logged("no state kept yet");
+    first.logged("no saved endpoint list");
     let second = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    second.logged("another process keeps this proxy's state");
+    second.logged("state is locked by another process");
     assert_eq!(second.ask(&read(3.0)).body, b"b");
 }
 
@@ -142,11 +142,11 @@
     let (operator, folder) = keeping("full", 600);
     kept(&operator, &[entry("b0", backend.address, "SERVING")]);
     let proxy = Proxy::operated_within(&[], &operator, Some(1));
-    proxy.logged("state taken");
+    proxy.logged("endpoint list restored");
     let (_, answer) = proxy.discovery.call();
     let many: Vec<String> = (0..20).map(|i| entry(&format!("b{i}"), backend.address, "SERVING")).collect();
     answer.send((200, list(15, true, &many))).unwrap();
-    proxy.logged("state cannot be written");
+    proxy.logged("state write failed");
     let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
     assert_eq!(kept.index, 9);
 }
@@ -214,11 +214,11 @@
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
     let again = || {
         let proxy = Proxy::operated(&[], &operator);
-        let told = proxy.logged("what was learned");
+        let told = proxy.logged("estimates");
         assert_eq!(proxy.ask(&read(3.0)).body, b"b");
         told
     };
-    assert!(again().contains("is taken"));
+    assert!(again().contains("estimates restored"));
     let mut old = learned.clone();
     old.written_ms -= 3 * 3_600_000;
     let list_in_its_place = std::fs::read(folder.join("n0.state")).unwrap();
@@ -230,7 +230,7 @@
     for (bytes, told) in cases {
         std::fs::write(&file, bytes).unwrap();
         let line = again();
-        assert!(line.contains("not taken") && line.contains(told), "{told}: {line}");
+        assert!(line.contains("not restored") && line.contains(told), "{told}: {line}");
     }
 }
 
@@ -241,11 +241,11 @@
     let (operator, folder) = keeping("handed", 600);
     let known = [entry("b0", backend.address, "SERVING")];
     let first = Proxy::operated(&known, &operator);
-    first.logged("no state kept yet");
+    first.logged("no saved endpoint list");
     let second = Proxy::operated(&known, &operator);
-    second.logged("another process keeps this proxy's state");
+    second.logged("state is locked by another process");
     drop(first);
-    second.logged("this one keeps the state now");
+    second.logged("this one writes the state now");
     let (_, answer) = second.discovery.call();
     answer.send((200, list(21, true, &known))).unwrap();
     assert!(second.logged("state written").contains("index=21"));
--- a/crates/lotusdeck/tests/rig/proxy.rs
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -156,8 +156,8 @@
         let mut child = self.command(&path).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (sender, lines) = mpsc::channel();
-        let address = logged_address(&mut log, &sender, "listens");
-        let admin = logged_address(&mut log, &sender, "operators call");
+        let address = logged_address(&mut log, &sender, "listening");
+        let admin = logged_address(&mut log, &sender, "listening for operators");
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 eprintln!("{line}");
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -19,8 +19,8 @@
 /// Between two looks at whether something has happened: the error of every time measured here.
 const LOOK: Duration = Duration::from_millis(2);
 /// What a process logs once new settings are in force, and once they are refused.
-const TAKEN: &str = "settings taken";
-const REFUSED: &str = "settings refused";
+const TAKEN: &str = "configuration applied";
+const REFUSED: &str = "configuration rejected";
 
 /// Why a real process could not be measured.
 #[derive(Debug, Error)]
