--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -189,9 +189,9 @@
     settings.config.classes = classes().map(|class| balancer_class(section, class)).collect();
     settings.config.tenants = Vec::new();
     settings.config.zone = ZoneId(0);
-    settings.config.cross_zone_cost = 0.0;
+    settings.config.goal.cross_zone_cost = 0.0;
     // Two attempts of one transaction would share one client's streams.
-    settings.config.allow_hedging = false;
+    settings.config.attempts.allow_hedging = false;
     if section.discovery.is_none() {
         settings.config.discovery = DiscoveryMode::Push;
     }
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -93,7 +93,7 @@
         return Ok(OpenedState { initial, writer: None });
     };
     let location = StateLocation::new(section, folder, &node.name);
-    let window = to_duration(node.settings.config.overload_window);
+    let window = to_duration(node.settings.config.slow_start.overload_window);
     let initial = state::restore(section, &location, known, window);
     let writer =
         StateWriter::start(location, section.every, &initial.endpoints).map_err(ServeError::State)?;
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -11,7 +11,10 @@
 
 use lotusdeck_core::cordon::Cordon;
 use lotusdeck_policy::settings::{NetworkSettings, Settings};
-use lotusdeck_policy::{Class, Config, DiscoveryMode, KeyScope, Micros, SideEffects, Tenant, ZoneId};
+use lotusdeck_policy::{
+    AttemptLimits, Class, Config, DiscoveryMode, GoalWeights, KeyScope, Micros, SideEffects, SlowStartConfig,
+    Tenant, ZoneId,
+};
 use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
 use rig::sockets::until;
 use rig::{entry, ok, pay, read, BackendServer, Proxy};
@@ -89,18 +92,16 @@
         classes: vec![class(900_000, SideEffects::None, 1.0, 0.5)],
         tenants: Vec::new(),
         over_quota_factor: 0.1,
-        overall_goal_weight: 0.6,
-        worst_class_goal_weight: 0.2,
-        cross_zone_cost: 0.0,
+        goal: GoalWeights { overall: 0.6, worst_class: 0.2, cross_zone_cost: 0.0 },
         discovery: DiscoveryMode::Push,
-        max_attempts: 4,
-        allow_cancel: true,
-        allow_hedging: true,
+        attempts: AttemptLimits { max_attempts: 4, allow_cancel: true, allow_hedging: true },
         tick: Micros(5_000),
-        slow_start_floor: 0.3,
-        slow_start_duration: Micros(9_000_000),
-        overload_multiple: 2.5,
-        overload_window: Micros(2_000_000),
+        slow_start: SlowStartConfig {
+            floor: 0.3,
+            duration: Micros(9_000_000),
+            overload_multiple: 2.5,
+            overload_window: Micros(2_000_000),
+        },
     };
     assert_eq!(settings.config, expected);
     let expected = NetworkSettings {
@@ -130,18 +131,16 @@
         ],
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 12.5 }],
         over_quota_factor: 0.125,
-        overall_goal_weight: 0.5,
-        worst_class_goal_weight: 0.25,
-        cross_zone_cost: 0.75,
+        goal: GoalWeights { overall: 0.5, worst_class: 0.25, cross_zone_cost: 0.75 },
         discovery: DiscoveryMode::Subscribe { poll_within: Micros(8_000_000) },
-        max_attempts: 2,
-        allow_cancel: false,
-        allow_hedging: false,
+        attempts: AttemptLimits { max_attempts: 2, allow_cancel: false, allow_hedging: false },
         tick: Micros(4_000),
-        slow_start_floor: 0.25,
-        slow_start_duration: Micros(7_000_000),
-        overload_multiple: 3.5,
-        overload_window: Micros(1_000_000),
+        slow_start: SlowStartConfig {
+            floor: 0.25,
+            duration: Micros(7_000_000),
+            overload_multiple: 3.5,
+            overload_window: Micros(1_000_000),
+        },
     };
     assert_eq!(settings.config, expected);
     let expected = NetworkSettings {
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -18,26 +18,47 @@
     pub tenants: Vec<Tenant>,
     /// Value of a request beyond its tenant's quota, relative to one within it; from 0 to 1.
     pub over_quota_factor: f64,
-    /// Weight of all traffic in the operators' goal; from 0 to 1.
-    pub overall_goal_weight: f64,
-    /// Weight of the worst-served class in the operators' goal; from 0 to 1.
-    pub worst_class_goal_weight: f64,
-    /// What the goal loses when every request crosses zones once; 0 or more.
-    pub cross_zone_cost: f64,
+    /// What the operators' goal consists of.
+    pub goal: GoalWeights,
     /// How updates of the endpoint list arrive.
     pub discovery: DiscoveryMode,
+    /// How many attempts a request may have.
+    pub attempts: AttemptLimits,
+    /// Time resolution: no timer is shorter.
+    pub tick: Micros,
+    /// How backends warm up.
+    pub slow_start: SlowStartConfig,
+}
+
+/// What the operators' goal consists of.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct GoalWeights {
+    /// Weight of all traffic; from 0 to 1.
+    pub overall: f64,
+    /// Weight of the worst-served class; from 0 to 1.
+    pub worst_class: f64,
+    /// What the goal loses when every request crosses zones once; 0 or more.
+    pub cross_zone_cost: f64,
+}
+
+/// How many attempts a request may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptLimits {
     /// Attempts that a request may have, the first included.
     pub max_attempts: u32,
     /// Attempts in flight may be cancelled.
     pub allow_cancel: bool,
     /// A request may have two attempts in flight at once.
     pub allow_hedging: bool,
-    /// Time resolution: no timer is shorter.
-    pub tick: Micros,
+}
+
+/// How backends warm up.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlowStartConfig {
     /// The part of its capacity that a backend has when it starts; from 0 to 1.
-    pub slow_start_floor: f64,
+    pub floor: f64,
     /// A started backend has its full capacity after this time at most.
-    pub slow_start_duration: Micros,
+    pub duration: Micros,
     /// A backend in slow start fails when it is sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
     /// ... over this time.
@@ -61,18 +82,16 @@
             }],
             tenants: Vec::new(),
             over_quota_factor: 0.1,
-            overall_goal_weight: 1.0,
-            worst_class_goal_weight: 0.0,
-            cross_zone_cost: 0.0,
+            goal: GoalWeights { overall: 1.0, worst_class: 0.0, cross_zone_cost: 0.0 },
             discovery: DiscoveryMode::Push,
-            max_attempts: 3,
-            allow_cancel: true,
-            allow_hedging: true,
+            attempts: AttemptLimits { max_attempts: 3, allow_cancel: true, allow_hedging: true },
             tick: Micros(5_000),
-            slow_start_floor: 0.3,
-            slow_start_duration: Micros(10_000_000),
-            overload_multiple: 3.0,
-            overload_window: Micros(2_000_000),
+            slow_start: SlowStartConfig {
+                floor: 0.3,
+                duration: Micros(10_000_000),
+                overload_multiple: 3.0,
+                overload_window: Micros(2_000_000),
+            },
         }
     }
 
@@ -97,13 +116,13 @@
             "a finite rate above 0",
         )?;
         require(is_part(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1")?;
-        require(is_part(self.overall_goal_weight), "goal_whole", "a part from 0 to 1")?;
-        require(is_part(self.worst_class_goal_weight), "goal_worst_class", "a part from 0 to 1")?;
-        require(self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0")?;
-        require(self.max_attempts > 0, "max_attempts", "at least 1")?;
+        require(is_part(self.goal.overall), "goal_whole", "a part from 0 to 1")?;
+        require(is_part(self.goal.worst_class), "goal_worst_class", "a part from 0 to 1")?;
+        require(self.goal.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0")?;
+        require(self.attempts.max_attempts > 0, "max_attempts", "at least 1")?;
         require(self.tick.0 > 0, "tick", "a time above 0")?;
-        require(is_part(self.slow_start_floor), "cold_from", "a part from 0 to 1")?;
-        require(is_positive(self.overload_multiple), "fall_multiple", "a finite number above 0")?;
+        require(is_part(self.slow_start.floor), "cold_from", "a part from 0 to 1")?;
+        require(is_positive(self.slow_start.overload_multiple), "fall_multiple", "a finite number above 0")?;
         Ok(())
     }
 }
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -10,7 +10,10 @@
 
 pub use action::Action;
 pub use backend::{Backend, BackendState, ListUpdate};
-pub use config::{Class, Config, ConfigError, DiscoveryMode, KeyScope, ReassignedIds, SideEffects, Tenant};
+pub use config::{
+    AttemptLimits, Class, Config, ConfigError, DiscoveryMode, GoalWeights, KeyScope, ReassignedIds,
+    SideEffects, SlowStartConfig, Tenant,
+};
 pub use event::{Arrival, AttemptEnd, Event, Outcome};
 pub use id::{AttemptNo, BackendId, CellId, ClassId, KindId, RequestId, TenantId, TimerToken, ZoneId};
 pub use snapshot::{Estimate, KindEstimates, Snapshot, WarmupSpend};
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -87,7 +87,12 @@
         backend.load.in_flight += 1;
         backend.load.uploading += u32::from(request.uploading);
         let work = self.traffic.estimates.relative_work(request.class);
-        backend.sent_work.record_sent_work(now, work, self.config.tick, self.config.overload_window);
+        backend.sent_work.record_sent_work(
+            now,
+            work,
+            self.config.tick,
+            self.config.slow_start.overload_window,
+        );
         let attempt = InFlightAttempt {
             backend: picked,
             class: request.class,
@@ -126,7 +131,7 @@
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.remove(&id) else { return };
         self.admission.queue.remove(id);
-        if !self.config.allow_cancel {
+        if !self.config.attempts.allow_cancel {
             return;
         }
         for (index, attempt) in request.attempts.iter().enumerate() {
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -125,7 +125,7 @@
         match event {
             Event::EndpointsUpdated { update, backends } => self.update_endpoints(now, update, backends),
             Event::Cordoned { backends } => {
-                self.backends.set_cordoned(now, backends, self.config.slow_start_duration);
+                self.backends.set_cordoned(now, backends, self.config.slow_start.duration);
                 self.recheck(now);
             }
             Event::ConfigApplied { config, reassigned } => self.reconfigure(now, *config, &reassigned),
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -106,7 +106,7 @@
         let is_non_idempotent = self.config.classes[request.class].side_effects == SideEffects::NonIdempotent;
         if request.allow_hedging {
             RequestStep::Hedge
-        } else if self.config.allow_cancel && !is_non_idempotent {
+        } else if self.config.attempts.allow_cancel && !is_non_idempotent {
             RequestStep::CancelLost
         } else {
             RequestStep::Wait
--- a/crates/policy/src/settings/difference.rs
+++ b/crates/policy/src/settings/difference.rs
@@ -25,8 +25,8 @@
         if unlisted > 0 {
             listed.push(format!("{unlisted} more changes of classes"));
         }
-        let old_attempts = self.config.max_attempts;
-        let new_attempts = new.config.max_attempts;
+        let old_attempts = self.config.attempts.max_attempts;
+        let new_attempts = new.config.attempts.max_attempts;
         if old_attempts != new_attempts {
             listed.push(format!("attempts {new_attempts} instead of {old_attempts}"));
         }
--- a/crates/policy/src/settings/wire.rs
+++ b/crates/policy/src/settings/wire.rs
@@ -6,7 +6,10 @@
 use super::model::NetworkSettings;
 use super::name_table::DeclaredNames;
 use super::names::Names;
-use crate::api::{Class, Config, DiscoveryMode, KeyScope, Micros, SideEffects, Tenant, ZoneId};
+use crate::api::{
+    AttemptLimits, Class, Config, DiscoveryMode, GoalWeights, KeyScope, Micros, SideEffects, SlowStartConfig,
+    Tenant, ZoneId,
+};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -45,17 +48,23 @@
         classes,
         tenants,
         over_quota_factor: root.get("over_share_worth").real(),
-        overall_goal_weight: goal.get("whole").real(),
-        worst_class_goal_weight: goal.get("worst_class").real(),
-        cross_zone_cost: root.get("costs").get("cross_zone").real(),
-        max_attempts: limits.get("max_attempts").count(),
-        allow_cancel: limits.get("cancel").flag(),
-        allow_hedging: limits.get("parallel_tries").flag(),
+        goal: GoalWeights {
+            overall: goal.get("whole").real(),
+            worst_class: goal.get("worst_class").real(),
+            cross_zone_cost: root.get("costs").get("cross_zone").real(),
+        },
+        attempts: AttemptLimits {
+            max_attempts: limits.get("max_attempts").count(),
+            allow_cancel: limits.get("cancel").flag(),
+            allow_hedging: limits.get("parallel_tries").flag(),
+        },
         tick: root.get("granularity_us").micros(),
-        slow_start_floor: rules.get("cold_from").real(),
-        slow_start_duration: rules.get("ramp_time_us").micros(),
-        overload_multiple: rules.get("fall_multiple").real(),
-        overload_window: rules.get("tip_after_us").micros(),
+        slow_start: SlowStartConfig {
+            floor: rules.get("cold_from").real(),
+            duration: rules.get("ramp_time_us").micros(),
+            overload_multiple: rules.get("fall_multiple").real(),
+            overload_window: rules.get("tip_after_us").micros(),
+        },
     };
     (config, names)
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -13,9 +13,9 @@
 /// The part of its capacity that a backend has at least.
 pub(crate) fn slow_start_factor(config: &Config, now: Time, entry: &Backend) -> f64 {
     let age = entry.started_at.map_or(f64::MAX, |started_at| {
-        (now - started_at).secs() / config.slow_start_duration.secs().max(1e-6)
+        (now - started_at).secs() / config.slow_start.duration.secs().max(1e-6)
     });
-    config.slow_start_floor + (1.0 - config.slow_start_floor) * age.min(1.0)
+    config.slow_start.floor + (1.0 - config.slow_start.floor) * age.min(1.0)
 }
 
 /// Shares the warm-up budget of a backend between the processes of all proxies.
@@ -29,7 +29,7 @@
     /// So many processes act for this proxy now. What another one sent weighs on a cold backend for a window
     /// more.
     pub(crate) fn set_process_count(&mut self, now: Time, count: u32, config: &Config) {
-        self.shared_until = if count <= 1 { now + config.overload_window } else { Time(u64::MAX) };
+        self.shared_until = if count <= 1 { now + config.slow_start.overload_window } else { Time(u64::MAX) };
     }
 
     /// How many processes act for each proxy: each one expects all other proxies to do as it does.
@@ -51,14 +51,15 @@
     /// Work that all proxies together may send to a backend inside the present overload window.
     fn fleet_warmup_budget(&self, backend: &BackendHealth) -> f64 {
         let config = self.config;
-        let window_start = self.now - config.overload_window;
+        let window_start = self.now - config.slow_start.overload_window;
         let factor = slow_start_factor(config, window_start, &backend.entry);
         if factor >= 1.0 {
             return f64::MAX;
         }
         let known = self.kinds.get(&backend.entry.kind).and_then(sustainable_rate);
         let rate = known.unwrap_or_else(|| 1.0 / longest_objective_s(config));
-        let total = config.overload_multiple * factor * rate * config.overload_window.secs();
+        let total =
+            config.slow_start.overload_multiple * factor * rate * config.slow_start.overload_window.secs();
         total * BUDGET_MARGIN / self.slow_start.processes_per_proxy(self.now)
     }
 
@@ -73,7 +74,7 @@
         let per_sender = (self.fleet_warmup_budget(backend) / senders).max(1.0);
         let is_sender = subset_position(self.config, backend.entry.order_key) < senders;
         let own = if is_sender { per_sender } else { 0.0 };
-        own - backend.sent_work.total_within(self.now, self.config.overload_window)
+        own - backend.sent_work.total_within(self.now, self.config.slow_start.overload_window)
     }
 }
 
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -54,7 +54,7 @@
             snapshot.ejected.push((id, consecutive_ejections));
         }
         if is_warming_up(now, config, backend) {
-            export_sent_work(now, config.overload_window, id, backend, &mut snapshot.warmup_spend);
+            export_sent_work(now, config.slow_start.overload_window, id, backend, &mut snapshot.warmup_spend);
         }
     }
     snapshot
@@ -67,8 +67,8 @@
 
 /// The backend was in slow start as the present overload window began.
 fn is_warming_up(now: Time, config: &Config, backend: &BackendHealth) -> bool {
-    let window_start = now - config.overload_window;
-    backend.entry.started_at.is_some_and(|at| window_start - at < config.slow_start_duration)
+    let window_start = now - config.slow_start.overload_window;
+    backend.entry.started_at.is_some_and(|at| window_start - at < config.slow_start.duration)
 }
 
 /// Exports the work sent to one backend by slots, newest first, so that each slot counts from its newest
@@ -100,7 +100,8 @@
         }
     }
     for spend in &snapshot.warmup_spend {
-        let is_valid = spend.ago < config.overload_window && spend.work > 0.0 && spend.work.is_finite();
+        let is_valid =
+            spend.ago < config.slow_start.overload_window && spend.work > 0.0 && spend.work.is_finite();
         if !is_valid {
             continue;
         }
--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -127,7 +127,7 @@
             }
             SolverStage::Readiness => {
                 solve_kind_shares(context, &self.solution, &mut self.arrival_rate);
-                if context.config.cross_zone_cost > 0.0 {
+                if context.config.goal.cross_zone_cost > 0.0 {
                     SolverStage::ZoneShares
                 } else {
                     SolverStage::TrafficShares
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -157,7 +157,7 @@
     /// By how much this proxy sends more to a backend than its share of all traffic.
     fn bias(&self, zone_share: Option<&f64>, backend: &BackendHealth) -> f64 {
         let zone_share = zone_share.map_or(0.0, |share| share.max(MIN_SHARE));
-        if self.config.cross_zone_cost <= 0.0 || zone_share <= 0.0 {
+        if self.config.goal.cross_zone_cost <= 0.0 || zone_share <= 0.0 {
             return 1.0;
         }
         let own = self.own_share * self.zones;
--- a/crates/policy/tests/cold_sum.rs
+++ b/crates/policy/tests/cold_sum.rs
@@ -94,8 +94,8 @@
     fn able(&self, id: u32, at: Time) -> f64 {
         let cfg = &self.hosts[0].cfg;
         let Some(booted) = self.booted.filter(|_| id < COLD) else { return self.capacity };
-        let ramp = ((at - booted).secs() / cfg.slow_start_duration.secs()).min(1.0);
-        self.capacity * (cfg.slow_start_floor + (1.0 - cfg.slow_start_floor) * ramp)
+        let ramp = ((at - booted).secs() / cfg.slow_start.duration.secs()).min(1.0);
+        self.capacity * (cfg.slow_start.floor + (1.0 - cfg.slow_start.floor) * ramp)
     }
 
     /// A step of the clock: requests at `rate` a second over the fleet, and `extra` more at each proxy.
@@ -170,7 +170,7 @@
     fleet.sends.clear();
     let start = fleet.hosts[0].now;
     let cfg = fleet.hosts[0].cfg.clone();
-    for step in 0..cfg.slow_start_duration.0 / STEP.0 {
+    for step in 0..cfg.slow_start.duration.0 / STEP.0 {
         // A burst that fills every room, now and again.
         let extra = if step % 45 == 0 { 2 * BACKENDS as usize } else { 0 };
         fleet.step(2.0 * rate, extra);
@@ -183,18 +183,22 @@
         times.sort();
         total += times.len();
         for (first, from) in times.iter().enumerate() {
-            let sent = times[first..].iter().take_while(|t| **t - *from < cfg.overload_window).count();
+            let sent =
+                times[first..].iter().take_while(|t| **t - *from < cfg.slow_start.overload_window).count();
             // By what it could do as the window began: no part of the ramp is counted on.
-            let allowed = cfg.overload_multiple * fleet.able(id, *from) * cfg.overload_window.secs();
+            let allowed = cfg.slow_start.overload_multiple
+                * fleet.able(id, *from)
+                * cfg.slow_start.overload_window.secs();
             let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
             if sent as f64 / bound > worst.sent as f64 / worst.bound {
                 (worst.sent, worst.bound) = (sent, bound);
             }
         }
     }
-    let windows = cfg.slow_start_duration.secs() / cfg.overload_window.secs();
-    let mean =
-        cfg.overload_multiple * (1.0 + cfg.slow_start_floor) / 2.0 * capacity * cfg.overload_window.secs();
+    let windows = cfg.slow_start.duration.secs() / cfg.slow_start.overload_window.secs();
+    let mean = cfg.slow_start.overload_multiple * (1.0 + cfg.slow_start.floor) / 2.0
+        * capacity
+        * cfg.slow_start.overload_window.secs();
     worst.used = total as f64 / f64::from(COLD) / (windows * mean);
     worst
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -105,8 +105,11 @@
                 assert!(r.answer.is_none(), "sent after the final answer");
                 let b = self.list.get(&backend).expect("a listed backend");
                 assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.allow_hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
+                assert!(r.tries.len() < self.cfg.attempts.max_attempts as usize, "too many attempts");
+                assert!(
+                    self.cfg.attempts.allow_hedging || r.tries.iter().all(|t| t.outcome.is_some()),
+                    "two at once"
+                );
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
                     match self.cfg.classes[r.class].side_effects {
                         SideEffects::None => {}
@@ -141,7 +144,7 @@
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.allow_cancel, "cancel is not allowed");
+                assert!(self.cfg.attempts.allow_cancel, "cancel is not allowed");
                 let r = &self.requests[&request];
                 assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -49,10 +49,10 @@
     assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
     assert_eq!(bad(|c| c.classes[0].late_value_factor = 1.5), Some("late_worth"));
     assert_eq!(bad(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
-    assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
+    assert_eq!(bad(|c| c.attempts.max_attempts = 0), Some("max_attempts"));
     assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.slow_start_floor = -0.1), Some("cold_from"));
-    assert_eq!(bad(|c| c.overload_multiple = f64::INFINITY), Some("fall_multiple"));
+    assert_eq!(bad(|c| c.slow_start.floor = -0.1), Some("cold_from"));
+    assert_eq!(bad(|c| c.slow_start.overload_multiple = f64::INFINITY), Some("fall_multiple"));
     assert_eq!(bad(|_| ()), None);
 }
 
@@ -201,7 +201,8 @@
 #[test]
 fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
     for copies in [true, false] {
-        let cfg = Config { allow_hedging: copies, proxy_count: 1, ..config(vec![class(SideEffects::None)]) };
+        let mut cfg = Config { proxy_count: 1, ..config(vec![class(SideEffects::None)]) };
+        cfg.attempts.allow_hedging = copies;
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         host.advance(5_000);
@@ -420,7 +421,9 @@
 
 #[test]
 fn a_cold_backend_gets_less_than_its_budget() {
-    let cfg = Config { proxy_count: 1, slow_start_floor: 0.1, overload_multiple: 2.0, ..Config::example() };
+    let mut cfg = Config { proxy_count: 1, ..Config::example() };
+    cfg.slow_start.floor = 0.1;
+    cfg.slow_start.overload_multiple = 2.0;
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend { started_at: Some(host.now), ..backend(9, 0, 0) };
@@ -433,7 +436,9 @@
 
 /// What a burst sends to a fleet that has just started: in all, and the most to one backend.
 fn burst_on_cold(before: impl Fn(&mut Host)) -> (usize, usize) {
-    let cfg = Config { proxy_count: 3, slow_start_floor: 0.1, overload_multiple: 2.0, ..Config::example() };
+    let mut cfg = Config { proxy_count: 3, ..Config::example() };
+    cfg.slow_start.floor = 0.1;
+    cfg.slow_start.overload_multiple = 2.0;
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     before(&mut host);
@@ -520,7 +525,8 @@
 }
 
 fn zones(cost: f64) -> usize {
-    let cfg = Config { cross_zone_cost: cost, ..Config::example() };
+    let mut cfg = Config::example();
+    cfg.goal.cross_zone_cost = cost;
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
     serve(&mut host, 300, 0, |_| 10_000).iter().filter(|b| *b % 3 == 0).count()
 }
@@ -534,7 +540,8 @@
 #[test]
 fn a_zone_short_of_backends_sends_its_surplus_out() {
     // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
-    let cfg = Config { cross_zone_cost: 0.05, ..Config::example() };
+    let mut cfg = Config::example();
+    cfg.goal.cross_zone_cost = 0.05;
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
     let mut host = host(cfg, list);
     let near = serve(&mut host, 400, 0, |_| 10_000).iter().filter(|b| **b == 0).count();
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -67,11 +67,11 @@
         Class { latency_objective: Micros(100_000), ..class(SideEffects::None) },
     ];
     cfg.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }];
-    cfg.worst_class_goal_weight = 0.3;
-    cfg.allow_hedging = bits & 1 == 0;
+    cfg.goal.worst_class = 0.3;
+    cfg.attempts.allow_hedging = bits & 1 == 0;
     cfg.proxy_count = if bits & 2 == 0 { 3 } else { 40 };
-    cfg.allow_cancel = bits & 4 == 0;
-    cfg.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
+    cfg.attempts.allow_cancel = bits & 4 == 0;
+    cfg.goal.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
     if bits & 8 == 0 {
         cfg.discovery = DiscoveryMode::Subscribe { poll_within: Micros(2_000_000) };
     }
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -246,7 +246,8 @@
             ..Config::example().classes[0].clone()
         };
         let classes = vec![class(SideEffects::None), class(SideEffects::NonIdempotent)];
-        let config = Config { proxy_count: 1, allow_hedging: false, classes, ..Config::example() };
+        let mut config = Config { proxy_count: 1, classes, ..Config::example() };
+        config.attempts.allow_hedging = false;
         let network = NetworkSettings {
             connect_timeout: Micros(1_000_000),
             idle_timeout: Micros(60_000_000),
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -124,7 +124,7 @@
         let Some(open) = self.open.get(&id) else { return };
         let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
-        let may = (free || !open.ran) && tried.len() < self.config.max_attempts as usize;
+        let may = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
         let harmless = free || !open.ran;
         match if may { self.draw(&tried, global_view) } else { None } {
             Some(backend) => {
