--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -1,7 +1,7 @@
 //! One transaction: bytes pass both ways between a client and the server that the core chose, until the server says that
 //! it is idle.
 
-use crate::carry::{Carry, Over, MAX_PREPARED};
+use crate::statements::{Direction, Interrupted, PreparedStatements, SessionEnd, MAX_PREPARED};
 use crate::track::Track;
 use crate::upstream::{drain, fill, Servers, Upstream};
 use crate::wire::{CancelKey, Forwarder, WireError};
@@ -32,7 +32,7 @@
     pub down: RefCell<Forwarder>,
     pub track: Cell<Track>,
     /// Its prepared statements.
-    pub carry: RefCell<Carry>,
+    pub statements: RefCell<PreparedStatements>,
     /// Bytes of the present transaction have gone to a server, and that was lost.
     pub sent: Cell<bool>,
     pub lost: Cell<bool>,
@@ -44,7 +44,7 @@
     taken: Cell<usize>,
     answered: Cell<bool>,
     /// It has left, or says what it cannot say.
-    pub over: Cell<Option<Over>>,
+    pub over: Cell<Option<SessionEnd>>,
     pub ended: Notify,
     /// Where a CancelRequest of its would go.
     pub at: Cell<Option<CancelTarget>>,
@@ -59,7 +59,7 @@
             up: RefCell::default(),
             down: RefCell::default(),
             track: Cell::default(),
-            carry: RefCell::default(),
+            statements: RefCell::default(),
             sent: Cell::new(false),
             lost: Cell::new(false),
             replay: RefCell::default(),
@@ -72,20 +72,29 @@
         })
     }
 
-    fn end(&self, why: Over) {
+    fn end(&self, why: SessionEnd) {
         self.over.set(Some(why));
         self.ended.notify_one();
     }
 
     /// What the client has said goes on to its server, as far as it may.
-    fn pass_up(&self, upstream: &Upstream) -> Option<Over> {
+    fn pass_up(&self, upstream: &Upstream) -> Option<SessionEnd> {
         let (mut forwarder, mut track) = (self.up.borrow_mut(), self.track.get());
         let (mut from, mut to) = (self.input.borrow_mut(), upstream.output.borrow_mut());
         let mut prepared = upstream.prepared.borrow_mut();
-        let passed =
-            self.carry.borrow_mut().up(&mut forwarder, &mut track, &mut from, &mut to, &mut prepared);
+        let mut link = Direction {
+            forwarder: &mut forwarder,
+            track: &mut track,
+            from: &mut from,
+            to: &mut to,
+            prepared: &mut prepared,
+        };
+        let forwarded = self.statements.borrow_mut().forward_to_server(&mut link);
         self.track.set(track);
-        let (moved, why) = passed.map_or_else(|(moved, why)| (moved, Some(why)), |moved| (moved, None));
+        let (moved, why) = match forwarded {
+            Ok(moved) => (moved, None),
+            Err(Interrupted { taken, reason }) => (taken, Some(reason)),
+        };
         self.sent.set(self.sent.get() || moved > 0);
         // Whatever follows the one message is not kept.
         self.taken.set(self.taken.get() + moved);
@@ -100,8 +109,14 @@
         let (mut forwarder, mut track) = (self.down.borrow_mut(), self.track.get());
         let (mut from, mut to) = (upstream.input.borrow_mut(), self.output.borrow_mut());
         let mut prepared = upstream.prepared.borrow_mut();
-        let passed =
-            self.carry.borrow_mut().down(&mut forwarder, &mut track, &mut from, &mut to, &mut prepared);
+        let mut link = Direction {
+            forwarder: &mut forwarder,
+            track: &mut track,
+            from: &mut from,
+            to: &mut to,
+            prepared: &mut prepared,
+        };
+        let passed = self.statements.borrow_mut().forward_to_client(&mut link);
         self.track.set(track);
         self.answered.set(self.answered.get() || !to.is_empty());
         passed
@@ -133,7 +148,7 @@
 
     /// The connection may serve another client.
     fn leaves_clean(&self, upstream: &Upstream) -> bool {
-        !self.carry.borrow().tainted && upstream.prepared.borrow().len() <= MAX_PREPARED
+        !self.statements.borrow().is_tainted && upstream.prepared.borrow().len() <= MAX_PREPARED
     }
 
     fn idle(&self, upstream: &Upstream) -> bool {
@@ -151,14 +166,14 @@
             }
             if let Some(why) = why {
                 // A farewell behind statements that are out holds once these are answered.
-                self.farewell.set(why == Over::Left && self.track.get().pending_ready() > 0);
+                self.farewell.set(why == SessionEnd::ClientLeft && self.track.get().pending_ready() > 0);
                 if !self.farewell.get() {
                     self.end(why);
                 }
                 std::future::pending::<()>().await; // the session withdraws the request
             }
             if !matches!(fill(&self.tcp, &self.input).await, Ok(1..)) {
-                self.end(Over::Left);
+                self.end(SessionEnd::ClientLeft);
                 std::future::pending::<()>().await;
             }
         }
@@ -172,7 +187,7 @@
             }
             let passed = self.pass_down(upstream);
             if drain(&self.output, &self.tcp).await.is_err() {
-                self.end(Over::Left);
+                self.end(SessionEnd::ClientLeft);
                 std::future::pending::<()>().await;
             }
             if passed.is_err() {
@@ -183,7 +198,7 @@
                 return Outcome::Success;
             }
             if self.farewell.get() && self.track.get().pending_ready() == 0 {
-                self.end(Over::Left);
+                self.end(SessionEnd::ClientLeft);
             }
         }
     }
@@ -208,7 +223,7 @@
                 return Outcome::NeverSent;
             }
             self.client.at.set(Some(CancelTarget { server: upstream.to, key: upstream.cancel_key }));
-            self.client.carry.borrow_mut().begin();
+            self.client.statements.borrow_mut().begin_transaction();
             let outcome = tokio::select! {
                 biased;
                 outcome = self.client.downward(&upstream) => outcome,
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -15,11 +15,11 @@
 )]
 
 mod bridge;
-mod carry;
 pub mod classes;
 mod error;
 pub mod scram;
 mod session;
+mod statements;
 pub mod track;
 mod upstream;
 pub mod wire;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -1,10 +1,10 @@
 //! Sessions: who a client is, and one request to the core for each transaction.
 
 use crate::bridge::{Client, Transaction};
-use crate::carry::Over;
 use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
 use crate::error::Trouble;
 use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
+use crate::statements::SessionEnd;
 use crate::track::Track;
 use crate::upstream::{drain, fill, Servers};
 use crate::wire::{
@@ -373,9 +373,11 @@
             };
             client.at.set(None);
             let trouble = match (client.over.get(), answer) {
-                (Some(Over::Left), _) => return,
-                (Some(Over::Unreadable), _) => Trouble::fatal("08P01", "a message of an impossible length"),
-                (Some(Over::TooMuch), _) => Trouble::fatal(
+                (Some(SessionEnd::ClientLeft), _) => return,
+                (Some(SessionEnd::InvalidMessage), _) => {
+                    Trouble::fatal("08P01", "a message of an impossible length")
+                }
+                (Some(SessionEnd::LimitExceeded), _) => Trouble::fatal(
                     "54000",
                     "statements of a session are bounded: 1 MB each, 8 MB together, 100,000 messages ahead",
                 ),
@@ -403,7 +405,7 @@
 
     /// Waits for the first message of a transaction, whole or as much of it as is looked at: no server is bound to a
     /// client that has not said what it wants.
-    async fn first(&self, client: &Rc<Client>) -> Result<(), Over> {
+    async fn first(&self, client: &Rc<Client>) -> Result<(), SessionEnd> {
         loop {
             self.rest(client).await?;
             let whole = {
@@ -412,7 +414,7 @@
                 head.filter(|h| input.len() >= HEADER_BYTES + h.length.min(MAX_REPLAY)).map(|h| h.kind)
             };
             match whole {
-                Some(b'X') => return Err(Over::Left),
+                Some(b'X') => return Err(SessionEnd::ClientLeft),
                 // Rows and their end, and a Flush, behind a transaction that has failed: they ask for nothing.
                 Some(b'd' | b'c' | b'f' | b'H') => self.skip(client, |_| true).await?,
                 Some(_) => return Ok(()),
@@ -504,7 +506,7 @@
     }
 
     /// Reads over what is left of a message that was cut.
-    async fn rest(&self, client: &Rc<Client>) -> Result<(), Over> {
+    async fn rest(&self, client: &Rc<Client>) -> Result<(), SessionEnd> {
         while !client.up.borrow().is_at_boundary() {
             let (mut input, mut sink) = (client.input.take(), BytesMut::new());
             let passed = client.up.borrow_mut().forward(&mut input, &mut sink, |_, _| false);
@@ -518,7 +520,7 @@
     }
 
     /// Reads over all to the first message that `ends` names, and to what is left of one that is cut before.
-    async fn skip(&self, client: &Rc<Client>, ends: impl Fn(u8) -> bool) -> Result<(), Over> {
+    async fn skip(&self, client: &Rc<Client>, ends: impl Fn(u8) -> bool) -> Result<(), SessionEnd> {
         loop {
             self.rest(client).await?;
             let head = header(&client.input.borrow())?;
@@ -527,7 +529,7 @@
                 continue;
             };
             if kind == b'X' {
-                return Err(Over::Left);
+                return Err(SessionEnd::ClientLeft);
             }
             client.input.borrow_mut().advance(HEADER_BYTES);
             client.up.borrow_mut().continue_message(length);
@@ -539,9 +541,9 @@
 }
 
 /// Waits for more of what a client says.
-async fn more(client: &Client) -> Result<(), Over> {
+async fn more(client: &Client) -> Result<(), SessionEnd> {
     match fill(&client.tcp, &client.input).await {
         Ok(1..) => Ok(()),
-        _ => Err(Over::Left),
+        _ => Err(SessionEnd::ClientLeft),
     }
 }
--- /dev/null
+++ b/crates/postgres/src/statements/direction.rs
@@ -0,0 +1,49 @@
+//! The buffers and the state of one direction between a client and a server connection.
+
+use super::key::Prepared;
+use crate::track::Track;
+use crate::wire::{message, Forwarder, Header, Message, WireError};
+use bytes::{Bytes, BytesMut};
+
+/// One direction between a client and a server connection.
+pub(crate) struct Direction<'a> {
+    /// How far the stream has been forwarded.
+    pub(crate) forwarder: &'a mut Forwarder,
+    /// The state of the transaction.
+    pub(crate) track: &'a mut Track,
+    /// Bytes received and not yet forwarded.
+    pub(crate) from: &'a mut BytesMut,
+    /// Bytes to be sent.
+    pub(crate) to: &'a mut BytesMut,
+    /// What the server connection has prepared.
+    pub(crate) prepared: &'a mut Prepared,
+}
+
+impl Direction<'_> {
+    /// Forwards what is there of the present message.
+    pub(super) fn forward_rest(&mut self) -> Result<(), WireError> {
+        self.forwarder.forward(self.from, self.to, |_, _| false)?;
+        Ok(())
+    }
+
+    /// Forwards what is there of the next message; returns the first byte of its body, and `None` where nothing of the
+    /// message can be forwarded yet.
+    pub(super) fn forward_next(&mut self) -> Result<Option<Option<u8>>, WireError> {
+        let mut is_next = true;
+        let mut first_byte = None;
+        let inspect = |_: Header, first: Option<u8>| {
+            let is_forwarded = std::mem::take(&mut is_next);
+            if is_forwarded {
+                first_byte = first;
+            }
+            is_forwarded
+        };
+        let moved = self.forwarder.forward(self.from, self.to, inspect)?;
+        Ok((moved > 0).then_some(first_byte))
+    }
+
+    /// Takes a complete message of at most `max_body` bytes; `None` while it is not there.
+    pub(super) fn take_message(&mut self, max_body: usize) -> Result<Option<Bytes>, WireError> {
+        Ok(message(self.from, max_body)?.map(|Message { body, .. }| body))
+    }
+}
--- a/crates/postgres/src/carry/tests.rs
+++ b/crates/postgres/src/statements/tests.rs
@@ -1,16 +1,39 @@
 use super::*;
+use crate::track::Track;
+use crate::wire::{message, Forwarder, Message};
+use bytes::BytesMut;
 
 /// A session and a server's connection, both without sockets.
 #[derive(Default)]
-struct Play {
-    carry: Carry,
+struct Pipeline {
+    statements: PreparedStatements,
     track: Track,
     up: Forwarder,
     down: Forwarder,
     prepared: Prepared,
 }
 
-impl Play {
+impl Pipeline {
+    fn forward_to_server(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<usize, Interrupted> {
+        self.statements.forward_to_server(&mut Direction {
+            forwarder: &mut self.up,
+            track: &mut self.track,
+            from,
+            to,
+            prepared: &mut self.prepared,
+        })
+    }
+
+    fn forward_to_client(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<(), WireError> {
+        self.statements.forward_to_client(&mut Direction {
+            forwarder: &mut self.down,
+            track: &mut self.track,
+            from,
+            to,
+            prepared: &mut self.prepared,
+        })
+    }
+
     fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<Message> {
         let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
         messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
@@ -18,7 +41,7 @@
         let mut from = BytesMut::new();
         for byte in whole {
             from.put_u8(byte);
-            self.carry.up(&mut self.up, &mut self.track, &mut from, &mut to, &mut self.prepared).unwrap();
+            self.forward_to_server(&mut from, &mut to).unwrap();
         }
         assert!(from.is_empty());
         std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap()).collect()
@@ -30,8 +53,7 @@
         let mut from = BytesMut::new();
         for byte in whole {
             from.put_u8(byte);
-            let parts = (&mut self.down, &mut self.track);
-            self.carry.down(parts.0, parts.1, &mut from, &mut to, &mut self.prepared).unwrap();
+            self.forward_to_client(&mut from, &mut to).unwrap();
         }
         std::iter::from_fn(|| message(&mut to, 1 << 20).unwrap())
             .map(|message| char::from(message.kind))
@@ -50,54 +72,54 @@
 
 #[test]
 fn a_text_is_parsed_once_and_again_where_it_lacks() {
-    let mut p = Play::default();
-    let sent = p.up(&[PARSE, SYNC]);
+    let mut pipeline = Pipeline::default();
+    let sent = pipeline.up(&[PARSE, SYNC]);
     assert!(
         kinds(&sent) == "PS"
             && sent[0].body.starts_with(b"ld_")
             && sent[0].body.ends_with(PARSE.1[3..].as_ref())
     );
-    assert_eq!(p.down(&[(b'1', b""), READY]), "1Z");
-    let sent = p.up(&[BIND, SYNC]);
+    assert_eq!(pipeline.down(&[(b'1', b""), READY]), "1Z");
+    let sent = pipeline.up(&[BIND, SYNC]);
     assert!(
         kinds(&sent) == "BS" && sent[0].body.starts_with(b"\0ld_") && sent[0].body.ends_with(&BIND.1[3..])
     );
-    assert_eq!(p.down(&[(b'2', b""), READY]), "2Z");
+    assert_eq!(pipeline.down(&[(b'2', b""), READY]), "2Z");
     // Another server: it is parsed in between, and the client hears nothing of that.
-    p.prepared.clear();
-    assert_eq!(kinds(&p.up(&[BIND, SYNC])), "PBS");
-    assert_eq!(p.down(&[(b'1', b""), (b'2', b""), READY]), "2Z");
+    pipeline.prepared.clear();
+    assert_eq!(kinds(&pipeline.up(&[BIND, SYNC])), "PBS");
+    assert_eq!(pipeline.down(&[(b'1', b""), (b'2', b""), READY]), "2Z");
     // The same text under another name is there already.
-    assert_eq!(kinds(&p.up(&[(b'P', b"s1\0select 1\0\0\0"), SYNC])), "CS");
-    assert_eq!(p.down(&[(b'3', b""), READY]), "1Z");
+    assert_eq!(kinds(&pipeline.up(&[(b'P', b"s1\0select 1\0\0\0"), SYNC])), "CS");
+    assert_eq!(pipeline.down(&[(b'3', b""), READY]), "1Z");
     // A close concerns the client's own name only.
-    let sent = p.up(&[(b'C', b"Ss0\0"), SYNC]);
+    let sent = pipeline.up(&[(b'C', b"Ss0\0"), SYNC]);
     assert_eq!(sent[0].body, &b"Ss0\0"[..]);
-    assert_eq!(p.down(&[(b'3', b""), READY]), "3Z");
-    assert!(p.track.is_idle() && p.prepared.len() == 1);
+    assert_eq!(pipeline.down(&[(b'3', b""), READY]), "3Z");
+    assert!(pipeline.track.is_idle() && pipeline.prepared.len() == 1);
 }
 
 /// What failed is not taken for prepared, also where the next try was sent before the failure was known.
 #[test]
 fn what_failed_to_parse_is_told_again() {
-    let mut p = Play::default();
-    p.up(&[PARSE, SYNC]);
-    assert_eq!(p.down(&[(b'E', b"\0")]), "E");
-    assert_eq!(kinds(&p.up(&[PARSE, SYNC])), "PS", "the error was known");
-    assert_eq!(p.down(&[READY, (b'E', b"\0"), READY]), "ZEZ");
-    assert_eq!(kinds(&p.up(&[PARSE, SYNC, PARSE, SYNC])), "PSCPS", "it was not");
-    assert_eq!(p.down(&[(b'E', b"\0"), READY, (b'3', b""), (b'1', b""), READY]), "EZ1Z");
-    assert_eq!(p.prepared.len(), 1);
+    let mut pipeline = Pipeline::default();
+    pipeline.up(&[PARSE, SYNC]);
+    assert_eq!(pipeline.down(&[(b'E', b"\0")]), "E");
+    assert_eq!(kinds(&pipeline.up(&[PARSE, SYNC])), "PS", "the error was known");
+    assert_eq!(pipeline.down(&[READY, (b'E', b"\0"), READY]), "ZEZ");
+    assert_eq!(kinds(&pipeline.up(&[PARSE, SYNC, PARSE, SYNC])), "PSCPS", "it was not");
+    assert_eq!(pipeline.down(&[(b'E', b"\0"), READY, (b'3', b""), (b'1', b""), READY]), "EZ1Z");
+    assert_eq!(pipeline.prepared.len(), 1);
 }
 
 #[test]
 fn sessions_have_bounds() {
-    let mut p = Play::default();
-    let long = [b"s\0".as_ref(), &vec![b'x'; MAX_STATEMENT]].concat();
+    let mut pipeline = Pipeline::default();
+    let long = [b"s\0".as_ref(), &vec![b'x'; MAX_STATEMENT_BYTES]].concat();
     let (mut from, mut to) = (BytesMut::new(), BytesMut::new());
     put(&mut from, b'P', &long);
-    let passed = p.carry.up(&mut p.up, &mut p.track, &mut from, &mut to, &mut p.prepared);
-    assert_eq!(passed, Err((0, Over::TooMuch)));
+    let passed = pipeline.forward_to_server(&mut from, &mut to);
+    assert_eq!(passed, Err(Interrupted { taken: 0, reason: SessionEnd::LimitExceeded }));
     assert!(to.is_empty());
     for (text, traces) in [
         ("SET x = 1", true),
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to servers: how they are made, logged in, kept and closed.
 
-use crate::carry::Prepared;
+use crate::statements::Prepared;
 use crate::wire::{message, put, CancelKey, Message, Parameter, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{to_duration, ConnectionPools};
