--- a/crates/postgres/src/error.rs
+++ b/crates/postgres/src/error.rs
@@ -6,7 +6,7 @@
 
 /// One error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Trouble {
+pub(crate) struct ClientError {
     /// The session ends with it.
     pub fatal: bool,
     pub code: &'static str,
@@ -14,21 +14,21 @@
     pub detail: Option<String>,
 }
 
-impl Trouble {
-    pub(crate) fn fatal(code: &'static str, message: impl Into<String>) -> Trouble {
-        Trouble { fatal: true, code, message: message.into(), detail: None }
+impl ClientError {
+    pub(crate) fn fatal(code: &'static str, message: impl Into<String>) -> ClientError {
+        ClientError { fatal: true, code, message: message.into(), detail: None }
     }
 
-    pub(crate) fn error(code: &'static str, message: impl Into<String>) -> Trouble {
-        Trouble { fatal: false, code, message: message.into(), detail: None }
+    pub(crate) fn error(code: &'static str, message: impl Into<String>) -> ClientError {
+        ClientError { fatal: false, code, message: message.into(), detail: None }
     }
 
     /// No server can take it now: `too_many_connections`, as a full server says it.
     /// One that is declared safe to repeat may have been sent all the same.
-    pub(crate) fn refused(after: Micros, sent: bool) -> Trouble {
+    pub(crate) fn refused(after: Micros, sent: bool) -> ClientError {
         let done = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
         let detail = Some(format!("Come again in {:.3} s. {done}", after.secs()));
-        Trouble { detail, ..Trouble::error("53300", "no server has room at the moment") }
+        ClientError { detail, ..ClientError::error("53300", "no server has room at the moment") }
     }
 
     pub(crate) fn put(&self, out: &mut BytesMut) {
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -17,6 +17,7 @@
 mod bridge;
 pub mod classes;
 mod error;
+mod login;
 pub mod scram;
 mod session;
 mod statements;
--- /dev/null
+++ b/crates/postgres/src/login.rs
@@ -0,0 +1,222 @@
+//! The login of a client: from its first packet to the first ReadyForQuery.
+
+use crate::error::ClientError;
+use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
+use crate::upstream::{drain, fill};
+use crate::wire::{message, opening, put, CancelKey, Message, Opening, Parameter, WireError};
+use bytes::{Buf, BufMut, BytesMut};
+use std::cell::RefCell;
+use tokio::net::TcpStream;
+
+/// The longest message of a login, bytes.
+const MAX_LOGIN_MESSAGE_BYTES: usize = 8 * 1024;
+/// Names of protocol options in a start-up packet begin with this.
+const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
+/// Codes of authentication messages ("Message Formats").
+const AUTHENTICATION_OK: u32 = 0;
+const AUTHENTICATION_SASL: u32 = 10;
+const AUTHENTICATION_SASL_CONTINUE: u32 = 11;
+const AUTHENTICATION_SASL_FINAL: u32 = 12;
+/// Parameters of the server before the proxy has logged in to one (ParameterStatus).
+const DEFAULT_PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "16.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// The start-up packet of a session.
+pub(crate) struct SessionStart {
+    pub(crate) minor: u16,
+    pub(crate) parameters: Vec<Parameter>,
+}
+
+impl SessionStart {
+    /// The value of a parameter.
+    pub(crate) fn parameter(&self, name: &str) -> Option<&str> {
+        let parameter = self.parameters.iter().find(|parameter| parameter.name == name);
+        parameter.map(|parameter| parameter.value.as_str())
+    }
+}
+
+/// The parameters of a server, after the defaults that it does not report.
+fn with_defaults(server_parameters: Vec<Parameter>) -> Vec<Parameter> {
+    let defaults = DEFAULT_PARAMETERS.iter();
+    let mut parameters: Vec<Parameter> = defaults
+        .map(|(name, value)| Parameter { name: name.to_string(), value: value.to_string() })
+        .collect();
+    for parameter in server_parameters {
+        parameters.retain(|known| known.name != parameter.name);
+        parameters.push(parameter);
+    }
+    parameters
+}
+
+/// Appends a ReadyForQuery outside a transaction.
+pub(crate) fn put_ready(out: &mut BytesMut) {
+    put(out, b'Z', b"I");
+}
+
+/// Why a session does not begin.
+pub(crate) enum LoginError {
+    /// The client has disconnected, or did not answer in time.
+    Disconnected,
+    /// The client gets this error.
+    Rejected(ClientError),
+}
+
+impl From<ClientError> for LoginError {
+    fn from(error: ClientError) -> LoginError {
+        LoginError::Rejected(error)
+    }
+}
+
+impl From<std::io::Error> for LoginError {
+    fn from(_: std::io::Error) -> LoginError {
+        LoginError::Disconnected
+    }
+}
+impl From<WireError> for LoginError {
+    fn from(e: WireError) -> LoginError {
+        LoginError::Rejected(ClientError::fatal("08P01", e.to_string()))
+    }
+}
+impl From<ScramError> for LoginError {
+    fn from(e: ScramError) -> LoginError {
+        LoginError::Rejected(match e {
+            ScramError::Wrong => ClientError::fatal("28P01", "password authentication failed"),
+            ScramError::Malformed(what) => ClientError::fatal("08P01", what),
+        })
+    }
+}
+
+/// A connection whose client is not authenticated yet.
+pub(crate) struct NewConnection {
+    pub(crate) tcp: TcpStream,
+    pub(crate) input: RefCell<BytesMut>,
+    pub(crate) output: RefCell<BytesMut>,
+}
+
+impl NewConnection {
+    pub(crate) fn new(tcp: TcpStream) -> NewConnection {
+        NewConnection { tcp, input: RefCell::default(), output: RefCell::default() }
+    }
+
+    /// The client's next first packet.
+    pub(crate) async fn opening(&self) -> Result<Opening, LoginError> {
+        loop {
+            if let Some(opening) = opening(&mut self.input.borrow_mut())? {
+                return Ok(opening);
+            }
+            self.more().await?;
+        }
+    }
+
+    /// Answers a request for encryption, which is not offered.
+    pub(crate) async fn refuse_encryption(&self) -> Result<(), LoginError> {
+        self.output.borrow_mut().put_u8(b'N');
+        Ok(drain(&self.output, &self.tcp).await?)
+    }
+
+    /// Tells a client which version and which of its protocol options are supported (NegotiateProtocolVersion), where
+    /// these are not all.
+    pub(crate) async fn negotiate_version(&self, start: &SessionStart) -> Result<(), LoginError> {
+        let names = start.parameters.iter().map(|parameter| parameter.name.as_str());
+        let unknown: Vec<&str> = names.filter(|name| name.starts_with(PROTOCOL_OPTION_PREFIX)).collect();
+        if start.minor == 0 && unknown.is_empty() {
+            return Ok(());
+        }
+        let mut body = 0u32.to_be_bytes().to_vec();
+        body.extend((unknown.len() as u32).to_be_bytes());
+        for name in unknown {
+            body.extend(name.bytes().chain([0]));
+        }
+        self.say(b'v', &body).await
+    }
+
+    /// Completes the login of an authenticated client: tells it the server's parameters and the key of its session.
+    pub(crate) async fn welcome(&self, server_parameters: Vec<Parameter>) -> Result<CancelKey, LoginError> {
+        let mut key_bytes = random::<8>()?;
+        key_bytes[0] &= 0x7f; // process ids are positive
+        let mut out = self.output.take();
+        put(&mut out, b'R', &AUTHENTICATION_OK.to_be_bytes());
+        for Parameter { name, value } in with_defaults(server_parameters) {
+            put(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
+        }
+        put(&mut out, b'K', &key_bytes);
+        put_ready(&mut out);
+        self.output.replace(out);
+        drain(&self.output, &self.tcp).await?;
+        let mut key_bytes = &key_bytes[..];
+        let process_id = key_bytes.get_i32();
+        Ok(CancelKey { process_id, secret: key_bytes.get_i32() })
+    }
+
+    async fn more(&self) -> Result<(), LoginError> {
+        match fill(&self.tcp, &self.input).await? {
+            0 => Err(LoginError::Disconnected),
+            _ => Ok(()),
+        }
+    }
+
+    async fn say(&self, kind: u8, body: &[u8]) -> Result<(), LoginError> {
+        put(&mut self.output.borrow_mut(), kind, body);
+        Ok(drain(&self.output, &self.tcp).await?)
+    }
+
+    /// A message of the kind that passwords come in.
+    async fn proof(&self) -> Result<bytes::Bytes, LoginError> {
+        loop {
+            match message(&mut self.input.borrow_mut(), MAX_LOGIN_MESSAGE_BYTES)? {
+                Some(Message { kind: b'p', body }) => return Ok(body),
+                Some(Message { kind, .. }) => {
+                    return Err(
+                        WireError::Malformed { kind: char::from(kind), reason: "a proof is due" }.into()
+                    )
+                }
+                None => {}
+            }
+            self.more().await?;
+        }
+    }
+
+    /// Authenticates a client ("SASL Authentication", with SCRAM-SHA-256 alone).
+    pub(crate) async fn prove(&self, verifier: Verifier, nonce: &str) -> Result<(), LoginError> {
+        let mut offer = AUTHENTICATION_SASL.to_be_bytes().to_vec();
+        offer.extend(MECHANISM.as_bytes());
+        offer.extend([0, 0]);
+        self.say(b'R', &offer).await?;
+        let mut first = self.proof().await?;
+        let bad = || {
+            LoginError::from(WireError::Malformed {
+                kind: 'p',
+                reason: "no SASLInitialResponse of SCRAM-SHA-256",
+            })
+        };
+        let end = first.iter().position(|b| *b == 0).ok_or_else(bad)?;
+        if &first[..end] != MECHANISM.as_bytes() || first.len() < end + 5 {
+            return Err(bad());
+        }
+        first.advance(end + 5);
+        let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| bad());
+        let (exchange, answer) = Exchange::begin(verifier, &text(&first)?, nonce)?;
+        self.say(b'R', &[&AUTHENTICATION_SASL_CONTINUE.to_be_bytes(), answer.as_bytes()].concat()).await?;
+        let last = self.proof().await?;
+        let answer = exchange.end(&text(&last)?)?;
+        put(
+            &mut self.output.borrow_mut(),
+            b'R',
+            &[&AUTHENTICATION_SASL_FINAL.to_be_bytes(), answer.as_bytes()].concat(),
+        );
+        Ok(())
+    }
+}
+
+pub(crate) fn random<const N: usize>() -> Result<[u8; N], LoginError> {
+    let mut out = [0; N];
+    getrandom::fill(&mut out)
+        .map_err(|_| LoginError::Rejected(ClientError::fatal("58000", "no random numbers can be had")))?;
+    Ok(out)
+}
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -2,15 +2,13 @@
 
 use crate::bridge::{Client, Transaction};
 use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
-use crate::error::Trouble;
-use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
+use crate::error::ClientError;
+use crate::login::{put_ready, random, LoginError, NewConnection, SessionStart};
+use crate::scram::Verifier;
 use crate::statements::SessionEnd;
 use crate::track::Track;
 use crate::upstream::{drain, fill, Servers};
-use crate::wire::{
-    header, message, opening, put, CancelKey, Header, Message, Opening, Parameter, WireError,
-    CANCEL_REQUEST_CODE, HEADER_BYTES,
-};
+use crate::wire::{header, CancelKey, Header, Opening, CANCEL_REQUEST_CODE, HEADER_BYTES};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{Answer, Host, RequestLabels};
@@ -25,25 +23,13 @@
 
 /// A client has proved who it is by then, or is let go of.
 const LOGIN: Duration = Duration::from_secs(10);
-/// A message of the login is no longer.
-const MAX_LOGIN: usize = 8 * 1024;
 /// A statement that may be said again is no longer.
 const MAX_REPLAY: usize = 64 * 1024;
 /// Clients beyond the bound that are told so.
 pub const SPARE: usize = 16;
 /// The last words to a client are given up after this time.
 const FAREWELL: Duration = Duration::from_secs(2);
-/// What is told of the server before one was logged in to (ParameterStatus).
-const PARAMS: [(&str, &str); 6] = [
-    ("server_version", "16.0"),
-    ("server_encoding", "UTF8"),
-    ("client_encoding", "UTF8"),
-    ("DateStyle", "ISO, MDY"),
-    ("integer_datetimes", "on"),
-    ("standard_conforming_strings", "on"),
-];
-
-/// ClientIdentity may come, and what is stored of the password.
+/// A role that may log in, and its verifier.
 #[derive(Clone, Debug)]
 pub struct User {
     /// The role.
@@ -57,7 +43,7 @@
 pub struct FrontSettings {
     /// Databases that clients may ask for.
     pub databases: Vec<String>,
-    /// ClientIdentity may come.
+    /// Roles that may log in.
     pub users: Vec<User>,
     /// Clients at once.
     pub clients: usize,
@@ -78,123 +64,12 @@
     stop: watch::Sender<bool>,
 }
 
-/// Why a session did not come to stand.
-enum NoSession {
-    /// The client has left, or was silent.
-    Gone,
-    Trouble(Trouble),
-}
-
-impl From<std::io::Error> for NoSession {
-    fn from(_: std::io::Error) -> NoSession {
-        NoSession::Gone
-    }
-}
-impl From<WireError> for NoSession {
-    fn from(e: WireError) -> NoSession {
-        NoSession::Trouble(Trouble::fatal("08P01", e.to_string()))
-    }
-}
-impl From<ScramError> for NoSession {
-    fn from(e: ScramError) -> NoSession {
-        NoSession::Trouble(match e {
-            ScramError::Wrong => Trouble::fatal("28P01", "password authentication failed"),
-            ScramError::Malformed(what) => Trouble::fatal("08P01", what),
-        })
-    }
-}
-
-/// A connection whose client has not proved anything yet.
-struct Newcomer {
-    tcp: TcpStream,
-    input: RefCell<BytesMut>,
-    output: RefCell<BytesMut>,
-}
-
-impl Newcomer {
-    async fn opening(&self) -> Result<Opening, NoSession> {
-        loop {
-            if let Some(opening) = opening(&mut self.input.borrow_mut())? {
-                return Ok(opening);
-            }
-            self.more().await?;
-        }
-    }
-
-    async fn more(&self) -> Result<(), NoSession> {
-        match fill(&self.tcp, &self.input).await? {
-            0 => Err(NoSession::Gone),
-            _ => Ok(()),
-        }
-    }
-
-    async fn say(&self, kind: u8, body: &[u8]) -> Result<(), NoSession> {
-        put(&mut self.output.borrow_mut(), kind, body);
-        Ok(drain(&self.output, &self.tcp).await?)
-    }
-
-    /// A message of the kind that passwords come in.
-    async fn proof(&self) -> Result<bytes::Bytes, NoSession> {
-        loop {
-            match message(&mut self.input.borrow_mut(), MAX_LOGIN)? {
-                Some(Message { kind: b'p', body }) => return Ok(body),
-                Some(Message { kind, .. }) => {
-                    return Err(
-                        WireError::Malformed { kind: char::from(kind), reason: "a proof is due" }.into()
-                    )
-                }
-                None => {}
-            }
-            self.more().await?;
-        }
-    }
-
-    /// "SASL Authentication", with SCRAM-SHA-256 alone.
-    async fn prove(&self, verifier: Verifier, nonce: &str) -> Result<(), NoSession> {
-        let mut offer = 10u32.to_be_bytes().to_vec();
-        offer.extend(MECHANISM.as_bytes());
-        offer.extend([0, 0]);
-        self.say(b'R', &offer).await?;
-        let mut first = self.proof().await?;
-        let bad = || {
-            NoSession::from(WireError::Malformed {
-                kind: 'p',
-                reason: "no SASLInitialResponse of SCRAM-SHA-256",
-            })
-        };
-        let end = first.iter().position(|b| *b == 0).ok_or_else(bad)?;
-        if &first[..end] != MECHANISM.as_bytes() || first.len() < end + 5 {
-            return Err(bad());
-        }
-        first.advance(end + 5);
-        let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| bad());
-        let (exchange, answer) = Exchange::begin(verifier, &text(&first)?, nonce)?;
-        self.say(b'R', &[&11u32.to_be_bytes(), answer.as_bytes()].concat()).await?;
-        let last = self.proof().await?;
-        let answer = exchange.end(&text(&last)?)?;
-        put(&mut self.output.borrow_mut(), b'R', &[&12u32.to_be_bytes(), answer.as_bytes()].concat());
-        Ok(())
-    }
-}
-
-fn random<const N: usize>() -> Result<[u8; N], NoSession> {
-    let mut out = [0; N];
-    getrandom::fill(&mut out)
-        .map_err(|_| NoSession::Trouble(Trouble::fatal("58000", "no random numbers can be had")))?;
-    Ok(out)
-}
-
-fn unknown() -> Trouble {
-    Trouble::error("08007", "the server was lost: whether this was done is not known")
-}
-
-fn late() -> Trouble {
-    Trouble::error("57014", "its time was up before its answer came")
+fn unknown() -> ClientError {
+    ClientError::error("08007", "the server was lost: whether this was done is not known")
 }
 
-/// ReadyForQuery, idle.
-fn ready(out: &mut BytesMut) {
-    put(out, b'Z', b"I");
+fn late() -> ClientError {
+    ClientError::error("57014", "its time was up before its answer came")
 }
 
 impl Front {
@@ -251,11 +126,11 @@
 
     async fn client(self: &Rc<Self>, tcp: TcpStream) {
         let _ = tcp.set_nodelay(true); // a socket that cannot be told so works all the same
-        let new = Newcomer { tcp, input: RefCell::default(), output: RefCell::default() };
+        let new = NewConnection::new(tcp);
         let login = tokio::time::timeout(LOGIN, self.log_in(&new)).await;
-        match login.unwrap_or(Err(NoSession::Gone)) {
-            Ok(None) | Err(NoSession::Gone) => {}
-            Err(NoSession::Trouble(trouble)) => {
+        match login.unwrap_or(Err(LoginError::Disconnected)) {
+            Ok(None) | Err(LoginError::Disconnected) => {}
+            Err(LoginError::Rejected(trouble)) => {
                 trouble.put(&mut new.output.borrow_mut());
                 let _ = tokio::time::timeout(FAREWELL, drain(&new.output, &new.tcp)).await;
             }
@@ -269,73 +144,51 @@
         }
     }
 
-    /// The figures of a session that stands; `None` where none was asked for.
-    async fn log_in(&self, new: &Newcomer) -> Result<Option<(CancelKey, ClientIdentity)>, NoSession> {
-        let (minor, asked) = loop {
+    /// Logs a client in; returns the key of its session, and `None` where it does not begin one.
+    async fn log_in(&self, new: &NewConnection) -> Result<Option<(CancelKey, ClientIdentity)>, LoginError> {
+        let Some(start) = self.receive_start(new).await? else { return Ok(None) };
+        if self.count.get() > self.settings.clients {
+            return Err(ClientError::fatal("53300", "too many clients already").into());
+        }
+        new.negotiate_version(&start).await?;
+        let Some(user) = start.parameter("user").filter(|user| !user.is_empty()) else {
+            return Err(ClientError::fatal("28000", "no user is named in the start-up packet").into());
+        };
+        new.prove(self.verifier(user), &BASE64_STANDARD.encode(random::<18>()?)).await?;
+        let database = start.parameter("database").unwrap_or(user);
+        if !self.settings.databases.iter().any(|served| served == database) {
+            let text = format!("database \"{database}\" is not served here");
+            return Err(ClientError::fatal("3D000", text).into());
+        }
+        let key = new.welcome(self.servers.params()).await?;
+        let application = start.parameter("application_name").unwrap_or_default();
+        let identity =
+            ClientIdentity { user: user.into(), database: database.into(), application: application.into() };
+        Ok(Some((key, identity)))
+    }
+
+    /// The start of a session; `None` after a CancelRequest.
+    async fn receive_start(&self, new: &NewConnection) -> Result<Option<SessionStart>, LoginError> {
+        loop {
             match new.opening().await? {
-                Opening::Ssl | Opening::Gss => {
-                    new.output.borrow_mut().put_u8(b'N');
-                    drain(&new.output, &new.tcp).await?;
-                }
+                Opening::Ssl | Opening::Gss => new.refuse_encryption().await?,
                 Opening::Cancel(key) => {
                     self.cancel(key).await;
                     return Ok(None);
                 }
-                Opening::Start { minor, parameters: asked } => break (minor, asked),
+                Opening::Start { minor, parameters } => return Ok(Some(SessionStart { minor, parameters })),
             }
-        };
-        if self.count.get() > self.settings.clients {
-            return Err(NoSession::Trouble(Trouble::fatal("53300", "too many clients already")));
         }
-        let of = |name: &str| asked.iter().find(|a| a.name == name).map(|a| a.value.as_str());
-        let unknown: Vec<&str> =
-            asked.iter().map(|a| a.name.as_str()).filter(|name| name.starts_with("_pq_.")).collect();
-        if minor > 0 || !unknown.is_empty() {
-            let mut body = 0u32.to_be_bytes().to_vec();
-            body.extend((unknown.len() as u32).to_be_bytes());
-            unknown.iter().for_each(|name| body.extend(name.bytes().chain([0])));
-            new.say(b'v', &body).await?;
-        }
-        let Some(user) = of("user").filter(|u| !u.is_empty()) else {
-            return Err(NoSession::Trouble(Trouble::fatal(
-                "28000",
-                "no user is named in the start-up packet",
-            )));
-        };
-        let known = self.settings.users.iter().find(|u| u.name == user).map(|u| u.verifier.clone());
-        let verifier = known.unwrap_or_else(|| {
-            Verifier::of_nobody(user, &self.secret, self.settings.users.first().map(|u| &u.verifier))
-        });
-        new.prove(verifier, &BASE64_STANDARD.encode(random::<18>()?)).await?;
-        let database = of("database").unwrap_or(user);
-        if !self.settings.databases.iter().any(|d| d == database) {
-            let text = format!("database \"{database}\" is not served here");
-            return Err(NoSession::Trouble(Trouble::fatal("3D000", text)));
-        }
-        let mut key = random::<8>()?;
-        key[0] &= 0x7f;
-        let (pid, secret) = key.split_at(4);
-        let number = |b: &[u8]| i32::from_be_bytes([b[0], b[1], b[2], b[3]]);
-        let mut out = new.output.take();
-        put(&mut out, b'R', &0u32.to_be_bytes());
-        let mut params: Vec<Parameter> = PARAMS
-            .iter()
-            .map(|(name, value)| Parameter { name: name.to_string(), value: value.to_string() })
-            .collect();
-        for parameter in self.servers.params() {
-            params.retain(|known| known.name != parameter.name);
-            params.push(parameter);
-        }
-        for Parameter { name, value } in params {
-            put(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
+    }
+
+    /// The verifier of a user. One who does not exist has one that no password matches, so that names cannot be told
+    /// apart by it.
+    fn verifier(&self, user: &str) -> Verifier {
+        let users = &self.settings.users;
+        match users.iter().find(|known| known.name == user) {
+            Some(known) => known.verifier.clone(),
+            None => Verifier::of_nobody(user, &self.secret, users.first().map(|first| &first.verifier)),
         }
-        put(&mut out, b'K', &key);
-        ready(&mut out);
-        new.output.replace(out);
-        drain(&new.output, &new.tcp).await?;
-        let application = of("application_name").unwrap_or_default().to_string();
-        let who = ClientIdentity { user: user.into(), database: database.into(), application };
-        Ok(Some((CancelKey { process_id: number(pid), secret: number(secret) }, who)))
     }
 
     /// Passed on to the server that runs the session's transaction at this moment, and to no other.
@@ -360,7 +213,7 @@
                 first = self.first(client) => first,
                 _ = stop.wait_for(|stop| *stop), if client.input.borrow().is_empty() => {
                     let text = "this proxy stops: connect again";
-                    Trouble::fatal("57P01", text).put(&mut client.output.borrow_mut());
+                    ClientError::fatal("57P01", text).put(&mut client.output.borrow_mut());
                     return;
                 }
             };
@@ -375,9 +228,9 @@
             let trouble = match (client.over.get(), answer) {
                 (Some(SessionEnd::ClientLeft), _) => return,
                 (Some(SessionEnd::InvalidMessage), _) => {
-                    Trouble::fatal("08P01", "a message of an impossible length")
+                    ClientError::fatal("08P01", "a message of an impossible length")
                 }
-                (Some(SessionEnd::LimitExceeded), _) => Trouble::fatal(
+                (Some(SessionEnd::LimitExceeded), _) => ClientError::fatal(
                     "54000",
                     "statements of a session are bounded: 1 MB each, 8 MB together, 100,000 messages ahead",
                 ),
@@ -388,13 +241,13 @@
                 {
                     unknown()
                 }
-                (None, Answer::Rejected(after)) => Trouble::refused(after, client.sent.get()),
+                (None, Answer::Rejected(after)) => ClientError::refused(after, client.sent.get()),
                 (None, Answer::TimedOut) => late(),
                 // Withdrawn by the module, a moment before the client's time was up.
                 (None, Answer::Failed) if client.sent.get() && !client.lost.get() => late(),
                 (None, Answer::Failed) if client.track.get().is_result_unknown() => unknown(),
                 (None, Answer::Failed) => {
-                    Trouble::error("08006", "the server was lost before anything was done")
+                    ClientError::error("08006", "the server was lost before anything was done")
                 }
             };
             if !self.tell(client, trouble).await {
@@ -474,7 +327,7 @@
     }
 
     /// Tells a client that its transaction has come to nothing, in its turn; whether the session goes on.
-    async fn tell(&self, client: &Rc<Client>, trouble: Trouble) -> bool {
+    async fn tell(&self, client: &Rc<Client>, trouble: ClientError) -> bool {
         debug!(code = trouble.code, fatal = trouble.fatal, "transaction not served");
         if !client.down.borrow().is_at_boundary() {
             return false; // half of a message is with the client: nothing can follow it
@@ -482,7 +335,7 @@
         let track = client.track.get();
         let waits = track.pending_ready() > 0 || track.needs_sync() || !client.sent.get();
         if trouble.fatal || !waits {
-            Trouble { fatal: true, ..trouble }.put(&mut client.output.borrow_mut());
+            ClientError { fatal: true, ..trouble }.put(&mut client.output.borrow_mut());
             return false; // a transaction that was open, with nobody waiting: the session cannot tell otherwise
         }
         trouble.put(&mut client.output.borrow_mut());
@@ -495,11 +348,11 @@
         if (track.pending_ready() == 0 || track.needs_sync()) && self.skip(client, ends).await.is_err() {
             return false;
         }
-        ready(&mut client.output.borrow_mut());
+        put_ready(&mut client.output.borrow_mut());
         // Each part of a pipeline that is out is told so: an end without a word would pass for an empty answer.
         for _ in 1..track.pending_ready() {
             trouble.put(&mut client.output.borrow_mut());
-            ready(&mut client.output.borrow_mut());
+            put_ready(&mut client.output.borrow_mut());
         }
         client.track.set(Track::default());
         drain(&client.output, &client.tcp).await.is_ok()
