--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -15,11 +15,12 @@
 )]
 
 mod bridge;
-mod carry;
 pub mod classes;
 mod error;
+mod login;
 pub mod scram;
 mod session;
+mod statements;
 pub mod track;
 mod upstream;
 pub mod wire;
