--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -17,6 +17,7 @@
 mod bridge;
 pub mod classes;
 mod error;
+mod front;
 mod login;
 pub mod scram;
 mod session;
@@ -25,5 +26,5 @@
 mod upstream;
 pub mod wire;
 
-pub use session::{Front, FrontSettings, User, SPARE};
+pub use front::{Front, FrontSettings, User, SPARE};
 pub use upstream::{Login, Servers};
