--- a/crates/lotusdeck/src/admin/table.rs
+++ b/crates/lotusdeck/src/admin/table.rs
@@ -17,8 +17,8 @@
     let mut out = rows(&document["backends"], &BACKEND_COLUMNS);
     out.push_str(&rows(&document["kinds"], &KIND_COLUMNS));
     if let Some(counts) = document["counts"].as_object() {
-        let words: Vec<String> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
-        let _ = writeln!(out, "since the start: {}", words.join(", "));
+        let fields: Vec<String> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
+        let _ = writeln!(out, "since the start: {}", fields.join(", "));
     }
     for key in SINGLE_KEYS {
         let _ = writeln!(out, "{key}: {}", cell(&document[key]));
--- a/crates/lotusdeck/src/check/mod.rs
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -50,7 +50,7 @@
     if all_sound {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(crate::EXIT_REFUSED)
+        ExitCode::from(crate::EXIT_INVALID_INPUT)
     }
 }
 
--- a/crates/lotusdeck/src/ledger/format.rs
+++ b/crates/lotusdeck/src/ledger/format.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// The state as one word, for programs.
-fn state_word(request: &Request) -> String {
+/// The state for programs, without spaces.
+fn state_slug(request: &Request) -> String {
     state_name(request).replace(' ', "-")
 }
 
@@ -57,7 +57,7 @@
 pub(super) fn json(request: &Request) -> String {
     let mut value = serde_json::to_value(request).unwrap_or_default();
     if let Some(object) = value.as_object_mut() {
-        object.insert("state".into(), state_word(request).into());
+        object.insert("state".into(), state_slug(request).into());
     }
     format!("{value}\n")
 }
@@ -80,7 +80,7 @@
         csv_field(&request.id),
         csv_field(&request.class),
         csv_field(&request.key),
-        state_word(request),
+        state_slug(request),
     ];
     let request_fields = request_fields.join(",");
     if request.attempts.is_empty() {
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -125,7 +125,7 @@
         let read = Folder::existing(folder).and_then(|disk| history.add(&name, &disk, id));
         if let Err(error) = read {
             eprintln!("lotusdeck: {name}: {error}");
-            return ExitCode::from(crate::EXIT_REFUSED);
+            return ExitCode::from(crate::EXIT_INVALID_INPUT);
         }
     }
     match &args.command {
--- a/crates/lotusdeck/src/operator/arrays.rs
+++ b/crates/lotusdeck/src/operator/arrays.rs
@@ -3,18 +3,18 @@
 use super::Fault;
 use serde::de::DeserializeOwned;
 
-/// Something that has to hold for a section.
+/// Something that has to be so in a section.
 pub(super) struct Expectation {
-    /// Whether it does.
-    pub holds: bool,
+    /// Whether it is.
+    pub is_met: bool,
     /// What is expected, in words.
     pub message: &'static str,
 }
 
 impl Expectation {
-    /// The message of the first that does not hold.
+    /// The message of the first that is not met.
     pub(super) fn first_failed(all: &[Expectation]) -> Option<&'static str> {
-        all.iter().find(|expectation| !expectation.holds).map(|expectation| expectation.message)
+        all.iter().find(|expectation| !expectation.is_met).map(|expectation| expectation.message)
     }
 }
 
--- a/crates/lotusdeck/src/operator/limit.rs
+++ b/crates/lotusdeck/src/operator/limit.rs
@@ -46,14 +46,14 @@
         let is_rate_valid = self.rate_per_s.is_none_or(|rate| rate > 0.0 && rate <= MAX_RATE_PER_S);
         let limits_something = self.rate_per_s.is_some() || self.in_flight.is_some();
         Expectation::first_failed(&[
-            Expectation { holds: !self.name.is_empty(), message: "name: expected some text" },
-            Expectation { holds: limits_something, message: "expected rate_per_s, in_flight or both" },
+            Expectation { is_met: !self.name.is_empty(), message: "name: expected some text" },
+            Expectation { is_met: limits_something, message: "expected rate_per_s, in_flight or both" },
             Expectation {
-                holds: is_rate_valid,
+                is_met: is_rate_valid,
                 message: "rate_per_s: expected a number above 0, 1e9 at most",
             },
-            Expectation { holds: self.in_flight != Some(0), message: "in_flight: expected 1 at least" },
-            Expectation { holds: self.burst_ms <= MAX_BURST_MS, message: "burst_ms: expected 0 to 60000" },
+            Expectation { is_met: self.in_flight != Some(0), message: "in_flight: expected 1 at least" },
+            Expectation { is_met: self.burst_ms <= MAX_BURST_MS, message: "burst_ms: expected 0 to 60000" },
         ])
     }
 }
--- a/crates/lotusdeck/src/operator/postgres.rs
+++ b/crates/lotusdeck/src/operator/postgres.rs
@@ -174,34 +174,34 @@
         let connections = 1..=MAX_CONNECTIONS;
         Expectation::first_failed(&[
             Expectation {
-                holds: self.classes.iter().all(|class| self.is_class_valid(class)),
+                is_met: self.classes.iter().all(|class| self.is_class_valid(class)),
                 message: "class: expected aim_ms from 1 to deadline_ms, and a worth above 0",
             },
             Expectation {
-                holds: self.listen.ip().is_loopback(),
+                is_met: self.listen.ip().is_loopback(),
                 message: "listen: expected a loopback address",
             },
             Expectation {
-                holds: self.discovery.is_some() == self.servers.is_empty(),
+                is_met: self.discovery.is_some() == self.servers.is_empty(),
                 message: "expected either discovery or [[postgres.server]]",
             },
-            Expectation { holds: self.has_unique_servers(), message: "server.name: each may be there once" },
-            Expectation { holds: !self.databases.is_empty(), message: "databases: expected one at least" },
-            Expectation { holds: !self.users.is_empty(), message: "user: expected one at least" },
+            Expectation { is_met: self.has_unique_servers(), message: "server.name: each may be there once" },
+            Expectation { is_met: !self.databases.is_empty(), message: "databases: expected one at least" },
+            Expectation { is_met: !self.users.is_empty(), message: "user: expected one at least" },
             Expectation {
-                holds: connections.contains(&self.connections),
+                is_met: connections.contains(&self.connections),
                 message: "connections: expected 1 to 100000",
             },
             Expectation {
-                holds: connections.contains(&self.clients),
+                is_met: connections.contains(&self.clients),
                 message: "clients: expected 1 to 100000",
             },
             Expectation {
-                holds: (1..=self.deadline_ms).contains(&self.objective_ms),
+                is_met: (1..=self.deadline_ms).contains(&self.objective_ms),
                 message: "aim_ms: expected 1 to deadline_ms",
             },
             Expectation {
-                holds: self.deadline_ms <= MAX_DEADLINE_MS,
+                is_met: self.deadline_ms <= MAX_DEADLINE_MS,
                 message: "deadline_ms: expected a day at most",
             },
         ])
--- a/crates/lotusdeck/src/serve/descriptors.rs
+++ b/crates/lotusdeck/src/serve/descriptors.rs
@@ -14,7 +14,7 @@
 /// Descriptors that are kept for all but clients and upstreams, operators' connections among them.
 const RESERVED: usize = 52 + MAX_CONCURRENT_CALLS;
 /// Client connections over their limit, out of the reserve: each is closed after its response.
-const OVER_LIMIT: usize = 24;
+const EXCESS_CLIENTS: usize = 24;
 /// Upstream connections may take this share of the descriptors, as a numerator and a denominator.
 const UPSTREAM_NUMERATOR: usize = 2;
 const UPSTREAM_DENOMINATOR: usize = 5;
@@ -47,7 +47,7 @@
         let available = (self.descriptors.saturating_sub(RESERVED) / processes).max(2);
         let upstream = (available * UPSTREAM_NUMERATOR / UPSTREAM_DENOMINATOR).max(1);
         self.pool.set_connection_limit(upstream);
-        self.server.set_client_limits(available - upstream, OVER_LIMIT / processes);
+        self.server.set_client_limits(available - upstream, EXCESS_CLIENTS / processes);
     }
 
     /// Follows whether another process of this proxy serves, and divides the limits with it.
--- a/crates/lotusdeck/src/serve/error.rs
+++ b/crates/lotusdeck/src/serve/error.rs
@@ -82,7 +82,7 @@
     pub(super) fn exit_code(&self) -> ExitCode {
         match self {
             ServeError::NodeConfig(_) | ServeError::Operator(_) | ServeError::Fleet(_) => {
-                ExitCode::from(crate::EXIT_REFUSED)
+                ExitCode::from(crate::EXIT_INVALID_INPUT)
             }
             _ => ExitCode::FAILURE,
         }
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -119,7 +119,7 @@
         self.source.prepare(&order).map_err(ServeError::Configuration)?;
         let keeps_source_settings = self.has_source_settings && order.source.is_some();
         let changed = if keeps_source_settings {
-            self.move_discovery(node.discovery);
+            self.set_discovery_address(node.discovery);
             "nothing but what each proxy is told: a source is followed".into()
         } else {
             self.apply_settings(node.discovery, node.settings).await?
@@ -163,7 +163,7 @@
     }
 
     /// Changes the address of discovery; how it is asked stays.
-    fn move_discovery(&self, address: SocketAddr) {
+    fn set_discovery_address(&self, address: SocketAddr) {
         self.discovery.send_if_modified(|old| std::mem::replace(&mut old.0, address) != address);
     }
 
--- a/crates/lotusdeck/src/state/writer.rs
+++ b/crates/lotusdeck/src/state/writer.rs
@@ -110,14 +110,14 @@
 struct StateLock {
     file: File,
     path: PathBuf,
-    is_held: bool,
+    is_locked: bool,
 }
 
 impl StateLock {
     /// Opens the lock file and takes the lock if it is free.
     fn open(path: PathBuf) -> std::io::Result<StateLock> {
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path)?;
-        let is_held = match file.try_lock() {
+        let is_locked = match file.try_lock() {
             Ok(()) => true,
             Err(TryLockError::WouldBlock) => {
                 warn!(path = %path.display(), "state is locked by another process; this one only reads until it ends");
@@ -125,12 +125,12 @@
             }
             Err(TryLockError::Error(error)) => return Err(error),
         };
-        Ok(StateLock { file, path, is_held })
+        Ok(StateLock { file, path, is_locked })
     }
 
     /// Blocks until the lock is held; `None` where it cannot be had.
     fn wait(self) -> Option<StateLock> {
-        if self.is_held {
+        if self.is_locked {
             return Some(self);
         }
         match self.file.lock() {
