--- a/crates/policy/src/settings/mod.rs
+++ b/crates/policy/src/settings/mod.rs
@@ -9,11 +9,13 @@
 mod model;
 mod name_table;
 mod names;
+mod network;
 mod wire;
 
 pub use endpoint_record::EndpointRecord;
 pub use faults::{Fault, Faults};
 pub use merge::{IdsInUse, SettingsMerge};
-pub use model::{NetworkSettings, Settings};
+pub use model::Settings;
 pub use names::Names;
+pub use network::NetworkSettings;
 pub use wire::read;
--- a/crates/policy/src/settings/model.rs
+++ b/crates/policy/src/settings/model.rs
@@ -2,23 +2,11 @@
 
 use super::faults::{Fault, Faults};
 use super::names::Names;
+use super::network::NetworkSettings;
 use super::wire;
-use crate::api::{Config, ConfigError, Micros};
+use crate::api::{Config, ConfigError};
 use serde_json::Value;
 
-/// The settings that only a proxy on real sockets needs.
-#[derive(Clone, Debug, PartialEq)]
-pub struct NetworkSettings {
-    /// A connection that is not established by then counts as failed.
-    pub connect_timeout: Micros,
-    /// Backends close connections that were idle for so long.
-    pub idle_timeout: Micros,
-    /// The longest Retry-After that a client follows; `None` where clients get none.
-    pub max_retry_after: Option<Micros>,
-    /// How long a client waits at most, by class.
-    pub deadlines: Vec<Micros>,
-}
-
 /// All settings, read and checked as one. One generation of them never changes.
 #[derive(Clone, Debug)]
 pub struct Settings {
--- a/crates/policy/src/settings/wire.rs
+++ b/crates/policy/src/settings/wire.rs
@@ -3,9 +3,9 @@
 
 use super::document::{read_document, DocumentKey};
 use super::faults::Faults;
-use super::model::NetworkSettings;
 use super::name_table::DeclaredNames;
 use super::names::Names;
+use super::network::NetworkSettings;
 use crate::api::{
     AttemptLimits, Class, Config, DiscoveryMode, GoalWeights, KeyScope, Micros, SideEffects, SlowStartConfig,
     Tenant, ZoneId,
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -16,7 +16,7 @@
 const MAX_FILE_LINES: usize = 300;
 
 /// Files of the crate that decide nothing: types, settings, names and views.
-const WITHOUT_DECISIONS: [&str; 21] = [
+const WITHOUT_DECISIONS: [&str; 22] = [
     "api/action.rs",
     "api/backend.rs",
     "api/config.rs",
@@ -35,6 +35,7 @@
     "settings/model.rs",
     "settings/name_table.rs",
     "settings/names.rs",
+    "settings/network.rs",
     "settings/wire.rs",
     "snapshot.rs",
     "view.rs",
