--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -82,7 +82,7 @@
         let clients = &self.front.clients;
         let max_clients = &self.front.max_clients;
         while clients.len() >= max_clients.get() + self.extra_clients.get() {
-            if clients.staying() > max_clients.get() && self.evict_one() == Eviction::Unfinished {
+            if clients.counts.total() > max_clients.get() && self.evict_one() == Eviction::Unfinished {
                 queueing_delay::yield_to_poll().await;
                 continue;
             }
@@ -144,12 +144,12 @@
     /// Serves a connection that can have waited in the queue since then.
     fn take_in(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
         let clients = &self.front.clients;
-        if clients.staying() >= self.front.max_clients.get() {
+        if clients.counts.total() >= self.front.max_clients.get() {
             self.evict_one();
         }
         self.accepted.set(self.accepted.get() + 1);
         let stream = Stream::accepted(tcp, queued_since);
-        let client = Rc::new(Client::new(clients.next_id(), stream, clients.population.clone()));
+        let client = Rc::new(Client::new(clients.next_id(), stream, clients.counts.clone()));
         clients.insert(client.clone());
         let acceptor = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -1,6 +1,7 @@
 //! A client's connection: its state, and how long it may be silent.
 
-use crate::clients::{ClientId, EvictionRank, Population};
+use crate::client_counts::ClientCounts;
+use crate::eviction_order::{ClientId, EvictionRank, SILENT_CONNECTION_AGE, STALLED_HEAD_AGE};
 use crate::stream::Stream;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,10 +14,6 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2600);
 /// The first head on a connection is complete so long after the connection came: any client is owed an end within 3 s.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A connection that has sent nothing so long after it came is evicted first.
-pub(crate) const SILENT_CONNECTION_AGE: Duration = Duration::from_millis(100);
-/// A connection that sends nothing for so long within a head is evicted next.
-pub(crate) const STALLED_HEAD_AGE: Duration = Duration::from_millis(500);
 
 /// A client's connection.
 pub(crate) struct Client {
@@ -35,14 +32,14 @@
     is_closing: Cell<bool>,
     /// Its rank in the order of eviction; `None` while a request is open on it.
     pub rank: Cell<Option<EvictionRank>>,
-    population: Rc<Population>,
+    counts: Rc<ClientCounts>,
     /// Notified when it is to close.
     pub close_requested: Notify,
 }
 
 impl Client {
     /// A connection that was accepted just now.
-    pub(crate) fn new(id: ClientId, stream: Stream, population: Rc<Population>) -> Client {
+    pub(crate) fn new(id: ClientId, stream: Stream, counts: Rc<ClientCounts>) -> Client {
         let accepted_at = tokio::time::Instant::now();
         Client {
             id,
@@ -54,7 +51,7 @@
             idle_since: Cell::new(accepted_at),
             is_closing: Cell::default(),
             rank: Cell::default(),
-            population,
+            counts,
             close_requested: Notify::new(),
         }
     }
@@ -65,9 +62,9 @@
     }
 
     /// A valid request has come on it.
-    pub(crate) fn prove(&self) {
+    pub(crate) fn record_valid_request(&self) {
         if !self.has_sent_request.replace(true) && !self.is_closing.get() {
-            self.population.proved();
+            self.counts.record_first_request();
         }
     }
 
@@ -79,7 +76,7 @@
     /// From now on it counts no more among those that stay.
     pub(crate) fn mark_closing(&self) {
         if !self.is_closing.replace(true) {
-            self.population.left(self.has_sent_request.get());
+            self.counts.record_closing(self.has_sent_request.get());
         }
     }
 
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -1,6 +1,7 @@
 //! The order of closing, on real connections whose bytes the event loop reads only where a test reads them.
 
 use super::*;
+use crate::eviction_order::{SILENT_CONNECTION_AGE, STALLED_HEAD_AGE};
 use hyper::rt::{Read, ReadBuf};
 use std::future::poll_fn;
 use std::io::Write;
@@ -25,9 +26,9 @@
 
     async fn join(&self) -> (Rc<Client>, Peer) {
         let tcp = TcpStream::connect(self.listener.local_addr().unwrap()).await.unwrap();
-        let population = self.clients.population.clone();
+        let counts = self.clients.counts.clone();
         let stream = crate::stream::Stream::new(tcp);
-        let client = Rc::new(Client::new(self.clients.next_id(), stream, population));
+        let client = Rc::new(Client::new(self.clients.next_id(), stream, counts));
         self.clients.insert(client.clone());
         (client, self.listener.accept().unwrap().0)
     }
@@ -35,7 +36,7 @@
     /// One that has been served and waits for its next request.
     async fn served(&self) -> (Rc<Client>, Peer) {
         let (client, peer) = self.join().await;
-        client.prove();
+        client.record_valid_request();
         client.idle_since.set(Instant::now());
         self.clients.record_answered(&client);
         (client, peer)
@@ -79,7 +80,11 @@
     let order: Vec<Option<ClientId>> = (0..5).map(|_| table.chosen()).collect();
     let expected = [Some(silent.id), Some(partial.id), Some(between.id), Some(young.id), None];
     assert_eq!(order, expected);
-    assert_eq!((table.clients.staying(), table.clients.len()), (0, 4), "told to leave, and not gone yet");
+    assert_eq!(
+        (table.clients.counts.total(), table.clients.len()),
+        (0, 4),
+        "told to leave, and not gone yet"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -139,12 +144,18 @@
     let table = Table::new();
     let (usual, _a) = table.served().await;
     let (silent, _b) = table.join().await;
-    let counts = || (table.clients.staying(), table.clients.proven(), table.clients.unproven());
+    let counts = || {
+        (
+            table.clients.counts.total(),
+            table.clients.counts.with_request(),
+            table.clients.counts.without_request(),
+        )
+    };
     assert_eq!(counts(), (2, 1, 1));
     tokio::time::advance(SILENT_CONNECTION_AGE).await;
     assert_eq!(table.chosen(), Some(silent.id));
     assert_eq!(counts(), (1, 1, 0));
-    silent.prove(); // its request came in the last moment: it leaves all the same, once
+    silent.record_valid_request(); // its request came in the last moment: it leaves all the same, once
     table.clients.remove(&silent);
     table.clients.remove(&usual);
     assert_eq!(counts(), (0, 0, 0));
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -55,8 +55,8 @@
             DiscoveryMode::Push => self.version.set(None),
             DiscoveryMode::Subscribe { poll_within } => {
                 // Spread evenly over the proxies, as their first polls could not be.
-                let share = spread(self.host.settings().config.proxy_index);
-                let delay = to_duration(poll_within.times(1.0 + 2.0 * share));
+                let position = spread(self.host.settings().config.proxy_index);
+                let delay = to_duration(poll_within.times(1.0 + 2.0 * position));
                 self.full_list_due.set(Some(Instant::now() + delay));
             }
         }
--- a/crates/proxy/src/front_state.rs
+++ b/crates/proxy/src/front_state.rs
@@ -22,6 +22,6 @@
     /// Where many connections are open their clients may have none left to send on: each closes after its answer.
     pub(crate) fn is_near_limit(&self) -> bool {
         let max_clients = self.max_clients.get();
-        self.clients.proven() > max_clients / 2 || self.clients.staying() > max_clients
+        self.clients.counts.with_request() > max_clients / 2 || self.clients.counts.total() > max_clients
     }
 }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -132,7 +132,7 @@
         let exchange = HttpExchange::new(self.pool.clone(), forwarded, client.stream.clone());
         let labels = labels_of(valid.id.clone(), exchange.clone());
         let _open_id = OpenId::new(&self.open_ids, valid.id).ok_or(InvalidRequest::IdInUse)?;
-        client.prove();
+        client.record_valid_request();
         let (id, answer) = self.host.submit(arrival, exchange.clone(), side_effects, labels);
         let submitted = SubmittedRequest { id, answer, exchange: exchange.clone(), upload, time };
         let answer = self.wait_for_answer(submitted, client).await?;
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -75,16 +75,16 @@
     pub fn set_client_limits(&self, max_clients: usize, extra_clients: usize) {
         self.front.max_clients.set(max_clients);
         self.acceptor.extra_clients.set(extra_clients);
-        while self.front.clients.staying() > max_clients && self.acceptor.evict_one() != Eviction::NobodyIdle
-        {
-        }
+        while self.front.clients.counts.total() > max_clients
+            && self.acceptor.evict_one() != Eviction::NobodyIdle
+        {}
     }
 
     /// Logs the counts of clients and connections since the last call.
     pub fn log_counts(&self) {
         info!(
             clients = self.client_count(),
-            unproven = self.front.clients.unproven(),
+            unproven = self.front.clients.counts.without_request(),
             accepted = self.acceptor.accepted.take(),
             evicted = self.acceptor.evicted.take(),
             filed = self.front.clients.reclassified.take(),
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -140,22 +140,22 @@
     ) -> Poll<io::Result<()>> {
         let inner = &self.0;
         let mut chunk = [0u8; READ_BYTES];
-        let room = buf.remaining().min(chunk.len());
+        let max_bytes = buf.remaining().min(chunk.len());
         loop {
             ready!(inner.queueing_delay.poll_ready(cx, |cx| inner.tcp.poll_read_ready(cx)))?;
-            let asked_at = std::time::Instant::now();
-            match inner.tcp.try_read(&mut chunk[..room]) {
+            let read_at = std::time::Instant::now();
+            match inner.tcp.try_read(&mut chunk[..max_bytes]) {
                 Ok(count) => {
                     inner.last_read_arrived_at.set(inner.queueing_delay.earliest_arrival());
-                    if count < room {
-                        inner.queueing_delay.mark_empty(asked_at);
+                    if count < max_bytes {
+                        inner.queueing_delay.mark_empty(read_at);
                     }
                     inner.incoming.record(&chunk[..count]);
                     buf.put_slice(&chunk[..count]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    inner.queueing_delay.mark_empty(asked_at);
+                    inner.queueing_delay.mark_empty(read_at);
                 }
                 Err(error) => return Poll::Ready(Err(error)),
             }
