--- a/crates/proxy/src/cached_endpoint_list/tests.rs
+++ b/crates/proxy/src/cached_endpoint_list/tests.rs
@@ -17,21 +17,21 @@
 }
 
 #[test]
-fn changes_are_merged_into_the_whole_list() {
+fn changes_are_merged_into_the_full_list() {
     let mut m = CachedEndpointList::default();
     assert!(m.take_changed().is_none(), "nothing was told");
     m.apply(list(3, true, &[("a", "SERVING"), ("b", "SERVING")]));
     m.apply(list(5, false, &[("a", "DELETED"), ("b", "DRAINING"), ("c", "SERVING")]));
-    let whole = m.take_changed().unwrap();
-    assert_eq!((whole.version, whole.snapshot), (5, true));
-    assert_eq!(names(&whole), [("b", "DRAINING"), ("c", "SERVING")]);
+    let full = m.take_changed().unwrap();
+    assert_eq!((full.version, full.snapshot), (5, true));
+    assert_eq!(names(&full), [("b", "DRAINING"), ("c", "SERVING")]);
     assert!(m.take_changed().is_none(), "handed out once");
     m.apply(list(6, true, &[("d", "SERVING")]));
     assert_eq!(names(&m.take_changed().unwrap()), [("d", "SERVING")], "a whole list replaces");
 }
 
 #[test]
-fn past_the_bound_nothing_is_handed_out_until_a_whole_list() {
+fn beyond_the_bound_nothing_is_handed_out_until_a_full_list() {
     let mut m = CachedEndpointList::default();
     let many: Vec<String> = (0..=MAX_NAMES).map(|i| format!("n{i}")).collect();
     let entries: Vec<(&str, &str)> = many.iter().map(|n| (n.as_str(), "SERVING")).collect();
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_asks_nothing_goes_before_clients_between_requests_and_the_youngest_last() {
+async fn silent_connections_are_evicted_before_idle_clients_and_the_youngest_last() {
     let table = Table::new();
     let (between, _a) = table.served().await;
     let (partial, mut b) = table.join().await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_head_that_goes_on_is_spared_and_one_that_stops_is_not() {
+async fn a_head_that_makes_progress_is_spared_and_a_stalled_one_is_evicted() {
     let table = Table::new();
     let (slow, mut a) = table.join().await;
     let (stopped, mut b) = table.join().await;
@@ -122,17 +122,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_that_wait_for_nothing_are_chosen_by_one_look_each() {
+async fn many_stalled_connections_are_evicted_by_one_check_each() {
     let table = Table::new();
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..200 {
         let (client, mut peer) = table.join().await;
         send_part(&client, &mut peer).await;
         read(&client).await;
-        held.push((client, peer));
+        connections.push((client, peer));
     }
     tokio::time::advance(STALLED_HEAD_AGE + Duration::from_millis(1)).await;
-    for (client, _) in &held {
+    for (client, _) in &connections {
         assert_eq!(table.chosen(), Some(client.id), "the one that stopped first");
     }
     // Each was filed twice: when it was accepted, and when it was found to have sent part of a head.
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn counts_follow_who_proves_itself_leaves_and_ends() {
+async fn counts_follow_first_requests_evictions_and_ends() {
     let table = Table::new();
     let (usual, _a) = table.served().await;
     let (silent, _b) = table.join().await;
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -58,7 +58,7 @@
 
 /// The backend closes a kept connection while the journal writes: what must not run twice goes out on another.
 #[tokio::test]
-async fn a_kept_connection_is_looked_at_when_it_is_used() {
+async fn an_idle_connection_is_checked_when_it_is_reused() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(4), listener.local_addr().unwrap());
     pool.retain_backends(&HashSet::from([BackendId(0)]));
@@ -93,7 +93,7 @@
 
 /// At the bound the backend is not called ill, and an idle connection to another makes room first.
 #[tokio::test]
-async fn the_bound_on_connections_holds_and_the_idle_make_way() {
+async fn at_the_connection_limit_an_idle_connection_is_closed_for_a_new_one() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(1), listener.local_addr().unwrap());
     let busy = pool.connect(to).await.ok().unwrap();
--- a/crates/proxy/src/request/tests.rs
+++ b/crates/proxy/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::stays_in_class;
 
 #[test]
-fn no_reading_of_a_path_leads_into_another_class() {
+fn a_path_that_can_be_read_as_of_a_second_class_is_found() {
     let out = [
         "/page/../order/k",
         "/page/a/../../order/k",
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -84,11 +84,11 @@
     pub fn log_counts(&self) {
         info!(
             clients = self.client_count(),
-            unproven = self.front.clients.counts.without_request(),
+            without_request = self.front.clients.counts.without_request(),
             accepted = self.acceptor.accepted.take(),
             evicted = self.acceptor.evicted.take(),
-            filed = self.front.clients.reclassified.take(),
-            turned_away = self.front.invalid_requests.take(),
+            rank_changes = self.front.clients.reclassified.take(),
+            invalid_requests = self.front.invalid_requests.take(),
             upstreams = self.pool.open_connections(),
             connects = self.pool.take_connects(),
             "clients"
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -65,7 +65,7 @@
 
 /// Gone is gone, however much lies unread before it.
 #[tokio::test]
-async fn a_client_that_left_is_seen_behind_its_bytes() {
+async fn a_client_that_left_is_found_behind_its_unread_bytes() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.is_closed_by_peer());
     peer.write_all(b"more").unwrap();
@@ -95,7 +95,7 @@
 
 /// The kernel is asked, not the event loop, which has had no chance to hear of it here.
 #[tokio::test]
-async fn what_the_other_side_does_is_seen_at_once() {
+async fn what_the_other_side_does_is_found_before_the_event_loop_reports_it() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.has_unread_data());
     peer.write_all(b"x").unwrap();
