--- a/crates/proxy/src/request_guards.rs
+++ b/crates/proxy/src/request_guards.rs
@@ -70,3 +70,6 @@
         self.open_ids.borrow_mut().remove(&self.id);
     }
 }
+
+#[cfg(test)]
+mod tests;
