--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -74,7 +74,13 @@
             kind.record_answered(outcome == Outcome::Success);
         }
         match outcome {
-            Outcome::Success => self.learn_success(now, attempt, end.latency),
+            Outcome::Success => {
+                let kind = backend.entry.kind;
+                self.traffic.estimates.record_success(kind, attempt.class, end.latency);
+                if outlier::record_success(backend, attempt.class, now) {
+                    self.output.log(now, format!("backend {} is back", attempt.backend.0));
+                }
+            }
             Outcome::Rejected => outlier::record_rejection(backend, attempt.class, now, usual_latency),
             Outcome::Cancelled | Outcome::NeverSent => {}
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
@@ -83,14 +89,6 @@
         }
     }
 
-    fn learn_success(&mut self, now: Time, attempt: &InFlightAttempt, latency: Micros) {
-        let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
-        self.traffic.estimates.record_success(backend.entry.kind, attempt.class, latency);
-        if outlier::record_success(backend, attempt.class, now) {
-            self.output.log(now, format!("backend {} is back", attempt.backend.0));
-        }
-    }
-
     fn learn_failure(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
         let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
         let failed = FailedAttempt { class: attempt.class, sent_at: attempt.sent_at, outcome };
