--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -1,18 +1,18 @@
 //! The solver turns arrival rate, service times and health into the traffic share of each kind and backend.
 //! It works incrementally: each event takes it some steps on, so that no event walks over a large fleet.
 
+mod context;
 mod shares;
 mod solution;
 mod stages;
 
-use crate::api::{Config, Micros, Time};
-use crate::backend_table::{BackendTable, OrderKey, SMALL_FLEET};
-use crate::estimates::Estimates;
+use crate::api::{Micros, Time};
+use crate::backend_table::SMALL_FLEET;
 use crate::estimators::RateEstimator;
-use crate::picker::PickTables;
-use crate::slow_start::{SlowStart, WarmupBudget};
+pub(crate) use context::SolverContext;
 use shares::solve_kind_shares;
 use solution::{Solution, MAX_EJECTED_SHARE};
+use stages::{run_stage, SolverStage, StageProgress};
 
 /// Solutions begin this often, in seconds: far faster than the memory of the arrival rate.
 const SOLVE_INTERVAL_S: f64 = 0.1;
@@ -25,46 +25,9 @@
 /// Stages of a solution at most.
 const STAGES: f64 = 5.0;
 
-/// What the solver does next with each backend, in this order.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum SolverStage {
-    /// Nothing: the solution is complete.
-    #[default]
-    Idle,
-    Census,
-    Readiness,
-    ZoneShares,
-    TrafficShares,
-    Subset,
-}
-
-/// What a solution is made from, and what it is written to.
-pub(crate) struct SolverContext<'a> {
-    pub now: Time,
-    pub config: &'a Config,
-    pub slow_start: &'a SlowStart,
-    pub backends: &'a mut BackendTable,
-    pub estimates: &'a mut Estimates,
-    /// The tables of the last complete solution.
-    pub tables: &'a mut PickTables,
-}
-
-impl SolverContext<'_> {
-    fn warmup_budget(&self) -> WarmupBudget<'_> {
-        WarmupBudget {
-            now: self.now,
-            config: self.config,
-            kinds: &self.estimates.kinds,
-            slow_start: self.slow_start,
-        }
-    }
-}
-
 /// Solves the traffic shares step by step.
 pub(crate) struct IncrementalSolver {
-    stage: SolverStage,
-    /// The backend with which the stage goes on; the order key counts for the subset stage only.
-    resume_at: OrderKey,
+    progress: StageProgress,
     solution: Solution,
     /// When the next solution begins.
     pub next_solve_at: Time,
@@ -77,8 +40,7 @@
 impl IncrementalSolver {
     pub(crate) fn new() -> IncrementalSolver {
         IncrementalSolver {
-            stage: SolverStage::Idle,
-            resume_at: OrderKey::default(),
+            progress: StageProgress::default(),
             solution: Solution::default(),
             next_solve_at: Time(0),
             arrival_rate: RateEstimator::new(RATE_MEMORY_S),
@@ -88,7 +50,7 @@
 
     /// A solution is in progress.
     pub(crate) fn is_running(&self) -> bool {
-        self.stage != SolverStage::Idle
+        self.progress.stage != SolverStage::Idle
     }
 
     /// Takes the solution on, and begins one where none is in progress. `idle_s` is the time since the last
@@ -99,11 +61,9 @@
         }
         let mut steps_left = steps_for_event(context, idle_s);
         while self.is_running() {
-            if let Some(next) = self.run_stage(context, &mut steps_left) {
-                self.resume_at = next;
+            if !run_stage(&mut self.progress, &mut self.solution, context, &mut steps_left) {
                 return false;
             }
-            self.resume_at = OrderKey::default();
             self.finish_stage(context);
         }
         true
@@ -115,12 +75,12 @@
         let min_interval_s = MIN_ARRIVALS_PER_SOLUTION / rate;
         self.next_solve_at = now + Micros::from_secs(SOLVE_INTERVAL_S.max(min_interval_s));
         self.solution.restart();
-        self.stage = SolverStage::Census;
+        self.progress.stage = SolverStage::Census;
     }
 
     /// Concludes the stage that has passed all backends.
     fn finish_stage(&mut self, context: &mut SolverContext<'_>) {
-        self.stage = match self.stage {
+        self.progress.stage = match self.progress.stage {
             SolverStage::Census => {
                 self.common_error_rate = self.solution.census.median_error_rate();
                 SolverStage::Readiness
--- a/crates/policy/src/solver/shares.rs
+++ b/crates/policy/src/solver/shares.rs
@@ -1,7 +1,7 @@
 //! The traffic share of each kind of machine.
 
+use super::context::SolverContext;
 use super::solution::Solution;
-use super::SolverContext;
 use crate::estimators::RateEstimator;
 use crate::halb::halb_shares;
 
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -1,7 +1,7 @@
 //! What each stage of a solution does with each backend.
 
+use super::context::SolverContext;
 use super::solution::{KindTotals, Solution};
-use super::{IncrementalSolver, SolverContext, SolverStage};
 use crate::admission::TARGET_IN_FLIGHT_PER_BACKEND;
 use crate::api::{BackendId, Config, KindId, Time, ZoneId};
 use crate::backend_health::BackendHealth;
@@ -17,66 +17,96 @@
 /// where all others are at their limits.
 const TRACE: f64 = 1e-6;
 
-impl IncrementalSolver {
-    /// Goes on with the stage while steps are left; returns where it has to go on, if it has not passed all
-    /// backends.
-    pub(super) fn run_stage(
-        &mut self, context: &mut SolverContext<'_>, steps_left: &mut usize,
-    ) -> Option<OrderKey> {
-        let solution = &mut self.solution;
-        let resume_at = self.resume_at.backend;
-        let SolverContext { now, config, .. } = *context;
-        let kinds = &context.estimates.kinds;
-        let backends = &mut context.backends.by_id;
-        let next = match self.stage {
-            SolverStage::Idle => None,
-            SolverStage::Census => walk(backends, resume_at, steps_left, |b| count(solution, b)),
-            SolverStage::Readiness => {
-                walk(backends, resume_at, steps_left, |b| set_readiness(solution, config, now, b))
-            }
-            SolverStage::ZoneShares => walk(backends, resume_at, steps_left, |backend| {
-                if backend.plan.readiness > 0.0 {
-                    *solution.zone_shares.entry(backend.entry.zone).or_default() +=
-                        fleet_share(kinds, backend);
-                }
-            }),
-            SolverStage::TrafficShares => {
-                let zones = ZoneBalance::new(config, &solution.zone_shares);
-                walk(backends, resume_at, steps_left, |backend| {
-                    let bias = zones.bias(solution.zone_shares.get(&backend.entry.zone), backend);
-                    let drawn = fleet_share(kinds, backend) * bias;
-                    set_traffic_share(solution, config, backend, bias, drawn);
-                })
-            }
-            SolverStage::Subset => return self.run_subset_stage(context, steps_left),
-        };
+/// What the solver does next with each backend, in this order.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(super) enum SolverStage {
+    /// Nothing: the solution is complete.
+    #[default]
+    Idle,
+    Census,
+    Readiness,
+    ZoneShares,
+    TrafficShares,
+    Subset,
+}
+
+/// How far a solution has come.
+#[derive(Default)]
+pub(super) struct StageProgress {
+    pub stage: SolverStage,
+    /// The backend with which the stage goes on; the order key counts for the subset stage only.
+    pub resume_at: OrderKey,
+}
+
+/// Goes on with the stage while steps are left; returns whether it has passed all backends.
+pub(super) fn run_stage(
+    progress: &mut StageProgress, solution: &mut Solution, context: &mut SolverContext<'_>,
+    steps_left: &mut usize,
+) -> bool {
+    let next = if progress.stage == SolverStage::Subset {
+        run_subset_stage(progress.resume_at, solution, context, steps_left)
+    } else {
+        let next = run_sum_stage(progress, solution, context, steps_left);
         next.map(|backend| OrderKey { order_key: 0, backend })
-    }
+    };
+    progress.resume_at = next.unwrap_or_default();
+    next.is_none()
+}
 
-    /// Weighs the backends of each kind by the overlap of their shares with this proxy's subset.
-    fn run_subset_stage(
-        &mut self, context: &mut SolverContext<'_>, steps_left: &mut usize,
-    ) -> Option<OrderKey> {
-        let window = SubsetWindow::new(context.config, context.backends.by_id.len(), self.solution.reachable);
-        let config = context.config;
-        for key in context.backends.shared_order.range(self.resume_at..) {
-            if *steps_left == 0 {
-                return Some(*key);
-            }
-            *steps_left -= 1;
-            let Some(backend) = context.backends.by_id.get(&key.backend) else { continue };
-            let senders = context.warmup_budget().permitted_senders(backend);
-            let Some(backend) = context.backends.by_id.get_mut(&key.backend) else { continue };
-            let totals = self.solution.kinds.entry(backend.entry.kind).or_default();
-            set_pick_weight(config, &window, totals, senders, backend);
+/// Goes on with a stage that visits the backends in the order of their numbers.
+fn run_sum_stage(
+    progress: &StageProgress, solution: &mut Solution, context: &mut SolverContext<'_>,
+    steps_left: &mut usize,
+) -> Option<BackendId> {
+    let resume_at = progress.resume_at.backend;
+    let SolverContext { now, config, .. } = *context;
+    let kinds = &context.estimates.kinds;
+    let backends = &mut context.backends.by_id;
+    match progress.stage {
+        SolverStage::Idle | SolverStage::Subset => None,
+        SolverStage::Census => walk(backends, resume_at, steps_left, |b| count(solution, b)),
+        SolverStage::Readiness => {
+            walk(backends, resume_at, steps_left, |b| set_readiness(solution, config, now, b))
+        }
+        SolverStage::ZoneShares => walk(backends, resume_at, steps_left, |backend| {
             if backend.plan.readiness > 0.0 {
-                add_candidate(&mut self.solution, context.now, key.backend, backend);
+                *solution.zone_shares.entry(backend.entry.zone).or_default() += fleet_share(kinds, backend);
             }
+        }),
+        SolverStage::TrafficShares => {
+            let zones = ZoneBalance::new(config, &solution.zone_shares);
+            walk(backends, resume_at, steps_left, |backend| {
+                let bias = zones.bias(solution.zone_shares.get(&backend.entry.zone), backend);
+                let drawn = fleet_share(kinds, backend) * bias;
+                set_traffic_share(solution, config, backend, bias, drawn);
+            })
         }
-        None
     }
 }
 
+/// Weighs the backends of each kind by the overlap of their shares with this proxy's subset.
+fn run_subset_stage(
+    resume_at: OrderKey, solution: &mut Solution, context: &mut SolverContext<'_>, steps_left: &mut usize,
+) -> Option<OrderKey> {
+    let window = SubsetWindow::new(context.config, context.backends.by_id.len(), solution.reachable);
+    let config = context.config;
+    for key in context.backends.shared_order.range(resume_at..) {
+        if *steps_left == 0 {
+            return Some(*key);
+        }
+        *steps_left -= 1;
+        let Some(backend) = context.backends.by_id.get(&key.backend) else { continue };
+        let senders = context.warmup_budget().permitted_senders(backend);
+        let Some(backend) = context.backends.by_id.get_mut(&key.backend) else { continue };
+        let totals = solution.kinds.entry(backend.entry.kind).or_default();
+        set_pick_weight(config, &window, totals, senders, backend);
+        if backend.plan.readiness > 0.0 {
+            add_candidate(solution, context.now, key.backend, backend);
+        }
+    }
+    None
+}
+
 /// Visits backends from `resume_at` on while steps are left; returns where the walk has to go on, if it has.
 fn walk(
     backends: &mut BTreeMap<BackendId, BackendHealth>, resume_at: BackendId, steps_left: &mut usize,
