--- a/crates/postgres/src/error.rs
+++ b/crates/postgres/src/error.rs
@@ -1,14 +1,15 @@
-//! Errors as clients are told them ("Error and Notice Message Fields"; codes by "PostgreSQL Error Codes").
+//! Errors as clients receive them ("Error and Notice Message Fields"; codes by "PostgreSQL Error Codes").
 
 use crate::wire::put;
 use bytes::BytesMut;
 use lotusdeck_policy::Micros;
 
-/// One error.
+/// An error that a client receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ClientError {
-    /// The session ends with it.
+    /// Whether it ends the session.
     pub fatal: bool,
+    /// The SQLSTATE.
     pub code: &'static str,
     pub message: String,
     pub detail: Option<String>,
@@ -23,11 +24,11 @@
         ClientError { fatal: false, code, message: message.into(), detail: None }
     }
 
-    /// No server can take it now: `too_many_connections`, as a full server says it.
-    /// One that is declared safe to repeat may have been sent all the same.
-    pub(crate) fn refused(after: Micros, sent: bool) -> ClientError {
-        let done = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
-        let detail = Some(format!("Come again in {:.3} s. {done}", after.secs()));
+    /// No server has capacity: `too_many_connections`, as a full server reports it. A transaction that may be repeated
+    /// may have been sent all the same.
+    pub(crate) fn refused(retry_after: Micros, sent: bool) -> ClientError {
+        let effect = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
+        let detail = Some(format!("Come again in {:.3} s. {effect}", retry_after.secs()));
         ClientError { detail, ..ClientError::error("53300", "no server has room at the moment") }
     }
 
@@ -35,9 +36,9 @@
         let severity = if self.fatal { "FATAL" } else { "ERROR" };
         let mut body = Vec::new();
         let fields = [(b'S', severity), (b'V', severity), (b'C', self.code), (b'M', &self.message)];
-        for (field, text) in fields.into_iter().chain(self.detail.as_deref().map(|d| (b'D', d))) {
+        for (field, text) in fields.into_iter().chain(self.detail.as_deref().map(|detail| (b'D', detail))) {
             body.push(field);
-            body.extend(text.bytes().filter(|b| *b != 0));
+            body.extend(text.bytes().filter(|byte| *byte != 0));
             body.push(0);
         }
         body.push(0);
--- a/crates/postgres/src/scram/tests.rs
+++ b/crates/postgres/src/scram/tests.rs
@@ -2,7 +2,7 @@
 
 /// The exchange of RFC 7677, section 3: user `user`, password `pencil`.
 #[test]
-fn the_example_of_the_rfc_holds() {
+fn exchange_matches_the_example_of_the_rfc() {
     let salt = BASE64_STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").unwrap();
     let verifier = Verifier::of_password(b"pencil", &salt, 4096);
     let (exchange, answer) = Exchange::begin(
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn stored_verifiers_are_read_and_bad_ones_told() {
+fn stored_verifier_is_parsed_and_an_invalid_one_rejected() {
     let keys = BASE64_STANDARD.encode([7; 32]);
     let text = format!("SCRAM-SHA-256$4096:c2FsdA==${keys}:{keys}");
     let verifier = Verifier::parse(&text).unwrap();
     assert_eq!(verifier.stored(), text);
-    assert!(verifier.iterations == 4096 && verifier.salt == b"salt" && verifier.stored == [7; 32]);
+    assert!(verifier.iterations == 4096 && verifier.salt == b"salt" && verifier.stored_key == [7; 32]);
     for bad in [
         "md5abc",
         "SCRAM-SHA-256$x:c2FsdA==$a:b",
