--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -1,9 +1,10 @@
 //! One transaction: bytes pass both ways between a client and the server that the core chose, until the server says that
 //! it is idle.
 
+use crate::io::{drain, fill};
 use crate::statements::{Direction, Interrupted, PreparedStatements, SessionEnd, MAX_PREPARED};
 use crate::track::Track;
-use crate::upstream::{drain, fill, Servers, Upstream};
+use crate::upstream::{Servers, Upstream};
 use crate::wire::{CancelKey, Forwarder, WireError};
 use bytes::{BufMut, Bytes, BytesMut};
 use lotusdeck_core::{AttemptContext, AttemptFuture, Exchange};
--- a/crates/postgres/src/front.rs
+++ b/crates/postgres/src/front.rs
@@ -3,10 +3,11 @@
 use crate::bridge::Client;
 use crate::classes::{ClientIdentity, Rule};
 use crate::error::ClientError;
+use crate::io::drain;
 use crate::login::{random, LoginError, NewConnection, SessionStart};
 use crate::scram::Verifier;
 use crate::session::Session;
-use crate::upstream::{drain, Servers};
+use crate::upstream::Servers;
 use crate::wire::{CancelKey, Opening, CANCEL_REQUEST_CODE};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::{BufMut, BytesMut};
--- /dev/null
+++ b/crates/postgres/src/io.rs
@@ -0,0 +1,35 @@
+//! Reading from and writing to sockets through buffers.
+
+use bytes::{Buf, BufMut, BytesMut};
+use std::cell::RefCell;
+use tokio::net::TcpStream;
+
+/// The most bytes of one read.
+const READ_BYTES: usize = 16 * 1024;
+
+/// Waits for bytes and appends them; returns 0 at the end of the stream.
+pub(crate) async fn fill(tcp: &TcpStream, to: &RefCell<BytesMut>) -> std::io::Result<usize> {
+    loop {
+        tcp.readable().await?;
+        let mut to = to.borrow_mut();
+        to.reserve(READ_BYTES);
+        match tcp.try_read_buf(&mut (&mut *to).limit(READ_BYTES)) {
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+            done => return done,
+        }
+    }
+}
+
+/// Writes the whole buffer. Bytes that were written are removed from it, also where the future is dropped before its end.
+pub(crate) async fn drain(from: &RefCell<BytesMut>, tcp: &TcpStream) -> std::io::Result<()> {
+    while !from.borrow().is_empty() {
+        tcp.writable().await?;
+        let mut from = from.borrow_mut();
+        match tcp.try_write(&from) {
+            Ok(count) => from.advance(count),
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod classes;
 mod error;
 mod front;
+mod io;
 mod login;
 pub mod scram;
 mod session;
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -1,8 +1,8 @@
 //! The login of a client: from its first packet to the first ReadyForQuery.
 
 use crate::error::ClientError;
+use crate::io::{drain, fill};
 use crate::scram::{Exchange, ScramError, Verifier, MECHANISM};
-use crate::upstream::{drain, fill};
 use crate::wire::{message, opening, put, CancelKey, Message, Opening, Parameter, WireError};
 use bytes::{Buf, BufMut, BytesMut};
 use std::cell::RefCell;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -3,10 +3,11 @@
 use crate::bridge::{Client, Transaction};
 use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
 use crate::error::ClientError;
+use crate::io::{drain, fill};
 use crate::login::put_ready;
 use crate::statements::SessionEnd;
 use crate::track::Track;
-use crate::upstream::{drain, fill, Servers};
+use crate::upstream::Servers;
 use crate::wire::{header, Header, HEADER_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 use lotusdeck_core::{to_duration, Answer, Host, RequestLabels};
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -1,5 +1,6 @@
 //! Connections to servers: how they are made, logged in, kept and closed.
 
+use crate::io::{drain, fill};
 use crate::statements::Prepared;
 use crate::wire::{message, put, CancelKey, Message, Parameter, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -19,8 +20,6 @@
 
 /// What a server says before it is ready is no longer than this, a message.
 const MAX_GREETING: usize = 64 * 1024;
-/// Read at once.
-pub(crate) const CHUNK: usize = 16 * 1024;
 
 /// Who this proxy is to servers.
 #[derive(Clone, Debug)]
@@ -33,33 +32,6 @@
     pub password: Option<String>,
 }
 
-/// Waits for bytes and takes them behind what is there; 0 at the end of the stream.
-pub(crate) async fn fill(tcp: &TcpStream, to: &RefCell<BytesMut>) -> std::io::Result<usize> {
-    loop {
-        tcp.readable().await?;
-        let mut to = to.borrow_mut();
-        to.reserve(CHUNK);
-        match tcp.try_read_buf(&mut (&mut *to).limit(CHUNK)) {
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            done => return done,
-        }
-    }
-}
-
-/// Writes all that is there. What was written has left the buffer, also where this is dropped half-way.
-pub(crate) async fn drain(from: &RefCell<BytesMut>, tcp: &TcpStream) -> std::io::Result<()> {
-    while !from.borrow().is_empty() {
-        tcp.writable().await?;
-        let mut from = from.borrow_mut();
-        match tcp.try_write(&from) {
-            Ok(count) => from.advance(count),
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(e) => return Err(e),
-        }
-    }
-    Ok(())
-}
-
 /// How many connections are open, and who waits for one.
 #[derive(Default)]
 struct Open {
