--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -14,7 +14,7 @@
 use lotusdeck_testbed::oracle::Broken;
 use lotusdeck_testbed::report::figures::Figures;
 use lotusdeck_testbed::virtual_time;
-use lotusdeck_testbed::virtual_time::policy::PolicyChoice;
+use lotusdeck_testbed::virtual_time::policy_choice::PolicyChoice;
 use lotusdeck_testbed::world::plan::Plan;
 use std::ops::Range;
 use std::path::Path;
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -5,7 +5,7 @@
 use crate::report::compare::interval;
 use crate::report::figures::{Figures, Tally};
 use crate::session::{say, SessionError};
-use crate::virtual_time::policy::PolicyChoice;
+use crate::virtual_time::policy_choice::PolicyChoice;
 use crate::virtual_time::{play, VirtualError};
 use crate::world::plan::Plan;
 use clap::ValueEnum;
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -6,7 +6,7 @@
 use crate::oracle::{story, MOST_TOLD};
 use crate::report::figures::Figures;
 use crate::report::{page, table};
-use crate::virtual_time::policy::PolicyChoice;
+use crate::virtual_time::policy_choice::PolicyChoice;
 use crate::virtual_time::{self, VirtualError};
 use crate::world::plan::Plan;
 use indicatif::{ProgressBar, ProgressStyle};
--- a/crates/testbed/src/swings.rs
+++ b/crates/testbed/src/swings.rs
@@ -6,7 +6,7 @@
 use crate::report::swing::{swings, Swing, BIN};
 use crate::session::{say, SessionError};
 use crate::virtual_time::play;
-use crate::virtual_time::policy::PolicyChoice;
+use crate::virtual_time::policy_choice::PolicyChoice;
 use crate::world::plan::Plan;
 use indicatif::ProgressBar;
 use rayon::prelude::*;
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -13,6 +13,7 @@
 mod event;
 mod gossip;
 pub mod policy;
+pub mod policy_choice;
 mod proxies;
 mod proxy;
 
@@ -30,7 +31,7 @@
 use hdrhistogram::Histogram;
 use lotusdeck_policy::settings::{Faults, Settings};
 use lotusdeck_policy::{ConfigError, ListUpdate, Micros, Time};
-use policy::PolicyChoice;
+use policy_choice::PolicyChoice;
 use proxy::Proxy;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -1,6 +1,7 @@
 //! A proxy in virtual time: what the core does on sockets, without them.
 
-use super::policy::{GlobalView, Policy, PolicyChoice};
+use super::policy::{GlobalView, Policy};
+use super::policy_choice::PolicyChoice;
 use crate::record::TryId;
 use crate::world::plan::Plan;
 use crate::world::station::Ticket;
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -13,7 +13,7 @@
 use lotusdeck_testbed::report::figures::Figures;
 use lotusdeck_testbed::report::swing::swings;
 use lotusdeck_testbed::virtual_time::play;
-use lotusdeck_testbed::virtual_time::policy::PolicyChoice;
+use lotusdeck_testbed::virtual_time::policy_choice::PolicyChoice;
 use lotusdeck_testbed::world::plan::Plan;
 use std::path::Path;
 use std::sync::Arc;
