--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -27,7 +27,7 @@
     let kinds = kinds.map(|(id, kind)| KindEstimates {
         kind: names.kind(*id).into(),
         latency: to_mean(kind.latency),
-        flow: to_mean(kind.flow),
+        flow: to_mean(kind.measured_rate),
     });
     let ejected = snapshot.ejected.iter().filter_map(|(id, consecutive_ejections)| {
         Some(EjectedBackend { backend: backend_name(*id)?, consecutive_ejections: *consecutive_ejections })
@@ -56,8 +56,10 @@
     let class_latency =
         classes.filter_map(|class| Some((names.class(&class.class)?, to_estimate(class.latency)))).collect();
     let kinds = estimates.kinds.iter().map(|kind| {
-        let by_id =
-            policy::KindEstimates { latency: to_estimate(kind.latency), flow: to_estimate(kind.flow) };
+        let by_id = policy::KindEstimates {
+            latency: to_estimate(kind.latency),
+            measured_rate: to_estimate(kind.flow),
+        };
         (names.kind_id(&kind.kind), by_id)
     });
     let kinds = kinds.collect();
--- a/crates/policy/src/api/snapshot.rs
+++ b/crates/policy/src/api/snapshot.rs
@@ -18,7 +18,7 @@
     /// Seconds from dispatch to answer, with the class mix taken out.
     pub latency: Estimate,
     /// Requests a second that one backend got while the latency was measured.
-    pub flow: Estimate,
+    pub measured_rate: Estimate,
 }
 
 /// Work that was sent to a backend during its slow start.
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -45,7 +45,8 @@
         warmup_spend: Vec::new(),
     };
     for (id, kind) in &estimates.kinds {
-        let exported = KindEstimates { latency: export(&kind.latency), flow: export(&kind.measured_rate) };
+        let exported =
+            KindEstimates { latency: export(&kind.latency), measured_rate: export(&kind.measured_rate) };
         snapshot.kinds.push((*id, exported));
     }
     for (&id, backend) in &backends.by_id {
@@ -124,6 +125,6 @@
     for (id, exported) in &snapshot.kinds {
         let kind = estimates.kinds.entry(*id).or_default();
         restore(&mut kind.latency, exported.latency);
-        restore(&mut kind.measured_rate, exported.flow);
+        restore(&mut kind.measured_rate, exported.measured_rate);
     }
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -135,7 +135,7 @@
         let memory = Snapshot {
             overall_latency: e,
             class_latency: vec![(ClassId(0), e), (ClassId(99), Estimate { value: 1.0, samples: value })],
-            kinds: vec![(KindId(0), KindEstimates { latency: e, flow: e })],
+            kinds: vec![(KindId(0), KindEstimates { latency: e, measured_rate: e })],
             ejected: vec![(BackendId(77), u32::MAX)],
             warmup_spend: vec![
                 WarmupSpend { backend: BackendId(1), ago: Micros(0), work: value },
