--- a/crates/proxy/src/answer_body.rs
+++ b/crates/proxy/src/answer_body.rs
@@ -9,8 +9,9 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// Opens an answer that is still coming: where its frames go in, and the body that they come out of. One frame lies
-/// between them. `None` sent is the end; without it the answer broke off. `length`: of all of it in bytes, where known.
+/// Creates the body of an answer that is still being received, and the sender that feeds it. The channel holds one
+/// frame. Sending `None` ends the body; if the sender is dropped without it, the body ends with an error. `length` is
+/// that of the whole body in bytes, if known.
 pub(crate) fn stream_answer(
     first: Bytes, length: Option<u64>,
 ) -> (mpsc::Sender<Option<Bytes>>, StreamedAnswer) {
@@ -18,14 +19,14 @@
     (sender, StreamedAnswer { first: Some(first), rest, bytes_left: length })
 }
 
-/// An answer with this status and text.
+/// Creates an answer with a status and a text.
 pub(crate) fn plain_answer(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Buffered(Some(Bytes::from_static(text.as_bytes()))));
     *response.status_mut() = status;
     response
 }
 
-/// An answer that is still coming.
+/// The body of an answer that is still being received.
 pub(crate) struct StreamedAnswer {
     first: Option<Bytes>,
     rest: mpsc::Receiver<Option<Bytes>>,
@@ -49,19 +50,19 @@
 
 /// The body of an answer to a client.
 pub(crate) enum AnswerBody {
-    /// All of it is there.
+    /// The whole body.
     Buffered(Option<Bytes>),
-    /// It is still coming.
+    /// A body that is still being received.
     Streamed {
-        /// What comes.
+        /// The frames.
         answer: StreamedAnswer,
-        /// What its request holds, dropped with the answer.
+        /// Resources held for the request, dropped together with the body.
         guards: Vec<Box<dyn Any>>,
     },
 }
 
 impl AnswerBody {
-    /// Keeps what its request holds until the end of the answer, where that is still coming.
+    /// Keeps a resource of the request until the end of the answer if that is streamed; otherwise drops it.
     pub(crate) fn hold_until_end(&mut self, guard: impl Any) {
         if let AnswerBody::Streamed { guards, .. } = self {
             guards.push(Box::new(guard));
--- a/crates/proxy/src/answer_outcome.rs
+++ b/crates/proxy/src/answer_outcome.rs
@@ -1,10 +1,11 @@
-//! What a backend's answer says about its attempt.
+//! The outcome of an attempt according to the backend's answer.
 
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 use lotusdeck_policy::Outcome;
 
-/// The outcome by the head of an answer. Whatever the protocol does not list may have run.
+/// Returns the outcome according to the head of an answer. A request whose answer the protocol does not list may have
+/// run.
 pub(crate) fn outcome_of(answer: &Parts) -> Outcome {
     let unprocessed = answer.headers.get("x-unprocessed").is_some_and(|value| value == "1");
     match answer.status {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client's request as it goes on to backends.
+/// A client's request as it is forwarded to backends.
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
@@ -31,25 +31,25 @@
     pub body: RequestBody,
 }
 
-/// A backend, and where it listens.
+/// A backend and its address.
 #[derive(Clone, Copy)]
 pub(crate) struct Destination {
     pub backend: BackendId,
     pub address: SocketAddr,
 }
 
-/// The answer of an attempt that succeeded.
+/// The answer of a successful attempt.
 pub(crate) struct ServedAnswer {
     pub headers: HeaderMap,
     pub body: AnswerBody,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(crate) struct AttemptResult {
     pub outcome: Outcome,
-    /// Of its answer, where one came.
+    /// The status of the answer, if one was received.
     pub status: Option<u16>,
-    /// The answer, where the attempt succeeded.
+    /// The answer, if the attempt succeeded.
     pub answer: Option<ServedAnswer>,
 }
 
@@ -59,16 +59,16 @@
     }
 }
 
-/// A connection for an attempt, and whether the attempt may be sent.
+/// A connection for an attempt, and whether the journal allows the attempt to be sent.
 struct AttemptConnection {
     connection: Result<PooledConnection, Outcome>,
     is_journaled: bool,
 }
 
 impl ConnectionPool {
-    /// Sends `request` to a backend and waits for the answer, or for its first bytes where it is large. `gate` is asked
-    /// at the moment of the first byte: the backend may have begun to drain, or the client have left, while the
-    /// connection came up.
+    /// Sends `request` to a backend and waits for the answer, or for its first bytes if it is large. `gate` is
+    /// checked right before the first byte is written: the backend may have begun to drain, or the client may have
+    /// left, while the connection was being established.
     pub(crate) async fn attempt(
         self: &Rc<Self>, to: Destination, request: &ForwardedRequest, deadline: Instant,
         journaled: impl Future<Output = bool>, gate: SendGate,
@@ -80,7 +80,7 @@
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
         if !is_journaled || time_left.is_zero() || request.body.is_consumed() {
-            self.return_idle(to.backend, connection); // an unused connection stays warm
+            self.return_idle(to.backend, connection); // nothing was sent on it
             return Outcome::NeverSent.into();
         }
         let mut outgoing = outgoing_request(request, time_left);
@@ -98,7 +98,8 @@
             self.return_idle(to.backend, connection);
             return Outcome::NeverSent.into();
         }
-        // Where chunks hide what is on its way the last byte counts as written once it was given to hyper.
+        // The number of bytes on the wire is not known for a chunked body, so its last byte counts as written once it
+        // was passed to hyper.
         let is_given_to_hyper = length.is_none() && upload.is_some_and(|upload| upload.is_complete());
         if !stream.is_request_written() && !is_given_to_hyper {
             return outcome_of_partial_request(answer.as_ref().ok()).into();
@@ -110,8 +111,9 @@
         }
     }
 
-    /// A connection, and the journal's word on the attempt. A kept connection is checked when it is used: it may be
-    /// closed while the journal writes.
+    /// Returns a connection for the attempt, and the journal's decision on it. If no connection is idle, a new one is
+    /// opened before waiting for the journal. An idle one is taken and checked only after that wait, as it may be
+    /// closed in the meantime.
     async fn connect_attempt(
         &self, to: Destination, journaled: impl Future<Output = bool>,
     ) -> AttemptConnection {
@@ -126,7 +128,7 @@
         AttemptConnection { connection, is_journaled }
     }
 
-    /// Takes the answer for the client, and the connection back where the answer is complete.
+    /// Prepares the answer for the client, and returns the connection to the pool if the answer is complete.
     fn finish_attempt(
         self: &Rc<Self>, backend: BackendId, connection: PooledConnection, mut answer: BackendAnswer,
     ) -> AttemptResult {
@@ -150,7 +152,7 @@
         AttemptResult { outcome, status, answer }
     }
 
-    /// Passes the rest of a large answer on in a task of its own; the body that it comes out of.
+    /// Spawns a task that relays the rest of a large answer, and returns the body that yields it.
     fn relay(
         self: &Rc<Self>, backend: BackendId, connection: PooledConnection, is_reusable: bool,
         answer: BackendAnswer, rest: Incoming,
@@ -172,7 +174,7 @@
     }
 }
 
-/// The outcome of an attempt whose last byte did not go out: a backend begins with that byte, and never before it.
+/// Returns the outcome of an attempt whose last byte was not written: a backend never begins before it has that byte.
 fn outcome_of_partial_request(answer: Option<&BackendAnswer>) -> Outcome {
     match answer.map(|answer| outcome_of(&answer.head)) {
         Some(Outcome::Rejected) => Outcome::Rejected,
@@ -180,7 +182,7 @@
     }
 }
 
-/// The request of one attempt that has so much time left.
+/// Builds the request of one attempt, which announces `time_left` to the backend.
 fn outgoing_request(request: &ForwardedRequest, time_left: Duration) -> Request<OutgoingBody> {
     let mut outgoing = Request::new(OutgoingBody::new(&request.body));
     *outgoing.method_mut() = request.method.clone();
@@ -192,7 +194,7 @@
     outgoing
 }
 
-/// By this head of an answer the connection can take another request.
+/// Returns whether the connection can take another request, according to the head of its answer.
 fn leaves_connection_open(head: &Parts) -> bool {
     let closes = head.headers.get_all(CONNECTION).iter().any(|value| value != "keep-alive");
     head.version == Version::HTTP_11 && !head.status.is_informational() && !closes
--- a/crates/proxy/src/cached_endpoint_list.rs
+++ b/crates/proxy/src/cached_endpoint_list.rs
@@ -1,29 +1,30 @@
-//! The full list as this proxy last had it, merged from discovery's changes, so that it can outlive the process.
+//! The full list as this proxy last received it, with later changes merged in, kept so that it can outlast the
+//! process.
 
 use crate::endpoint_list::{entry_name, is_removal, EndpointList, MAX_ENTRIES};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// Names cached at most: a full list and changes that name as many more. Each change may name others, so that without
-/// a bound discovery could make the list grow without end.
+/// Most names cached: those of a full list and of changes that name as many more. Each change may name other
+/// backends, so that without a bound the cache could grow without end.
 const MAX_NAMES: usize = 2 * MAX_ENTRIES;
 
-/// The full list as this proxy last had it.
+/// The full list as this proxy last received it.
 #[derive(Default)]
 pub struct CachedEndpointList {
     version: u64,
-    /// The entries by name.
+    /// The entries by the name of their backend.
     entries: BTreeMap<String, Value>,
-    /// Changed since it was last handed out.
+    /// Whether the list has changed since it was last returned.
     changed: bool,
-    /// Names were left out for the bound: what is cached is not the full list, and is not handed out.
+    /// Whether names were left out at the bound: what is cached is then not the full list, and is not returned.
     truncated: bool,
 }
 
 impl CachedEndpointList {
-    /// Begins with the list that the proxy starts with; that one is saved or handed over already, so it is not handed
-    /// out again until discovery sends something.
+    /// Creates a cache of the list that the proxy starts with. That list is already saved or handed over, so nothing
+    /// is returned until discovery sends an update.
     pub fn new(list: &EndpointList) -> CachedEndpointList {
         let mut cached = CachedEndpointList::default();
         cached.apply(list.clone());
@@ -31,8 +32,8 @@
         cached
     }
 
-    /// Applies a list: a full one in place of what is cached, or changes over it. Entries without a name are not
-    /// applied anywhere; one that is removed leaves. The entries are moved, not copied.
+    /// Applies a list: a full one replaces what is cached, changes are merged into it. Entries without a name are
+    /// skipped, as elsewhere, and removed ones deleted. The entries are moved, not copied.
     pub fn apply(&mut self, list: EndpointList) {
         if list.snapshot {
             self.entries.clear();
@@ -52,7 +53,7 @@
         self.changed = true;
     }
 
-    /// The full list, where it changed since the last call and is complete.
+    /// Returns the full list if it has changed since the last call and is complete.
     pub fn take_changed(&mut self) -> Option<EndpointList> {
         if !std::mem::replace(&mut self.changed, false) || self.truncated {
             return None;
--- a/crates/proxy/src/cached_endpoint_list/tests.rs
+++ b/crates/proxy/src/cached_endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! What the cached list holds after full lists and changes.
+//! Tests of the cached list after full lists and changes.
 
 use super::*;
 use serde_json::json;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,5 +1,5 @@
-//! The node configuration: what this proxy is told at its start. The keys of its file are named in `file`, `outline` and
-//! `keys` only.
+//! The node configuration, which the proxy reads from its file at the start. The keys of that file appear in `file`,
+//! `outline` and `keys` only.
 
 mod error;
 mod file;
@@ -15,35 +15,35 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A proxy needs so many descriptors, whatever its file says.
+/// Fewest descriptors that a proxy works with: a lower limit in its file is raised to this.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Everything that the program starts with.
+/// The configuration that the program starts with.
 pub struct NodeConfig {
     /// The proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators connect; nowhere if absent.
+    /// The address at which operators connect, if any.
     pub admin: Option<SocketAddr>,
     /// The seed of the policy's random draws.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Most descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Memory that all processes of the proxy may hold, in bytes.
+    /// Most memory that all processes of the proxy together may hold, in bytes.
     pub memory_bytes: usize,
-    /// The list as this proxy last had it.
+    /// The endpoint list as this proxy last received it.
     pub cached_endpoints: EndpointList,
     /// The settings of the policy and the network.
     pub settings: Settings,
-    /// The file that it was read from.
+    /// The file that the configuration was read from.
     pub active_file: ActiveConfigFile,
 }
 
 impl NodeConfig {
-    /// The beginning of the paths of the files in `$TMPDIR` that this proxy shares with its successor, and with no other
+    /// Returns the path prefix of the files in `$TMPDIR` that this proxy shares with its successor, and with no other
     /// proxy.
     pub fn state_path_prefix(&self) -> PathBuf {
         let to_plain = |symbol: char| if symbol.is_ascii_alphanumeric() { symbol } else { '-' };
@@ -51,10 +51,11 @@
         std::env::temp_dir().join(format!("lotusdeck-{own}"))
     }
 
-    /// Reads and checks the file. `admin`: where operators connect whatever the file says, as the file may be shared.
+    /// Reads and checks the file. `admin` overrides the address for operators in the file, as several proxies may
+    /// share one file.
     ///
     /// # Errors
-    /// The first thing that is wrong with it; `lotusdeck check` lists all.
+    /// Returns the first fault in the file; `lotusdeck check` lists all of them.
     pub fn read(path: &Path, admin: Option<SocketAddr>) -> Result<NodeConfig, NodeConfigError> {
         let read = read_file(path, None)?;
         let seed = read.wire.seed();
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -9,29 +9,29 @@
     /// The file cannot be read.
     #[error("cannot read {file}: {source}")]
     Unreadable {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is no JSON, or not of this form.
+    /// The file is not JSON, or not of the expected form.
     #[error("{file}: {source}")]
     Malformed {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// What is wrong.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// Its settings are invalid.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] Faults),
-    /// The policy does not accept them.
+    /// The policy rejects the settings.
     #[error("settings: {0}")]
     Unsound(#[from] lotusdeck_policy::ConfigError),
-    /// The seed is no number.
+    /// The seed is not a number.
     #[error("seed: expected a number or up to 16 hex digits")]
     Seed,
-    /// It lacks a key that the configuration in force has.
+    /// A key that the configuration in force has is missing.
     #[error("{0}: missing, though what is in force has it")]
     Missing(String),
 }
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The file on the wire, but for its settings.
+/// The serialized form of the file, without its settings.
 #[derive(Deserialize)]
 pub(super) struct WireFile {
     pub name: String,
@@ -27,7 +27,7 @@
 }
 
 impl WireFile {
-    /// The seed, as a number or in hex digits.
+    /// Returns the seed, which the file gives as a number or in hex digits.
     pub(super) fn seed(&self) -> Option<u64> {
         let hex = self.seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
         hex.or(self.seed.as_u64())
@@ -47,14 +47,14 @@
     }
 }
 
-/// What was read of a file.
+/// The content of a file that was read and checked.
 pub(super) struct ReadFile {
     pub wire: WireFile,
     pub settings: Settings,
     pub active: ActiveConfigFile,
 }
 
-/// Reads and checks a file. `active`: the file in force, whose keys this one must have.
+/// Reads and checks a file. `active` is the file in force, whose keys the new one must have.
 pub(super) fn read_file(path: &Path, active: Option<&ActiveConfigFile>) -> Result<ReadFile, NodeConfigError> {
     let file = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
@@ -67,7 +67,7 @@
         return Err(NodeConfigError::Missing(key));
     }
     let wire = WireFile::deserialize(&document).map_err(malformed)?;
-    // Not copied, as they may be large.
+    // Borrowed rather than copied, as the settings may be large.
     let settings = document.get("settings");
     let settings = settings.ok_or_else(|| malformed(serde::de::Error::missing_field("settings")))?;
     let active = ActiveConfigFile {
@@ -78,7 +78,7 @@
     Ok(ReadFile { wire, settings: Settings::read(settings)?, active })
 }
 
-/// The file in force: its path, and the keys that it has.
+/// The file in force: its path, its keys, and the outline of its settings.
 #[derive(Clone)]
 pub struct ActiveConfigFile {
     path: PathBuf,
@@ -90,22 +90,22 @@
 pub struct ConfigChange {
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// All else that may change.
+    /// Everything else that may change.
     pub settings: Settings,
-    /// What it was read from: the file in force once the change is applied.
+    /// The file that the change was read from, which is in force once the change is applied.
     pub file: ActiveConfigFile,
 }
 
 impl ActiveConfigFile {
-    /// The outline of its settings.
+    /// Returns the outline of the file's settings.
     pub fn outline(&self) -> SettingsOutline {
         self.outline.clone()
     }
 
-    /// Reads the file as it is now: where anything is wrong with it nothing of it is returned.
+    /// Reads the file again; if anything in it is wrong, nothing of it is returned.
     ///
     /// # Errors
-    /// The first thing that is wrong with it.
+    /// Returns the first fault in the file.
     pub fn reread(&self) -> Result<ConfigChange, NodeConfigError> {
         let read = read_file(&self.path, Some(self))?;
         Ok(ConfigChange { discovery: read.wire.discovery, settings: read.settings, file: read.active })
--- a/crates/proxy/src/config/keys.rs
+++ b/crates/proxy/src/config/keys.rs
@@ -1,13 +1,13 @@
-//! Which keys a configuration has, to tell what a new one lacks.
+//! The keys of a configuration, kept to find those that a new one lacks.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Keys that the settings may lack.
+/// Keys that new settings may lack.
 const OPTIONAL_KEYS: [&str; 2] = ["family_info", "fleet"];
 
-/// The keys of an object and of the objects in it, without any value: tens of thousands of entries in its arrays take no
-/// memory here.
+/// The keys of an object and of the objects nested in it, without values: arrays of tens of thousands of entries take
+/// no memory here.
 #[derive(Default)]
 pub(super) struct Keys {
     by_name: BTreeMap<String, Keys>,
@@ -18,13 +18,13 @@
         Keys::of_members(value.as_object().into_iter().flatten())
     }
 
-    /// The keys of an object with these members.
+    /// Collects the keys of an object with these members.
     pub(super) fn of_members<'a>(members: impl Iterator<Item = (&'a String, &'a Value)>) -> Keys {
         Keys { by_name: members.map(|(key, value)| (key.clone(), Keys::of(value))).collect() }
     }
 
-    /// The path of the first key that these have and `new` lacks. A file that was cut or half edited may still parse and
-    /// hold all that this program reads; the others who read it would miss the rest.
+    /// Returns the path of the first of these keys that `new` lacks. A file that was cut off or half edited may still
+    /// parse and contain everything that this program reads, while other programs that read it would miss the rest.
     pub(super) fn first_missing_in(&self, new: &Value) -> Option<String> {
         self.first_missing_below("", new)
     }
--- a/crates/proxy/src/config/outline.rs
+++ b/crates/proxy/src/config/outline.rs
@@ -1,16 +1,17 @@
-//! What is remembered of settings to check their successors.
+//! The outline that is kept of settings to check later ones against.
 
 use super::error::NodeConfigError;
 use super::keys::Keys;
 use lotusdeck_policy::settings::Settings;
 use serde_json::{Map, Value};
 
-/// Keys of the settings that the platform tells each proxy: they come from its own file, wherever the others are from.
+/// Keys of the settings that differ for each proxy: they always come from its own file, wherever the other settings
+/// come from.
 const OWN_KEYS: [&str; 3] = ["my_zone", "position", "group_size"];
-/// Keys of the settings whose entries have names: which there are may change, and an outline leaves them out.
+/// Keys of the settings with named entries: entries may be added and removed, so an outline leaves them out.
 const NAMED_KEYS: [&str; 2] = ["profiles", "customers"];
 
-/// Settings without their named entries: what it takes to check their successors, in a few hundred bytes.
+/// Settings without their named entries: a few hundred bytes against which later settings are checked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsOutline {
     keys: Map<String, Value>,
@@ -23,7 +24,7 @@
         SettingsOutline { keys: retained.map(|(key, value)| (key.clone(), value.clone())).collect() }
     }
 
-    /// The same with the proxy's own keys of another file.
+    /// Returns this outline with the proxy's own keys taken from another one.
     pub fn with_own_keys(&self, file: &SettingsOutline) -> SettingsOutline {
         let mut outline = self.clone();
         file.copy_own_keys(&mut outline.keys);
@@ -39,11 +40,11 @@
         }
     }
 
-    /// Reads settings that come from elsewhere than the file, under this proxy's own keys; nothing is applied where any
-    /// part is invalid, or lacks a key that these have.
+    /// Reads settings that come from elsewhere than the file, with this proxy's own keys in them. Nothing is returned
+    /// if any part is invalid or a key of this outline is missing.
     ///
     /// # Errors
-    /// The first thing that is wrong with them.
+    /// Returns the first fault in the settings.
     pub fn read_successor(
         &self, mut settings: Value,
     ) -> Result<(Settings, SettingsOutline), NodeConfigError> {
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: which are open, kept idle for reuse, and closed.
+//! Connections to backends: opening them, keeping idle ones for reuse, and closing them.
 
 use crate::body_budget::BodyBudget;
 use crate::stall_timeouts::SharedStallTimeouts;
@@ -14,20 +14,21 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Share of the backends' idle timeout after which a connection is no longer used: well inside it, as their clock may
-/// have started earlier than ours.
+/// Share of the backends' idle timeout after which a connection is no longer used: well below it, as a backend may
+/// have started its timer earlier than the proxy.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
-/// A connection is not reused so soon after an answer: what a backend sends behind one would pass for the answer to the
-/// next request, as answers carry no id. A second answer may come up to some milliseconds late.
+/// Shortest time between an answer and the reuse of its connection. Bytes that a backend sends after an answer would
+/// be taken for the answer to the next request, as answers carry no id; a second answer may arrive up to some
+/// milliseconds late.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// How often idle connections are checked.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
-/// The system's error numbers for too many open files, in all and in this process.
+/// System error numbers for too many open files, in the whole system and in this process.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 
-/// A connection and its place among the open ones. hyper drives it for one request at a time and leaves nothing of its
-/// own behind; dropping it closes the socket, which is how an attempt is cancelled.
+/// A connection, counted among the open ones. hyper drives it for one request at a time and leaves no state behind;
+/// dropping it closes the socket, which is how an attempt is cancelled.
 pub(crate) struct PooledConnection {
     pub stream: Stream,
     address: SocketAddr,
@@ -35,7 +36,7 @@
     _open: OpenConnectionGuard,
 }
 
-/// Counts an open (or opening) connection.
+/// Counts an open or opening connection for as long as the guard exists.
 struct OpenConnectionGuard {
     count: Rc<Cell<usize>>,
 }
@@ -53,15 +54,15 @@
     }
 }
 
-/// What is kept of a backend that may be sent requests.
+/// The state of a backend that may be sent requests.
 #[derive(Default)]
 struct BackendConnections {
-    /// The most recently used last.
+    /// The idle connections, the most recently used last.
     idle: Vec<PooledConnection>,
     last_answer_at: Option<Instant>,
 }
 
-/// The connections to backends.
+/// The connections to all backends.
 pub struct ConnectionPool {
     /// One entry for each backend that may be sent requests, and for no other.
     backends: RefCell<HashMap<BackendId, BackendConnections>>,
@@ -75,7 +76,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without a connection.
+    /// Creates a pool without connections.
     pub fn new(
         network: &NetworkSettings, body_budget: BodyBudget, stall_timeouts: SharedStallTimeouts,
     ) -> ConnectionPool {
@@ -91,18 +92,18 @@
         }
     }
 
-    /// Sets how many connections may be open: idle ones beyond it are closed at once.
+    /// Sets how many connections may be open, and closes idle ones beyond that at once.
     pub fn set_connection_limit(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         while self.open_connections.get() > max_connections && self.close_longest_idle() {}
     }
 
-    /// Connections that are open or opening.
+    /// Returns how many connections are open or opening.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Connections opened since the last call.
+    /// Returns how many connections were opened, or failed to open, since the last call.
     pub(crate) fn take_connects(&self) -> u64 {
         self.connects.take()
     }
@@ -111,12 +112,12 @@
         connection.idle_since.elapsed() < self.max_idle.get() && !connection.stream.has_unread_data()
     }
 
-    /// Whether there may be a connection to reuse.
+    /// Returns whether there may be a connection to reuse.
     pub(crate) fn has_idle(&self, id: BackendId) -> bool {
         self.backends.borrow().get(&id).is_some_and(|backend| !backend.idle.is_empty())
     }
 
-    /// A connection to reuse, checked at this moment.
+    /// Takes a connection to reuse, checked at this moment, and closes those that are no longer usable.
     pub(crate) fn take_idle(&self, id: BackendId, address: SocketAddr) -> Option<PooledConnection> {
         let mut backends = self.backends.borrow_mut();
         let backend = backends.get_mut(&id)?;
@@ -126,7 +127,7 @@
         Some(backend.idle.remove(index))
     }
 
-    /// Keeps a connection for reuse.
+    /// Keeps a connection for reuse if its backend may still be sent requests, and closes it otherwise.
     pub(crate) fn return_idle(&self, id: BackendId, mut connection: PooledConnection) {
         if let Some(backend) = self.backends.borrow_mut().get_mut(&id) {
             connection.idle_since = Instant::now();
@@ -135,21 +136,22 @@
         }
     }
 
-    /// Closes the connection that was idle longest; false when there is none.
+    /// Closes the connection that has been idle longest; returns false if there is none.
     pub fn close_longest_idle(&self) -> bool {
         let mut backends = self.backends.borrow_mut();
         let idle = backends.values_mut().map(|backend| &mut backend.idle).filter(|idle| !idle.is_empty());
         idle.min_by_key(|idle| idle[0].idle_since).map(|idle| idle.remove(0)).is_some()
     }
 
-    /// A backend has answered now.
+    /// Records that a backend has answered now.
     pub(crate) fn record_answer(&self, id: BackendId) {
         if let Some(backend) = self.backends.borrow_mut().get_mut(&id) {
             backend.last_answer_at = Some(Instant::now());
         }
     }
 
-    /// Closes, for as long as the program runs, what was idle too long or was closed from the other side.
+    /// Closes connections that were idle too long or on which the backend closed or sent something, for as long as
+    /// the program runs.
     pub async fn close_idle_periodically(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(CLEANUP_INTERVAL).await;
@@ -160,7 +162,8 @@
     }
 
     pub(crate) async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, Outcome> {
-        // At the limit an idle connection makes room; where there is none the backend is not to blame.
+        // At the limit an idle connection is closed to make room. Without one the failure is not attributed to the
+        // backend.
         if self.open_connections.get() >= self.max_connections.get() && !self.close_longest_idle() {
             return Err(Outcome::NeverSent);
         }
@@ -169,7 +172,7 @@
         let connecting = tokio::time::timeout(self.connect_timeout.get(), TcpStream::connect(address));
         let stream = match connecting.await {
             Ok(Ok(tcp)) => Stream::new(tcp),
-            // Out of descriptors: that is this proxy's own trouble, and no sign of the backend's.
+            // Running out of descriptors is a problem of this proxy and says nothing about the backend.
             Ok(Err(error)) if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => {
                 return Err(Outcome::NeverSent)
             }
@@ -193,9 +196,9 @@
         }
     }
 
-    /// Where the backend has not answered at all since `sent`, its machine may be cut off and its idle connections dead
-    /// without a sign: what is written to one of those may have run for all one can tell, while a new connection that
-    /// does not come up proves that it did not.
+    /// Closes the backend's idle connections if it has not answered at all since `sent`: its machine may be
+    /// unreachable and the connections dead without notice. A request written to a dead connection has to be treated
+    /// as one that may have run, while a new connection that cannot be established proves that it did not.
     fn attempt_unanswered(&self, id: BackendId, sent: Instant) {
         if let Some(backend) = self.backends.borrow_mut().get_mut(&id) {
             if backend.last_answer_at.is_none_or(|at| at < sent) {
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -1,4 +1,4 @@
-//! The pool on real connections.
+//! Tests of the pool on real connections.
 
 use super::*;
 use crate::attempt::{Destination, ForwardedRequest};
@@ -37,7 +37,7 @@
     Instant::now() + Duration::from_secs(20)
 }
 
-/// The backend begins to drain while the connection comes up: not a byte goes out on it.
+/// The backend begins to drain while the connection is being established: no byte is sent on it.
 #[tokio::test]
 async fn a_backend_that_drains_while_connecting_is_sent_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -56,7 +56,8 @@
     assert!(got.is_empty(), "{got:?}");
 }
 
-/// The backend closes a kept connection while the journal writes: what must not run twice goes out on another.
+/// The backend closes an idle connection while the journal writes: a request that must not run twice is sent on
+/// another one.
 #[tokio::test]
 async fn an_idle_connection_is_checked_when_it_is_reused() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -91,7 +92,8 @@
     answers.join().unwrap();
 }
 
-/// At the bound the backend is not called ill, and an idle connection to another makes room first.
+/// At the limit the failure is not attributed to the backend, and an idle connection to another backend is closed
+/// first.
 #[tokio::test]
 async fn at_the_connection_limit_an_idle_connection_is_closed_for_a_new_one() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/proxy/src/discovery/dialer.rs
+++ b/crates/proxy/src/discovery/dialer.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A connection that a poll has left in order.
+/// A connection that a completed poll left in a reusable state.
 pub(super) struct IdleConnection {
     pub sender: http1::SendRequest<Empty<Bytes>>,
     pub driver: http1::Connection<Stream, Empty<Bytes>>,
@@ -21,15 +21,16 @@
     }
 }
 
-/// Opens connections, and keeps the socket of the next one in reserve: where clients use up the descriptors, the one
-/// that a broken poll gives back may be taken before the next poll is made.
+/// Opens connections, and keeps the socket of the next one in reserve: when clients use up the file descriptors, the
+/// one freed by a broken poll could otherwise be taken before the next poll is opened.
 #[derive(Default)]
 pub(super) struct Dialer {
     spare: Cell<Option<TcpSocket>>,
 }
 
 impl Dialer {
-    /// To be called whenever a descriptor may have come free, in the same turn of the event loop.
+    /// Creates the reserve socket if there is none. Must be called whenever a descriptor may have been freed, in the
+    /// same turn of the event loop.
     pub(super) fn refill(&self) {
         let spare = self.spare.take().or_else(|| TcpSocket::new_v4().ok());
         self.spare.set(spare);
--- a/crates/proxy/src/discovery/pacing.rs
+++ b/crates/proxy/src/discovery/pacing.rs
@@ -1,46 +1,48 @@
-//! How long polls of discovery may take, and how soon the next one follows. The bound over all of it is in the
-//! documentation of [`crate::discovery`].
+//! Time limits of discovery polls and the delays between them. The documentation of [`crate::discovery`] derives the
+//! overall bound from them.
 
 use std::time::Duration;
 
-/// How long one poll lets discovery wait for changes.
+/// How long a long poll lets discovery wait for changes.
 pub(super) const LONG_POLL_WAIT: Duration = Duration::from_secs(10);
-/// A long poll that has no answer so long after its wait gets another poll in parallel. What a silent watch missed
-/// counts as notified 2 s after its wait, which leaves 1.5 s for the answer to the other poll.
+/// Time after its wait at which a long poll without an answer gets another poll in parallel. Changes that a silent
+/// watch missed count as notified 2 s after its wait, which leaves 1.5 s for the answer to the other poll.
 pub(super) const OVERDUE_AFTER: Duration = Duration::from_millis(500);
-/// An answer that has begun and is not complete gets another poll in parallel after this time.
+/// Time after which a poll whose answer has begun but is not complete gets another poll in parallel.
 pub(super) const EXTRA_POLL_DELAY: Duration = Duration::from_millis(1_500);
-/// A poll without a wait on which nothing has come for so long gets another one in parallel.
+/// Time after which a poll without a wait on which nothing was received gets another poll in parallel.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// An answer that has begun and on which nothing more has come for so long is given up.
+/// Longest pause within an answer before its poll is given up.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time from the opening of one poll to that of another in parallel to older ones at least, also where the first of
-/// the two has failed at once.
+/// Shortest time between opening a poll and opening another one in parallel to older polls, even if the first of the
+/// two failed at once.
 pub(super) const MIN_POLL_SPACING: Duration = Duration::from_secs(1);
-/// Polls that one proxy has in flight at most: the oldest, which keeps its turn, and the two newest, so that each of
-/// these has twice `SILENCE_TIMEOUT` for its answer.
+/// Most polls that one proxy has in flight: the oldest, which keeps its place in discovery's queue, and the two
+/// newest, so that each of these has twice `SILENCE_TIMEOUT` for its answer.
 pub(super) const MAX_POLLS_IN_FLIGHT: usize = 3;
-/// An answer may take so long from its beginning on: the largest list comes in this time at 1 MiB/s.
+/// Longest time from the beginning of an answer to its end: the largest list arrives within this time at 1 MiB/s.
 pub(super) const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
-/// A poll may wait so long for its turn, beyond the wait that it allows: 900 proxies have theirs in 45 s at a discovery
-/// that takes 50 ms for each.
+/// Longest time that a poll may be queued at discovery, beyond the wait that it allows: a discovery that takes 50 ms
+/// for each poll serves 900 proxies in 45 s.
 pub(super) const MAX_QUEUE_TIME: Duration = Duration::from_secs(60);
-/// A connection that is not up by then will hardly come: a lost segment is sent again after 1 s.
+/// Time limit for establishing a connection. A lost segment is retransmitted only after 1 s, so a longer wait would
+/// hardly help.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The backoff after a failed poll where lists are pushed; it doubles with each failure in a row, up to the longest.
-/// What the agent gets when discovery is back counts as notified at once, so that the longest is well inside the
-/// shortest grace that the settings have named (400 ms). Where lists are polled, the policy says when to poll again.
+/// The first backoff after a failed poll where lists are pushed; it doubles with each consecutive failure, up to
+/// `MAX_BACKOFF`. Changes that the agent receives once discovery is back count as notified at once, so the longest
+/// backoff is well below the shortest grace period seen in settings (400 ms). Where lists are polled, the policy
+/// decides when to poll again.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The fractional parts of its multiples lie evenly spread however many there are (Kronecker's sequence).
+/// The fractional parts of its multiples are evenly spread, however many there are (Kronecker sequence).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The backoff after so many failed polls in a row, where lists are pushed.
+/// Returns the backoff after `failures` consecutive failed polls, where lists are pushed.
 pub(super) fn backoff(failures: u32) -> Duration {
     (INITIAL_BACKOFF * (1 << failures.min(4))).min(MAX_BACKOFF)
 }
 
-/// A place from 0 to 1 for each position in the fleet, evenly spread.
+/// Returns a number from 0 to 1 for a position in the fleet; the numbers of all positions are evenly spread.
 pub(super) fn spread(position: u32) -> f64 {
     (f64::from(position) * GOLDEN_RATIO).fract()
 }
--- a/crates/proxy/src/discovery/poll.rs
+++ b/crates/proxy/src/discovery/poll.rs
@@ -18,14 +18,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes of an answer at most. A list of 11,000 backends, the largest that is planned for, has 1.5 MB at 136 bytes a
-/// line and 11 MB at 1 KB, indented and with long names. How many lines it may have is the list's own bound.
+/// Largest answer in bytes. A list of 11,000 backends, the largest planned for, has 1.5 MB at 136 bytes a line, or 11
+/// MB at 1 KB a line when indented and with long names. [`MAX_ENTRIES`](crate::endpoint_list::MAX_ENTRIES) limits the
+/// number of entries.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// A longer answer is parsed on a thread of its own: this many bytes take 2 ms, in which no request has its turn, and
-/// 11,000 lines take 14 to 21 ms.
+/// Largest answer in bytes that is parsed on the event loop, which takes 2 ms during which no request is handled.
+/// Longer ones are parsed on a thread of their own: 11,000 lines take 14 to 21 ms.
 const MAX_INLINE_PARSE_BYTES: usize = 256 * 1024;
 
-/// Why a poll brought no list.
+/// Why a poll returned no list.
 #[derive(Debug, Error)]
 pub(super) enum PollError {
     #[error("no connection: {0}")]
@@ -48,39 +49,39 @@
     Silent,
 }
 
-/// What a poll asks for.
+/// What a poll requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PollRequest {
-    /// The version of the list that was in place when the poll was made.
+    /// The version of the list in place when the poll was opened.
     pub known_version: Option<u64>,
-    /// The full list is asked for, whatever version is known.
+    /// Whether the full list is requested, regardless of the known version.
     pub full: bool,
     /// How long discovery may wait for changes.
     pub max_wait: Duration,
 }
 
 impl PollRequest {
-    /// The version that the answer's changes follow; `None` where the answer has to be the full list.
+    /// Returns the version since which changes are requested; `None` if the answer has to be the full list.
     pub(super) fn changes_after(&self) -> Option<u64> {
         self.known_version.filter(|_| !self.full)
     }
 
-    /// How long discovery may take to begin an answer: a full list is never waited for.
+    /// Returns how long discovery may take to begin its answer; it does not wait before it sends a full list.
     fn answer_delay(&self) -> Duration {
         self.changes_after().map_or(Duration::ZERO, |_| self.max_wait)
     }
 }
 
-/// How a poll ended.
+/// The result of a poll.
 pub(super) struct CompletedPoll {
     pub request: PollRequest,
-    /// The connection, where it can be used again.
+    /// The connection, if it can be reused.
     pub connection: Option<IdleConnection>,
     pub answer: Result<ParsedEndpointList, PollError>,
 }
 
-/// A poll in flight. What discovery has written counts as notified, read or not, so that it is dropped before its end
-/// only to make way for another.
+/// A poll in flight. Whatever discovery has written counts as notified, whether it was read or not, so a poll is
+/// dropped before its end only to make room for another one.
 pub(super) struct DiscoveryPoll {
     pub request: PollRequest,
     progress: Rc<Progress>,
@@ -144,7 +145,7 @@
     parse(body).await
 }
 
-/// The complete body; one that declares itself too long is not read at all.
+/// Reads the complete body; rejects one that is declared too long without reading it.
 async fn read_body(mut body: Incoming, progress: &Progress) -> Result<Bytes, PollError> {
     let mut read = BytesMut::new();
     if body.size_hint().lower() > MAX_ANSWER_BYTES as u64 {
@@ -161,7 +162,7 @@
     Ok(read.freeze())
 }
 
-/// Parses the answer, outside the event loop where that takes long.
+/// Parses the answer, on a thread of its own if it is long.
 async fn parse(body: Bytes) -> Result<ParsedEndpointList, PollError> {
     let parse = |body: &[u8]| serde_json::from_slice(body).map(EndpointList::parse).map_err(PollError::Json);
     if body.len() <= MAX_INLINE_PARSE_BYTES {
--- a/crates/proxy/src/discovery/polls.rs
+++ b/crates/proxy/src/discovery/polls.rs
@@ -17,9 +17,9 @@
 pub(super) struct DiscoveryPolls {
     address: SocketAddr,
     dialer: Rc<Dialer>,
-    /// The oldest first.
+    /// Oldest first.
     in_flight: Vec<DiscoveryPoll>,
-    /// When the newest was opened.
+    /// When the newest poll was opened.
     last_opened_at: Instant,
 }
 
@@ -32,7 +32,7 @@
         self.in_flight.is_empty()
     }
 
-    /// Whether any of them asks for the full list.
+    /// Returns whether any of them requests the full list.
     pub(super) fn any_full(&self) -> bool {
         self.in_flight.iter().any(|poll| poll.request.full)
     }
@@ -41,7 +41,7 @@
         self.in_flight
     }
 
-    /// Hands out all of them.
+    /// Removes all of them and returns them.
     pub(super) fn drain(&mut self) -> std::vec::Drain<'_, DiscoveryPoll> {
         self.in_flight.drain(..)
     }
@@ -52,7 +52,7 @@
         self.in_flight.push(poll);
     }
 
-    /// The first of them to end.
+    /// Waits until one of them has ended, and removes it.
     async fn first_completed(&mut self) -> CompletedPoll {
         poll_fn(|cx| {
             let ready = |(index, poll): (usize, &mut DiscoveryPoll)| match poll.completion.as_mut().poll(cx) {
@@ -72,12 +72,13 @@
         self.in_flight.iter().map(DiscoveryPoll::progress).collect()
     }
 
-    /// When another poll is due in parallel.
+    /// Returns when another poll is due in parallel.
     fn extra_poll_at(&self, known_version: Option<u64>) -> Option<Instant> {
         extra_poll_at(&self.progress(), self.last_opened_at, known_version.is_some())
     }
 
-    /// Opens another poll in parallel, for what is newer than the version known.
+    /// Opens another poll in parallel, for the changes since `known_version`. Drops an older one where all slots are
+    /// taken.
     fn open_extra(&mut self, known_version: Option<u64>) {
         let progress = self.progress();
         if let [only] = progress[..] {
@@ -89,11 +90,11 @@
         self.open(None, PollRequest { known_version, full: false, max_wait: Duration::ZERO });
     }
 
-    /// The first of them to end. While they bring nothing, others are opened in parallel one after another, for what
-    /// is newer than the version known then.
+    /// Waits until one of them has ended, and removes it. Meanwhile opens others in parallel as they become due, each
+    /// for the changes since the version known at that time.
     pub(super) async fn next_completed(&mut self, known_version: &Cell<Option<u64>>) -> CompletedPoll {
         loop {
-            // Whether another is due is checked again when an answer may have begun.
+            // While no further poll may be opened, check again after a delay.
             let next_check = self.extra_poll_at(known_version.get());
             let next_check = next_check.unwrap_or_else(|| Instant::now() + EXTRA_POLL_DELAY);
             tokio::select! {
@@ -101,7 +102,7 @@
                 completed = self.first_completed() => return completed,
                 () = tokio::time::sleep_until(next_check) => {}
             }
-            // Something may have come meanwhile.
+            // Data received meanwhile may have put it off.
             if self.extra_poll_at(known_version.get()).is_some_and(|due| due <= Instant::now()) {
                 self.open_extra(known_version.get());
             }
--- a/crates/proxy/src/discovery/progress.rs
+++ b/crates/proxy/src/discovery/progress.rs
@@ -1,15 +1,16 @@
-//! How far a poll has come, shared between the poll and those who wait for it.
+//! The progress of a poll, shared between the poll and the code that waits for it.
 
 use super::schedule::{PollProgress, ReceivedSpan};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// How far a poll has come.
+/// The progress of a poll.
 pub(super) struct Progress(Cell<PollProgress>);
 
 impl Progress {
-    /// Of a poll that is opened now, where discovery may wait so long with its answer.
+    /// Creates the progress of a poll that is opened now and lets discovery wait for `answer_delay` before it
+    /// answers.
     pub(super) fn new(answer_delay: Duration) -> Progress {
         Progress(Cell::new(PollProgress::new(Instant::now(), answer_delay)))
     }
@@ -18,7 +19,7 @@
         self.0.get()
     }
 
-    /// Some of the answer has come now.
+    /// Records that part of the answer was received now.
     pub(super) fn record_received(&self) {
         let now = Instant::now();
         let mut progress = self.0.get();
@@ -27,7 +28,7 @@
         self.0.set(progress);
     }
 
-    /// Ends when the poll has timed out.
+    /// Waits until the poll has timed out.
     pub(super) async fn timeout(&self) {
         while Instant::now() < self.get().times_out_at() {
             sleep_until(self.get().times_out_at()).await;
--- a/crates/proxy/src/discovery/schedule.rs
+++ b/crates/proxy/src/discovery/schedule.rs
@@ -1,8 +1,9 @@
-//! When another poll is opened in parallel to those in flight, which one makes way for it, and when one is given up.
+//! When another poll is opened in parallel to those in flight, which one is dropped for it, and when a poll is given
+//! up.
 //!
-//! A poll on which nothing comes may be lost, or wait its turn at a slow discovery; nothing tells the two apart. The
-//! oldest one therefore keeps its turn while newer ones take the other places. Everything here is a function of the
-//! polls' progress and the time, without input or output.
+//! A poll on which nothing is received may be lost or may be queued at a slow discovery; a proxy cannot tell which.
+//! The oldest poll therefore keeps its place in the queue while newer ones use the other slots. Everything here is a
+//! function of the polls' progress and the time, without I/O.
 
 use super::pacing::{
     EXTRA_POLL_DELAY, MAX_ANSWER_TIME, MAX_POLLS_IN_FLIGHT, MAX_QUEUE_TIME, MIN_POLL_SPACING, OVERDUE_AFTER,
@@ -12,31 +13,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When parts of an answer have come.
+/// When parts of an answer were received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedSpan {
-    /// The beginning of the answer.
+    /// When the answer began.
     pub first: Instant,
-    /// The latest part.
+    /// When its latest part was received.
     pub last: Instant,
 }
 
-/// How far a poll has come.
+/// The progress of a poll.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollProgress {
     pub opened_at: Instant,
     /// How long discovery may wait for changes before it answers.
     pub answer_delay: Duration,
-    /// What has come of the answer; `None` before its beginning.
+    /// When parts of the answer were received; `None` before it begins.
     pub received: Option<ReceivedSpan>,
 }
 
-/// Why a poll has another one opened in parallel.
+/// Why another poll is opened in parallel to a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delay {
-    /// Nothing has come on it.
+    /// Nothing was received on it.
     Silent,
-    /// Its answer has begun and is not complete.
+    /// Its answer has begun but is not complete.
     Incomplete,
 }
 
@@ -66,27 +67,28 @@
         self.opened_at + self.answer_delay
     }
 
-    /// When the poll is given up: its answer stalls or takes too long, or does not begin in the longest time that a
-    /// poll may wait for its turn.
+    /// Returns when the poll is given up: its answer stalls or takes too long, or does not begin within the longest
+    /// time that a poll may be queued.
     pub(super) fn times_out_at(&self) -> Instant {
         let Some(received) = self.received else { return self.wait_ends_at() + MAX_QUEUE_TIME };
         (received.last + STALL_TIMEOUT).min(received.first + MAX_ANSWER_TIME)
     }
 
-    /// When this poll would have another one opened in parallel.
+    /// Returns when another poll may be opened in parallel to this one.
     fn extra_poll_at(&self, is_version_known: bool) -> Instant {
         let Some(received) = self.received else {
             let patience = if self.answer_delay.is_zero() { SILENCE_TIMEOUT } else { OVERDUE_AFTER };
             return self.wait_ends_at() + patience;
         };
-        // An answer that still comes is waited for where the other poll would have to ask for the full list as well.
+        // Without a known version the other poll would have to request the full list as well, so an answer is waited
+        // for as long as more of it arrives.
         let from = if is_version_known { received.first } else { received.last };
         from + EXTRA_POLL_DELAY
     }
 }
 
-/// When another poll is due in parallel to those in flight, the newest of which was opened at `last_opened_at` and may
-/// have failed. `None`: not while these are in flight.
+/// Returns when another poll is due in parallel to those in flight. `last_opened_at` is when the newest poll was
+/// opened, which may have failed since. `None`: no other poll is opened as long as these are in flight.
 pub(super) fn extra_poll_at(
     in_flight: &[PollProgress], last_opened_at: Instant, is_version_known: bool,
 ) -> Option<Instant> {
@@ -95,8 +97,8 @@
     has_place.then(|| due.max(last_opened_at + MIN_POLL_SPACING))
 }
 
-/// The poll that makes way for another one, oldest first: one on which nothing has come, and not the oldest, which is
-/// the first to have its turn.
+/// Returns the index of the poll that is dropped for another one: the oldest on which nothing was received, but never
+/// the first, which is ahead in discovery's queue. `None` if there is a free slot or no such poll.
 pub(super) fn superseded(in_flight: &[PollProgress]) -> Option<usize> {
     if in_flight.len() < MAX_POLLS_IN_FLIGHT {
         return None;
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -1,15 +1,15 @@
-//! The schedule alone, and whole fleets of proxies that follow it.
+//! Tests of the schedule, by itself and in simulated fleets of proxies that follow it.
 
 mod model;
 
 use super::*;
 use model::{Discovery, Fault, Fleet, Outcome, Strategy, STEP};
 
-/// A change counts as notified so long after discovery had it and could be reached, whatever failed before.
+/// Time after which a change counts as notified once discovery had it and could be reached, whatever failed before.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// A proxy may be held up for so long between reading its clock and writing.
+/// Longest delay of a proxy between reading its clock and writing.
 const HOLD_UP: Duration = Duration::from_millis(150);
-/// How slow a discovery may be for that to be possible.
+/// Slowest answer of discovery with which that time can be kept.
 const SLOW_ANSWER: Duration = Duration::from_millis(2_500);
 
 fn silent_polls(ages_s: &[u64], now: Instant) -> Vec<PollProgress> {
@@ -21,7 +21,8 @@
     Discovery { service_time, queue_timeout: None, serves_abandoned: true, faults: Vec::new() }
 }
 
-/// Guards against a sum of silence, pause and answer that outlasts the time after which a change counts as notified.
+/// Guards against bounds on silence, pause and answer whose sum exceeds the time after which a change counts as
+/// notified.
 #[test]
 fn a_change_is_held_in_time_in_whatever_order_silence_and_refusal_come() {
     use Fault::{Refused, Silent};
@@ -41,8 +42,8 @@
     }
 }
 
-/// Guards against calls that lose their turn at a slow discovery: each proxy of a fleet holds the change by the time at
-/// which a discovery that handles first calls in turn has answered them.
+/// Guards against polls that lose their place in the queue of a slow discovery: each proxy of a fleet has received
+/// the change by the time at which a discovery that handles first polls in order has answered them.
 #[test]
 fn a_fleet_is_answered_by_its_first_calls_where_discovery_handles_them_in_turn() {
     for (proxies, service_ms) in [(1, 2_500), (30, 50), (30, 250), (300, 50), (900, 50)] {
@@ -50,7 +51,7 @@
         let fleet = Fleet::new(proxies, Strategy::KeepTurn, in_turn(service_time), 0, 1);
         let outcome = fleet.play(Duration::from_secs(60));
         let first_calls = service_time * proxies;
-        let steps = STEP * (proxies + 1); // each answer is found at the end of a step
+        let steps = STEP * (proxies + 1); // an answer is noticed at the end of a step
         let held = outcome.share_held_after(proxies as usize, 1.0);
         let bound = first_calls + steps;
         assert!(
@@ -60,7 +61,7 @@
     }
 }
 
-/// The table of docs/crossings.md: `cargo test -p lotusdeck-proxy --lib discovery::schedule -- --nocapture`.
+/// Prints the table of docs/crossings.md: `cargo test -p lotusdeck-proxy --lib discovery::schedule -- --nocapture`.
 #[test]
 fn more_of_a_fleet_holds_a_change_in_time_than_where_silent_polls_are_given_up() {
     println!("discovery | proxies | strategy | half hold it after | all | longest queue | polls");
--- a/crates/proxy/src/discovery/schedule/tests/model.rs
+++ b/crates/proxy/src/discovery/schedule/tests/model.rs
@@ -1,5 +1,5 @@
-//! A discovery of fixed capacity and the proxies of a fleet that poll it, in virtual time. The proxies decide by the
-//! schedule and by the policy's own pauses.
+//! A simulation, in virtual time, of a discovery of fixed capacity and a fleet of proxies that poll it. The proxies
+//! follow the schedule and the backoff of the policy.
 
 use super::super::*;
 use lotusdeck_policy::{
@@ -7,55 +7,55 @@
 };
 use std::collections::VecDeque;
 
-/// The resolution of the model.
+/// The time step of the simulation.
 pub(super) const STEP: Duration = Duration::from_millis(10);
-/// The time in which the settings want discovery polled.
+/// The time within which the settings require discovery to be polled.
 pub(super) const POLL_WITHIN: Micros = Micros(9_000_000);
 
-/// How a proxy treats a poll on which nothing comes.
+/// How a proxy handles a poll on which nothing is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Strategy {
-    /// It is given up after `SILENCE_TIMEOUT`, and the next one follows after a pause.
+    /// Gives the poll up after `SILENCE_TIMEOUT`, and opens the next one after a backoff.
     GiveUp,
-    /// It keeps its turn while others are opened in parallel, as `schedule` says.
+    /// Keeps the poll in the queue while others are opened in parallel according to `schedule`.
     KeepTurn,
-    /// As `KeepTurn`, with the first polls of the fleet spread over the time that it takes to answer all of them.
+    /// Like `KeepTurn`, with the first polls of the fleet spread over the time that it takes to answer all of them.
     KeepTurnSpread,
 }
 
-/// What discovery does with the polls that arrive, one after another.
+/// How discovery mishandles a poll; the faults of a list apply to a proxy's polls in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// It never answers.
+    /// Discovery never answers.
     Silent,
-    /// It answers 503 at once.
+    /// Discovery answers 503 at once.
     Refused,
 }
 
-/// A discovery that handles polls in turn.
+/// A discovery that handles polls in the order of their arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Discovery {
-    /// What one poll costs.
+    /// Time that one poll takes.
     pub service_time: Duration,
-    /// A poll that has waited so long is answered 503.
+    /// Time in the queue after which a poll is answered 503.
     pub queue_timeout: Option<Duration>,
-    /// Whether polls that were given up cost as much as others.
+    /// Whether polls that were given up take as much time as others.
     pub serves_abandoned: bool,
-    /// What becomes of the first polls of each proxy.
+    /// The faults on the first polls of each proxy.
     pub faults: Vec<Fault>,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub(super) struct Outcome {
-    /// When each proxy held the change, the earliest first.
+    /// How long after the start each proxy received the change, the earliest first.
     pub held_after: Vec<Duration>,
     pub longest_queue: usize,
     pub polls: usize,
 }
 
 impl Outcome {
-    /// When so large a share of the proxies held the change; `None` where not so many ever did.
+    /// Returns when a share of the proxies had received the change; `None` if fewer ever did.
     pub(super) fn share_held_after(&self, proxies: usize, share: f64) -> Option<Duration> {
         let count = ((proxies as f64 * share).ceil() as usize).max(1);
         self.held_after.get(count - 1).copied()
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The pause before the next poll, as the policy has it after so long a time.
+    /// Returns the policy's backoff before the next poll, for a failure at `elapsed` after the start.
     fn policy_pause(&mut self, elapsed: Duration) -> Duration {
         let mut now = Time(1_000_000_000 + elapsed.as_micros() as u64);
         let failed_at = now;
@@ -139,7 +139,7 @@
     timer.expect("a failed poll is followed by another")
 }
 
-/// A fleet of proxies that all begin to poll discovery, which has a change for them from the beginning on.
+/// A fleet of proxies that all begin to poll discovery, which has a change for them from the start.
 pub(super) struct Fleet {
     strategy: Strategy,
     discovery: Discovery,
@@ -152,7 +152,7 @@
 }
 
 impl Fleet {
-    /// All of them begin after `failures` polls have failed.
+    /// Creates the fleet; each proxy starts after `failures` failed polls.
     pub(super) fn new(
         count: u32, strategy: Strategy, discovery: Discovery, failures: u32, seed: u64,
     ) -> Fleet {
@@ -174,7 +174,7 @@
         Fleet { strategy, discovery, proxies, started_at, now: started_at, queue, served, outcome }
     }
 
-    /// Plays until all proxies hold the change, or for so long at most.
+    /// Runs until all proxies have received the change, or for `longest` at most.
     pub(super) fn play(mut self, longest: Duration) -> Outcome {
         while self.now - self.started_at < longest && self.outcome.held_after.len() < self.proxies.len() {
             self.refuse_overdue();
@@ -226,7 +226,7 @@
         }
     }
 
-    /// A poll failed: where no other is in flight the policy says when to poll again.
+    /// Handles a failed poll: if no other is in flight, the policy decides when to poll again.
     fn fail(&mut self, index: usize) {
         let elapsed = self.now - self.started_at;
         let proxy = &mut self.proxies[index];
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows discovery, and applies what it answers to the list in place.
+//! Polls discovery and applies its answers to the list in place.
 
 use super::pacing::{backoff, spread, LONG_POLL_WAIT};
 use super::poll::{CompletedPoll, DiscoveryPoll, PollRequest};
@@ -13,20 +13,21 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// The list in place, across moves of discovery.
+/// Keeps the list in place up to date, also when discovery moves to another address.
 pub(super) struct EndpointWatcher {
     host: Rc<Host>,
-    /// The version in place; `None` where the full list has to be asked for.
+    /// The version in place; `None` if the full list has to be requested.
     version: Cell<Option<u64>>,
-    /// When the list in place is compared with a full one: discovery may count versions otherwise at its new address.
+    /// When the list in place is compared with a full one: discovery may number its versions differently at its new
+    /// address.
     full_list_due: Cell<Option<Instant>>,
     /// The version in place when discovery moved, until its new address has reached it.
     version_at_move: Cell<Option<u64>>,
     /// How often discovery has moved.
     moves: Cell<u32>,
-    /// Discovery has answered at its present address.
+    /// Whether discovery has answered at its present address.
     has_answered: Cell<bool>,
-    /// Where every list applied goes on to, where lists are saved across restarts.
+    /// Receives every list applied, where lists are saved across restarts.
     sink: Option<EndpointListSink>,
 }
 
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Ends when the policy wants discovery polled.
+    /// Waits until the policy requests a poll of discovery.
     pub(super) async fn poll_requested(&self) {
         self.host.watch_requested().await;
     }
 
-    /// Discovery has another address, or another way to give its lists.
+    /// Handles a change of discovery's address or of its mode.
     pub(super) fn discovery_moved(&self, mode: DiscoveryMode) {
         self.moves.set(self.moves.get() + 1);
         self.has_answered.set(false);
@@ -58,7 +59,8 @@
         match mode {
             DiscoveryMode::Push => self.version.set(None),
             DiscoveryMode::Subscribe { poll_within } => {
-                // Spread evenly over the proxies, as their first polls could not be.
+                // The first polls after a move all come at once; the requests for full lists are spread evenly over
+                // the fleet.
                 let position = spread(self.host.settings().config.proxy_index);
                 let delay = to_duration(poll_within.times(1.0 + 2.0 * position));
                 self.full_list_due.set(Some(Instant::now() + delay));
@@ -66,18 +68,18 @@
         }
     }
 
-    /// The last version that the address which discovery has left told.
+    /// Records the last version received from the address that discovery has left.
     fn record_last_version(&self, version: Option<u64>) {
         self.version_at_move.set(self.version_at_move.get().max(version));
         self.host.discovery_moved();
     }
 
-    /// Follows one address of discovery for ever, from the version in place on.
+    /// Polls one address of discovery without end, starting from the version in place.
     pub(super) async fn follow(self: &Rc<Self>, mode: DiscoveryMode, polls: &mut DiscoveryPolls) {
         let mut idle_connection = None;
         let mut failures = 0u32;
-        // A poll that the policy wants, or after a failure, is answered once, by what was missed; only what follows
-        // waits.
+        // A poll that the policy requested, or one after a failure, is answered at once with the changes that were
+        // missed; only the polls after it wait for changes.
         let mut max_wait = if mode == DiscoveryMode::Push { LONG_POLL_WAIT } else { Duration::ZERO };
         loop {
             if polls.is_empty() {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// What to ask for next, where discovery may wait so long with its answer.
+    /// Returns the next request, which lets discovery wait up to `max_wait` before it answers.
     fn next_request(&self, max_wait: Duration) -> PollRequest {
         let left = self.full_list_due.get().map(|due| due.saturating_duration_since(Instant::now()));
         PollRequest {
@@ -123,8 +125,8 @@
         }
     }
 
-    /// A list came, or a poll failed. Where the full list was requested to compare with it and did not come, changes
-    /// come first, and the comparison some time later.
+    /// Updates when the full list is due, after a list was received or a poll failed. If the full list was requested
+    /// and not received, changes are requested first, and the full list again after `poll_within`.
     fn reschedule_full_list(&self, full_requested: bool, full_received: bool, mode: DiscoveryMode) {
         if full_received {
             self.full_list_due.set(None);
@@ -136,19 +138,19 @@
         }
     }
 
-    /// The backoff after a failed poll, with no other in flight.
+    /// Waits for the backoff after a failed poll, with no other poll in flight.
     async fn wait_after_failure(&self, mode: DiscoveryMode, failures: u32) {
         match mode {
             DiscoveryMode::Push => tokio::time::sleep(backoff(failures)).await,
             DiscoveryMode::Subscribe { .. } => {
-                self.host.discard_watch_request(); // while the poll was silent the policy may have wanted another
+                self.host.discard_watch_request(); // the policy may have requested another while the poll was silent
                 self.host.update_endpoints(ListUpdate::Failed, Vec::new());
-                self.host.watch_requested().await; // the policy says when to poll again
+                self.host.watch_requested().await; // the policy decides when to poll again
             }
         }
     }
 
-    /// Applies an answer; where it is invalid there is a pause before the next poll.
+    /// Applies an answer; if it is invalid, waits before the next poll.
     async fn apply_or_back_off(&self, request: PollRequest, received: ParsedEndpointList) {
         if !self.apply(request, received) {
             warn!("discovery answered with changes to a poll for the full list");
@@ -156,20 +158,21 @@
         }
     }
 
-    /// Applies an answer. False: it is invalid, as changes to no list at all.
+    /// Applies an answer. Returns false if it is invalid: changes in answer to a request for the full list.
     fn apply(&self, request: PollRequest, received: ParsedEndpointList) -> bool {
         let known_version = self.version.get();
         let new_version = received.list.version;
-        // Another poll was answered since this one was opened: a list that is no newer says nothing.
+        // Another poll was answered since this one was opened: ignore a list that is not newer.
         if known_version != request.known_version && known_version.is_some_and(|known| new_version <= known) {
             return true;
         }
-        // Changes after a newer list than the answer's: discovery has started again, so ask for the full list.
+        // Changes in answer to a request for the full list, or older than the version they were requested from
+        // (discovery has restarted): the full list has to be requested.
         let is_gap =
             !received.list.snapshot && request.changes_after().is_none_or(|after| new_version < after);
         self.version.set((!is_gap).then_some(new_version));
         if is_gap {
-            // Whoever leaves by its word gets nothing until then: the notification itself is certain.
+            // Until then the backends that leave according to the answer receive no requests: a departure is certain.
             self.host.update_endpoints(ListUpdate::Changes, received.into_departures());
             return request.changes_after().is_some();
         }
@@ -177,6 +180,7 @@
         true
     }
 
+    /// Applies a list, marked as older than the last move of discovery where it is, and passes it to the sink.
     fn publish(&self, ParsedEndpointList { list, mut update }: ParsedEndpointList) {
         update.predates_move = self.version_at_move.get().is_some_and(|version| list.version < version);
         if !update.predates_move {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Lets a poll go on in parallel to what follows, to its end.
+    /// Lets a poll run to its end in the background, and applies its answer.
     pub(super) fn finish_in_background(self: &Rc<Self>, poll: DiscoveryPoll) {
         let watcher = self.clone();
         let moves = self.moves.get();
@@ -207,8 +211,8 @@
         });
     }
 
-    /// Applies the answer to a poll that was in flight in parallel to an answered one. Where it is newer than the list
-    /// in place and follows that one, it is applied; otherwise only its departures are trusted.
+    /// Applies the answer of a poll that was in flight when another one was answered. An answer that is no newer than
+    /// the list in place is ignored; if it is newer but does not follow that list, only its departures are applied.
     fn apply_late_answer(&self, request: PollRequest, received: ParsedEndpointList) {
         let known_version = self.version.get();
         let new_version = received.list.version;
@@ -224,8 +228,9 @@
         }
     }
 
-    /// Applies what the address that discovery has left had written by then, or writes until it ends the poll. Where
-    /// the new address has answered since, with an older version, only the departures are trusted.
+    /// Applies an answer from discovery's previous address, written before the move or until that address ends the
+    /// poll. Only its departures are applied if it does not follow the list in place or if the new address has
+    /// answered since; in the latter case it is ignored unless it is newer.
     fn apply_answer_of_old_address(&self, received: ParsedEndpointList) {
         let known_version = self.version.get();
         let new_version = received.list.version;
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in discovery's JSON form, and what its entries say, completely or in part. Discovery's paths, keys
-//! and words are named here only.
+//! The endpoint list in discovery's JSON form, and the decoding of its entries, completely or in part. Discovery's
+//! paths, keys and status words appear in this module only.
 
 use lotusdeck_core::{Endpoint, EndpointUpdate, PartialEndpoint};
 use lotusdeck_policy::settings::EndpointRecord;
@@ -12,24 +12,25 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// Entries of a list or of its changes at most, three times the 11,000 of the largest list that is planned for. Each
-/// takes some 1.6 KB while it is parsed, all of them 54 MB.
+/// Most entries of a list or of its changes: three times the 11,000 of the largest list planned for. Each takes some
+/// 1.6 KB while it is parsed, all of them 54 MB.
 pub const MAX_ENTRIES: usize = 32_768;
 
-/// A full list, or the changes to one. Entries are parsed one by one, so that a bad one spoils no other.
+/// A full list, or the changes to one. Entries are decoded one by one, so that an invalid one does not affect the
+/// others.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Discovery's version of it.
+    /// Discovery's version of the list.
     #[serde(rename = "index")]
     pub version: u64,
-    /// It is a full list, and not changes.
+    /// Whether it is a full list; otherwise it contains changes.
     pub snapshot: bool,
-    /// Its entries as discovery sent them.
+    /// The entries as discovery sent them.
     #[serde(deserialize_with = "bounded_entries")]
     pub endpoints: Vec<Value>,
 }
 
-/// The entries of a list; one that is too long is rejected before it takes the memory that requests need.
+/// Deserializes the entries of a list; rejects one that is too long before it takes up the memory that requests need.
 fn bounded_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Value>, D::Error> {
     struct EntriesVisitor;
     impl<'de> Visitor<'de> for EntriesVisitor {
@@ -67,7 +68,7 @@
     since_ms: f64,
 }
 
-/// Why an entry is not understood.
+/// Why an entry cannot be decoded.
 #[derive(Debug, Error)]
 enum EntryError {
     #[error("{0}")]
@@ -93,7 +94,7 @@
     state != BackendState::Ready
 }
 
-/// The name in an entry, whatever else of it is understood.
+/// Returns the name in an entry, even if the rest of it is invalid.
 pub(crate) fn entry_name(entry: &Value) -> Option<&str> {
     entry.get("name").and_then(Value::as_str)
 }
@@ -102,7 +103,7 @@
     entry.get("status").and_then(Value::as_str)
 }
 
-/// Whether an entry says that its backend is removed, whatever else of it is understood.
+/// Returns whether an entry marks its backend as removed, even if the rest of it is invalid.
 pub(crate) fn is_removal(entry: &Value) -> bool {
     entry_status(entry) == Some(REMOVED)
 }
@@ -113,20 +114,21 @@
     let Ok(address) = wire.address.parse() else { return Err(EntryError::Address(wire.address)) };
     let started_at = (wire.since_ms > 0.0).then_some(Time((wire.since_ms * 1e3) as u64));
     let backend = Backend { cell: CellId(wire.group), state, started_at, ..Backend::default() };
-    // The name is the same at every proxy; the address may not be.
+    // The shared order key derives from the name, which is the same at every proxy; the address may not be.
     let row = EndpointRecord::new(&wire.name, &wire.address, &wire.zone, &wire.kind, backend);
     Ok(Endpoint { name: wire.name, address, state, row })
 }
 
-/// What is taken from an entry that is not understood completely: whom it names, and whether that one leaves. Nothing
-/// else of it is trusted.
+/// Decodes an entry that is invalid in part: the name of its backend, and its state if it leaves. Nothing else in it
+/// is trusted.
 fn parse_partial_entry(entry: &Value) -> Option<PartialEndpoint> {
     let departing = entry_status(entry).and_then(parse_state).filter(|state| is_departing(*state));
     Some(PartialEndpoint { name: entry_name(entry)?.into(), state: departing })
 }
 
 impl EndpointList {
-    /// What to ask discovery for: the changes after a version, for which it may wait so long, or the full list.
+    /// Returns the request target for the changes since a version, for which discovery may wait up to `max_wait`, or
+    /// for the full list.
     pub(crate) fn request_target(changes_after: Option<u64>, max_wait: Duration) -> String {
         match changes_after {
             None => "/api/targets".into(),
@@ -134,9 +136,9 @@
         }
     }
 
-    /// What the list says. Of entries that are not understood completely one is logged, with their number, as a list
-    /// may be long; that a backend leaves is taken from them all the same, and otherwise they change nothing. Where a
-    /// full list names one twice, the entry by which it leaves takes precedence; in changes the last one does.
+    /// Decodes the entries. Of those that cannot be decoded completely only the first is logged, with their number,
+    /// as a list may be long; they make a backend leave all the same, and otherwise change nothing. Where a full list
+    /// names a backend twice, the entry by which it leaves takes precedence; in changes the last one does.
     pub fn to_update(&self) -> EndpointUpdate {
         let mut update = EndpointUpdate::default();
         let mut skipped = 0;
@@ -161,23 +163,23 @@
         update
     }
 
-    /// The list together with what it says.
+    /// Decodes the entries and returns them together with the list.
     pub fn parse(self) -> ParsedEndpointList {
         let update = self.to_update();
         ParsedEndpointList { list: self, update }
     }
 }
 
-/// A list, and what it says.
+/// A list and its decoded entries.
 pub struct ParsedEndpointList {
-    /// As discovery sent it.
+    /// The list as discovery sent it.
     pub list: EndpointList,
-    /// What was understood of it.
+    /// The decoded entries.
     pub update: EndpointUpdate,
 }
 
 impl ParsedEndpointList {
-    /// Only who leaves: all that can be trusted of changes to a list that is not in place.
+    /// Returns only the departures: all that can be trusted of changes to a list that is not in place.
     pub fn into_departures(self) -> EndpointUpdate {
         let departure = |endpoint: Endpoint| {
             is_departing(endpoint.state)
@@ -189,14 +191,14 @@
     }
 }
 
-/// How often a full list names a backend, and whether it leaves by any of these entries.
+/// How often a full list names a backend, and the state by which it leaves according to any of these entries.
 #[derive(Default)]
 struct Occurrences {
     count: usize,
     departing: Option<BackendState>,
 }
 
-/// The departures of backends that a full list names more than once.
+/// Returns the departures of backends that a full list names more than once.
 fn departures_of_duplicates(endpoints: &[Endpoint]) -> Vec<PartialEndpoint> {
     let mut by_name: HashMap<&str, Occurrences> = HashMap::with_capacity(endpoints.len());
     for endpoint in endpoints {
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -22,22 +22,23 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// The largest head of an answer, to which hyper holds a connection's buffer, in bytes.
+/// Largest head of an answer in bytes, enforced by limiting hyper's read buffer.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// hyper's future of the connection under one exchange, which has to be polled.
+/// hyper's future of the connection, which has to be polled for an exchange to make progress.
 pub(crate) type Driver = http1::Connection<Stream, OutgoingBody>;
 
-/// The answer ended where it said that it would, and not a byte came behind it. hyper starts afresh with every request
-/// and gives back what it had read too much, so that nothing left from one answer can pass for the next.
+/// Returns whether the answer ended where it declared and no byte followed it. hyper starts without state for every
+/// request and returns the bytes it has read in excess, so that nothing left from one answer can be taken for the
+/// next.
 pub(crate) fn is_clean_after_answer(stream: &Stream, driver: Driver) -> bool {
     stream.mark_idle();
     driver.into_parts().read_buf.is_empty() && !stream.has_unread_data()
 }
 
-/// Why no complete answer came: in each case the request may have run.
+/// Why there is no complete answer; in each case the request may have run.
 pub(crate) enum ExchangeError {
-    /// What came is no valid answer: too long, cut short, or malformed.
+    /// The answer is invalid: too long, cut short, stalled or malformed.
     InvalidAnswer,
     /// The connection ended.
     ConnectionEnded,
@@ -53,26 +54,26 @@
     }
 }
 
-/// An answer, complete or with the rest of its body still to come.
+/// An answer, complete or with the rest of its body still to be received.
 pub(crate) struct BackendAnswer {
     pub head: Parts,
-    /// What has come of the body.
+    /// The part of the body received so far.
     pub buffered: Bytes,
-    /// What is still to come.
+    /// The rest of the body, if it is not complete.
     pub rest: Option<Incoming>,
     pub driver: Driver,
     pub sender: http1::SendRequest<OutgoingBody>,
 }
 
-/// What was read of an answer.
+/// The head of an answer and the part of its body that was read.
 struct ReadAnswer {
     head: Parts,
     buffered: Bytes,
     rest: Option<Incoming>,
 }
 
-/// Sends a request and reads its answer, of a large one no more than the first bytes. `informational`: set where an
-/// answer of status 1xx has come.
+/// Sends a request and reads its answer, or only the first bytes of a large one. `informational` is set by the caller
+/// once an answer of status 1xx was received.
 pub(crate) async fn exchange(
     stream: &Stream, request: Request<OutgoingBody>, informational: &AtomicBool, upload: Option<&Rc<Upload>>,
     reservation: BodyReservation, timeouts: StallTimeouts,
@@ -99,7 +100,7 @@
     mut reservation: BodyReservation,
 ) -> Result<ReadAnswer, ExchangeError> {
     let (head, mut body) = sender.send_request(request).await?.into_parts();
-    // Two ways to tell where it ends may differ.
+    // The two headers may disagree on where the body ends.
     let has_both = head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING);
     if has_both || body.size_hint().lower() > MAX_BODY_BYTES {
         return Err(ExchangeError::InvalidAnswer);
@@ -123,8 +124,9 @@
     Ok(ReadAnswer { head, buffered: buffered.freeze(), rest: None })
 }
 
-/// Ends when an answer has begun and makes no progress: one that is malformed from the start, never ends its head or is
-/// shorter than it says would otherwise hold its request to the deadline. Answers of status 1xx are no such beginning.
+/// Waits until an answer has begun and then stalls. An answer that is malformed from the start, never ends its head
+/// or is shorter than declared would otherwise hold its request until the deadline. Answers of status 1xx do not
+/// count as its beginning.
 async fn answer_stalled(stream: &Stream, informational: &AtomicBool, timeout: Duration) {
     loop {
         stream.wait_for_first_byte().await;
@@ -136,20 +138,21 @@
     }
 }
 
-/// Ends when a backend takes no more of a request's body, though the client sends more.
+/// Waits until no byte of a request's body was read from the client or written to the backend for `timeout`, which
+/// means that the backend has stopped accepting it: a client that pauses is timed out earlier.
 async fn upload_stalled(stream: &Stream, upload: Option<&Rc<Upload>>, timeout: Duration) {
     let Some(upload) = upload.filter(|upload| !upload.is_complete()) else {
         return std::future::pending().await;
     };
     wait_for_stall(timeout, || stream.bytes_sent() + upload.bytes_read()).await;
     if upload.is_complete() {
-        std::future::pending::<()>().await; // the deadline of the request runs now and ends it
+        std::future::pending::<()>().await; // from now on only the request's deadline ends the wait
     }
 }
 
-/// Runs `work` to its end while driving the connection that it is on. `None`: the connection ended first. hyper does not
-/// tell `work` of that end by itself as long as the connection's future is kept: a wait for the sender to be ready again
-/// would last for ever after an answer with which the backend closed.
+/// Runs `work` to its end while driving the connection that it uses. Returns `None` if the connection ended first.
+/// hyper does not notify `work` of that as long as the connection's future is kept: after an answer with which the
+/// backend closed the connection, waiting for the sender to be ready again would never end.
 pub(crate) async fn drive_until_done<T>(
     driver: &mut http1::Connection<Stream, impl Body<Data = Bytes, Error: Into<BoxError>> + 'static>,
     work: impl Future<Output = T>,
@@ -165,7 +168,7 @@
         }
         if Pin::new(&mut *driver).poll(cx).is_ready() {
             has_ended = true;
-            cx.waker().wake_by_ref(); // once more for what it brought before it ended
+            cx.waker().wake_by_ref(); // poll `work` again for data received before the end
         }
         work.as_mut().poll(cx).map(Some)
     })
--- a/crates/proxy/src/hop_by_hop.rs
+++ b/crates/proxy/src/hop_by_hop.rs
@@ -1,10 +1,10 @@
-//! Headers that concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use hyper::header::{
     HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Removes the headers that concern one connection only, and those that the `Connection` header names.
+/// Removes the headers that apply to a single connection only, and those that the `Connection` header names.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/proxy/src/http_client.rs
+++ b/crates/proxy/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One GET request after another on a connection of its own, to a source of configuration.
+//! An HTTP client for configuration sources: GET requests, one after another on a connection of its own.
 
 use crate::exchange::drive_until_done;
 use crate::stream::Stream;
@@ -11,40 +11,41 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// A connection that is not up by then will hardly come: a lost segment is sent again after 1 s.
+/// Time limit for establishing a connection. A lost segment is retransmitted only after 1 s, so a longer wait would
+/// hardly help.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a request has no answer.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// Nobody listens, or the way there is broken.
+    /// The connection could not be established.
     #[error("no connection: {0}")]
     Connect(#[source] std::io::Error),
-    /// What came is no answer, or is too long.
+    /// The connection broke, or the answer is invalid or too long.
     #[error("call broken: {0}")]
     Http(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("answered {0}")]
     Status(u16),
-    /// It ended before the answer.
+    /// The connection ended before the answer did.
     #[error("connection ended")]
     Ended,
-    /// The time for the request is over.
+    /// The time limit of the request has passed.
     #[error("silent")]
     Silent,
 }
 
-/// A connection between requests.
+/// A connection that is kept between requests.
 pub struct IdleConnection {
     sender: http1::SendRequest<Empty<Bytes>>,
     driver: http1::Connection<Stream, Empty<Bytes>>,
 }
 
-/// Gets `uri` from `address`, over the connection left in `idle` by the request before or over a new one; the body, of
-/// at most `max_bytes`. A connection whose request failed is not used again.
+/// Sends a GET request for `uri` to `address` and returns the body, of at most `max_bytes`. Uses the connection that
+/// the previous request left in `idle`, or a new one. A connection whose request failed is not reused.
 ///
 /// # Errors
-/// Why there is no complete answer within `timeout`.
+/// Returns why there is no complete answer within `timeout`.
 pub async fn get(
     idle: &mut Option<IdleConnection>, address: SocketAddr, uri: &str, max_bytes: usize, timeout: Duration,
 ) -> Result<Bytes, RequestError> {
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -1,4 +1,5 @@
-//! A client's request under way: the core sends its attempts, and the front fetches the answer of the one that succeeded.
+//! A client's HTTP request in progress: the core sends its attempts, and the front takes the answer of the one that
+//! succeeded.
 
 use crate::attempt::{Destination, ForwardedRequest, ServedAnswer};
 use crate::connection_pool::ConnectionPool;
@@ -9,19 +10,19 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A client's request under way.
+/// A client's request in progress.
 pub(crate) struct HttpExchange {
     pool: Rc<ConnectionPool>,
     request: ForwardedRequest,
-    /// The connection of the client whose request it is.
+    /// The connection to the client that sent the request.
     client: Stream,
-    /// Notified where the client was found to have left when something was about to be sent for it.
+    /// Notified when the client is found to have left as an attempt is about to be sent.
     client_left: Rc<Notify>,
     answers: RefCell<Vec<AttemptAnswer>>,
     statuses: RefCell<Vec<AttemptStatus>>,
 }
 
-/// The answer of an attempt that succeeded.
+/// The answer of a successful attempt.
 struct AttemptAnswer {
     attempt: AttemptNo,
     answer: ServedAnswer,
@@ -34,7 +35,7 @@
 }
 
 impl HttpExchange {
-    /// Of a request that was read; attempts go out on the pool's connections.
+    /// Creates the exchange of a request that was read; its attempts use the pool's connections.
     pub(crate) fn new(
         pool: Rc<ConnectionPool>, request: ForwardedRequest, client: Stream,
     ) -> Rc<HttpExchange> {
@@ -48,8 +49,9 @@
         })
     }
 
-    /// Asked at the first byte of an attempt. The end of a client may be hidden from hyper, which reads no further
-    /// behind bytes that follow a request, and may have come while this process was doing something else.
+    /// Returns the gate that is checked right before the first byte of an attempt. hyper may not have noticed that
+    /// the client has left: it does not read past bytes that follow a request, and the client may have closed while
+    /// this process was doing something else.
     fn send_gate(&self, context: AttemptContext) -> SendGate {
         let client = self.client.clone();
         let client_left = self.client_left.clone();
@@ -62,17 +64,17 @@
         })
     }
 
-    /// Ends where the client was found to have left when something was about to be sent for it.
+    /// Waits until the client is found to have left as an attempt is about to be sent.
     pub(crate) async fn client_left(&self) {
         self.client_left.notified().await;
     }
 
-    /// Its path as the client wrote it.
+    /// Returns the path as the client wrote it.
     pub(crate) fn path(&self) -> &str {
         self.request.uri.path()
     }
 
-    /// The answer of an attempt that succeeded; it can be taken once.
+    /// Returns the answer of a successful attempt; it can be taken once.
     pub(crate) fn take_answer(&self, attempt: AttemptNo) -> Option<ServedAnswer> {
         let mut answers = self.answers.borrow_mut();
         let index = answers.iter().position(|answer| answer.attempt == attempt)?;
--- a/crates/proxy/src/outgoing_body.rs
+++ b/crates/proxy/src/outgoing_body.rs
@@ -1,4 +1,4 @@
-//! The body of one attempt, as hyper sends it.
+//! The request body of one attempt, as hyper sends it.
 
 use crate::body::BoxError;
 use crate::invalid_request::InvalidRequest;
@@ -11,13 +11,13 @@
 use std::task::{ready, Context, Poll};
 use tokio::time::Sleep;
 
-/// One attempt's copy of a client's body.
+/// One attempt's copy of a client's request body.
 pub(crate) struct OutgoingBody {
     buffered: Option<Bytes>,
     upload: Option<Rc<Upload>>,
-    /// Runs while the client is waited for.
+    /// Runs while waiting for data from the client.
     pause_timer: Option<Pin<Box<Sleep>>>,
-    /// Bytes still to be sent, where the length is known.
+    /// Bytes still to be sent, if the length is known.
     bytes_left: Option<u64>,
 }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,4 @@
-//! A large answer on its way: read from the backend as fast as the client takes it.
+//! Relaying of large answers, read from the backend as fast as the client accepts them.
 
 use crate::body::MAX_BODY_BYTES;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
@@ -16,18 +16,18 @@
 use tokio::sync::mpsc;
 use tracing::debug;
 
-/// Passes the rest of a large answer on, as fast as both sides go, and pools the connection if it is clean afterwards.
+/// Relays the rest of a large answer, and returns the connection to the pool if it is clean afterwards.
 pub(crate) struct AnswerRelay {
     pub pool: Rc<ConnectionPool>,
     pub backend: BackendId,
     pub connection: PooledConnection,
-    /// By its head the answer leaves the connection open.
+    /// Whether the head of the answer leaves the connection open.
     pub is_reusable: bool,
-    /// Bytes of the body that were read before.
+    /// Bytes of the body that were read before the relay starts.
     pub bytes_read: u64,
-    /// The backend may pause for so long.
+    /// Longest pause that the backend may make.
     pub max_pause: Duration,
-    /// Takes the frames, and `None` at the end.
+    /// Receives the frames, and `None` at the end.
     pub client: mpsc::Sender<Option<Bytes>>,
 }
 
@@ -44,7 +44,7 @@
         });
         let is_complete = tokio::select! {
             is_complete = driven_work => is_complete,
-            () = client.closed() => false, // its client left
+            () = client.closed() => false, // the client left
         };
         if !is_complete {
             debug!(backend = backend.0, "an answer broke off");
@@ -58,7 +58,8 @@
     }
 }
 
-/// Whether all of the answer was passed on. `bytes_read`: of its body before.
+/// Passes the rest of the body on to the client; returns whether all of it was passed on. `bytes_read` is the number
+/// of bytes of the body that were read before.
 async fn pass_on(
     client: &mpsc::Sender<Option<Bytes>>, mut rest: Incoming, mut bytes_read: u64, max_pause: Duration,
 ) -> bool {
--- a/crates/proxy/tests/outline.rs
+++ b/crates/proxy/tests/outline.rs
@@ -1,4 +1,4 @@
-//! Settings that come from elsewhere than the proxy's own file.
+//! Tests of settings that come from elsewhere than the proxy's own file.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -23,7 +23,7 @@
     })
 }
 
-/// Of a proxy's file with these settings.
+/// Returns the outline of a proxy's file with these settings.
 fn outline(name: &str, settings: &Value) -> SettingsOutline {
     let file = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1,
         "settings": settings});
@@ -33,7 +33,7 @@
     node.active_file.outline()
 }
 
-/// What the platform tells each proxy comes from its file, whatever the others are told.
+/// A proxy's own keys come from its file, whatever the settings from elsewhere say.
 #[test]
 fn a_proxy_keeps_its_own_keys() {
     let outline = outline("own", &settings(7, 9));
@@ -45,7 +45,7 @@
     assert_eq!((read.config.proxy_index, read.config.proxy_count, read.config.zone.0), (7, 9, 1));
 }
 
-/// A key that is in force may not be missing; named entries may.
+/// Guards against settings that lack a key of those in force; named entries may be missing.
 #[test]
 fn a_key_in_force_is_not_left_out() {
     let outline = outline("missing", &settings(0, 1));
