--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -85,8 +85,8 @@
         }
         let mut outgoing = outgoing_request(request, time_left);
         let informational = Arc::new(AtomicBool::new(false));
-        let seen = informational.clone();
-        on_informational(&mut outgoing, move |_| seen.store(true, Relaxed));
+        let informational_seen = informational.clone();
+        on_informational(&mut outgoing, move |_| informational_seen.store(true, Relaxed));
         let length = outgoing.body().size_hint().exact();
         let stream = &connection.stream;
         stream.begin_request(length, gate);
--- a/crates/proxy/src/cached_endpoint_list/tests.rs
+++ b/crates/proxy/src/cached_endpoint_list/tests.rs
@@ -3,40 +3,46 @@
 use super::*;
 use serde_json::json;
 
-fn list(index: u64, snapshot: bool, entries: &[(&str, &str)]) -> EndpointList {
-    let endpoints = entries.iter().map(|(n, s)| json!({"name": n, "address": "127.0.0.1:1", "status": s}));
-    EndpointList { version: index, snapshot, endpoints: endpoints.collect() }
+fn list(version: u64, snapshot: bool, entries: &[(&str, &str)]) -> EndpointList {
+    let endpoints = entries
+        .iter()
+        .map(|(name, status)| json!({"name": name, "address": "127.0.0.1:1", "status": status}));
+    EndpointList { version, snapshot, endpoints: endpoints.collect() }
 }
 
-fn status(v: &Value) -> &str {
-    v.get("status").and_then(Value::as_str).unwrap_or_default()
+fn status(entry: &Value) -> &str {
+    entry.get("status").and_then(Value::as_str).unwrap_or_default()
 }
 
-fn names(list: &EndpointList) -> Vec<(&str, &str)> {
-    list.endpoints.iter().map(|v| (entry_name(v).unwrap_or_default(), status(v))).collect()
+fn names_and_statuses(list: &EndpointList) -> Vec<(&str, &str)> {
+    list.endpoints.iter().map(|entry| (entry_name(entry).unwrap_or_default(), status(entry))).collect()
 }
 
 #[test]
 fn changes_are_merged_into_the_full_list() {
-    let mut m = CachedEndpointList::default();
-    assert!(m.take_changed().is_none(), "nothing was told");
-    m.apply(list(3, true, &[("a", "SERVING"), ("b", "SERVING")]));
-    m.apply(list(5, false, &[("a", "DELETED"), ("b", "DRAINING"), ("c", "SERVING")]));
-    let full = m.take_changed().unwrap();
+    let mut cached = CachedEndpointList::default();
+    assert!(cached.take_changed().is_none(), "nothing was told");
+    cached.apply(list(3, true, &[("a", "SERVING"), ("b", "SERVING")]));
+    cached.apply(list(5, false, &[("a", "DELETED"), ("b", "DRAINING"), ("c", "SERVING")]));
+    let full = cached.take_changed().unwrap();
     assert_eq!((full.version, full.snapshot), (5, true));
-    assert_eq!(names(&full), [("b", "DRAINING"), ("c", "SERVING")]);
-    assert!(m.take_changed().is_none(), "handed out once");
-    m.apply(list(6, true, &[("d", "SERVING")]));
-    assert_eq!(names(&m.take_changed().unwrap()), [("d", "SERVING")], "a whole list replaces");
+    assert_eq!(names_and_statuses(&full), [("b", "DRAINING"), ("c", "SERVING")]);
+    assert!(cached.take_changed().is_none(), "handed out once");
+    cached.apply(list(6, true, &[("d", "SERVING")]));
+    assert_eq!(
+        names_and_statuses(&cached.take_changed().unwrap()),
+        [("d", "SERVING")],
+        "a whole list replaces"
+    );
 }
 
 #[test]
 fn beyond_the_bound_nothing_is_handed_out_until_a_full_list() {
-    let mut m = CachedEndpointList::default();
-    let many: Vec<String> = (0..=MAX_NAMES).map(|i| format!("n{i}")).collect();
-    let entries: Vec<(&str, &str)> = many.iter().map(|n| (n.as_str(), "SERVING")).collect();
-    m.apply(list(1, false, &entries));
-    assert!(m.take_changed().is_none());
-    m.apply(list(2, true, &entries[..2]));
-    assert_eq!(m.take_changed().map(|l| l.endpoints.len()), Some(2));
+    let mut cached = CachedEndpointList::default();
+    let all_names: Vec<String> = (0..=MAX_NAMES).map(|i| format!("n{i}")).collect();
+    let entries: Vec<(&str, &str)> = all_names.iter().map(|name| (name.as_str(), "SERVING")).collect();
+    cached.apply(list(1, false, &entries));
+    assert!(cached.take_changed().is_none());
+    cached.apply(list(2, true, &entries[..2]));
+    assert_eq!(cached.take_changed().map(|list| list.endpoints.len()), Some(2));
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -46,9 +46,9 @@
     /// Returns the path prefix of the files in `$TMPDIR` that this proxy shares with its successor, and with no other
     /// proxy.
     pub fn state_path_prefix(&self) -> PathBuf {
-        let to_plain = |symbol: char| if symbol.is_ascii_alphanumeric() { symbol } else { '-' };
-        let own: String = format!("{}-{}", self.name, self.listen).chars().map(to_plain).collect();
-        std::env::temp_dir().join(format!("lotusdeck-{own}"))
+        let to_path_char = |character: char| if character.is_ascii_alphanumeric() { character } else { '-' };
+        let instance: String = format!("{}-{}", self.name, self.listen).chars().map(to_path_char).collect();
+        std::env::temp_dir().join(format!("lotusdeck-{instance}"))
     }
 
     /// Reads and checks the file. `admin` overrides the address for operators in the file, as several proxies may
--- a/crates/proxy/src/discovery/pacing.rs
+++ b/crates/proxy/src/discovery/pacing.rs
@@ -43,6 +43,6 @@
 }
 
 /// Returns a number from 0 to 1 for a position in the fleet; the numbers of all positions are evenly spread.
-pub(super) fn spread(position: u32) -> f64 {
+pub(super) fn evenly_spread(position: u32) -> f64 {
     (f64::from(position) * GOLDEN_RATIO).fract()
 }
--- a/crates/proxy/src/discovery/schedule.rs
+++ b/crates/proxy/src/discovery/schedule.rs
@@ -77,8 +77,8 @@
     /// Returns when another poll may be opened in parallel to this one.
     fn extra_poll_at(&self, is_version_known: bool) -> Instant {
         let Some(received) = self.received else {
-            let patience = if self.answer_delay.is_zero() { SILENCE_TIMEOUT } else { OVERDUE_AFTER };
-            return self.wait_ends_at() + patience;
+            let silence_timeout = if self.answer_delay.is_zero() { SILENCE_TIMEOUT } else { OVERDUE_AFTER };
+            return self.wait_ends_at() + silence_timeout;
         };
         // Without a known version the other poll would have to request the full list as well, so an answer is waited
         // for as long as more of it arrives.
@@ -93,8 +93,8 @@
     in_flight: &[PollProgress], last_opened_at: Instant, is_version_known: bool,
 ) -> Option<Instant> {
     let due = in_flight.iter().map(|poll| poll.extra_poll_at(is_version_known)).max()?;
-    let has_place = in_flight.len() < MAX_POLLS_IN_FLIGHT || superseded(in_flight).is_some();
-    has_place.then(|| due.max(last_opened_at + MIN_POLL_SPACING))
+    let has_slot = in_flight.len() < MAX_POLLS_IN_FLIGHT || superseded(in_flight).is_some();
+    has_slot.then(|| due.max(last_opened_at + MIN_POLL_SPACING))
 }
 
 /// Returns the index of the poll that is dropped for another one: the oldest on which nothing was received, but never
--- a/crates/proxy/src/discovery/schedule/tests/model.rs
+++ b/crates/proxy/src/discovery/schedule/tests/model.rs
@@ -49,16 +49,16 @@
 #[derive(Debug)]
 pub(super) struct Outcome {
     /// How long after the start each proxy received the change, the earliest first.
-    pub held_after: Vec<Duration>,
+    pub received_after: Vec<Duration>,
     pub longest_queue: usize,
     pub polls: usize,
 }
 
 impl Outcome {
     /// Returns when a share of the proxies had received the change; `None` if fewer ever did.
-    pub(super) fn share_held_after(&self, proxies: usize, share: f64) -> Option<Duration> {
+    pub(super) fn share_received_after(&self, proxies: usize, share: f64) -> Option<Duration> {
         let count = ((proxies as f64 * share).ceil() as usize).max(1);
-        self.held_after.get(count - 1).copied()
+        self.received_after.get(count - 1).copied()
     }
 }
 
@@ -69,9 +69,9 @@
 
 struct Proxy {
     polls: Vec<Poll>,
-    opened: usize,
+    polls_opened: usize,
     last_opened_at: Instant,
-    open_at: Option<Instant>,
+    next_open_at: Option<Instant>,
     balancer: Balancer,
     has_change: bool,
 }
@@ -93,16 +93,16 @@
         let config = Config { proxy_count: count, proxy_index: index, discovery, ..Config::example() };
         Proxy {
             polls: Vec::new(),
-            opened: 0,
+            polls_opened: 0,
             last_opened_at: first_poll_at,
-            open_at: Some(first_poll_at),
+            next_open_at: Some(first_poll_at),
             balancer: Balancer::new(config, seed).unwrap(),
             has_change: false,
         }
     }
 
     /// Returns the policy's backoff before the next poll, for a failure at `elapsed` after the start.
-    fn policy_pause(&mut self, elapsed: Duration) -> Duration {
+    fn policy_backoff(&mut self, elapsed: Duration) -> Duration {
         let mut now = Time(1_000_000_000 + elapsed.as_micros() as u64);
         let failed_at = now;
         let mut event = Event::EndpointsUpdated { update: ListUpdate::Failed, backends: Vec::new() };
@@ -112,7 +112,7 @@
             if actions.contains(&Action::WatchEndpoints) {
                 return Duration::from_micros((now - failed_at).0);
             }
-            let (token, after) = timer_of(&actions);
+            let (token, after) = find_timer(&actions);
             now = now + after;
             event = Event::Timer { token };
         }
@@ -122,16 +122,16 @@
         self.polls.iter().map(|poll| poll.progress).collect()
     }
 
-    fn has(&self, id: usize) -> bool {
+    fn has_poll(&self, id: usize) -> bool {
         self.polls.iter().any(|poll| poll.id == id)
     }
 
-    fn remove(&mut self, id: usize) {
+    fn remove_poll(&mut self, id: usize) {
         self.polls.retain(|poll| poll.id != id);
     }
 }
 
-fn timer_of(actions: &[Action]) -> (TimerToken, Micros) {
+fn find_timer(actions: &[Action]) -> (TimerToken, Micros) {
     let timer = actions.iter().find_map(|action| match action {
         Action::SetTimer { token, after } => Some((*token, *after)),
         _ => None,
@@ -147,7 +147,7 @@
     started_at: Instant,
     now: Instant,
     queue: VecDeque<QueuedPoll>,
-    served: Option<(QueuedPoll, Instant)>,
+    in_service: Option<(QueuedPoll, Instant)>,
     outcome: Outcome,
 }
 
@@ -164,24 +164,26 @@
             };
             let mut proxy = Proxy::new(index, count, seed + u64::from(index), started_at + offset);
             for failure in 0..failures {
-                proxy.policy_pause(Duration::from_secs(u64::from(failure)));
+                proxy.policy_backoff(Duration::from_secs(u64::from(failure)));
             }
             proxy
         };
         let proxies = (0..count).map(proxy).collect();
-        let outcome = Outcome { held_after: Vec::new(), longest_queue: 0, polls: 0 };
-        let (queue, served) = (VecDeque::new(), None);
-        Fleet { strategy, discovery, proxies, started_at, now: started_at, queue, served, outcome }
+        let outcome = Outcome { received_after: Vec::new(), longest_queue: 0, polls: 0 };
+        let (queue, in_service) = (VecDeque::new(), None);
+        Fleet { strategy, discovery, proxies, started_at, now: started_at, queue, in_service, outcome }
     }
 
-    /// Runs until all proxies have received the change, or for `longest` at most.
-    pub(super) fn play(mut self, longest: Duration) -> Outcome {
-        while self.now - self.started_at < longest && self.outcome.held_after.len() < self.proxies.len() {
+    /// Runs until all proxies have received the change, or for `max_duration` at most.
+    pub(super) fn run(mut self, max_duration: Duration) -> Outcome {
+        while self.now - self.started_at < max_duration
+            && self.outcome.received_after.len() < self.proxies.len()
+        {
             self.refuse_overdue();
             self.serve();
             for index in 0..self.proxies.len() {
                 if !self.proxies[index].has_change {
-                    self.poll(index);
+                    self.step_proxy(index);
                 }
             }
             self.outcome.longest_queue = self.outcome.longest_queue.max(self.queue.len());
@@ -199,13 +201,13 @@
     }
 
     fn serve(&mut self) {
-        if let Some((poll, _)) = self.served.take_if(|(_, done_at)| *done_at <= self.now) {
+        if let Some((poll, _)) = self.in_service.take_if(|(_, done_at)| *done_at <= self.now) {
             self.answer(&poll, &Answer::List);
         }
-        while self.served.is_none() {
+        while self.in_service.is_none() {
             let Some(poll) = self.queue.pop_front() else { return };
-            if self.discovery.serves_abandoned || self.proxies[poll.proxy].has(poll.id) {
-                self.served = Some((poll, self.now + self.discovery.service_time));
+            if self.discovery.serves_abandoned || self.proxies[poll.proxy].has_poll(poll.id) {
+                self.in_service = Some((poll, self.now + self.discovery.service_time));
             }
         }
     }
@@ -213,47 +215,47 @@
     fn answer(&mut self, poll: &QueuedPoll, answer: &Answer) {
         let elapsed = self.now - self.started_at;
         let proxy = &mut self.proxies[poll.proxy];
-        if !proxy.has(poll.id) || proxy.has_change {
+        if !proxy.has_poll(poll.id) || proxy.has_change {
             return;
         }
-        proxy.remove(poll.id);
+        proxy.remove_poll(poll.id);
         match answer {
             Answer::List => {
                 proxy.has_change = true;
-                self.outcome.held_after.push(elapsed);
+                self.outcome.received_after.push(elapsed);
             }
-            Answer::Refused => self.fail(poll.proxy),
+            Answer::Refused => self.handle_failure(poll.proxy),
         }
     }
 
     /// Handles a failed poll: if no other is in flight, the policy decides when to poll again.
-    fn fail(&mut self, index: usize) {
+    fn handle_failure(&mut self, index: usize) {
         let elapsed = self.now - self.started_at;
         let proxy = &mut self.proxies[index];
         if proxy.polls.is_empty() {
-            proxy.open_at = Some(self.now + proxy.policy_pause(elapsed));
+            proxy.next_open_at = Some(self.now + proxy.policy_backoff(elapsed));
         }
     }
 
-    fn poll(&mut self, index: usize) {
-        if self.proxies[index].open_at.is_some_and(|at| at <= self.now) {
-            self.proxies[index].open_at = None;
+    fn step_proxy(&mut self, index: usize) {
+        if self.proxies[index].next_open_at.is_some_and(|at| at <= self.now) {
+            self.proxies[index].next_open_at = None;
             self.open(index);
         }
         if self.strategy == Strategy::GiveUp {
             let now = self.now;
             let is_silent = |poll: &mut Poll| now >= poll.progress.opened_at + SILENCE_TIMEOUT;
             if self.proxies[index].polls.pop_if(is_silent).is_some() {
-                self.fail(index);
+                self.handle_failure(index);
             }
             return;
         }
         let proxy = &mut self.proxies[index];
         let now = self.now;
-        let before = proxy.polls.len();
+        let polls_before = proxy.polls.len();
         proxy.polls.retain(|poll| now < poll.progress.times_out_at());
-        if before > 0 && proxy.polls.is_empty() {
-            return self.fail(index);
+        if polls_before > 0 && proxy.polls.is_empty() {
+            return self.handle_failure(index);
         }
         let progress = proxy.progress();
         if extra_poll_at(&progress, proxy.last_opened_at, true).is_some_and(|due| due <= now) {
@@ -267,16 +269,16 @@
     fn open(&mut self, index: usize) {
         let now = self.now;
         let proxy = &mut self.proxies[index];
-        let id = proxy.opened;
-        proxy.opened += 1;
+        let id = proxy.polls_opened;
+        proxy.polls_opened += 1;
         proxy.last_opened_at = now;
         proxy.polls.push(Poll { id, progress: PollProgress::new(now, Duration::ZERO) });
         self.outcome.polls += 1;
         match self.discovery.faults.get(id) {
             Some(Fault::Silent) => {}
             Some(Fault::Refused) => {
-                proxy.remove(id);
-                self.fail(index);
+                proxy.remove_poll(id);
+                self.handle_failure(index);
             }
             None => self.queue.push_back(QueuedPoll { proxy: index, id, arrived_at: now }),
         }
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,6 +1,6 @@
 //! Polls discovery and applies its answers to the list in place.
 
-use super::pacing::{backoff, spread, LONG_POLL_WAIT};
+use super::pacing::{backoff, evenly_spread, LONG_POLL_WAIT};
 use super::poll::{CompletedPoll, DiscoveryPoll, PollRequest};
 use super::polls::DiscoveryPolls;
 use super::EndpointListSink;
@@ -61,7 +61,7 @@
             DiscoveryMode::Subscribe { poll_within } => {
                 // The first polls after a move all come at once; the requests for full lists are spread evenly over
                 // the fleet.
-                let position = spread(self.host.settings().config.proxy_index);
+                let position = evenly_spread(self.host.settings().config.proxy_index);
                 let delay = to_duration(poll_within.times(1.0 + 2.0 * position));
                 self.full_list_due.set(Some(Instant::now() + delay));
             }
@@ -117,11 +117,11 @@
 
     /// Returns the next request, which lets discovery wait up to `max_wait` before it answers.
     fn next_request(&self, max_wait: Duration) -> PollRequest {
-        let left = self.full_list_due.get().map(|due| due.saturating_duration_since(Instant::now()));
+        let time_left = self.full_list_due.get().map(|due| due.saturating_duration_since(Instant::now()));
         PollRequest {
             known_version: self.version.get(),
-            full: left.is_some_and(|left| left.is_zero()),
-            max_wait: left.map_or(max_wait, |left| max_wait.min(left)),
+            full: time_left.is_some_and(|time_left| time_left.is_zero()),
+            max_wait: time_left.map_or(max_wait, |time_left| max_wait.min(time_left)),
         }
     }
 
--- a/crates/proxy/src/http_client.rs
+++ b/crates/proxy/src/http_client.rs
@@ -60,11 +60,12 @@
         Some(connection) if !connection.sender.is_closed() => connection,
         _ => connect(address).await?,
     };
-    let request = Request::get(uri).header("host", address.to_string()).body(Empty::new()).map_err(boxed)?;
+    let request =
+        Request::get(uri).header("host", address.to_string()).body(Empty::new()).map_err(http_error)?;
     let IdleConnection { sender, driver } = &mut connection;
     let answer = async {
-        sender.ready().await.map_err(boxed)?;
-        let answer = sender.send_request(request).await.map_err(boxed)?;
+        sender.ready().await.map_err(http_error)?;
+        let answer = sender.send_request(request).await.map_err(http_error)?;
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), max_bytes).collect().await.map_err(RequestError::Http)?;
         Ok((status, body.to_bytes()))
@@ -81,10 +82,10 @@
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let tcp = connected.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()));
     let tcp = tcp.map_err(RequestError::Connect)?;
-    let (sender, driver) = http1::handshake(Stream::new(tcp)).await.map_err(boxed)?;
+    let (sender, driver) = http1::handshake(Stream::new(tcp)).await.map_err(http_error)?;
     Ok(IdleConnection { sender, driver })
 }
 
-fn boxed(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> RequestError {
+fn http_error(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> RequestError {
     RequestError::Http(error.into())
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -36,7 +36,7 @@
         self, mut driver: Driver, sender: http1::SendRequest<OutgoingBody>, rest: Incoming,
     ) {
         let AnswerRelay { pool, backend, connection, is_reusable, bytes_read, max_pause, client } = self;
-        let mut work = pin!(pass_on(&client, rest, bytes_read, max_pause));
+        let mut work = pin!(forward_rest(&client, rest, bytes_read, max_pause));
         let mut has_connection_ended = false;
         let driven_work = poll_fn(|cx| {
             has_connection_ended = has_connection_ended || Pin::new(&mut driver).poll(cx).is_ready();
@@ -60,7 +60,7 @@
 
 /// Passes the rest of the body on to the client; returns whether all of it was passed on. `bytes_read` is the number
 /// of bytes of the body that were read before.
-async fn pass_on(
+async fn forward_rest(
     client: &mpsc::Sender<Option<Bytes>>, mut rest: Incoming, mut bytes_read: u64, max_pause: Duration,
 ) -> bool {
     loop {
--- a/crates/proxy/tests/outline.rs
+++ b/crates/proxy/tests/outline.rs
@@ -37,11 +37,11 @@
 #[test]
 fn a_proxy_keeps_its_own_keys() {
     let outline = outline("own", &settings(7, 9));
-    let mut told = settings(0, 1);
-    told["my_zone"] = json!("west");
-    let (read, next) = outline.read_successor(told.clone()).unwrap();
+    let mut successor = settings(0, 1);
+    successor["my_zone"] = json!("west");
+    let (read, next) = outline.read_successor(successor.clone()).unwrap();
     assert_eq!((read.config.proxy_index, read.config.proxy_count, read.config.zone.0), (7, 9, 1));
-    let (read, _) = next.read_successor(told).unwrap();
+    let (read, _) = next.read_successor(successor).unwrap();
     assert_eq!((read.config.proxy_index, read.config.proxy_count, read.config.zone.0), (7, 9, 1));
 }
 
@@ -49,10 +49,10 @@
 #[test]
 fn a_key_in_force_is_not_left_out() {
     let outline = outline("missing", &settings(0, 1));
-    let mut told = settings(0, 1);
-    told["profiles"] = json!([]);
-    told["rules"].as_object_mut().unwrap().remove("ramp_time_us");
-    let refused = outline.read_successor(told).err();
+    let mut successor = settings(0, 1);
+    successor["profiles"] = json!([]);
+    successor["rules"].as_object_mut().unwrap().remove("ramp_time_us");
+    let refused = outline.read_successor(successor).err();
     assert!(
         matches!(&refused, Some(NodeConfigError::Missing(key)) if key == "rules.ramp_time_us"),
         "{refused:?}"
