--- a/crates/proxy/src/cached_endpoint_list/tests.rs
+++ b/crates/proxy/src/cached_endpoint_list/tests.rs
@@ -21,18 +21,18 @@
 #[test]
 fn changes_are_merged_into_the_full_list() {
     let mut cached = CachedEndpointList::default();
-    assert!(cached.take_changed().is_none(), "nothing was told");
+    assert!(cached.take_changed().is_none(), "no list was applied yet");
     cached.apply(list(3, true, &[("a", "SERVING"), ("b", "SERVING")]));
     cached.apply(list(5, false, &[("a", "DELETED"), ("b", "DRAINING"), ("c", "SERVING")]));
     let full = cached.take_changed().unwrap();
     assert_eq!((full.version, full.snapshot), (5, true));
     assert_eq!(names_and_statuses(&full), [("b", "DRAINING"), ("c", "SERVING")]);
-    assert!(cached.take_changed().is_none(), "handed out once");
+    assert!(cached.take_changed().is_none(), "the same list is not returned twice");
     cached.apply(list(6, true, &[("d", "SERVING")]));
     assert_eq!(
         names_and_statuses(&cached.take_changed().unwrap()),
         [("d", "SERVING")],
-        "a whole list replaces"
+        "a full list replaces the cached one"
     );
 }
 
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(withheld.outcome, Outcome::NeverSent);
     let open_gate = Box::new(|| true);
     let unjournaled = pool.attempt(to, &request(), deadline(), std::future::ready(false), open_gate).await;
-    assert_eq!(unjournaled.outcome, Outcome::NeverSent, "not written down yet");
+    assert_eq!(unjournaled.outcome, Outcome::NeverSent, "the attempt is not in the journal");
     let mut peer = listener.accept().unwrap().0;
     drop(pool);
     let mut received = Vec::new();
--- a/crates/proxy/src/discovery/poll.rs
+++ b/crates/proxy/src/discovery/poll.rs
@@ -33,7 +33,7 @@
     Connect(std::io::Error),
     #[error("call broken: {0}")]
     Http(#[from] hyper::Error),
-    #[error("request: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
     #[error("answered {0}")]
     Status(u16),
@@ -41,7 +41,7 @@
     Json(serde_json::Error),
     #[error("answer longer than {MAX_ANSWER_BYTES} bytes")]
     TooLong,
-    #[error("answer not read: {0}")]
+    #[error("parsing the answer was aborted: {0}")]
     Parser(tokio::task::JoinError),
     #[error("connection ended")]
     Ended,
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -35,10 +35,10 @@
             let outcome = fleet.run(2 * NOTIFIED_AFTER);
             let received = outcome.received_after.first().copied();
             let is_in_time = received.is_some_and(|received| received + MAX_WRITE_DELAY < NOTIFIED_AFTER);
-            assert!(is_in_time, "seed {seed}, {faults:?}: {received:?}");
+            assert!(is_in_time, "seed {seed}, {faults:?}: received after {received:?}");
             longest = longest.max(received.unwrap_or_default());
         }
-        println!("{faults:?}: held after {longest:?} at most (seeds 0 to 199)");
+        println!("{faults:?}: received after {longest:?} at most (seeds 0 to 199)");
     }
 }
 
@@ -56,7 +56,7 @@
         let bound = first_polls_time + steps;
         assert!(
             received.is_some_and(|received| received <= bound),
-            "{proxies} of {service_ms} ms: {received:?} of {bound:?}"
+            "{proxies} proxies, {service_ms} ms a poll: received after {received:?}, bound {bound:?}"
         );
     }
 }
@@ -76,7 +76,10 @@
             let given_up = run(Strategy::GiveUp);
             let kept = run(Strategy::KeepTurn);
             run(Strategy::KeepTurnSpread);
-            assert!(kept >= given_up, "{name}, {proxies} proxies: {kept} in time, {given_up} before");
+            assert!(
+                kept >= given_up,
+                "{name}, {proxies} proxies: {kept} in time, {given_up} if silent polls are given up"
+            );
         }
     }
 }
@@ -106,11 +109,11 @@
 #[test]
 fn the_oldest_poll_keeps_its_place_and_the_two_newest_have_twice_the_silence_timeout() {
     let now = Instant::now() + Duration::from_secs(60);
-    assert_eq!(superseded(&silent_polls(&[4, 2], now)), None, "there is a place");
+    assert_eq!(superseded(&silent_polls(&[4, 2], now)), None, "there is a free slot");
     assert_eq!(superseded(&silent_polls(&[6, 4, 2], now)), Some(1));
     let mut polls = silent_polls(&[6, 4, 2], now);
     polls[1].received = Some(ReceivedSpan { first: now, last: now });
-    assert_eq!(superseded(&polls), Some(2), "an answer that comes is not dropped");
+    assert_eq!(superseded(&polls), Some(2), "a poll whose answer has begun is not dropped");
     polls[2].received = polls[1].received;
     assert_eq!((superseded(&polls), extra_poll_at(&polls, now, true)), (None, None));
 }
