--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -138,8 +138,8 @@
     }
 }
 
-/// Waits until no byte of a request's body was read from the client or written to the backend for `timeout`, which
-/// means that the backend has stopped accepting it: a client that pauses is timed out earlier.
+/// Waits until no byte of a request's body was read from the client or written to the backend for `timeout`. The
+/// backend has then stopped accepting the body, unless the settings allow the client a longer pause than `timeout`.
 async fn upload_stalled(stream: &Stream, upload: Option<&Rc<Upload>>, timeout: Duration) {
     let Some(upload) = upload.filter(|upload| !upload.is_complete()) else {
         return std::future::pending().await;
