--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::client_connection::serve;
-use crate::clients::Choice;
+use crate::clients::EvictionChoice;
 use crate::connection_pool::ConnectionPool;
 use crate::front_state::FrontState;
 use crate::queueing_delay::{self, AcceptQueue};
@@ -31,7 +31,7 @@
     /// A connection was asked to close.
     Requested,
     /// None can be closed: each has an open or incoming request, or is closing already.
-    NobodyIdle,
+    NoneEligible,
     /// The search has to continue in another turn of the event loop.
     Unfinished,
 }
@@ -46,7 +46,7 @@
     pub extra_clients: Cell<usize>,
     /// The queue in which clients wait until they are accepted.
     queue: AcceptQueue,
-    client_left: Notify,
+    connection_ended: Notify,
     last_warning_at: Cell<Time>,
     /// Connections accepted since the last log line.
     pub accepted: Cell<u64>,
@@ -65,7 +65,7 @@
             handler,
             extra_clients: Cell::new(0),
             queue: AcceptQueue::new(),
-            client_left: Notify::new(),
+            connection_ended: Notify::new(),
             last_warning_at: Cell::default(),
             accepted: Cell::new(0),
             evicted: Cell::new(0),
@@ -73,8 +73,8 @@
     }
 
     /// Waits until a connection has ended, for at most `CAPACITY_CHECK_INTERVAL`.
-    pub(crate) async fn wait_for_departure(&self) {
-        let _ = tokio::time::timeout(CAPACITY_CHECK_INTERVAL, self.client_left.notified()).await;
+    pub(crate) async fn wait_for_connection_end(&self) {
+        let _ = tokio::time::timeout(CAPACITY_CHECK_INTERVAL, self.connection_ended.notified()).await;
     }
 
     /// Waits until there is room, then accepts one connection.
@@ -87,18 +87,18 @@
                 continue;
             }
             // Connections that were asked to close need time to do so: asking more of them makes no room sooner.
-            self.wait_for_departure().await;
+            self.wait_for_connection_end().await;
         }
         match self.queue.accept(listener).await {
-            Ok((tcp, since)) => self.take_in(tcp, since),
-            Err(error) => self.recover(&error).await,
+            Ok((tcp, since)) => self.serve_accepted(tcp, since),
+            Err(error) => self.handle_accept_error(&error).await,
         }
     }
 
     /// Handles a failed accept, as when descriptors have run out or a client has left the queue, without ending the
     /// program: closes a connection to free a descriptor, logs the error and pauses. There is no pause if the client
     /// has left and another connection was closed.
-    async fn recover(&self, error: &std::io::Error) {
+    async fn handle_accept_error(&self, error: &std::io::Error) {
         let has_capacity = self.evict_one() == Eviction::Requested || self.pool.close_longest_idle();
         let now = self.host.clock.now();
         if now - self.last_warning_at.get() >= WARNING_INTERVAL {
@@ -114,17 +114,17 @@
     /// Accepts connections until `until`, while the front still sends new clients, then accepts all that are left
     /// in the queue: every connection that the kernel has accepted must be answered.
     pub(crate) async fn drain(self: &Rc<Self>, listener: TcpListener, until: tokio::time::Instant) {
-        let mut linger = pin!(tokio::time::sleep_until(until));
+        let mut accept_period = pin!(tokio::time::sleep_until(until));
         loop {
             tokio::select! {
                 () = self.accept(&listener) => {}
-                () = &mut linger => break,
+                () = &mut accept_period => break,
             }
         }
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, _)) = listener.accept() {
             if let Ok(tcp) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                self.take_in(tcp, self.queue.earliest_arrival());
+                self.serve_accepted(tcp, self.queue.earliest_arrival());
             }
         }
     }
@@ -133,19 +133,19 @@
     pub(crate) fn evict_one(&self) -> Eviction {
         let max_clients = self.front.max_clients.get();
         match self.front.clients.choose_evicted(tokio::time::Instant::now(), max_clients) {
-            Choice::Evicted(client) => {
+            EvictionChoice::Evicted(client) => {
                 self.evicted.set(self.evicted.get() + 1);
                 client.close_requested.notify_one();
                 Eviction::Requested
             }
-            Choice::Nobody => Eviction::NobodyIdle,
-            Choice::Unfinished => Eviction::Unfinished,
+            EvictionChoice::NoneEligible => Eviction::NoneEligible,
+            EvictionChoice::Unfinished => Eviction::Unfinished,
         }
     }
 
     /// Starts serving an accepted connection, which may have waited in the queue since `queued_since`, and evicts
     /// another one where the limit is reached.
-    fn take_in(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
+    fn serve_accepted(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
         let clients = &self.front.clients;
         if clients.counts.total() >= self.front.max_clients.get() {
             self.evict_one();
@@ -158,7 +158,7 @@
         tokio::task::spawn_local(async move {
             serve(&acceptor.handler, &acceptor.front, &client).await;
             acceptor.front.clients.remove(&client);
-            acceptor.client_left.notify_one();
+            acceptor.connection_ended.notify_one();
         });
     }
 }
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -117,7 +117,7 @@
             match listener.accept().await {
                 Ok((tcp, _)) => {
                     next_number += 1;
-                    self.take_in(next_number, tcp);
+                    self.serve_call(next_number, tcp);
                 }
                 Err(error) => {
                     warn!(%error, "operators' listener failed");
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_in(self: &Rc<Self>, number: u64, tcp: TcpStream) {
+    fn serve_call(self: &Rc<Self>, number: u64, tcp: TcpStream) {
         let admin = self.clone();
         let task = tokio::task::spawn_local(async move {
             let service = service_fn(|request| async { Ok::<_, Infallible>(admin.answer(request).await) });
@@ -147,14 +147,14 @@
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let called = format!("{} {}", request.method(), request.uri().path());
+        let method_and_path = format!("{} {}", request.method(), request.uri().path());
         self.call(request).await.unwrap_or_else(|rejected| {
             let reason = match &rejected {
                 RejectedCall::Storage(error) => error.to_string(),
                 _ => String::new(),
             };
             let answer = rejected.answer();
-            let call = format!("{called:.120}");
+            let call = format!("{method_and_path:.120}");
             warn!(call, status = answer.status().as_u16(), reason, "operator refused");
             answer
         })
--- a/crates/proxy/src/chunked_body.rs
+++ b/crates/proxy/src/chunked_body.rs
@@ -31,7 +31,7 @@
     /// by hyper.
     pub(crate) fn count_bytes_after(&mut self, mut bytes: &[u8]) -> usize {
         while let (false, Some(byte)) = (self.is_complete, bytes.first()) {
-            let mut step = 1;
+            let mut consumed = 1;
             self.position = match (self.position, byte) {
                 (Position::Size | Position::Extension, b'\n') => self.end_of_size_line(),
                 (Position::Size, digit) if digit.is_ascii_hexdigit() => {
@@ -41,8 +41,8 @@
                 }
                 (Position::Size | Position::Extension, _) => Position::Extension,
                 (Position::Data(left), _) => {
-                    step = left.min(bytes.len() as u64) as usize;
-                    match left - step as u64 {
+                    consumed = left.min(bytes.len() as u64) as usize;
+                    match left - consumed as u64 {
                         0 => Position::DataEnd,
                         left => Position::Data(left),
                     }
@@ -57,7 +57,7 @@
                 (Position::Trailer, b'\n') => Position::TrailerStart,
                 (Position::TrailerStart | Position::Trailer, _) => Position::Trailer,
             };
-            bytes = &bytes[step..];
+            bytes = &bytes[consumed..];
         }
         bytes.len()
     }
--- a/crates/proxy/src/chunked_body/tests.rs
+++ b/crates/proxy/src/chunked_body/tests.rs
@@ -4,7 +4,7 @@
 
 /// The end of a body is found at every position of a cut, and the bytes after it are counted.
 #[test]
-fn a_body_ends_where_it_ends_however_it_is_cut() {
+fn the_end_of_a_body_is_found_at_every_cut() {
     let bodies: [&[u8]; 4] = [
         b"0\r\n\r\n",
         b"4\r\ncash\r\n0\r\n\r\n",
@@ -15,9 +15,9 @@
         let whole = [body, b"GET / HTTP/1.1"].concat();
         for cut in 0..whole.len() {
             let mut chunks = ChunkedBodyScanner::default();
-            let behind = chunks.count_bytes_after(&whole[..cut]);
-            assert_eq!(behind, cut.saturating_sub(body.len()), "{cut}");
-            assert_eq!(behind + chunks.count_bytes_after(&whole[cut..]), 14, "{cut}");
+            let after = chunks.count_bytes_after(&whole[..cut]);
+            assert_eq!(after, cut.saturating_sub(body.len()), "{cut}");
+            assert_eq!(after + chunks.count_bytes_after(&whole[cut..]), 14, "{cut}");
         }
     }
 }
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -86,8 +86,8 @@
 fn close_action(client: &Client) -> CloseAction {
     // A connection without any request is cut at once. A first request that arrives meanwhile goes unanswered,
     // which is why new connections are given time before they are closed. Unread bytes may be a request.
-    let owes_nothing = client.is_closing() && !client.has_sent_request() && !client.is_busy.get();
-    if owes_nothing && !client.stream.has_kernel_bytes() || client.is_silent(Instant::now()) {
+    let has_nothing_to_answer = client.is_closing() && !client.has_sent_request() && !client.is_busy.get();
+    if has_nothing_to_answer && !client.stream.has_kernel_bytes() || client.is_silent(Instant::now()) {
         return CloseAction::Cut;
     }
     if client.is_busy.get() || !client.stream.has_unread_data() {
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -26,7 +26,7 @@
 /// The result of comparing a connection's rank with its state, as known to the kernel and the program.
 enum RankCheck {
     /// The rank is current: the connection may be closed.
-    AsRanked,
+    Unchanged,
     /// A request is open on it, or it is closing already.
     NotIdle,
     /// The rank has changed to this one.
@@ -56,23 +56,23 @@
     if client.is_busy.get() || client.is_closing() {
         return RankCheck::NotIdle;
     }
-    let known = rank_by_reads(client);
-    if known.state != rank.state || known.since > rank.since {
-        return RankCheck::Changed(known);
+    let current = rank_by_reads(client);
+    if current.state != rank.state || current.since > rank.since {
+        return RankCheck::Changed(current);
     }
     if has_unread_data(client) {
         // The event loop is about to read the data: it counts as read now.
         return RankCheck::Changed(EvictionRank { state: IdleState::PartialHead, since: now });
     }
-    RankCheck::AsRanked
+    RankCheck::Unchanged
 }
 
 /// The result of choosing the connection to close first.
-pub(crate) enum Choice {
+pub(crate) enum EvictionChoice {
     /// This connection, which is now marked as closing.
     Evicted(Rc<Client>),
     /// None can be closed: each has an open or incoming request, or is closing already.
-    Nobody,
+    NoneEligible,
     /// Undecided: the limit on new ranks in one choice was reached, and more connections may need one.
     Unfinished,
 }
@@ -130,24 +130,24 @@
     }
 
     /// Chooses the connection to close first where `max_clients` may be open.
-    pub(crate) fn choose_evicted(&self, now: Instant, max_clients: usize) -> Choice {
+    pub(crate) fn choose_evicted(&self, now: Instant, max_clients: usize) -> EvictionChoice {
         let is_overloaded = self.counts.without_request() > max_clients / MAX_WITHOUT_REQUEST_DIVISOR;
         for _ in 0..MAX_RECLASSIFIED_PER_CHOICE {
             let candidate = self.order.borrow().first(now, is_overloaded);
             let client = candidate.and_then(|candidate| self.by_id.borrow().get(&candidate.id).cloned());
-            let Some(client) = client else { return Choice::Nobody };
-            let Some(rank) = client.rank.get() else { return Choice::Nobody };
+            let Some(client) = client else { return EvictionChoice::NoneEligible };
+            let Some(rank) = client.rank.get() else { return EvictionChoice::NoneEligible };
             match check_rank(&client, rank, now) {
-                RankCheck::AsRanked => {
+                RankCheck::Unchanged => {
                     self.unrank(&client);
                     client.mark_closing(); // so that the next call chooses another
-                    return Choice::Evicted(client);
+                    return EvictionChoice::Evicted(client);
                 }
                 RankCheck::NotIdle => self.unrank(&client),
                 RankCheck::Changed(rank) => self.set_rank(&client, rank),
             }
         }
-        Choice::Unfinished
+        EvictionChoice::Unfinished
     }
 
     fn set_rank(&self, client: &Client, rank: EvictionRank) {
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -11,20 +11,23 @@
 use tokio::net::TcpStream;
 
 /// The limit on open connections in these tests.
-const MOST: usize = 1000;
+const MAX_CLIENTS: usize = 1000;
 
 /// The open connections, and the listener that the clients' ends of them come from.
-struct Table {
+struct ClientTable {
     clients: Clients,
     listener: std::net::TcpListener,
 }
 
-impl Table {
-    fn new() -> Table {
-        Table { clients: Clients::default(), listener: std::net::TcpListener::bind("127.0.0.1:0").unwrap() }
+impl ClientTable {
+    fn new() -> ClientTable {
+        ClientTable {
+            clients: Clients::default(),
+            listener: std::net::TcpListener::bind("127.0.0.1:0").unwrap(),
+        }
     }
 
-    async fn join(&self) -> (Rc<Client>, Peer) {
+    async fn connect(&self) -> (Rc<Client>, Peer) {
         let tcp = TcpStream::connect(self.listener.local_addr().unwrap()).await.unwrap();
         let counts = self.clients.counts.clone();
         let stream = crate::stream::Stream::new(tcp);
@@ -34,19 +37,19 @@
     }
 
     /// Opens a connection that has been served and waits for its next request.
-    async fn served(&self) -> (Rc<Client>, Peer) {
-        let (client, peer) = self.join().await;
+    async fn connect_served(&self) -> (Rc<Client>, Peer) {
+        let (client, peer) = self.connect().await;
         client.record_valid_request();
         client.idle_since.set(Instant::now());
         self.clients.record_answered(&client);
         (client, peer)
     }
 
-    fn chosen(&self) -> Option<ClientId> {
-        match self.clients.choose_evicted(Instant::now(), MOST) {
-            Choice::Evicted(client) => Some(client.id),
-            Choice::Nobody => None,
-            Choice::Unfinished => panic!("few connections take one turn"),
+    fn evict_next(&self) -> Option<ClientId> {
+        match self.clients.choose_evicted(Instant::now(), MAX_CLIENTS) {
+            EvictionChoice::Evicted(client) => Some(client.id),
+            EvictionChoice::NoneEligible => None,
+            EvictionChoice::Unfinished => panic!("few connections take one turn"),
         }
     }
 }
@@ -69,15 +72,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn silent_connections_are_evicted_before_idle_clients_and_the_youngest_last() {
-    let table = Table::new();
-    let (between, _a) = table.served().await;
-    let (partial, mut b) = table.join().await;
+    let table = ClientTable::new();
+    let (between, _a) = table.connect_served().await;
+    let (partial, mut b) = table.connect().await;
     send_part(&partial, &mut b).await;
     read(&partial).await;
-    let (silent, _c) = table.join().await;
+    let (silent, _c) = table.connect().await;
     tokio::time::advance(STALLED_HEAD_AGE).await;
-    let (young, _d) = table.join().await;
-    let order: Vec<Option<ClientId>> = (0..5).map(|_| table.chosen()).collect();
+    let (young, _d) = table.connect().await;
+    let order: Vec<Option<ClientId>> = (0..5).map(|_| table.evict_next()).collect();
     let expected = [Some(silent.id), Some(partial.id), Some(between.id), Some(young.id), None];
     assert_eq!(order, expected);
     assert_eq!(
@@ -89,29 +92,29 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_connection_with_bytes_unread_or_a_request_open_is_never_chosen() {
-    let table = Table::new();
-    let (unread, mut a) = table.served().await;
-    let (asking, _b) = table.served().await;
+    let table = ClientTable::new();
+    let (unread, mut a) = table.connect_served().await;
+    let (busy, _b) = table.connect_served().await;
     tokio::time::advance(STALLED_HEAD_AGE).await;
     send_part(&unread, &mut a).await;
-    asking.is_busy.set(true);
-    assert_eq!(table.chosen(), None);
+    busy.is_busy.set(true);
+    assert_eq!(table.evict_next(), None);
     // Once its bytes are read and no more arrive, the connection is evicted after `STALLED_HEAD_AGE`. The answer on
     // the other one has ended meanwhile.
     read(&unread).await;
-    asking.is_busy.set(false);
-    asking.idle_since.set(Instant::now());
-    table.clients.record_answered(&asking);
+    busy.is_busy.set(false);
+    busy.idle_since.set(Instant::now());
+    table.clients.record_answered(&busy);
     tokio::time::advance(STALLED_HEAD_AGE).await;
-    assert_eq!([table.chosen(), table.chosen()], [Some(unread.id), Some(asking.id)]);
+    assert_eq!([table.evict_next(), table.evict_next()], [Some(unread.id), Some(busy.id)]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_head_that_makes_progress_is_spared_and_a_stalled_one_is_evicted() {
-    let table = Table::new();
-    let (slow, mut a) = table.join().await;
-    let (stopped, mut b) = table.join().await;
-    for (client, peer) in [(&slow, &mut a), (&stopped, &mut b)] {
+    let table = ClientTable::new();
+    let (slow, mut a) = table.connect().await;
+    let (stalled, mut b) = table.connect().await;
+    for (client, peer) in [(&slow, &mut a), (&stalled, &mut b)] {
         send_part(client, peer).await;
         read(client).await;
     }
@@ -119,22 +122,22 @@
     send_part(&slow, &mut a).await;
     read(&slow).await;
     tokio::time::advance(STALLED_HEAD_AGE / 2).await;
-    assert_eq!([table.chosen(), table.chosen()], [Some(stopped.id), None]);
+    assert_eq!([table.evict_next(), table.evict_next()], [Some(stalled.id), None]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn many_stalled_connections_are_evicted_by_one_check_each() {
-    let table = Table::new();
+    let table = ClientTable::new();
     let mut connections = Vec::new();
     for _ in 0..200 {
-        let (client, mut peer) = table.join().await;
+        let (client, mut peer) = table.connect().await;
         send_part(&client, &mut peer).await;
         read(&client).await;
         connections.push((client, peer));
     }
     tokio::time::advance(STALLED_HEAD_AGE + Duration::from_millis(1)).await;
     for (client, _) in &connections {
-        assert_eq!(table.chosen(), Some(client.id), "the one that stopped first");
+        assert_eq!(table.evict_next(), Some(client.id), "the one that stopped first");
     }
     // Each got a rank twice: when it was accepted, and when it was found to have sent part of a head.
     assert_eq!(table.clients.reclassified.get(), 400);
@@ -142,9 +145,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn counts_follow_first_requests_evictions_and_ends() {
-    let table = Table::new();
-    let (usual, _a) = table.served().await;
-    let (silent, _b) = table.join().await;
+    let table = ClientTable::new();
+    let (active, _a) = table.connect_served().await;
+    let (silent, _b) = table.connect().await;
     let counts = || {
         (
             table.clients.counts.total(),
@@ -154,12 +157,12 @@
     };
     assert_eq!(counts(), (2, 1, 1));
     tokio::time::advance(SILENT_CONNECTION_AGE).await;
-    assert_eq!(table.chosen(), Some(silent.id));
+    assert_eq!(table.evict_next(), Some(silent.id));
     assert_eq!(counts(), (1, 1, 0));
     silent.record_valid_request(); // its request arrives too late: it is counted as closing once
     table.clients.remove(&silent);
-    table.clients.remove(&usual);
+    table.clients.remove(&active);
     assert_eq!(counts(), (0, 0, 0));
-    table.clients.record_answered(&usual); // an answer that ends after its connection adds no rank
-    assert_eq!((table.clients.len(), table.chosen()), (0, None));
+    table.clients.record_answered(&active); // an answer that ends after its connection adds no rank
+    assert_eq!((table.clients.len(), table.evict_next()), (0, None));
 }
--- a/crates/proxy/src/eviction_order.rs
+++ b/crates/proxy/src/eviction_order.rs
@@ -60,8 +60,8 @@
     /// just accepted come after clients that are idle between requests, unless `is_overloaded`. A head that has not
     /// stalled keeps its connection from being evicted.
     pub(crate) fn first(&self, now: Instant, is_overloaded: bool) -> Option<EvictionCandidate> {
-        let is_older = |candidate: &&EvictionCandidate, least_age| {
-            now.saturating_duration_since(candidate.since) >= least_age
+        let is_older = |candidate: &&EvictionCandidate, min_age| {
+            now.saturating_duration_since(candidate.since) >= min_age
         };
         let silent = self.silent.first();
         let silent_for_long =
--- a/crates/proxy/src/listener_handover.rs
+++ b/crates/proxy/src/listener_handover.rs
@@ -14,7 +14,7 @@
 pub enum ListenerHandoverError {
     /// The variable does not hold the number of a descriptor above the standard streams.
     #[error("{VARIABLE}: expected the number of a descriptor above 2, got {0:?}")]
-    NoNumber(String),
+    InvalidDescriptor(String),
     /// The descriptor is not open.
     #[error("{VARIABLE}: descriptor {0} is not open")]
     NotOpen(RawFd),
@@ -39,7 +39,7 @@
 pub fn inherited_listener() -> Result<Option<TcpListener>, ListenerHandoverError> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
     let descriptor = text.parse().ok().filter(|descriptor: &RawFd| *descriptor > STDERR);
-    let descriptor = descriptor.ok_or(ListenerHandoverError::NoNumber(text))?;
+    let descriptor = descriptor.ok_or(ListenerHandoverError::InvalidDescriptor(text))?;
     if !std::path::Path::new(&format!("/proc/self/fd/{descriptor}")).exists() {
         return Err(ListenerHandoverError::NotOpen(descriptor));
     }
@@ -48,11 +48,11 @@
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(descriptor) };
     let socket = socket2::Socket::from(owned);
-    let is_internet = socket.local_addr().is_ok_and(|address| address.as_socket().is_some());
-    if !is_internet || !socket.is_listener().unwrap_or(false) {
+    let is_ip_socket = socket.local_addr().is_ok_and(|address| address.as_socket().is_some());
+    if !is_ip_socket || !socket.is_listener().unwrap_or(false) {
         return Err(ListenerHandoverError::NotListening(descriptor));
     }
-    let set_up = socket.set_nonblocking(true).and_then(|()| socket.set_cloexec(true));
-    set_up.map_err(|source| ListenerHandoverError::Unusable { descriptor, source })?;
+    let configured = socket.set_nonblocking(true).and_then(|()| socket.set_cloexec(true));
+    configured.map_err(|source| ListenerHandoverError::Unusable { descriptor, source })?;
     Ok(Some(socket.into()))
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -90,18 +90,19 @@
     head: &Parts, body: &Incoming, has_content_length: bool, side_effects: SideEffects, max_time: Micros,
 ) -> Result<ValidRequest, InvalidRequest> {
     let headers = &head.headers;
-    let id = single(headers, CORRELATION_ID, InvalidRequest::CorrelationId)?;
+    let id = single_header_value(headers, CORRELATION_ID, InvalidRequest::CorrelationId)?;
     let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES);
     let id = id.ok_or(InvalidRequest::CorrelationId)?;
     if !fits_class(head, side_effects) {
         return Err(InvalidRequest::Method);
     }
-    let encoding = single(headers, TRANSFER_ENCODING.as_str(), InvalidRequest::TransferEncoding)?;
+    let encoding =
+        single_header_value(headers, TRANSFER_ENCODING.as_str(), InvalidRequest::TransferEncoding)?;
     let is_chunked = |encoding: &HeaderValue| encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
     if encoding.is_some_and(|encoding| has_content_length || !is_chunked(encoding)) {
         return Err(InvalidRequest::TransferEncoding);
     }
-    single(headers, CONTENT_LENGTH.as_str(), InvalidRequest::Length)?;
+    single_header_value(headers, CONTENT_LENGTH.as_str(), InvalidRequest::Length)?;
     let length = body.size_hint().lower();
     if length > MAX_BODY_BYTES {
         return Err(InvalidRequest::TooLong);
@@ -109,7 +110,7 @@
     if head.method == Method::GET && (length > 0 || encoding.is_some()) {
         return Err(InvalidRequest::Length);
     }
-    let time_left = match single(headers, TIME_LEFT, InvalidRequest::TimeLeft)? {
+    let time_left = match single_header_value(headers, TIME_LEFT, InvalidRequest::TimeLeft)? {
         Some(value) => {
             let seconds = non_negative_number(value).ok_or(InvalidRequest::TimeLeft)?;
             Micros::from_secs(seconds).min(max_time)
@@ -121,11 +122,11 @@
 
 /// Returns whether the method and the idempotency key allow the request to be repeated as its class says.
 fn fits_class(head: &Parts, side_effects: SideEffects) -> bool {
-    let keys = head.headers.get_all(IDEMPOTENCY_KEY).iter().count();
+    let key_count = head.headers.get_all(IDEMPOTENCY_KEY).iter().count();
     match side_effects {
         SideEffects::None => head.method == Method::GET,
-        SideEffects::IdempotencyKey { .. } => head.method == Method::POST && keys == 1,
-        SideEffects::NonIdempotent => head.method == Method::POST && keys <= 1,
+        SideEffects::IdempotencyKey { .. } => head.method == Method::POST && key_count == 1,
+        SideEffects::NonIdempotent => head.method == Method::POST && key_count <= 1,
     }
 }
 
@@ -170,7 +171,7 @@
 }
 
 /// Returns the value of a header that may occur at most once.
-fn single<'a>(
+fn single_header_value<'a>(
     headers: &'a HeaderMap, name: &str, fault: InvalidRequest,
 ) -> Result<Option<&'a HeaderValue>, InvalidRequest> {
     let mut values = headers.get_all(name).iter();
--- a/crates/proxy/src/request/tests.rs
+++ b/crates/proxy/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::stays_in_class;
 
 #[test]
-fn a_path_that_can_be_read_as_of_a_second_class_is_found() {
+fn a_path_that_could_resolve_to_another_class_is_detected() {
     let out = [
         "/page/../order/k",
         "/page/a/../../order/k",
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -105,7 +105,7 @@
         let settings = self.host.settings(); // kept until the request ends, even if new settings arrive
         let class = requested_class(&settings.names, head.uri.path())?;
         let tenant = requested_tenant(&settings.names, &head.headers);
-        let _ids = self.host.hold_ids(class, tenant);
+        let _held_ids = self.host.hold_ids(class, tenant);
         if !stays_in_class(head.uri.path()) {
             return Err(InvalidRequest::Path);
         }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -77,7 +77,7 @@
         self.front.max_clients.set(max_clients);
         self.acceptor.extra_clients.set(extra_clients);
         while self.front.clients.counts.total() > max_clients
-            && self.acceptor.evict_one() != Eviction::NobodyIdle
+            && self.acceptor.evict_one() != Eviction::NoneEligible
         {}
     }
 
@@ -107,9 +107,10 @@
         // No answers are due after the longest deadline. A client that holds a connection open with half a request
         // does not keep the program running.
         let settings = self.host.settings();
-        let longest = to_duration(settings.network.deadlines.iter().max().copied().unwrap_or_default());
-        let ends_at = stopped_at + longest + KILL_GRACE;
-        let answers_end_at = stopped_at + longest.min(MAX_ANSWER_TIME) + KILL_GRACE - FLUSH_TIME;
+        let longest_deadline =
+            to_duration(settings.network.deadlines.iter().max().copied().unwrap_or_default());
+        let ends_at = stopped_at + longest_deadline + KILL_GRACE;
+        let answers_end_at = stopped_at + longest_deadline.min(MAX_ANSWER_TIME) + KILL_GRACE - FLUSH_TIME;
         self.front.shutdown_deadline.set(Some(answers_end_at));
         if inherited {
             drop(listener);
@@ -122,7 +123,7 @@
         while self.client_count() > 0 && Instant::now() < ends_at {
             // Repeated, as a connection on which a request had just arrived does not close the first time.
             self.front.clients.for_each(|client| client.close_requested.notify_one());
-            self.acceptor.wait_for_departure().await;
+            self.acceptor.wait_for_connection_end().await;
         }
     }
 
--- a/crates/proxy/src/stream/head.rs
+++ b/crates/proxy/src/stream/head.rs
@@ -89,8 +89,8 @@
                 line.length = 0;
                 continue;
             }
-            if let Some(place) = line.bytes.get_mut(line.length) {
-                *place = byte.to_ascii_lowercase();
+            if let Some(slot) = line.bytes.get_mut(line.length) {
+                *slot = byte.to_ascii_lowercase();
             }
             line.length += 1;
             if line.length == CONTENT_LENGTH.len() && line.bytes.starts_with(CONTENT_LENGTH) {
--- a/crates/proxy/src/stream/incoming.rs
+++ b/crates/proxy/src/stream/incoming.rs
@@ -77,8 +77,8 @@
 
     /// Returns whether more was read than belongs to the message. `body_bytes` is ignored for a chunked body.
     pub(super) fn has_excess_bytes(&self, body_bytes: u64) -> bool {
-        let own = if self.headers.has_transfer_encoding() { 0 } else { body_bytes };
-        self.bytes_after_head.get() > own
+        let expected = if self.headers.has_transfer_encoding() { 0 } else { body_bytes };
+        self.bytes_after_head.get() > expected
     }
 
     pub(super) fn started_at(&self) -> Option<Instant> {
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -11,10 +11,10 @@
 }
 
 async fn write(stream: &mut Stream, bytes: &[u8]) {
-    let mut left = bytes;
-    while !left.is_empty() {
-        let n = std::future::poll_fn(|cx| Pin::new(&mut *stream).poll_write(cx, left)).await.unwrap();
-        left = &left[n..];
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
+        let n = std::future::poll_fn(|cx| Pin::new(&mut *stream).poll_write(cx, remaining)).await.unwrap();
+        remaining = &remaining[n..];
     }
 }
 
@@ -40,32 +40,32 @@
 
 /// The gate is called before the first byte and not after it: a request that was sent in part may run.
 #[tokio::test]
-async fn not_a_byte_goes_out_behind_a_closed_gate() {
+async fn nothing_is_sent_if_the_gate_withholds_the_request() {
     let (mut stream, mut peer) = pair().await;
-    let open = Rc::new(Cell::new(false));
-    let asked = open.clone();
-    stream.begin_request(Some(0), Box::new(move || asked.get()));
+    let is_allowed = Rc::new(Cell::new(false));
+    let gate_allows = is_allowed.clone();
+    stream.begin_request(Some(0), Box::new(move || gate_allows.get()));
     let head = b"GET / HTTP/1.1\r\n\r\n";
-    let barred = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
-    assert!(barred.is_err() && stream.is_request_withheld() && !stream.is_request_written());
-    assert_eq!(Rc::strong_count(&open), 1, "what the gate held is let go of");
-    open.set(true);
-    let again = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
-    assert!(again.is_err(), "a request that was withheld stays so");
-    let asked = open.clone();
-    stream.begin_request(Some(0), Box::new(move || asked.get()));
+    let rejected = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
+    assert!(rejected.is_err() && stream.is_request_withheld() && !stream.is_request_written());
+    assert_eq!(Rc::strong_count(&is_allowed), 1, "what the gate held is let go of");
+    is_allowed.set(true);
+    let retried = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
+    assert!(retried.is_err(), "a request that was withheld stays so");
+    let gate_allows = is_allowed.clone();
+    stream.begin_request(Some(0), Box::new(move || gate_allows.get()));
     write(&mut stream, &head[..5]).await;
-    open.set(false);
+    is_allowed.set(false);
     write(&mut stream, &head[5..]).await;
     assert!(stream.is_request_written() && !stream.is_request_withheld());
-    let mut got = vec![0; head.len()];
-    peer.read_exact(&mut got).unwrap();
-    assert_eq!(got, head);
+    let mut received = vec![0; head.len()];
+    peer.read_exact(&mut received).unwrap();
+    assert_eq!(received, head);
 }
 
 /// A client that disconnected is detected even if unread bytes precede the end of the connection.
 #[tokio::test]
-async fn a_client_that_left_is_found_behind_its_unread_bytes() {
+async fn a_disconnected_client_is_detected_despite_unread_bytes() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.is_closed_by_peer());
     peer.write_all(b"more").unwrap();
@@ -95,7 +95,7 @@
 
 /// The kernel is queried directly: in this test the event loop has had no chance to report anything.
 #[tokio::test]
-async fn what_the_other_side_does_is_found_before_the_event_loop_reports_it() {
+async fn peer_activity_is_detected_before_the_event_loop_reports_it() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.has_unread_data());
     peer.write_all(b"x").unwrap();
