--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -49,7 +49,7 @@
         match self.clients.choose_evicted(Instant::now(), MAX_CLIENTS) {
             EvictionChoice::Evicted(client) => Some(client.id),
             EvictionChoice::NoneEligible => None,
-            EvictionChoice::Unfinished => panic!("few connections take one turn"),
+            EvictionChoice::Unfinished => panic!("a few connections need only one turn"),
         }
     }
 }
@@ -86,7 +86,7 @@
     assert_eq!(
         (table.clients.counts.total(), table.clients.len()),
         (0, 4),
-        "told to leave, and not gone yet"
+        "asked to close, but not ended yet"
     );
 }
 
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -48,10 +48,10 @@
     let head = b"GET / HTTP/1.1\r\n\r\n";
     let rejected = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
     assert!(rejected.is_err() && stream.is_request_withheld() && !stream.is_request_written());
-    assert_eq!(Rc::strong_count(&is_allowed), 1, "what the gate held is let go of");
+    assert_eq!(Rc::strong_count(&is_allowed), 1, "a gate that returned false is dropped");
     is_allowed.set(true);
     let retried = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, head)).await;
-    assert!(retried.is_err(), "a request that was withheld stays so");
+    assert!(retried.is_err(), "a withheld request stays withheld");
     let gate_allows = is_allowed.clone();
     stream.begin_request(Some(0), Box::new(move || gate_allows.get()));
     write(&mut stream, &head[..5]).await;
@@ -89,7 +89,7 @@
     drop(peer);
     assert!(
         stream.is_closed_by_peer() && stream.is_closed_by_peer(),
-        "a reset behind bytes that were read is told once only"
+        "the kernel reports a reset after bytes that were read only once"
     );
 }
 
