--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -1,8 +1,8 @@
-//! Accepts client connections, and makes room for them where all places are taken.
+//! Accepts client connections, and closes idle ones to make room where the limit is reached.
 
 use crate::client::Client;
 use crate::client_connection::serve;
-use crate::clients::Choice;
+use crate::clients::EvictionChoice;
 use crate::connection_pool::ConnectionPool;
 use crate::front_state::FrontState;
 use crate::queueing_delay::{self, AcceptQueue};
@@ -18,21 +18,21 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// Log lines about a failing listener come no faster.
+/// The shortest interval between two log lines about a failing listener.
 const WARNING_INTERVAL: Micros = Micros(1_000_000);
-/// Where no connection ends by itself the limit is checked again after this time.
+/// The longest wait for a connection to end before the limit is checked again.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether a connection is closed to make room.
+/// The result of trying to close a connection to make room.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Eviction {
-    /// A connection was told to close.
+    /// A connection was asked to close.
     Requested,
-    /// Requests are open or on their way on all connections.
-    NobodyIdle,
-    /// The search has to go on in another turn of the event loop.
+    /// None can be closed: each has an open or incoming request, or is closing already.
+    NoneEligible,
+    /// The search has to continue in another turn of the event loop.
     Unfinished,
 }
 
@@ -42,11 +42,11 @@
     pool: Rc<ConnectionPool>,
     front: Rc<FrontState>,
     handler: Rc<RequestHandler>,
-    /// Connections beyond the limit that are accepted while those told to close are still there.
+    /// How many connections beyond the limit may be open while those asked to close have not ended.
     pub extra_clients: Cell<usize>,
-    /// Where clients wait until they are accepted.
+    /// The queue in which clients wait until they are accepted.
     queue: AcceptQueue,
-    client_left: Notify,
+    connection_ended: Notify,
     last_warning_at: Cell<Time>,
     /// Connections accepted since the last log line.
     pub accepted: Cell<u64>,
@@ -65,19 +65,19 @@
             handler,
             extra_clients: Cell::new(0),
             queue: AcceptQueue::new(),
-            client_left: Notify::new(),
+            connection_ended: Notify::new(),
             last_warning_at: Cell::default(),
             accepted: Cell::new(0),
             evicted: Cell::new(0),
         }
     }
 
-    /// Ends when a connection has ended, or after a short time.
-    pub(crate) async fn wait_for_departure(&self) {
-        let _ = tokio::time::timeout(CAPACITY_CHECK_INTERVAL, self.client_left.notified()).await;
+    /// Waits until a connection has ended, for at most `CAPACITY_CHECK_INTERVAL`.
+    pub(crate) async fn wait_for_connection_end(&self) {
+        let _ = tokio::time::timeout(CAPACITY_CHECK_INTERVAL, self.connection_ended.notified()).await;
     }
 
-    /// Accepts one connection, once there is room.
+    /// Waits until there is room, then accepts one connection.
     pub(crate) async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         let clients = &self.front.clients;
         let max_clients = &self.front.max_clients;
@@ -86,17 +86,19 @@
                 queueing_delay::yield_to_poll().await;
                 continue;
             }
-            // Those that were told to close have to be given the time: telling more makes no room sooner.
-            self.wait_for_departure().await;
+            // Connections that were asked to close need time to do so: asking more of them makes no room sooner.
+            self.wait_for_connection_end().await;
         }
         match self.queue.accept(listener).await {
-            Ok((tcp, since)) => self.take_in(tcp, since),
-            Err(error) => self.recover(&error).await,
+            Ok((tcp, since)) => self.serve_accepted(tcp, since),
+            Err(error) => self.handle_accept_error(&error).await,
         }
     }
 
-    /// Out of descriptors, or a client that left in the queue: never the end of the program.
-    async fn recover(&self, error: &std::io::Error) {
+    /// Handles a failed accept, as when descriptors have run out or a client has left the queue, without ending the
+    /// program: closes a connection to free a descriptor, logs the error and pauses. There is no pause if the client
+    /// has left and another connection was closed.
+    async fn handle_accept_error(&self, error: &std::io::Error) {
         let has_capacity = self.evict_one() == Eviction::Requested || self.pool.close_longest_idle();
         let now = self.host.clock.now();
         if now - self.last_warning_at.get() >= WARNING_INTERVAL {
@@ -109,40 +111,41 @@
         }
     }
 
-    /// Goes on accepting while the front still sends new clients, then takes all that the queue holds: what the kernel
-    /// has accepted is owed an answer.
+    /// Accepts connections until `until`, while the front still sends new clients, then accepts all that are left
+    /// in the queue: every connection that the kernel has accepted must be answered.
     pub(crate) async fn drain(self: &Rc<Self>, listener: TcpListener, until: tokio::time::Instant) {
-        let mut linger = pin!(tokio::time::sleep_until(until));
+        let mut accept_period = pin!(tokio::time::sleep_until(until));
         loop {
             tokio::select! {
                 () = self.accept(&listener) => {}
-                () = &mut linger => break,
+                () = &mut accept_period => break,
             }
         }
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, _)) = listener.accept() {
             if let Ok(tcp) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                self.take_in(tcp, self.queue.earliest_arrival());
+                self.serve_accepted(tcp, self.queue.earliest_arrival());
             }
         }
     }
 
-    /// Tells the connection that is evicted first to close.
+    /// Asks the first connection in the eviction order to close.
     pub(crate) fn evict_one(&self) -> Eviction {
         let max_clients = self.front.max_clients.get();
         match self.front.clients.choose_evicted(tokio::time::Instant::now(), max_clients) {
-            Choice::Evicted(client) => {
+            EvictionChoice::Evicted(client) => {
                 self.evicted.set(self.evicted.get() + 1);
                 client.close_requested.notify_one();
                 Eviction::Requested
             }
-            Choice::Nobody => Eviction::NobodyIdle,
-            Choice::Unfinished => Eviction::Unfinished,
+            EvictionChoice::NoneEligible => Eviction::NoneEligible,
+            EvictionChoice::Unfinished => Eviction::Unfinished,
         }
     }
 
-    /// Serves a connection that can have waited in the queue since then.
-    fn take_in(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
+    /// Starts serving an accepted connection, which may have waited in the queue since `queued_since`, and evicts
+    /// another one where the limit is reached.
+    fn serve_accepted(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
         let clients = &self.front.clients;
         if clients.counts.total() >= self.front.max_clients.get() {
             self.evict_one();
@@ -155,7 +158,7 @@
         tokio::task::spawn_local(async move {
             serve(&acceptor.handler, &acceptor.front, &client).await;
             acceptor.front.clients.remove(&client);
-            acceptor.client_left.notify_one();
+            acceptor.connection_ended.notify_one();
         });
     }
 }
--- a/crates/proxy/src/request/tests.rs
+++ b/crates/proxy/src/request/tests.rs
@@ -1,9 +1,9 @@
-//! Which paths stay in their class.
+//! Paths that keep their class, and paths that do not.
 
 use super::stays_in_class;
 
 #[test]
-fn a_path_that_can_be_read_as_of_a_second_class_is_found() {
+fn a_path_that_could_resolve_to_another_class_is_detected() {
     let out = [
         "/page/../order/k",
         "/page/a/../../order/k",
@@ -14,7 +14,7 @@
         "/page/..\\order/k",
         "/page/a%2f..%2f..%2forder/k",
         "/page/a%2fb/../../../order/k",
-        "/page/a%2fb/../../order/k", // where the escaped slash is no end of a part
+        "/page/a%2fb/../../order/k", // if the escaped slash does not separate segments
         "/page/%252e%252e/order/k",
         "/page/%5c..%5corder/k",
         "/page/..;v=1/order/k",
