--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -6,7 +6,7 @@
 use super::{now_ms, to_millis};
 use crate::operator::StateSection;
 use lotusdeck_proxy::endpoint_list::EndpointList;
-use lotusdeck_state::{choose, Age, AgeWeighting, Confidence, EndpointSource, Estimates};
+use lotusdeck_state::{choose_endpoint_source, Age, AgeWeighting, Confidence, EndpointSource, Estimates};
 use std::collections::HashMap;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -97,7 +97,7 @@
     let confidence = Confidence::at_age(age, to_millis(section.half_life));
     let index = saved.index;
     let entries = list.endpoints.len();
-    match choose(index, confidence, known.version, known.endpoints.len()) {
+    match choose_endpoint_source(index, confidence, known.version, known.endpoints.len()) {
         EndpointSource::SavedEndpoints => {
             let confidence = confidence.0;
             info!(index, entries, ?age, confidence, known = known.version, "endpoint list restored");
--- a/crates/state/src/confidence.rs
+++ b/crates/state/src/confidence.rs
@@ -68,7 +68,7 @@
 ///
 /// Versions are discovery's: the higher is newer, unless discovery was reset, and either list is replaced by its first
 /// full answer.
-pub fn choose(
+pub fn choose_endpoint_source(
     saved_version: u64, confidence: Confidence, platform_version: u64, platform_entries: usize,
 ) -> EndpointSource {
     if !confidence.is_sufficient() {
--- a/crates/state/src/confidence/tests.rs
+++ b/crates/state/src/confidence/tests.rs
@@ -1,4 +1,4 @@
-use super::{choose, Age, Confidence, EndpointSource};
+use super::{choose_endpoint_source, Age, Confidence, EndpointSource};
 
 #[test]
 fn confidence_halves_with_each_half_life_and_is_insufficient_after_two() {
@@ -19,8 +19,12 @@
 #[test]
 fn newer_list_is_chosen_and_a_saved_one_never_without_confidence() {
     let full = Confidence(1.0);
-    assert_eq!(choose(9, full, 4, 10), EndpointSource::SavedEndpoints);
-    assert_eq!(choose(4, full, 9, 10), EndpointSource::PlatformEndpoints);
-    assert_eq!(choose(4, full, 9, 0), EndpointSource::SavedEndpoints, "the platform's list is empty");
-    assert_eq!(choose(9, Confidence(0.2), 4, 0), EndpointSource::Untrusted(Confidence(0.2)));
+    assert_eq!(choose_endpoint_source(9, full, 4, 10), EndpointSource::SavedEndpoints);
+    assert_eq!(choose_endpoint_source(4, full, 9, 10), EndpointSource::PlatformEndpoints);
+    assert_eq!(
+        choose_endpoint_source(4, full, 9, 0),
+        EndpointSource::SavedEndpoints,
+        "the platform's list is empty"
+    );
+    assert_eq!(choose_endpoint_source(9, Confidence(0.2), 4, 0), EndpointSource::Untrusted(Confidence(0.2)));
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -6,6 +6,6 @@
 pub mod estimates;
 pub mod frame;
 
-pub use confidence::{choose, Age, Confidence, EndpointSource};
+pub use confidence::{choose_endpoint_source, Age, Confidence, EndpointSource};
 pub use estimates::{AgeWeighting, Estimates};
 pub use frame::{decode, encode, Persisted, ReadError, SavedEndpoints};
