--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -14,8 +14,8 @@
 use queue::RequestQueue;
 use quota::TenantQuotas;
 
-/// A proxy that has sent nothing for so long sends one request whatever the load, in seconds: the load that
-/// it remembers may be over, and nothing else would tell it.
+/// Seconds without a sent attempt after which one request is sent regardless of the load: the recorded load
+/// may be outdated, and a proxy that sends nothing would not find out.
 const PROBE_INTERVAL_S: f64 = 3.0;
 
 /// Admits requests.
@@ -23,7 +23,7 @@
     pub queue: RequestQueue,
     pub overload: OverloadDetector,
     quotas: TenantQuotas,
-    /// When the last attempt was sent, or the first request admitted.
+    /// When the last attempt was sent or, before any, the first request was admitted.
     last_sent_at: Option<Time>,
 }
 
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The configuration changed.
+    /// Applies a new configuration to the quotas.
     pub(crate) fn reconfigure(&mut self, config: &Config, reassigned: &ReassignedIds) {
         self.quotas.reconfigure(config.tenants.len(), &reassigned.tenants);
     }
 
-    /// A request as it arrives. Its class is one of the configuration's.
+    /// Creates the pending request of an arrival. Its class must exist in the configuration.
     pub(crate) fn admit(&mut self, now: Time, config: &Config, arrival: &Arrival) -> PendingRequest {
         self.last_sent_at.get_or_insert(now);
         let class = &config.classes[arrival.class.0];
@@ -50,8 +50,8 @@
         let hint = arrival.work_hint.unwrap_or_default();
         let stretch = hint.times(class.objective_per_work_hint);
         let objective = Micros(class.latency_objective.0 + stretch.0);
-        // A client that sends a request again waited for its first attempt: most of its value is lost, and
-        // serving it before a new request would make both late, all through a retry storm.
+        // The client of a retry has already waited for its first request, so that most of the value is lost.
+        // Serving it before a new request would make both late for as long as a retry storm lasts.
         let retry_factor = if arrival.is_client_retry { class.late_value_factor } else { 1.0 };
         let quota_factor = if exceeds_quota { config.over_quota_factor } else { 1.0 };
         PendingRequest {
@@ -68,12 +68,12 @@
         }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, now: Time) {
         self.last_sent_at = Some(now);
     }
 
-    /// The fleet has too much in flight to take a first attempt of the request.
+    /// Returns whether to reject the first attempt of the request because the fleet has too much in flight.
     pub(crate) fn sheds(
         &self, now: Time, config: &Config, estimates: &Estimates, request: &PendingRequest,
     ) -> bool {
--- a/crates/policy/src/admission/overload.rs
+++ b/crates/policy/src/admission/overload.rs
@@ -1,23 +1,24 @@
-//! Overload: whether all proxies together have too much in flight.
+//! Overload detection: whether all proxies together have too much in flight.
 
 use crate::api::{Config, Time};
 use crate::estimators::RateEstimator;
 
-/// Attempts that all proxies together keep in flight on one backend: a shared processor at four fifths of its
-/// capacity has four on average; more only makes each of them later.
+/// Target of attempts in flight on one backend, over all proxies: a processor-sharing server at four fifths
+/// of its capacity has four on average, and more of them only add latency.
 pub(crate) const TARGET_IN_FLIGHT_PER_BACKEND: f64 = 4.0;
-/// Multiple of the target beyond which first attempts within quota are rejected. With load / (1 - load) in
-/// flight that is a load of six sevenths.
+/// Multiple of the target beyond which first attempts within quota are rejected. With load / (1 - load)
+/// attempts in flight, it corresponds to a load of six sevenths.
 const NORMAL_LIMIT: f64 = 1.5;
-/// The same for requests of low priority: a load of two thirds.
+/// The same multiple for requests of low priority: a load of two thirds.
 const LOW_PRIORITY_LIMIT: f64 = 0.5;
-/// Memory of the load, in seconds: where a proxy alone has no room to count, some ten of its own requests.
+/// Time constant of the load estimate, in seconds. Where a proxy has too few attempts in flight to estimate
+/// the load from their number alone, it covers some ten of its requests.
 pub(crate) const LOAD_MEMORY_S: f64 = 5.0;
-/// Memory of this proxy's part of the fleet's load, in seconds: shorter ones oscillate, as all proxies act on
-/// one old number.
+/// Time constant of the estimate of this proxy's part of the fleet's load, in seconds. Shorter ones
+/// oscillate, as all proxies react to the same outdated number.
 const FLEET_LOAD_MEMORY_S: f64 = 30.0;
 
-/// What all proxies have in flight and what this one has, where the others report.
+/// The attempts in flight of all proxies and of this one, updated when the other proxies report.
 struct FleetLoadEstimate {
     fleet: RateEstimator,
     own: RateEstimator,
@@ -25,7 +26,7 @@
 
 /// Estimates the load of the fleet.
 pub(crate) struct OverloadDetector {
-    /// This proxy's attempts in flight.
+    /// Attempts of this proxy in flight.
     own_load: RateEstimator,
     fleet_load: FleetLoadEstimate,
 }
@@ -41,19 +42,20 @@
         }
     }
 
-    /// So many attempts of this proxy were in flight since the last call.
+    /// Records that `in_flight` attempts of this proxy were in flight since the last call.
     pub(crate) fn record_own(&mut self, now: Time, in_flight: f64) {
         self.own_load.add_level(now, in_flight);
     }
 
-    /// The other proxies reported what they have in flight.
+    /// Records the attempts in flight that the other proxies report, and those of this proxy at that time.
     pub(crate) fn record_fleet(&mut self, now: Time, others: f64, own: f64) {
         self.fleet_load.fleet.add_level(now, others + own);
         self.fleet_load.own.add_level(now, own);
     }
 
-    /// All proxies together have too much in flight for a request of such priority. The others count as doing
-    /// like this one, or as they reported. A rejection at once does no harm; waiting here would not help.
+    /// Returns whether all proxies together have too much in flight for a request of the given priority. The
+    /// load of the other proxies is taken from their reports, or else assumed to equal that of this one. An
+    /// immediate rejection is harmless, whereas waiting in the queue would not help.
     pub(super) fn is_overloaded(&self, config: &Config, readiness: f64, is_low_priority: bool) -> bool {
         let proxies = f64::from(config.proxy_count);
         let multiple = if is_low_priority { LOW_PRIORITY_LIMIT } else { NORMAL_LIMIT };
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -4,13 +4,13 @@
 use crate::estimates::Estimates;
 use crate::requests::{PendingRequest, RequestTable, LOW_PRIORITY};
 
-/// A request in the order of dispatch.
+/// A request taken from the queue, with the keys that decide its order.
 pub(crate) struct QueuedRequest {
     pub request: RequestId,
-    /// Priority of a first attempt; a retry goes before all of them.
+    /// Priority by which the request can be blocked; a retry has the highest.
     pub priority: f64,
     arrived_at: Time,
-    /// Priority weight for the work.
+    /// Priority weight per unit of work, scaled by the priority.
     weight_per_work: f64,
 }
 
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(crate) struct RequestQueue {
     waiting: Vec<RequestId>,
-    /// First attempts of a lower priority have found no backend since the last event that could free one.
+    /// Requests below this priority have found no backend since the last event that could free one.
     blocked_below: f64,
 }
 
@@ -41,12 +41,13 @@
         self.waiting.retain(|waiting| *waiting != request);
     }
 
-    /// Something happened that may free a backend.
+    /// Unblocks all requests, after an event that may have freed a backend.
     pub(crate) fn unblock(&mut self) {
         self.blocked_below = 0.0;
     }
 
-    /// The request found no backend: nothing less urgent finds one either, and trying each takes time.
+    /// Blocks the requests that are not more urgent than this one, which found no backend: they would find
+    /// none either, and trying each takes time.
     pub(crate) fn block(&mut self, request: &PendingRequest) {
         let blocked = if request.is_low_priority() { LOW_PRIORITY } else { f64::MAX };
         self.blocked_below = self.blocked_below.max(blocked);
@@ -56,8 +57,8 @@
         queued.priority < self.blocked_below
     }
 
-    /// Takes all requests out, the highest weight for the work first and the newest first inside it; nothing
-    /// where all are blocked.
+    /// Takes all requests out of the queue, in descending order of weight per work and the newest first among
+    /// equals; takes none if all are blocked.
     pub(crate) fn take_in_order(
         &mut self, config: &Config, estimates: &Estimates, requests: &RequestTable,
     ) -> Vec<QueuedRequest> {
--- a/crates/policy/src/admission/quota.rs
+++ b/crates/policy/src/admission/quota.rs
@@ -3,9 +3,9 @@
 use crate::api::{Config, TenantId, Time};
 use crate::estimators::TokenBucket;
 
-/// Seconds of its quota that a tenant may use at once.
+/// Burst that a tenant may send at once, in seconds of its quota.
 const BURST_S: f64 = 2.0;
-/// Requests that a tenant may send at once where its quota is low: fewer are chance alone.
+/// Minimum burst, in requests: at a low quota, as many may arrive together by chance.
 const MIN_BURST: f64 = 5.0;
 
 /// A token bucket for each tenant.
@@ -26,7 +26,7 @@
         !bucket.take(now, rate_per_s, BURST_S, MIN_BURST)
     }
 
-    /// Makes room for so many tenants, and forgets those whose numbers have a new meaning.
+    /// Resizes to `tenants` buckets and resets those of reassigned tenant ids.
     pub(super) fn reconfigure(&mut self, tenants: usize, reassigned: &[TenantId]) {
         for tenant in reassigned {
             if let Some(bucket) = self.buckets.get_mut(tenant.0) {
--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that go on or end, and what their outcomes say of backends, kinds and classes.
+//! Progress and end of attempts, and how their outcomes are recorded for backends, kinds and classes.
 
 use super::Balancer;
 use crate::answer_loss::EndedAttempt;
@@ -7,8 +7,8 @@
 use crate::requests::{AttemptKey, InFlightAttempt};
 
 impl Balancer {
-    /// A body is complete: its time begins, and it counts as work on the backend that has it. No other
-    /// attempt can have it.
+    /// Records that the body of a request is complete: its objective and deadline start now, and its attempt
+    /// counts as load on the backend. The body is consumed, so that no further attempt is allowed.
     pub(super) fn receive_body(&mut self, now: Time, id: RequestId, time_left: Micros) {
         let Some(request) = self.requests.pending.get_mut(&id).filter(|request| request.uploading) else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What an outcome says of the backend, its kind and its class.
+    /// Updates the estimates and the health of the backend by the outcome of an attempt.
     fn learn(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let usual_latency = self.usual_latency(attempt.class);
         let is_lost = !attempt.uploading && now >= attempt.sent_at + self.loss_timeout(attempt.class);
@@ -59,7 +59,7 @@
             let ended = EndedAttempt { sent_at: attempt.sent_at, outcome: end.outcome, usual_latency };
             self.recovery.answer_loss.record(now, &ended);
         }
-        // One cancelled so late was not answered in time either.
+        // An attempt that was cancelled after the loss timeout counts as timed out.
         let outcome = match end.outcome {
             Outcome::Cancelled if is_lost => Outcome::TimedOut,
             outcome => outcome,
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends queued requests, and gives the final answer to those that cannot be sent.
+//! Sends queued requests, and gives the final answer to requests that cannot be sent.
 
 use super::Balancer;
 use crate::admission::QueuedRequest;
@@ -12,7 +12,7 @@
 use crate::slow_start::WarmupBudget;
 
 impl Balancer {
-    /// Sends what is queued, as far as backends have capacity.
+    /// Sends the queued requests for which a backend has capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time) {
         let estimates = &self.traffic.estimates;
         let line = self.admission.queue.take_in_order(&self.config, estimates, &self.requests);
@@ -45,7 +45,8 @@
         }
     }
 
-    /// The request may be sent to some backend: neither its attempts nor the budgets forbid it.
+    /// Returns whether the request may be sent to some backend: admission or the retry budget permits it, and
+    /// so do its earlier attempts.
     fn may_send(&self, now: Time, request: &PendingRequest) -> bool {
         let is_permitted = if request.attempts.is_empty() {
             !self.admission.sheds(now, &self.config, &self.traffic.estimates, request)
@@ -74,8 +75,9 @@
         traffic.picker.pick_backend(&mut self.rng, &self.backends.by_id, &estimates.kinds, &eligibility)
     }
 
-    /// Each backend in use has had an attempt of the request, which may run again: an answer that was lost is
-    /// no reason to do without the others.
+    /// Returns whether the request may be sent again to a backend that already had an attempt of it: the
+    /// request is idempotent, the fleet is small, and every backend in use has had an attempt. Lost answers
+    /// would otherwise leave the request without a backend.
     fn may_return(&self, request: &PendingRequest) -> bool {
         let is_idempotent = self.config.classes[request.class].is_idempotent();
         if !is_idempotent || request.attempts.is_empty() || self.backends.by_id.len() > SMALL_FLEET {
@@ -120,7 +122,7 @@
         self.schedule.check_by(request.deadline - self.config.tick);
     }
 
-    /// Final answer for a request that will not be served.
+    /// Gives the final answer to a request that will not be served.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.get(&id) else { return };
         let action = if retry::is_safe_for_client_retry(&self.config, request) {
@@ -132,7 +134,8 @@
         self.close(id);
     }
 
-    /// By then attempts in flight have ended, or an ejected backend is on probation.
+    /// Returns the time after which a client should retry: attempts in flight have probably ended by then,
+    /// or, if no backend is ready, an ejected one is on probation.
     fn retry_after(&self, class: usize) -> Micros {
         let has_ready = self.traffic.estimates.kinds.values().any(|kind| kind.readiness > 0.0);
         if has_ready {
@@ -142,7 +145,8 @@
         }
     }
 
-    /// A request has had its final answer, or its client left.
+    /// Removes a request that has its final answer or whose client disconnected, and cancels its attempts in
+    /// flight if that is allowed.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.remove(&id) else { return };
         self.admission.queue.remove(id);
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop: takes events in order and answers with actions. Every decision is made in another module.
+//! The event loop: applies events in order and collects the resulting actions. The rules behind the decisions
+//! are in other modules.
 
 mod attempts;
 mod dispatch;
@@ -26,7 +27,7 @@
 use output::Output;
 use schedule::Schedule;
 
-/// Estimates and the tables of the picker: what a solution is published to.
+/// The estimates, the solver, the picker that uses its solutions, and the state of slow start.
 struct TrafficModel {
     estimates: Estimates,
     solver: IncrementalSolver,
@@ -34,15 +35,16 @@
     slow_start: SlowStart,
 }
 
-/// What bounds and triggers attempts beyond the first.
+/// The state that triggers and limits attempts beyond the first.
 struct Recovery {
     answer_loss: AnswerLoss,
     retry_budget: RetryBudget,
-    /// New requests may be of a class that may be repeated at will.
+    /// Whether new requests can belong to an idempotent class.
     any_idempotent: bool,
 }
 
-/// The decisions of one proxy. Give it every event in order; it answers with actions.
+/// The decision module of one proxy. The host passes every event to [`Balancer::handle`] in order and carries
+/// out the returned actions.
 pub struct Balancer {
     config: Config,
     rng: Rng,
@@ -57,10 +59,10 @@
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration.
+    /// Creates a balancer without backends or estimates.
     ///
     /// # Errors
-    /// The first field of the configuration that is out of its range.
+    /// Returns the first field of the configuration that is out of range.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         config.validate()?;
         let traffic = TrafficModel {
@@ -88,11 +90,12 @@
         })
     }
 
-    /// Takes one event that happened at `now` and adds the actions it calls for.
+    /// Handles one event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let is_request = matches!(event, Event::Request(_));
         if !is_request && !matches!(event, Event::Timer { .. }) {
-            // Those two free no backend, and trying a long queue in vain takes too much time.
+            // Requests and timers free no backend, and trying a long blocked queue on each of them would take
+            // too much time.
             self.admission.queue.unblock();
         }
         self.admission.overload.record_own(now, self.in_flight());
@@ -116,7 +119,7 @@
         actions.append(&mut self.output.actions);
     }
 
-    /// Attempts of this proxy in flight.
+    /// Returns the number of attempts of this proxy in flight.
     fn in_flight(&self) -> f64 {
         self.requests.in_flight.len() as f64
     }
@@ -149,8 +152,8 @@
         }
     }
 
-    /// Begins a solution where one is due, and takes one in progress on. An idle proxy does not solve: a
-    /// thousand of them would use up the processor.
+    /// Starts a solution if one is due, or continues the one in progress. An idle proxy starts none: a
+    /// thousand idle proxies would use up the processor.
     fn advance_solver(&mut self, now: Time, is_request: bool) {
         let traffic = &mut self.traffic;
         let is_busy = is_request || !self.admission.queue.is_empty();
@@ -172,7 +175,7 @@
         }
     }
 
-    /// The shares and the time-outs have to be computed again, at once.
+    /// Makes the next solution and the next check of the timeouts due at once.
     fn recheck(&mut self, now: Time) {
         self.traffic.solver.next_solve_at = now;
         self.schedule.next_check_at = now;
@@ -190,7 +193,8 @@
         self.traffic.solver.next_solve_at = now;
     }
 
-    /// Applies another configuration; what was learned stays, and open requests keep their terms.
+    /// Applies a new configuration. Estimates are kept, and open requests keep their objective, deadline,
+    /// priority and attempt limits.
     fn reconfigure(&mut self, now: Time, config: Config, reassigned: &ReassignedIds) {
         self.forget_reassigned_classes(config.classes.len(), reassigned);
         self.admission.reconfigure(&config, reassigned);
@@ -202,7 +206,7 @@
         self.recheck(now);
     }
 
-    /// Makes room for so many classes, and forgets what was learned under numbers that have a new meaning.
+    /// Resizes the estimates to `classes` classes and resets those of reassigned class ids.
     fn forget_reassigned_classes(&mut self, classes: usize, reassigned: &ReassignedIds) {
         let stats = &mut self.traffic.estimates.classes;
         stats.resize_with(classes, ClassStats::default);
--- a/crates/policy/src/balancer/output.rs
+++ b/crates/policy/src/balancer/output.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, Micros, Time};
 
-/// The least time between two log lines.
+/// Minimum time between two log lines.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
 /// Collects actions and limits the rate of log lines.
@@ -13,7 +13,7 @@
 }
 
 impl Output {
-    /// A line for the operators, unless another was written just now.
+    /// Adds a log line, unless one was written within [`LOG_INTERVAL`].
     pub(super) fn log(&mut self, now: Time, text: String) {
         if now >= self.next_log_at {
             self.next_log_at = now + LOG_INTERVAL;
--- a/crates/policy/src/balancer/schedule.rs
+++ b/crates/policy/src/balancer/schedule.rs
@@ -1,4 +1,4 @@
-//! When time alone calls for something, and the timer for it.
+//! The time of the next check of the timeouts, and the timer that triggers it.
 
 use crate::api::{Action, Micros, Time, TimerToken};
 
@@ -11,7 +11,7 @@
 /// Times of the event loop.
 pub(super) struct Schedule {
     pub last_event_at: Time,
-    /// When the time-outs have to be checked next.
+    /// When the timeouts are checked next.
     pub next_check_at: Time,
     timer: Timer,
 }
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The time-outs have to be checked at `at`, or sooner.
+    /// Schedules the next check of the timeouts at `at`, unless it is due earlier.
     pub(super) fn check_by(&mut self, at: Time) {
         self.next_check_at = self.next_check_at.min(at);
     }
 
-    /// A timer fired; returns whether it is the present one.
+    /// Handles the expiry of a timer; returns whether it is the current one.
     pub(super) fn timer_fired(&mut self, token: TimerToken) -> bool {
         if token != self.timer.token {
             return false;
@@ -39,7 +39,7 @@
         true
     }
 
-    /// The timer to set, where the next check comes before the one that is set.
+    /// Returns an action that sets a timer for the next check, unless the current timer expires no later.
     pub(super) fn timer_to_set(&mut self, now: Time, tick: Micros) -> Option<Action> {
         if self.next_check_at >= self.timer.due_at {
             return None;
--- a/crates/policy/src/balancer/timeouts.rs
+++ b/crates/policy/src/balancer/timeouts.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about: attempts that look lost, and requests that cannot be served in time.
+//! Checks of the timeouts: attempts that look lost, and requests that cannot be served in time.
 
 use super::Balancer;
 use crate::admission::LOAD_MEMORY_S;
@@ -8,7 +8,7 @@
 use crate::retry;
 
 impl Balancer {
-    /// Checks all time-outs, and sets when to check them again.
+    /// Checks all timeouts and schedules the next check.
     pub(super) fn check_timeouts(&mut self, now: Time) {
         let latest_check = now + Micros::from_secs(LOAD_MEMORY_S);
         if self.discovery.take_due(now, self.config.discovery) {
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Marks backends with attempts that look lost; returns when the next attempt will, `latest` at most.
+    /// Marks the backends with attempts that look lost; returns when the next attempt will look lost, at most
+    /// `latest`.
     fn check_attempts(&mut self, now: Time, latest: Time) -> Time {
         let mut next = latest;
         for attempt in self.requests.in_flight.values().filter(|attempt| !attempt.uploading) {
@@ -52,8 +53,8 @@
         next
     }
 
-    /// Collects the requests that cannot be served in time, and replaces attempts that look lost; returns
-    /// when the next request has to be checked, `latest` at most.
+    /// Collects in `unservable` the requests that cannot be served in time, and replaces attempts that look
+    /// lost; returns when the next request has to be checked, at most `latest`.
     fn check_requests(&mut self, now: Time, latest: Time, unservable: &mut Vec<RequestId>) -> Time {
         let context = TimeoutContext {
             now,
@@ -84,12 +85,12 @@
         next
     }
 
-    /// What a served request of the class usually takes.
+    /// Returns the usual latency of a served request of the class.
     pub(super) fn usual_latency(&self, class: usize) -> Micros {
         self.traffic.estimates.usual_latency(&self.config, class)
     }
 
-    /// An attempt of the class that is older than this counts as lost.
+    /// Returns the age from which an attempt of the class counts as lost.
     pub(super) fn loss_timeout(&self, class: usize) -> Micros {
         self.recovery.answer_loss.loss_timeout(self.usual_latency(class))
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
-//! with the time at which they happened and carries out the [`Action`]s it returns.
+//! [`Balancer`] is a state machine without clock, network or threads: the host passes it [`Event`]s with the
+//! time at which they happened and carries out the [`Action`]s it returns.
 #![forbid(unsafe_code)]
 
 mod admission;
@@ -32,7 +32,7 @@
 pub use halb::halb_shares;
 pub use view::{BackendView, KindView};
 
-/// The README's example, kept true by the documentation tests.
+/// Runs the README's example as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/policy/src/picker/eligibility.rs
+++ b/crates/policy/src/picker/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether a backend may get one request now.
+//! Whether a backend may be sent a request now.
 
 use crate::api::Config;
 use crate::backend_health::{BackendHealth, ClassHealth};
@@ -6,31 +6,32 @@
 use crate::retry;
 use crate::slow_start::WarmupBudget;
 
-/// Suspiciously old attempts with nothing heard since that mark a backend as silent: one may be an answer
-/// that never comes.
+/// Number of old attempts without any later answer that mark a backend as silent: a single one may be one
+/// lost answer.
 const SILENT_ATTEMPTS: u32 = 2;
 
-/// What makes a backend eligible for one request.
+/// The conditions that decide whether a backend is eligible for a request.
 pub(crate) struct Eligibility<'a> {
     pub request: &'a PendingRequest,
-    /// The work of the request, in requests of mean work.
+    /// Work of the request, in requests of mean work.
     pub work: f64,
-    /// Backends that are ejected for the class get none of it.
+    /// Whether backends that are ejected for the class are excluded.
     pub respects_class_ejections: bool,
-    /// Some class is idempotent: only such requests probe backends on probation.
+    /// Whether some class is idempotent; then only idempotent requests probe backends on probation.
     pub any_idempotent: bool,
-    /// The request may go to a backend again that had an attempt of it.
+    /// Whether backends that already had an attempt of the request are eligible.
     pub may_return: bool,
     pub warmup: WarmupBudget<'a>,
 }
 
 impl Eligibility<'_> {
-    /// The request may be sent there: the backend is up to it and has capacity for it.
+    /// Returns whether the backend is eligible for the request and has capacity for it.
     pub(crate) fn allows(&self, backend: &BackendHealth) -> bool {
         self.has_capacity(backend) && self.is_eligible(backend)
     }
 
-    /// The backend is not at its limit, which would slow it for long.
+    /// Returns whether the backend is below its limit of attempts in flight; exceeding it would slow the
+    /// backend for long. Requests of low priority may use half of the limit.
     fn has_capacity(&self, backend: &BackendHealth) -> bool {
         let limit = backend.plan.in_flight_limit;
         let limit = if self.request.is_low_priority() { (limit / 2.0).ceil() } else { limit };
@@ -38,7 +39,7 @@
         backend.plan.readiness > 0.0 && f64::from(backend.load.in_flight.saturating_sub(idle)) < limit
     }
 
-    /// The backend is up to the request.
+    /// Returns whether the backend may serve the request, apart from its limit of attempts in flight.
     fn is_eligible(&self, backend: &BackendHealth) -> bool {
         backend.is_listed()
             && (!backend.ejection.on_probation || self.may_probe(backend))
@@ -48,14 +49,16 @@
             && self.warmup.warmup_budget(backend) >= self.work
     }
 
-    /// On probation, a backend gets one request at a time, which may fail without harm.
+    /// Returns whether the request may probe the backend, which gets one request at a time while on
+    /// probation. A probe is a first attempt, and idempotent if any class is, so that it may fail without
+    /// harm.
     fn may_probe(&self, backend: &BackendHealth) -> bool {
         backend.load.in_flight == 0
             && self.request.attempts.is_empty()
             && (self.config().classes[self.request.class].is_idempotent() || !self.any_idempotent)
     }
 
-    /// The backend is silent, full, or ejected for the class.
+    /// Returns whether the backend is silent, full, or ejected for the class.
     fn is_barred(&self, backend: &BackendHealth) -> bool {
         let is_class_barred = |class: &ClassHealth| {
             class.silent_attempts >= SILENT_ATTEMPTS
--- a/crates/policy/src/picker/mod.rs
+++ b/crates/policy/src/picker/mod.rs
@@ -1,4 +1,5 @@
-//! Picks a backend for a request: the kind by its share, the backend by its weight, both at random.
+//! Picks a backend for a request at random: a kind by its traffic share, then a backend of the kind by its
+//! weight.
 
 mod eligibility;
 mod tables;
@@ -13,7 +14,8 @@
 use crate::estimators::Rng;
 use std::collections::BTreeMap;
 
-/// Picks inside a kind before backends are scanned: where most are eligible it takes one or two.
+/// Maximum number of random picks within a kind before backends are scanned; one or two suffice if most are
+/// eligible.
 const MAX_PICKS: u32 = 8;
 
 /// A backend that the scan found eligible.
@@ -30,8 +32,8 @@
 }
 
 impl Picker {
-    /// A backend for the request. One that is not eligible is picked again, which is as if it had never been
-    /// among the candidates.
+    /// Picks a backend for the request. A pick that is not eligible is repeated, so that the eligible
+    /// backends are picked by their weights among themselves.
     pub(crate) fn pick_backend(
         &self, rng: &mut Rng, backends: &BTreeMap<BackendId, BackendHealth>,
         kinds: &BTreeMap<KindId, KindStats>, eligibility: &Eligibility<'_>,
@@ -52,7 +54,8 @@
     }
 }
 
-/// The eligible ones among the backends from `first` on, around the end of the list.
+/// Returns the eligible ones among up to [`SMALL_FLEET`] backends from `first` on, wrapping around at the
+/// end.
 fn scan(
     backends: &BTreeMap<BackendId, BackendHealth>, first: BackendId, eligibility: &Eligibility<'_>,
 ) -> Vec<ScannedBackend> {
@@ -69,7 +72,7 @@
         .collect()
 }
 
-/// Picks a backend of the kind, or of another where none of it is eligible.
+/// Picks a backend of the preferred kind, or of another kind if none of it is eligible.
 fn pick_scanned(
     rng: &mut Rng, preferred: KindId, eligible: &[ScannedBackend], kinds: &BTreeMap<KindId, KindStats>,
 ) -> Option<BackendId> {
--- a/crates/policy/src/picker/tables.rs
+++ b/crates/policy/src/picker/tables.rs
@@ -1,9 +1,9 @@
-//! The tables that a backend is looked up in: weights as running sums.
+//! Tables for picking a backend by its weight, stored as cumulative sums.
 
 use crate::api::{BackendId, KindId};
 use std::collections::BTreeMap;
 
-/// A backend with the sum of the weights up to it, its own included.
+/// A backend and the sum of the weights up to and including its own.
 struct Candidate {
     cumulative_weight: f64,
     backend: BackendId,
@@ -16,22 +16,22 @@
 }
 
 impl PickTables {
-    /// There is no ready backend.
+    /// Returns whether there is no ready backend.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_kind.is_empty()
     }
 
-    /// How many backends are ready.
+    /// Returns the number of ready backends.
     pub(crate) fn len(&self) -> usize {
         self.by_kind.values().map(Vec::len).sum()
     }
 
-    /// The kinds with tables.
+    /// Returns the kinds that have a table.
     pub(super) fn kinds(&self) -> impl Iterator<Item = KindId> + '_ {
         self.by_kind.keys().copied()
     }
 
-    /// Removes all backends, keeping the memory of the tables.
+    /// Removes all backends but keeps the allocated memory of the tables.
     pub(crate) fn clear_entries(&mut self) {
         self.by_kind.values_mut().for_each(Vec::clear);
     }
@@ -41,14 +41,15 @@
         self.by_kind.retain(|_, candidates| !candidates.is_empty());
     }
 
-    /// Adds a backend behind the others of its kind.
+    /// Appends a backend to the table of its kind.
     pub(crate) fn push(&mut self, kind: KindId, backend: BackendId, weight: f64) {
         let candidates = self.by_kind.entry(kind).or_default();
         let sum = candidates.last().map_or(0.0, |last| last.cumulative_weight);
         candidates.push(Candidate { cumulative_weight: sum + weight, backend });
     }
 
-    /// The backend at a point of the kind's weights: `unit` is from 0 up to 1. `None` where there is none.
+    /// Returns the backend at the fraction `unit`, in [0, 1), of the kind's total weight; `None` if the kind
+    /// has none.
     pub(super) fn pick(&self, kind: KindId, unit: f64) -> Option<BackendId> {
         let candidates = self.by_kind.get(&kind)?;
         let last = candidates.last()?;
--- a/crates/policy/src/solver/context.rs
+++ b/crates/policy/src/solver/context.rs
@@ -6,7 +6,7 @@
 use crate::picker::PickTables;
 use crate::slow_start::{SlowStart, WarmupBudget};
 
-/// What a solution is made from, and what it is written to.
+/// The inputs of a solution, and the state it is written to.
 pub(crate) struct SolverContext<'a> {
     pub now: Time,
     pub config: &'a Config,
--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -1,5 +1,6 @@
-//! The solver turns arrival rate, service times and health into the traffic share of each kind and backend.
-//! It works incrementally: each event takes it some steps on, so that no event walks over a large fleet.
+//! The solver computes the traffic share of each kind and backend from the arrival rate, service times and
+//! health. It works incrementally: each event runs some steps, so that no event visits all backends of a
+//! large fleet.
 
 mod context;
 mod shares;
@@ -14,26 +15,27 @@
 use solution::{Solution, MAX_EJECTED_SHARE};
 use stages::{run_stage, SolverStage, StageProgress};
 
-/// Solutions begin this often, in seconds: far faster than the memory of the arrival rate.
+/// Minimum interval between the starts of two solutions, in seconds; much shorter than the time constant of
+/// the arrival rate.
 const SOLVE_INTERVAL_S: f64 = 0.1;
-/// ... but not before so many requests have arrived: fewer are chance alone.
+/// Minimum number of arrivals between the starts of two solutions: a rate over fewer is mostly chance.
 const MIN_ARRIVALS_PER_SOLUTION: f64 = 5.0;
-/// Memory of the arrival rate, in seconds: short beside a ramp or a failure.
+/// Time constant of the arrival rate, in seconds; short compared with a ramp or a failure.
 const RATE_MEMORY_S: f64 = 2.0;
-/// Steps of a solution that an event takes in a larger fleet, one backend in one stage: some 20 us.
+/// Minimum number of steps per event in a larger fleet, some 20 us. A step is one backend in one stage.
 const MIN_STEPS_PER_EVENT: usize = 128;
-/// Stages of a solution at most.
+/// Maximum number of stages of a solution.
 const STAGES: f64 = 5.0;
 
-/// Solves the traffic shares step by step.
+/// Computes the traffic shares step by step.
 pub(crate) struct IncrementalSolver {
     progress: StageProgress,
     solution: Solution,
     /// When the next solution begins.
     pub next_solve_at: Time,
-    /// Requests a second that arrive at this proxy.
+    /// Requests per second that arrive at this proxy.
     pub arrival_rate: RateEstimator,
-    /// The median error rate of the backends: what is common to all is the fault of none.
+    /// Median error rate of the backends. Errors common to all backends are not attributed to any of them.
     pub common_error_rate: f64,
 }
 
@@ -48,13 +50,13 @@
         }
     }
 
-    /// A solution is in progress.
+    /// Returns whether a solution is in progress.
     pub(crate) fn is_running(&self) -> bool {
         self.progress.stage != SolverStage::Idle
     }
 
-    /// Takes the solution on, and begins one where none is in progress. `idle_s` is the time since the last
-    /// event, in seconds. Returns whether a solution became complete.
+    /// Continues the solution in progress, or starts one if there is none; returns whether it was completed.
+    /// `idle_s` is the time since the last event, in seconds.
     pub(crate) fn advance(&mut self, context: &mut SolverContext<'_>, idle_s: f64) -> bool {
         if !self.is_running() {
             self.begin(context.now);
@@ -78,7 +80,7 @@
         self.progress.stage = SolverStage::Census;
     }
 
-    /// Concludes the stage that has passed all backends.
+    /// Finishes the current stage, which has visited all backends, and selects the next one.
     fn finish_stage(&mut self, context: &mut SolverContext<'_>) {
         self.progress.stage = match self.progress.stage {
             SolverStage::Census => {
@@ -102,7 +104,7 @@
         };
     }
 
-    /// From now on picks go by this solution.
+    /// Publishes the completed solution to the estimates and the picker.
     fn publish(&mut self, context: &mut SolverContext<'_>) {
         let solution = &mut self.solution;
         for (id, kind) in &mut context.estimates.kinds {
@@ -118,8 +120,9 @@
     }
 }
 
-/// The solution of a small fleet is complete at once, and the first one of any. Else, where events are few
-/// each takes more steps, so that the solution is complete before the next one is due.
+/// Returns the number of steps that the event may run. The solution of a small fleet, and the first one of
+/// any fleet, is completed at once. Otherwise the steps grow with the time since the last event, so that the
+/// solution is complete before the next one is due.
 fn steps_for_event(context: &SolverContext<'_>, idle_s: f64) -> usize {
     let backends = context.backends.by_id.len();
     if context.tables.is_empty() || backends <= SMALL_FLEET {
--- a/crates/policy/src/solver/shares.rs
+++ b/crates/policy/src/solver/shares.rs
@@ -5,7 +5,7 @@
 use crate::estimators::RateEstimator;
 use crate::halb::halb_shares;
 
-/// Solves service rate and share of every kind, by the readiness that was added up.
+/// Computes the service rate and traffic share of every kind from the total readiness of its backends.
 pub(super) fn solve_kind_shares(
     context: &mut SolverContext<'_>, solution: &Solution, arrival_rate: &mut RateEstimator,
 ) {
@@ -44,11 +44,12 @@
             measured_kinds += 1.0;
         }
     }
-    // Kinds without data count as fast as the others.
+    // Kinds that were not measured are assumed to be as fast as the mean of the others.
     let mean = if measured_kinds > 0.0 { sum / measured_kinds } else { 1.0 };
     for kind in kinds.values_mut() {
         let service_rate = if kind.service_rate > 0.0 { kind.service_rate } else { mean };
-        // An overloaded kind answers too late to be measured: without this it would count as fast for ever.
+        // The attempts of an overloaded kind time out, so that its latency is not measured. Without this
+        // factor the kind would keep the service rate from before the overload.
         kind.service_rate = service_rate * kind.answered_share.value;
     }
     measured_kinds
--- a/crates/policy/src/solver/solution.rs
+++ b/crates/policy/src/solver/solution.rs
@@ -1,31 +1,31 @@
-//! A solution in progress: what the stages of the solver add up.
+//! A solution in progress: the sums that the stages of the solver compute.
 
 use crate::api::{BackendId, KindId, ZoneId};
 use crate::picker::PickTables;
 use std::collections::BTreeMap;
 
-/// Backends are ejected up to this share: beyond it all are used after all, as then the backends are not at
-/// fault.
+/// Maximum share of ejected backends. Beyond it the ejected ones are used again, as the backends are then
+/// unlikely to be the cause of the failures.
 pub(super) const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// What the first stage counts.
+/// The counts of the census stage.
 #[derive(Default)]
 pub(super) struct FleetCensus {
-    /// Backends that may be sent requests by the list and the operators.
+    /// Backends that the endpoint list and the operators allow to receive requests.
     pub listed: f64,
-    /// How many of them are ejected.
+    /// Number of ejected backends among them.
     pub ejected: f64,
-    /// Their error rates above zero.
+    /// Their error rates, without those that are zero.
     pub error_rates: Vec<f64>,
 }
 
 impl FleetCensus {
-    /// Too many backends are ejected.
+    /// Returns whether more than [`MAX_EJECTED_SHARE`] of the listed backends are ejected.
     pub(super) fn is_panicking(&self) -> bool {
         self.ejected > self.listed * MAX_EJECTED_SHARE
     }
 
-    /// The median error rate of the listed backends.
+    /// Returns the median error rate of the listed backends.
     pub(super) fn median_error_rate(&mut self) -> f64 {
         let listed = self.listed as usize;
         let with_errors = self.error_rates.len();
@@ -44,26 +44,26 @@
 pub(super) struct KindTotals {
     pub readiness: f64,
     pub traffic_share: f64,
-    /// The traffic share of the backends that the subset stage has passed.
+    /// Traffic share of the backends that the subset stage has visited.
     pub passed_share: f64,
 }
 
-/// A solution in progress. Picks go by the last complete one.
+/// A solution in progress. The picker uses the last complete one.
 #[derive(Default)]
 pub(super) struct Solution {
     pub census: FleetCensus,
     pub kinds: BTreeMap<KindId, KindTotals>,
-    /// The share of all traffic that the backends of a zone get.
+    /// Share of the traffic of all proxies that the backends of a zone get.
     pub zone_shares: BTreeMap<ZoneId, f64>,
-    /// Backends that get a part of this proxy's traffic.
+    /// Number of backends that get a part of this proxy's traffic.
     pub reachable: f64,
     pub tables: PickTables,
-    /// By class: ready backends that are ejected for it.
+    /// Number of ready backends that are ejected for a class, by class.
     pub class_ejections: BTreeMap<usize, f64>,
 }
 
 impl Solution {
-    /// An empty one that uses the memory of the former tables again.
+    /// Resets the solution, reusing the memory of the tables.
     pub(super) fn restart(&mut self) {
         let mut tables = std::mem::take(&mut self.tables);
         tables.clear_entries();
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -11,16 +11,16 @@
 use crate::subset::{subset_position, SubsetWindow};
 use std::collections::BTreeMap;
 
-/// The least divisor where a sum of shares may be zero.
+/// Minimum divisor where a sum of shares may be zero.
 const MIN_SHARE: f64 = 1e-9;
-/// The part of a backend's readiness or share that it keeps where it would get nothing: it takes the overflow
-/// where all others are at their limits.
+/// Factor of a backend's readiness or traffic share that is added to its traffic share or pick weight: a
+/// backend that would get nothing else takes the overflow when all others are at their limits.
 const TRACE: f64 = 1e-6;
 
-/// What the solver does next with each backend, in this order.
+/// The stages of a solution, in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum SolverStage {
-    /// Nothing: the solution is complete.
+    /// No solution is in progress.
     #[default]
     Idle,
     Census,
@@ -30,15 +30,15 @@
     Subset,
 }
 
-/// How far a solution has come.
+/// Progress of a solution.
 #[derive(Default)]
 pub(super) struct StageProgress {
     pub stage: SolverStage,
-    /// The backend with which the stage goes on; the order key counts for the subset stage only.
+    /// The next backend of the stage; the order key is used by the subset stage only.
     pub resume_at: OrderKey,
 }
 
-/// Goes on with the stage while steps are left; returns whether it has passed all backends.
+/// Continues the stage while steps are left; returns whether it has visited all backends.
 pub(super) fn run_stage(
     progress: &mut StageProgress, solution: &mut Solution, context: &mut SolverContext<'_>,
     steps_left: &mut usize,
@@ -53,7 +53,8 @@
     next.is_none()
 }
 
-/// Goes on with a stage that visits the backends in the order of their numbers.
+/// Continues a stage that visits the backends in the order of their ids; returns the backend to resume at, or
+/// `None` after the last one.
 fn run_sum_stage(
     progress: &StageProgress, solution: &mut Solution, context: &mut SolverContext<'_>,
     steps_left: &mut usize,
@@ -84,7 +85,8 @@
     }
 }
 
-/// Weighs the backends of each kind by the overlap of their shares with this proxy's subset.
+/// Continues the subset stage, which weights the backends of each kind by the overlap of their shares with
+/// this proxy's subset; returns the backend to resume at, or `None` after the last one.
 fn run_subset_stage(
     resume_at: OrderKey, solution: &mut Solution, context: &mut SolverContext<'_>, steps_left: &mut usize,
 ) -> Option<OrderKey> {
@@ -107,7 +109,8 @@
     None
 }
 
-/// Visits backends from `resume_at` on while steps are left; returns where the walk has to go on, if it has.
+/// Visits backends from `resume_at` on while steps are left; returns the backend to resume at, or `None`
+/// after the last one.
 fn walk(
     backends: &mut BTreeMap<BackendId, BackendHealth>, resume_at: BackendId, steps_left: &mut usize,
     mut visit: impl FnMut(&mut BackendHealth),
@@ -141,8 +144,9 @@
     let health = match backend.ejection.until {
         _ if !backend.is_listed() => 0.0,
         Some(_) if backend.ejection.on_probation => {
-            // Less often after each ejection that no success made up for: the probes of all proxies together
-            // are work, and would keep those that are only overloaded from ever recovering.
+            // Backends are probed less often after each consecutive ejection that is not offset by a success
+            // on probation: the probes of all proxies together would keep a backend that is only overloaded
+            // from recovering.
             let failures =
                 backend.ejection.consecutive_ejections - backend.ejection.probation_successes as i32;
             0.5f64.powi(failures.max(0))
@@ -154,22 +158,22 @@
     solution.kinds.entry(backend.entry.kind).or_default().readiness += backend.plan.readiness;
 }
 
-/// A backend's share of the traffic of all proxies: its kind's share by readiness.
+/// Returns a backend's share of the traffic of all proxies: its kind's share in proportion to its readiness.
 fn fleet_share(kinds: &BTreeMap<KindId, KindStats>, backend: &BackendHealth) -> f64 {
     kinds
         .get(&backend.entry.kind)
         .map_or(0.0, |kind| kind.fleet_share * backend.plan.readiness / kind.readiness.max(MIN_SHARE))
 }
 
-/// How traffic crosses zones, where that costs something: it stays in the zone as far as each backend still
-/// gets the same share of all. A zone whose backends get less than its proxies receive sends its surplus to
-/// the zones whose backends get more.
+/// The distribution of traffic over zones where crossing zones has a cost: traffic stays in its zone as far
+/// as each backend still gets its share of all traffic. The proxies of each zone are assumed to receive equal
+/// traffic; a zone whose backends get less than that sends its surplus to the zones whose backends get more.
 struct ZoneBalance<'a> {
     config: &'a Config,
     zones: f64,
-    /// The sum of what zones get beyond an even share.
+    /// Sum of what zones get beyond an even share, in units of an even share.
     total_deficit: f64,
-    /// The share of this proxy's zone.
+    /// Share of the traffic of all proxies that this proxy's zone gets.
     own_share: f64,
 }
 
@@ -184,7 +188,7 @@
         }
     }
 
-    /// By how much this proxy sends more to a backend than its share of all traffic.
+    /// Returns the ratio of a backend's share of this proxy's traffic to its share of all traffic.
     fn bias(&self, zone_share: Option<&f64>, backend: &BackendHealth) -> f64 {
         let zone_share = zone_share.map_or(0.0, |share| share.max(MIN_SHARE));
         if self.config.goal.cross_zone_cost <= 0.0 || zone_share <= 0.0 {
@@ -201,14 +205,15 @@
     }
 }
 
-/// Sets a backend's share of this proxy's traffic, and how much it may have in flight.
+/// Sets a backend's share of this proxy's traffic and its limit of attempts in flight.
 fn set_traffic_share(
     solution: &mut Solution, config: &Config, backend: &mut BackendHealth, bias: f64, drawn: f64,
 ) {
     let proxies = f64::from(config.proxy_count);
-    // Half of the target for all proxies goes by the bias, half evenly. The fraction is rounded up at as many
-    // proxies as it says. Each may have one attempt at least, as more proxies than the target would wait for
-    // turns: the overload check keeps the target.
+    // Half of the target of all proxies is distributed by the bias, half evenly. A fractional limit is
+    // rounded up at the corresponding fraction of the proxies. Each proxy may have at least one attempt in
+    // flight, as more proxies than the target would otherwise have to take turns; the overload check keeps
+    // the target.
     let turn = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
     let rounding = ((turn % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
     let even = TARGET_IN_FLIGHT_PER_BACKEND / proxies * backend.plan.readiness;
@@ -218,7 +223,7 @@
     solution.kinds.entry(backend.entry.kind).or_default().traffic_share += backend.plan.traffic_share;
 }
 
-/// Sets a backend's weight among those of its kind.
+/// Sets a backend's weight among the backends of its kind.
 fn set_pick_weight(
     config: &Config, window: &SubsetWindow, totals: &mut KindTotals, senders: f64,
     backend: &mut BackendHealth,
@@ -228,7 +233,7 @@
     totals.passed_share += backend.plan.traffic_share;
     let to = totals.passed_share / totals.traffic_share.max(MIN_SHARE);
     let in_subset = if senders < proxies {
-        // Where few proxies may send to a cold backend they share it, whatever their subsets.
+        // If only some proxies may send to a cold backend, they share it regardless of their subsets.
         let is_sender = subset_position(config, backend.entry.order_key) < senders;
         let share = f64::from(is_sender) * (to - from) / senders;
         share * window.width * proxies
@@ -238,7 +243,7 @@
     backend.plan.pick_weight = in_subset + backend.plan.traffic_share * TRACE;
 }
 
-/// Adds a ready backend to the pick tables.
+/// Adds a ready backend to the pick tables and counts the classes for which it is ejected.
 fn add_candidate(solution: &mut Solution, now: Time, id: BackendId, backend: &BackendHealth) {
     solution.add_candidate(backend.entry.kind, id, backend.plan.pick_weight);
     for (class, health) in &backend.classes {
