--- a/crates/policy/src/answer_loss.rs
+++ b/crates/policy/src/answer_loss.rs
@@ -1,21 +1,21 @@
-//! From what age on an attempt counts as lost.
+//! Detection of lost answers: the age from which an attempt counts as lost.
 
 use crate::api::{Micros, Outcome, Time};
 use crate::estimators::MovingAverage;
 
-/// An attempt this many times older than usual counts as lost and takes no capacity any more. Two of them,
-/// with no later answer, mark a backend as silent; one may be an answer that never comes.
+/// Age, in usual latencies, from which an attempt counts as lost and no longer takes capacity. Two such
+/// attempts without a later answer mark a backend as silent; a single one may be one lost answer.
 pub(crate) const SILENT_AFTER: f64 = 8.0;
-/// ... or so many times, while most attempts that are as old as this are never answered.
+/// The same age while most attempts that reach it are never answered.
 const LOST_AFTER: f64 = 2.5;
-/// Attempts of that age that tell whether most are answered.
+/// Window of an answered share, in attempts; enough to tell whether most are answered.
 const ANSWERED_SAMPLES: f64 = 30.0;
-/// Samples that the first answered share is worth.
+/// Weight of the initial answered share, in samples.
 const INITIAL_SAMPLES: f64 = 5.0;
 
-/// The share of the attempts older than some age that were answered.
+/// The share of answered attempts among those that reached some age.
 struct AgedAnswers {
-    /// In usual latencies.
+    /// The age, in usual latencies.
     age: f64,
     answered_share: MovingAverage,
 }
@@ -30,7 +30,7 @@
     }
 }
 
-/// An attempt that ended while it was not waiting for its body.
+/// An attempt that ended, and whose body was complete.
 pub(crate) struct EndedAttempt {
     pub sent_at: Time,
     pub outcome: Outcome,
@@ -38,7 +38,7 @@
     pub usual_latency: Micros,
 }
 
-/// Tells from what age on most attempts are never answered.
+/// Estimates the age from which most attempts are never answered.
 pub(crate) struct AnswerLoss {
     moderately_old: AgedAnswers,
     very_old: AgedAnswers,
@@ -49,7 +49,7 @@
         AnswerLoss { moderately_old: AgedAnswers::new(LOST_AFTER), very_old: AgedAnswers::new(SILENT_AFTER) }
     }
 
-    /// Records how an attempt ended, where it was old enough to tell something.
+    /// Records how an attempt ended, if it had reached one of the ages.
     pub(crate) fn record(&mut self, now: Time, attempt: &EndedAttempt) {
         let answered = match attempt.outcome {
             Outcome::Success | Outcome::Error => 1.0,
@@ -63,18 +63,18 @@
         }
     }
 
-    /// The age, in usual latencies, from which most attempts are never answered; `None` while answers are not
-    /// lost.
+    /// Returns the age, in usual latencies, from which most attempts are never answered; `None` while answers
+    /// are not being lost.
     pub(crate) fn answer_loss_age(&self) -> Option<f64> {
         [&self.moderately_old, &self.very_old].into_iter().find(|a| a.is_lossy()).map(|a| a.age)
     }
 
-    /// Answers are being lost.
+    /// Returns whether answers are being lost.
     pub(crate) fn is_losing(&self) -> bool {
         self.answer_loss_age().is_some()
     }
 
-    /// An attempt older than this counts as lost.
+    /// Returns the age from which an attempt counts as lost.
     pub(crate) fn loss_timeout(&self, usual_latency: Micros) -> Micros {
         usual_latency.times(self.answer_loss_age().unwrap_or(SILENT_AFTER))
     }
--- a/crates/policy/src/backend_health.rs
+++ b/crates/policy/src/backend_health.rs
@@ -1,20 +1,20 @@
-//! What is known of one backend. Plain records; the modules that decide write them.
+//! The state of one backend: plain records that other modules update.
 
 use crate::api::{Backend, BackendState, Time};
 use crate::sent_work::SentWorkLog;
 use std::collections::BTreeMap;
 
-/// What the solver plans for a backend.
+/// The traffic of a backend as planned by the solver.
 #[derive(Default)]
 pub(crate) struct TrafficPlan {
     /// From 0 (send nothing) to 1 (healthy and warmed up).
     pub readiness: f64,
-    /// Its share of this proxy's traffic.
+    /// Share of this proxy's traffic.
     pub traffic_share: f64,
-    /// Its weight among the backends of its kind: the overlap with this proxy's subset, and a trace outside
-    /// it, as a last resort.
+    /// Weight among the backends of its kind: the overlap with this proxy's subset, plus a tiny weight as a
+    /// last resort outside it.
     pub pick_weight: f64,
-    /// How many attempts of this proxy it may have in flight.
+    /// Maximum number of attempts of this proxy in flight.
     pub in_flight_limit: f64,
 }
 
@@ -22,73 +22,74 @@
 #[derive(Default)]
 pub(crate) struct BackendLoad {
     pub in_flight: u32,
-    /// How many of these wait for the rest of a request body: they are no work yet.
+    /// Number of these that wait for the rest of a request body and are not work for the backend yet.
     pub uploading: u32,
-    /// How many of these are older than the loss timeout: they take no capacity any more.
+    /// Number of these that are older than the loss timeout and no longer take capacity.
     pub lost: u32,
 }
 
-/// Whether a backend is ejected for all classes.
+/// The ejection of a backend for all classes.
 #[derive(Default)]
 pub(crate) struct Ejection {
-    /// Ejected, until this time at least.
+    /// Earliest end of the ejection; `None` while not ejected.
     pub until: Option<Time>,
-    /// The term is over; successes have to show that the backend is healthy.
+    /// Whether the term is over and successes have to show that the backend is healthy.
     pub on_probation: bool,
-    /// Ejections without a success while not ejected between them.
+    /// Ejections since the last success outside an ejection.
     pub consecutive_ejections: i32,
-    /// Successes since the ejection.
+    /// Successes since the last ejection.
     pub probation_successes: u32,
 }
 
-/// What is known of a backend for one class: it may fail at one class and serve the others.
+/// The health of a backend for one class: it may fail for one class and serve the others.
 #[derive(Default)]
 pub(crate) struct ClassHealth {
-    /// Moving share of error answers.
+    /// Moving share of failed attempts.
     pub error_rate: f64,
-    /// When it last answered a request of the class.
+    /// When the backend last answered a request of the class.
     pub answered_at: Time,
-    /// Attempts that are old enough to mark silence, with no answer to one of the class since they were sent.
+    /// Attempts old enough to count as silent, without an answer to any request of the class since they were
+    /// sent.
     pub silent_attempts: u32,
-    /// It rejected one, and gets none until then.
+    /// Until when the backend gets no requests of the class, after a rejection.
     pub full_until: Time,
-    /// Rejections since it last served one.
+    /// Rejections since the last success for the class.
     pub consecutive_rejections: u32,
-    /// It is ejected for the class until then.
+    /// Until when the backend is ejected for the class.
     pub ejected_until: Time,
-    /// Ejections for the class since it last served one.
+    /// Ejections for the class since the last success for it.
     pub consecutive_ejections: u32,
 }
 
-/// What is known of a backend.
+/// The state of a backend.
 #[derive(Default)]
 pub(crate) struct BackendHealth {
-    /// Its entry of the endpoint list.
+    /// Its entry in the endpoint list.
     pub entry: Backend,
-    /// Operators have taken it out of service.
+    /// Whether operators have cordoned the backend.
     pub cordoned: bool,
     pub plan: TrafficPlan,
     pub load: BackendLoad,
-    /// Moving share of error answers.
+    /// Moving share of failed attempts.
     pub error_rate: f64,
-    /// When it last answered anything.
+    /// When the backend last answered any request.
     pub answered_at: Time,
-    /// Attempts that are old enough to mark silence, with no answer to anything since they were sent.
+    /// Attempts old enough to count as silent, without an answer to any request since they were sent.
     pub silent_attempts: u32,
     pub ejection: Ejection,
     pub sent_work: SentWorkLog,
-    /// By class, as far as it got requests of it.
+    /// Health by class, for the classes of requests it received.
     pub classes: BTreeMap<usize, ClassHealth>,
 }
 
 impl BackendHealth {
-    /// The endpoint list and the operators let it be sent requests.
+    /// Returns whether the endpoint list and the operators allow requests to be sent to the backend.
     pub(crate) fn is_listed(&self) -> bool {
         self.entry.state == BackendState::Ready && !self.cordoned
     }
 
-    /// Another process runs at the address: all is forgotten but what is in flight there and what was sent
-    /// lately.
+    /// Resets the state when another process runs at the address. Only the entry, the cordon, the attempts in
+    /// flight and the recently sent work are kept.
     pub(crate) fn reset_for_new_process(&mut self) {
         let previous = std::mem::take(self);
         *self = BackendHealth {
@@ -100,7 +101,7 @@
         };
     }
 
-    /// What is known of it for one class.
+    /// Returns the health for one class, which is created if absent.
     pub(crate) fn class_mut(&mut self, class: usize) -> &mut ClassHealth {
         self.classes.entry(class).or_default()
     }
--- a/crates/policy/src/backend_table.rs
+++ b/crates/policy/src/backend_table.rs
@@ -1,21 +1,20 @@
-//! The backends of the endpoint list and what is known of each.
+//! The backends of the endpoint list and their state.
 
 use crate::api::{Backend, BackendId, BackendState, ListUpdate, Micros, Time};
 use crate::backend_health::BackendHealth;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to so many backends are examined in one event: all of a small fleet; in a large one so many stand for
-/// it.
+/// Maximum number of backends examined in one event: all of a small fleet, a part of a larger one.
 pub(crate) const SMALL_FLEET: usize = 256;
 
-/// The place of a backend in an order that all proxies share.
+/// The position of a backend in an order that all proxies share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OrderKey {
     pub order_key: u64,
     pub backend: BackendId,
 }
 
-/// All backends.
+/// All known backends.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     pub by_id: BTreeMap<BackendId, BackendHealth>,
@@ -25,9 +24,9 @@
     removed: BTreeSet<BackendId>,
     /// Backends with attempts that look lost.
     pub suspects: Vec<BackendId>,
-    /// Backends that operators have taken out of service.
+    /// Backends that operators have cordoned.
     cordoned: BTreeSet<BackendId>,
-    /// When backends came back that operators had taken out of service.
+    /// When formerly cordoned backends returned to service.
     uncordoned_at: BTreeMap<BackendId, Time>,
 }
 
@@ -56,7 +55,8 @@
         entry.started_at = entry.started_at.max(self.uncordoned_at.get(&id).copied());
         let backend = self.by_id.entry(id).or_default();
         if backend.entry.started_at != entry.started_at {
-            // A restarted process has nothing in common with the old one but its address.
+            // Another start time means another process, which has only the address in common with the old
+            // one.
             backend.reset_for_new_process();
         }
         backend.cordoned = self.cordoned.contains(&id);
@@ -68,7 +68,7 @@
         backend.entry = entry;
     }
 
-    /// Drops removed backends, once nothing is in flight there.
+    /// Drops removed backends that have nothing in flight.
     fn drop_removed(&mut self) {
         for id in std::mem::take(&mut self.removed) {
             let Some(backend) = self.by_id.get(&id) else { continue };
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Takes exactly these backends out of service, at once. One that comes back counts as just started: it
-    /// may have been restarted, and the endpoint list reports that only seconds later.
+    /// Sets the cordoned backends, effective at once. A backend that returns to service counts as just
+    /// started: it may have been restarted, and the endpoint list reports that only seconds later.
     pub(crate) fn set_cordoned(&mut self, now: Time, backends: Vec<BackendId>, slow_start: Micros) {
         let cordoned: BTreeSet<BackendId> = backends.into_iter().collect();
         self.uncordoned_at.retain(|id, at| now - *at < slow_start && !cordoned.contains(id));
@@ -102,7 +102,7 @@
         }
     }
 
-    /// No backend is suspect any more, until the next check of the attempts in flight.
+    /// Clears the marks of all suspects, before the next check of the attempts in flight.
     pub(crate) fn clear_suspects(&mut self) {
         for id in std::mem::take(&mut self.suspects) {
             let Some(backend) = self.by_id.get_mut(&id) else { continue };
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -1,24 +1,24 @@
-//! When to subscribe to the endpoint list, and when to try again.
+//! When to subscribe to the endpoint list, and when to retry.
 
 use crate::api::{DiscoveryMode, ListUpdate, Micros, Time};
 use crate::estimators::Rng;
 
 /// The first pause after a failed subscription, in seconds.
 const MIN_BACKOFF_S: f64 = 0.1;
-/// The longest pause before jitter, in seconds: with a silent poll and a slow answer behind it, an update is
-/// in place within the 6 s after which it counts as notified.
+/// The longest pause before jitter, in seconds: after a silent poll and a slow answer, an update is still
+/// applied within the 6 s after which the proxy counts as notified.
 const MAX_BACKOFF_S: f64 = 0.8;
 
-/// The subscription to the endpoint list.
+/// The state of the subscription to the endpoint list.
 pub(crate) struct DiscoveryPoll {
-    /// When to subscribe next; `None` while the subscription stands, or where updates come without one.
+    /// When to subscribe next; `None` while subscribed, or if updates arrive without a subscription.
     next_at: Option<Time>,
     /// The last pause, in seconds; 0 after a success.
     backoff_s: f64,
 }
 
 impl DiscoveryPoll {
-    /// Subscribes at `now` where updates need it.
+    /// Creates the state, with a subscription due at `now` if updates require one.
     pub(crate) fn new(mode: DiscoveryMode, now: Time) -> DiscoveryPoll {
         DiscoveryPoll { next_at: (mode != DiscoveryMode::Push).then_some(now), backoff_s: 0.0 }
     }
@@ -27,7 +27,7 @@
         self.next_at
     }
 
-    /// An update came: the subscription stands.
+    /// Records an update; one that discovery sent confirms the subscription.
     pub(crate) fn record_update(&mut self, update: ListUpdate) {
         if matches!(update, ListUpdate::Changes | ListUpdate::Full) {
             self.next_at = None;
@@ -35,15 +35,16 @@
         }
     }
 
-    /// The subscription failed: it is retried with exponential backoff and jitter, so that proxies do not
-    /// retry in step. Shorter pauses of a whole fleet keep an overloaded discovery from ever answering.
+    /// Schedules the retry of a failed subscription with exponential backoff and jitter, so that proxies do
+    /// not retry in step. Shorter pauses of a whole fleet keep an overloaded discovery from ever answering.
     pub(crate) fn record_failure(&mut self, now: Time, poll_within: Micros, rng: &mut Rng) {
         let max_backoff_s = (poll_within.secs() / 8.0).clamp(MIN_BACKOFF_S, MAX_BACKOFF_S);
         self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_backoff_s);
         self.next_at = Some(now + Micros::from_secs(self.backoff_s * (0.5 + rng.unit())));
     }
 
-    /// Whether to subscribe now. Where no answer comes the call itself was lost: it is repeated later.
+    /// Returns whether to subscribe now. Schedules the next subscription as well, in case this one is lost
+    /// without an answer.
     pub(crate) fn take_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
         let DiscoveryMode::Subscribe { poll_within } = mode else { return false };
         if self.next_at.is_none_or(|at| now < at) {
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -1,30 +1,30 @@
-//! What is learned of kinds and classes: service times, rates and shares.
+//! Estimates for kinds and classes: service times, rates and shares.
 
 use crate::api::{Config, KindId, Micros};
 use crate::estimators::MovingAverage;
 use std::collections::BTreeMap;
 
-/// Samples in the mean of a kind or class: its error is then about a tenth of the spread.
+/// Window of the mean of a kind or class, in samples: the error of the mean is about a tenth of the spread.
 pub(crate) const ESTIMATE_SAMPLES: f64 = 100.0;
-/// Attempts in the answered share of a kind: enough to tell whether most are answered.
+/// Window of the answered share of a kind, in attempts; enough to tell whether most are answered.
 const ANSWERED_SAMPLES: f64 = 30.0;
-/// Samples that a kind's first answered share is worth: one failure alone may be chance.
+/// Weight of a kind's initial answered share, in samples: a single failure may be chance.
 const INITIAL_ANSWERED_SAMPLES: f64 = 2.0;
 
-/// What is learned of a kind of machine.
+/// Estimates for a kind of machine.
 pub(crate) struct KindStats {
-    /// Seconds from dispatch to answer, of served requests only, with the class mix taken out.
+    /// Latency of served requests from dispatch to answer, in seconds, normalized for the class mix.
     pub latency: MovingAverage,
-    /// The share of attempts that were answered at all, of those that had time enough.
+    /// Share of the answered attempts among those that were answered or timed out.
     pub answered_share: MovingAverage,
-    /// Requests a second that one backend got while the latency was measured. The present rate in its place
+    /// Requests per second that one backend got while the latency was measured. The current rate instead
     /// would make the shares of the proxies oscillate.
     pub measured_rate: MovingAverage,
-    /// Requests a second that one backend gets by the present shares.
+    /// Requests per second that one backend gets according to the current shares.
     pub planned_rate: f64,
     /// Sum of the readiness of its backends.
     pub readiness: f64,
-    /// Requests a second that one backend could serve.
+    /// Requests per second that one backend could serve.
     pub service_rate: f64,
     /// Share of the traffic of all proxies.
     pub fleet_share: f64,
@@ -48,24 +48,25 @@
 }
 
 impl KindStats {
-    /// An attempt was answered, or timed out.
+    /// Records that an attempt was answered, or that it timed out.
     pub(crate) fn record_answered(&mut self, answered: bool) {
         self.answered_share.add(f64::from(answered), ANSWERED_SAMPLES);
     }
 }
 
-/// What is learned of a class.
+/// Estimates for a class.
 #[derive(Default)]
 pub(crate) struct ClassStats {
-    /// Seconds from dispatch to answer, of served requests only.
+    /// Latency of served requests from dispatch to answer, in seconds.
     pub latency: MovingAverage,
-    /// More than half of the backends are ejected for it: then the backends are not at fault.
+    /// Whether more than half of the ready backends are ejected for the class, which are then unlikely to be
+    /// the cause of its failures.
     pub is_ejected_by_most: bool,
 }
 
-/// What is learned of all kinds and classes.
+/// Estimates for all kinds and classes.
 pub(crate) struct Estimates {
-    /// Seconds from dispatch to answer, of all classes.
+    /// Latency of served requests of all classes from dispatch to answer, in seconds.
     pub overall_latency: MovingAverage,
     pub classes: Vec<ClassStats>,
     pub kinds: BTreeMap<KindId, KindStats>,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// What a served request of the class usually takes; before any was served, a quarter of its objective.
+    /// Returns the mean latency of served requests of the class, or a quarter of its objective before any was
+    /// served.
     pub(crate) fn usual_latency(&self, config: &Config, class: usize) -> Micros {
         match self.classes[class].latency.get() {
             Some(latency_s) => Micros::from_secs(latency_s),
@@ -88,13 +90,13 @@
         }
     }
 
-    /// The work of a request of the class, in requests of mean work, as far as latency shows it.
+    /// Returns the work of a request of the class, estimated by its latency, in requests of mean work.
     pub(crate) fn relative_work(&self, class: usize) -> f64 {
         self.classes[class].latency.get().map_or(1.0, |latency_s| latency_s / self.overall_latency.value)
     }
 
-    /// A backend of the kind served a request of the class. Errors, time-outs and rejections stay out of the
-    /// service times.
+    /// Records that a backend of the kind served a request of the class. Errors, timeouts and rejections are
+    /// not included in the service times.
     pub(crate) fn record_success(&mut self, kind: KindId, class: usize, latency: Micros) {
         let latency_s = latency.secs().max(1e-6);
         let class = &mut self.classes[class];
--- a/crates/policy/src/estimators.rs
+++ b/crates/policy/src/estimators.rs
@@ -1,12 +1,11 @@
-//! Running estimates and the random numbers of one balancer. They decide nothing, but every decision rests on
-//! them: the order of their floating-point operations and of the random draws is part of what the balancer
-//! decides.
+//! Running estimates and the random numbers of one balancer. Every decision depends on them: another order of
+//! their floating-point operations or of the random draws changes the decisions.
 
 use crate::api::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Random numbers, the same on every machine for the same seed.
+/// A random number generator with the same sequence on every machine for the same seed.
 pub(crate) struct Rng(Pcg32);
 
 impl Rng {
@@ -14,12 +13,13 @@
         Rng(Pcg32::seed_from_u64(seed))
     }
 
-    /// Uniformly distributed in [0, 1).
+    /// Returns a number uniformly distributed in [0, 1).
     pub(crate) fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, each with the probability of its weight; `None` where there are none.
+    /// Picks one of the items at random, with a probability proportional to its weight; returns `None` if
+    /// there are none.
     pub(crate) fn pick_weighted<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
         let mut remaining = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
         for (item, weight) in weighted {
@@ -32,11 +32,11 @@
     }
 }
 
-/// A mean over about the last `window` samples.
+/// A moving average over about the last `window` samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingAverage {
     pub value: f64,
-    /// Samples that the value is worth: the next one weighs one among so many.
+    /// Weight of the value, in samples.
     pub count: f64,
 }
 
@@ -46,20 +46,20 @@
         self.value += (sample - self.value) / self.count;
     }
 
-    /// The mean; `None` before the first sample.
+    /// Returns the mean; `None` before the first sample.
     pub(crate) fn get(&self) -> Option<f64> {
         (self.count > 0.0).then_some(self.value)
     }
 }
 
-/// Events a second with exponentially fading memory, without bias from the first second on.
+/// Estimates events per second with an exponentially decaying memory, without bias from the start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateEstimator {
     /// Time constant of the memory, in seconds.
     memory_s: f64,
-    /// Events, faded.
+    /// Decayed number of events.
     events: f64,
-    /// Time observed, faded alike, in seconds.
+    /// Decayed time of observation, in seconds.
     observed_s: f64,
     updated_at: Option<Time>,
 }
@@ -69,14 +69,14 @@
         RateEstimator { memory_s, events: 0.0, observed_s: 0.0, updated_at: None }
     }
 
-    /// Counts `level` for each second since the last update: the integral of a level that was constant
-    /// meanwhile.
+    /// Adds the integral of a level that was constant since the last update, so that the rate is the mean
+    /// level.
     pub(crate) fn add_level(&mut self, now: Time, level: f64) {
         let gap_s = self.gap_s(now);
         self.add(now, level * (1.0 - (-gap_s / self.memory_s).exp()) * self.memory_s);
     }
 
-    /// Counts `events` at `now`; none just lets time pass.
+    /// Counts `events` at `now`; 0 only advances the time.
     pub(crate) fn add(&mut self, now: Time, events: f64) {
         let fade = (-self.gap_s(now) / self.memory_s).exp();
         self.events = self.events * fade + events;
@@ -84,7 +84,7 @@
         self.updated_at = Some(now);
     }
 
-    /// Events a second; `None` until a twentieth of the memory has passed.
+    /// Returns the events per second; `None` until a twentieth of the time constant was observed.
     pub(crate) fn per_s(&self) -> Option<f64> {
         (self.observed_s > self.memory_s / 20.0).then(|| self.events / self.observed_s)
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// A token bucket: a rate with a burst.
+/// A token bucket, which limits a rate and its bursts.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -102,9 +102,9 @@
 }
 
 impl TokenBucket {
-    /// Takes a token if there is one. The bucket refills at `rate_per_s` up to the tokens of `burst_s`
-    /// seconds, and starts with as many; a low rate may accumulate `min_burst`, as chance alone brings a few
-    /// requests at once.
+    /// Takes a token; returns whether there was one. The bucket refills at `rate_per_s` up to the tokens of
+    /// `burst_s` seconds, and starts with that many but at least one. At a low rate it can accumulate
+    /// `min_burst` tokens, as a few requests may arrive together by chance.
     pub(crate) fn take(&mut self, now: Time, rate_per_s: f64, burst_s: f64, min_burst: f64) -> bool {
         let burst = rate_per_s * burst_s;
         self.tokens = match self.refilled_at {
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -1,5 +1,5 @@
-//! Time-outs of requests: when an attempt counts as lost and another one is sent beside it or in its place,
-//! and when a request is given up.
+//! Timeouts of requests: when an attempt counts as lost, so that another one is sent beside it or in its
+//! place, and when a request is given up.
 
 use crate::answer_loss::AnswerLoss;
 use crate::api::{BackendId, Config, Micros, SideEffects, Time};
@@ -8,37 +8,38 @@
 use crate::requests::{AttemptRecord, PendingRequest};
 use std::collections::BTreeMap;
 
-/// What the time that has passed calls for.
+/// The next step for a request according to its timeouts.
 pub(crate) enum RequestStep {
     Wait,
-    /// It cannot be served in time any more.
+    /// The request can no longer be served in time.
     GiveUp,
-    /// Its attempts look lost: another one may be sent beside them.
+    /// Its attempts look lost: a hedged attempt may be sent.
     Hedge,
-    /// Its attempt looks lost, and none may be sent beside it: it is cancelled to make way for the next.
+    /// Its attempt looks lost and hedging is not allowed: the attempt is cancelled so that another one can be
+    /// sent.
     CancelLost,
 }
 
-/// The check of one request.
+/// The result of checking one request.
 pub(crate) struct RequestCheck {
     pub step: RequestStep,
-    /// When time calls for something next.
+    /// When to check the request again.
     pub next_check_at: Time,
 }
 
-/// What a check depends on.
+/// The inputs of a check.
 pub(crate) struct TimeoutContext<'a> {
     pub now: Time,
     pub config: &'a Config,
     pub estimates: &'a Estimates,
     pub answer_loss: &'a AnswerLoss,
     pub backends: &'a BTreeMap<BackendId, BackendHealth>,
-    /// The retry budget allows another attempt.
+    /// Whether the retry budget allows another attempt.
     pub may_retry: bool,
 }
 
 impl TimeoutContext<'_> {
-    /// Checks one request, unless no time runs on it.
+    /// Checks one request; returns `None` if no timeout applies to it.
     pub(crate) fn check(&self, request: &PendingRequest) -> Option<RequestCheck> {
         let has_attempt_in_flight = request.has_attempt_in_flight();
         if request.streaming || request.uploading && has_attempt_in_flight {
@@ -46,7 +47,7 @@
         }
         let usual_latency = self.estimates.usual_latency(self.config, request.class);
         let pays_late = self.pays_late(request);
-        // The deadline's own tick would be too late to answer.
+        // At the tick of the deadline itself it would be too late to answer.
         let (last_start, margin) = if has_attempt_in_flight {
             (request.deadline, self.config.tick)
         } else {
@@ -64,15 +65,15 @@
         Some(RequestCheck { step, next_check_at: last_start - margin })
     }
 
-    /// An answer after the latency objective has some value, and the client need not know early that the
-    /// request failed.
+    /// Returns whether to wait for an answer after the latency objective: it has some value, and the request
+    /// may have run, so that its client gains nothing from an early failure.
     fn pays_late(&self, request: &PendingRequest) -> bool {
         self.config.classes[request.class].late_value_factor > 0.0 && !request.never_ran()
     }
 
-    /// When an attempt has to begin at the latest: a request that waits until it cannot meet its objective is
-    /// rejected while that is still harmless. The client of a request that never ran is answered before half
-    /// of its time is over.
+    /// Returns when a request without an attempt in flight has to be answered. If a late answer has no value,
+    /// the request is rejected once it cannot meet its objective, while that is still harmless, and before
+    /// half of its time is over.
     fn last_start(&self, request: &PendingRequest, usual_latency: Micros, pays_late: bool) -> Time {
         if pays_late {
             return request.deadline;
@@ -82,8 +83,8 @@
         request.objective_at.min(half).min(request.deadline)
     }
 
-    /// All attempts in flight look lost. Age alone is a reason only where answers are being lost: copies of
-    /// heavy requests overload backends.
+    /// Returns whether all attempts in flight look lost. Age counts only while answers are being lost, as
+    /// copies of heavy requests overload backends.
     fn is_lost(&self, request: &PendingRequest, usual_latency: Micros) -> bool {
         let loss_timeout = self.answer_loss.loss_timeout(usual_latency);
         let is_losing = self.answer_loss.is_losing();
@@ -95,7 +96,7 @@
             && request.attempts.iter().all(|a| !a.in_flight || is_on_ejected(a) || is_old(a))
     }
 
-    /// Another attempt may be answered in time, and there is budget for it.
+    /// Returns whether another attempt is likely to be answered in time and there is budget for it.
     fn is_worth_retrying(&self, request: &PendingRequest, usual_latency: Micros, pays_late: bool) -> bool {
         let expected_end = self.now + usual_latency;
         let in_time = expected_end < request.objective_at || pays_late && expected_end < request.deadline;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,31 +1,31 @@
-//! Outlier ejection: backends that fail are ejected for a term, for one class or for all, and come back on
-//! probation.
+//! Outlier ejection: a failing backend is ejected for a term, for one class or for all, and is on probation
+//! after an ejection for all.
 
 use crate::api::{Micros, Outcome, Time};
 use crate::backend_health::{BackendHealth, ClassHealth};
 
-/// Error rate from which a backend is ejected: four errors close together reach it. Invalid answers and
-/// broken connections come from all backends alike, a few in a hundred: two are chance.
+/// Error rate above which a backend is ejected; four consecutive errors exceed it. A few percent of invalid
+/// answers and broken connections come from any backend, so that two errors may be chance.
 const MAX_ERROR_RATE: f64 = 0.3;
 /// Weight of the newest outcome in an error rate.
 const ERROR_WEIGHT: f64 = 0.1;
-/// First term of an ejection, in seconds; it doubles with each return that failed, twice at most.
+/// First term of an ejection, in seconds; it doubles with each consecutive ejection, at most twice.
 pub(crate) const EJECTION_TERM_S: f64 = 1.0;
-/// Ejections in a row after which the term does not grow any more.
+/// Maximum number of doublings of the ejection term.
 const MAX_TERM_DOUBLINGS: u32 = 2;
-/// Rejections in a row after which the pause does not grow any more.
+/// Maximum number of doublings of the pause after a rejection.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
-/// Successes on probation before an ejected backend is trusted again.
+/// Number of successes on probation that end an ejection.
 const PROBATION_SUCCESSES: u32 = 3;
 
-/// What a failure calls for.
+/// The consequence of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureVerdict {
-    /// Nothing yet.
+    /// The backend stays in use.
     Tolerate,
-    /// The backend fails at the class: it is ejected for it and serves the others.
+    /// The backend fails for the class: it is ejected for that class and serves the others.
     EjectForClass,
-    /// The backend is ejected.
+    /// The backend is ejected for all classes.
     Eject,
 }
 
@@ -61,8 +61,9 @@
     true
 }
 
-/// Records a rejection. A full backend answers: it gets none of the class until it may have finished one,
-/// twice as long each time that it is still full. Being busy is no fault, and it may concern one class only.
+/// Records a rejection. A full backend gets no requests of the class until it has probably finished one; the
+/// pause doubles with each consecutive rejection, up to half of the first ejection term. Being full does not
+/// count as a failure, and may concern one class only.
 pub(crate) fn record_rejection(backend: &mut BackendHealth, class: usize, now: Time, usual_latency: Micros) {
     let health = backend.class_mut(class);
     let doublings = f64::from(health.consecutive_rejections.min(MAX_PAUSE_DOUBLINGS));
@@ -71,13 +72,13 @@
     health.consecutive_rejections += 1;
 }
 
-/// Records a failure and judges whether the backend has to be ejected. `common_error_rate` is the median of
-/// all backends: what is common to all is the fault of none.
+/// Records a failure and decides whether to eject the backend. `common_error_rate` is the median of all
+/// backends, which raises the threshold: errors common to all backends are not attributed to this one.
 pub(crate) fn record_failure(
     backend: &mut BackendHealth, now: Time, attempt: &FailedAttempt, common_error_rate: f64,
 ) -> FailureVerdict {
     if attempt.outcome == Outcome::TimedOut {
-        // A heavy request alone is no fault of the backend: other answers came back meanwhile.
+        // The backend answered other requests of the class meanwhile, so this one may just be heavy.
         if backend.class_mut(attempt.class).answered_at >= attempt.sent_at {
             return FailureVerdict::Tolerate;
         }
@@ -107,12 +108,13 @@
     *error_rate += (1.0 - *error_rate) * ERROR_WEIGHT;
 }
 
-/// A request of the class was served just now.
+/// Returns whether the backend answered a request of the class recently and has almost no errors for it.
 fn is_serving(class: &ClassHealth, now: Time) -> bool {
     class.error_rate < ERROR_WEIGHT / 2.0 && now < class.answered_at + Micros::from_secs(EJECTION_TERM_S)
 }
 
-/// Ejects the backend, unless its term still runs; returns whether it did. `jitter` is from 0 up to 1.
+/// Ejects the backend, unless its current term is still running; returns whether it did. `jitter` is in [0,
+/// 1).
 pub(crate) fn eject(backend: &mut BackendHealth, now: Time, jitter: f64) -> bool {
     let term_s = EJECTION_TERM_S * (0.75 + 0.5 * jitter);
     let ejection = &mut backend.ejection;
@@ -127,7 +129,7 @@
     true
 }
 
-/// Ejects the backend for one class, unless it is already; returns whether it did.
+/// Ejects the backend for one class, unless it is already ejected for it; returns whether it did.
 pub(crate) fn eject_for_class(backend: &mut BackendHealth, class: usize, now: Time) -> bool {
     let health = backend.class_mut(class);
     if now < health.ejected_until {
@@ -139,7 +141,7 @@
     true
 }
 
-/// Restores the ejection of an earlier process: the term is over, and the backend is on probation from now
+/// Restores an ejection from an earlier process: its term is over, and the backend is on probation from now
 /// on.
 pub(crate) fn restore_ejection(backend: &mut BackendHealth, now: Time, consecutive_ejections: u32) {
     let ejection = &mut backend.ejection;
--- a/crates/policy/src/requests.rs
+++ b/crates/policy/src/requests.rs
@@ -1,26 +1,26 @@
-//! Requests that are owed an answer, and their attempts.
+//! Pending requests and their attempts.
 
 use crate::api::{AttemptNo, Backend, BackendId, RequestId, Time};
 use std::collections::BTreeMap;
 
-/// Priority below which a request finds only half of the capacity: the rest is kept for first attempts within
-/// quota, whose priority is 1.
+/// Priority below which a request may use only half of the capacity. The rest is reserved for first attempts
+/// within quota, whose priority is 1.
 pub(crate) const LOW_PRIORITY: f64 = 0.5;
 
-/// One attempt of one request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub request: RequestId,
     pub attempt: AttemptNo,
 }
 
-/// What a request remembers of one of its attempts.
+/// The record that a request keeps of one of its attempts.
 pub(crate) struct AttemptRecord {
-    /// The backend as it was listed at the dispatch.
+    /// The entry of the backend in the endpoint list at dispatch.
     pub backend: Backend,
     pub sent_at: Time,
     pub in_flight: bool,
-    /// The outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub never_ran: bool,
 }
 
@@ -28,13 +28,13 @@
 pub(crate) struct InFlightAttempt {
     pub backend: BackendId,
     pub class: usize,
-    /// When it was sent, or the last byte of its body came.
+    /// When it was sent, or when the last byte of its body arrived.
     pub sent_at: Time,
-    /// A part of its body is still to come.
+    /// Whether a part of its body has not arrived yet.
     pub uploading: bool,
 }
 
-/// A request that is owed an answer.
+/// A request without a final answer.
 pub(crate) struct PendingRequest {
     pub class: usize,
     pub arrived_at: Time,
@@ -44,24 +44,24 @@
     pub deadline: Time,
     /// Priority relative to a first attempt within quota, which has 1.
     pub priority: f64,
-    /// Attempts that it may have, by the configuration under which it came.
+    /// Maximum number of attempts, by the configuration at its arrival.
     pub max_attempts: usize,
-    /// It may have two attempts in flight, by the configuration under which it came.
+    /// Whether it may have two attempts in flight, by the configuration at its arrival.
     pub allow_hedging: bool,
-    /// Its body is still coming: no time runs on the attempt in flight.
+    /// Whether its body is incomplete, so that no timeout applies to its attempt in flight.
     pub uploading: bool,
-    /// Its answer streams to the client.
+    /// Whether its answer is being streamed to the client.
     pub streaming: bool,
     pub attempts: Vec<AttemptRecord>,
 }
 
 impl PendingRequest {
-    /// Some attempt has not ended yet.
+    /// Returns whether an attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// No attempt can have run.
+    /// Returns whether no attempt can have run.
     pub(crate) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.never_ran)
     }
@@ -79,7 +79,7 @@
 }
 
 impl RequestTable {
-    /// The attempts in flight of one request.
+    /// Returns the attempts in flight of one request.
     pub(crate) fn attempts_of(&mut self, request: RequestId) -> impl Iterator<Item = &mut InFlightAttempt> {
         let first = AttemptKey { request, attempt: AttemptNo(0) };
         let last = AttemptKey { request, attempt: AttemptNo(u32::MAX) };
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,45 +1,45 @@
-//! Retries: whether another attempt may do harm, and the budget that bounds how many there are.
+//! Retries: whether another attempt is safe, and the budget that limits the number of retries.
 
 use crate::api::{Backend, BackendId, Class, Config, KeyScope, SideEffects, Time};
 use crate::requests::{AttemptRecord, PendingRequest};
 
-/// Retries and hedged attempts for each request: twice the usual tenth, as failures are seen late.
+/// Retries and hedged attempts per request: twice the usual tenth, as failures are detected late.
 const RETRY_RATIO: f64 = 0.2;
-/// The ratio grows by this factor while answers are being lost.
+/// Factor on the ratio while answers are being lost.
 const LOSING_FACTOR: f64 = 2.0;
-/// Requests whose share of the budget it may accumulate.
+/// Number of requests whose contribution the budget can accumulate.
 const BUDGET_REQUESTS: f64 = 100.0;
 
-/// Bounds retries and hedged attempts to a share of the requests.
+/// Limits retries and hedged attempts to a share of the requests.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A request came.
+    /// Adds the budget earned by a new request.
     pub(crate) fn refill(&mut self, is_losing: bool) {
         let ratio = RETRY_RATIO * if is_losing { LOSING_FACTOR } else { 1.0 };
         self.tokens = (self.tokens + ratio).min(ratio * BUDGET_REQUESTS);
     }
 
-    /// There is budget for another attempt.
+    /// Returns whether there is budget for another attempt.
     pub(crate) fn is_available(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Another attempt was sent.
+    /// Takes the budget of one attempt.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// New requests may be of a class that may be repeated at will.
+/// Returns whether new requests can belong to an idempotent class.
 pub(crate) fn has_idempotent_class(config: &Config) -> bool {
     config.classes.iter().any(Class::is_idempotent)
 }
 
-/// The request may have another attempt: the attempts it had allow it, and its class.
+/// Returns whether the class and the earlier attempts of the request allow another attempt.
 pub(crate) fn may_attempt(config: &Config, now: Time, request: &PendingRequest) -> bool {
     let is_repeatable = |attempt: &AttemptRecord| match config.classes[request.class].side_effects {
         SideEffects::None => true,
@@ -54,13 +54,13 @@
         && request.attempts.iter().all(is_repeatable)
 }
 
-/// The request had an attempt on this backend.
+/// Returns whether the request had an attempt on this backend.
 pub(crate) fn has_tried(request: &PendingRequest, backend: BackendId) -> bool {
     request.attempts.iter().any(|attempt| attempt.backend.id == backend)
 }
 
-/// The request may go to this backend: where an attempt may have run elsewhere, the backend knows its key. A
-/// repeat outside the scope that knows the key would run twice.
+/// Returns whether the request may be repeated on this backend: it shares idempotency keys with the backends
+/// of all attempts that may have run. A repeat outside the scope of the key would run twice.
 pub(crate) fn may_repeat_on(config: &Config, request: &PendingRequest, backend: &Backend) -> bool {
     let knows_key = |attempt: &AttemptRecord| match config.classes[request.class].side_effects {
         SideEffects::IdempotencyKey { scope: KeyScope::Zone, .. } => {
@@ -74,7 +74,8 @@
     request.attempts.iter().all(knows_key)
 }
 
-/// The client may safely send the request again: it never ran, or all backends would discard a repeat.
+/// Returns whether the client may safely send the request again: it never ran, has no side effects, or would
+/// be discarded as a duplicate by all backends.
 pub(crate) fn is_safe_for_client_retry(config: &Config, request: &PendingRequest) -> bool {
     let is_repeatable_anywhere = matches!(
         config.classes[request.class].side_effects,
--- a/crates/policy/src/sent_work.rs
+++ b/crates/policy/src/sent_work.rs
@@ -1,4 +1,4 @@
-//! The work that was sent to one backend lately.
+//! The work recently sent to one backend.
 
 use crate::api::{Micros, Time};
 use std::collections::VecDeque;
@@ -9,15 +9,15 @@
     pub work: f64,
 }
 
-/// Work sent inside the overload window, oldest first.
+/// Work sent within the overload window, oldest first.
 #[derive(Default)]
 pub(crate) struct SentWorkLog {
     entries: VecDeque<SentWork>,
 }
 
 impl SentWorkLog {
-    /// Records work that is sent at `now`. What is sent in one tick is one entry that counts from the tick's
-    /// end: a busy backend gets thousands of requests in a window.
+    /// Records work sent at `now`. All work of one tick is one entry, which counts from the end of the tick,
+    /// as a busy backend gets thousands of requests in a window.
     pub(crate) fn record_sent_work(&mut self, now: Time, work: f64, tick: Micros, window: Micros) {
         while self.entries.front().is_some_and(|oldest| now - oldest.at >= window) {
             self.entries.pop_front();
@@ -35,12 +35,12 @@
         self.entries.insert(index, SentWork { at, work });
     }
 
-    /// The work sent inside the window that ends at `now`.
+    /// Returns the work sent within the window that ends at `now`.
     pub(crate) fn total_within(&self, now: Time, window: Micros) -> f64 {
         self.entries.iter().filter(|entry| now - entry.at < window).map(|entry| entry.work).sum()
     }
 
-    /// The entries inside the window that ends at `now`, newest first.
+    /// Returns the entries within the window that ends at `now`, newest first.
     pub(crate) fn newest_first(&self, now: Time, window: Micros) -> impl Iterator<Item = &SentWork> {
         self.entries.iter().rev().filter(move |entry| now - entry.at < window)
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: a backend that has just booted bears only a part of its capacity, and falls over when all
-//! proxies together send it too much inside the overload window.
+//! Slow start: a backend that has just started has only a part of its capacity, and fails if all proxies
+//! together send it too much work within the overload window.
 
 use crate::api::{Backend, Config, KindId, Time};
 use crate::backend_health::BackendHealth;
@@ -7,10 +7,10 @@
 use crate::subset::subset_position;
 use std::collections::BTreeMap;
 
-/// The part of the warm-up budget that is used: the rest is for skew between proxies and heavy requests.
+/// Used part of the warm-up budget; the rest allows for skew between proxies and for heavy requests.
 const BUDGET_MARGIN: f64 = 0.8;
 
-/// The part of its capacity that a backend has at least.
+/// Returns the part of its capacity that a backend has at least.
 pub(crate) fn slow_start_factor(config: &Config, now: Time, entry: &Backend) -> f64 {
     let age = entry.started_at.map_or(f64::MAX, |started_at| {
         (now - started_at).secs() / config.slow_start.duration.secs().max(1e-6)
@@ -18,27 +18,29 @@
     config.slow_start.floor + (1.0 - config.slow_start.floor) * age.min(1.0)
 }
 
-/// Shares the warm-up budget of a backend between the processes of all proxies.
+/// Tracks how many processes of each proxy share the warm-up budget of a backend.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// Another process acts for this proxy, or did inside the overload window, until then.
+    /// Until when the budget is shared with another process of this proxy: while there is one, and for an
+    /// overload window after.
     shared_until: Time,
 }
 
 impl SlowStart {
-    /// So many processes act for this proxy now. What another one sent weighs on a cold backend for a window
-    /// more.
+    /// Sets the number of processes that act for this proxy. What another process sent still counts against
+    /// the budget of a cold backend for one overload window.
     pub(crate) fn set_process_count(&mut self, now: Time, count: u32, config: &Config) {
         self.shared_until = if count <= 1 { now + config.slow_start.overload_window } else { Time(u64::MAX) };
     }
 
-    /// How many processes act for each proxy: each one expects all other proxies to do as it does.
+    /// Returns the assumed number of processes of each proxy: all other proxies are assumed to have as many
+    /// as this one.
     pub(crate) fn processes_per_proxy(&self, now: Time) -> f64 {
         1.0 + f64::from(now < self.shared_until)
     }
 }
 
-/// What the warm-up budget of a backend depends on.
+/// The inputs of the warm-up budget of a backend.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmupBudget<'a> {
     pub now: Time,
@@ -48,7 +50,8 @@
 }
 
 impl WarmupBudget<'_> {
-    /// Work that all proxies together may send to a backend inside the present overload window.
+    /// Returns the work that all proxies together, with one process each, may send to a backend within the
+    /// current overload window.
     fn fleet_warmup_budget(&self, backend: &BackendHealth) -> f64 {
         let config = self.config;
         let window_start = self.now - config.slow_start.overload_window;
@@ -63,12 +66,13 @@
         total * BUDGET_MARGIN / self.slow_start.processes_per_proxy(self.now)
     }
 
-    /// How many proxies may send to it: where it bears less than one request of each, the first in its order.
+    /// Returns how many proxies may send to the backend: if its budget is less than one request for each,
+    /// only the first ones in its order of proxies.
     pub(crate) fn permitted_senders(&self, backend: &BackendHealth) -> f64 {
         self.fleet_warmup_budget(backend).floor().clamp(1.0, f64::from(self.config.proxy_count))
     }
 
-    /// Work that this proxy may still send to a backend inside the present overload window.
+    /// Returns the work that this proxy may still send to a backend within the current overload window.
     pub(crate) fn warmup_budget(&self, backend: &BackendHealth) -> f64 {
         let senders = self.permitted_senders(backend);
         let per_sender = (self.fleet_warmup_budget(backend) / senders).max(1.0);
@@ -78,13 +82,14 @@
     }
 }
 
-/// Requests a second that a warm backend of the kind surely serves: with few ready backends the service rate
-/// overshoots, and twice the inverse of the latency is safe.
+/// Returns the requests per second that a warm backend of the kind certainly serves. With few ready backends
+/// the service rate is an overestimate, so it is limited to twice the inverse of the latency, which is safe.
 fn sustainable_rate(kind: &KindStats) -> Option<f64> {
     kind.latency.get().map(|latency_s| kind.service_rate.min(2.0 / latency_s))
 }
 
-/// The longest latency objective, in seconds: a backend that does not serve a request within it is of no use.
+/// Returns the longest latency objective, in seconds: a backend that does not serve a request within it is of
+/// no use.
 fn longest_objective_s(config: &Config) -> f64 {
     config.classes.iter().map(|class| class.latency_objective.secs()).fold(0.0, f64::max)
 }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Exports what was learned, so that it can outlive the process, and restores it at the next start. How far a
-//! snapshot of some age is trusted is up to whoever keeps it, by the samples that each estimate is worth.
+//! Exports estimates and state that outlive the process, and restores them at the next start. The host
+//! decides how far to trust a snapshot of some age, by the sample count of each estimate.
 
 use crate::api::{BackendId, ClassId, Config, Estimate, KindEstimates, Micros, Snapshot, Time, WarmupSpend};
 use crate::backend_health::BackendHealth;
@@ -8,22 +8,23 @@
 use crate::estimators::MovingAverage;
 use crate::outlier::restore_ejection;
 
-/// Work sent inside the overload window is exported in so many slots at most, not by ticks: 200 backends at a
-/// tick of 5 ms would be 80,000 numbers a second.
+/// Maximum number of slots by which the work sent within the overload window is exported. By ticks it would
+/// be too many numbers: 80,000 per second for 200 backends at a tick of 5 ms.
 const SLOTS: u64 = 8;
 
 fn export(average: &MovingAverage) -> Estimate {
     Estimate { value: average.value, samples: average.count }
 }
 
-/// The exported mean; `None` unless it can be a mean of times or rates, as a file may hold anything.
+/// Converts an exported mean; returns `None` unless the mean and its sample count are positive and finite, as
+/// a file may contain anything.
 fn import(estimate: Estimate) -> Option<MovingAverage> {
     let is_valid = |number: f64| number > 0.0 && number.is_finite();
     let both_valid = is_valid(estimate.value) && is_valid(estimate.samples);
     both_valid.then_some(MovingAverage { value: estimate.value, count: estimate.samples })
 }
 
-/// Takes an exported mean where nothing was learned since.
+/// Replaces a mean that has no samples by an exported one.
 fn restore(own: &mut MovingAverage, exported: Estimate) {
     if own.count > 0.0 {
         return;
@@ -33,7 +34,7 @@
     }
 }
 
-/// What is worth keeping at `now`. Visits each backend once.
+/// Takes a snapshot at `now`. Visits each backend once.
 pub(crate) fn take_snapshot(
     now: Time, config: &Config, estimates: &Estimates, backends: &BackendTable,
 ) -> Snapshot {
@@ -66,14 +67,14 @@
     classes.map(|(class, stats)| (ClassId(class), export(&stats.latency))).collect()
 }
 
-/// The backend was in slow start as the present overload window began.
+/// Returns whether the backend was in slow start when the current overload window began.
 fn is_warming_up(now: Time, config: &Config, backend: &BackendHealth) -> bool {
     let window_start = now - config.slow_start.overload_window;
     backend.entry.started_at.is_some_and(|at| window_start - at < config.slow_start.duration)
 }
 
 /// Exports the work sent to one backend by slots, newest first, so that each slot counts from its newest
-/// entry: forgotten too soon it would allow too much.
+/// entry. Work that expired too early would allow too much.
 fn export_sent_work(
     now: Time, window: Micros, id: BackendId, backend: &BackendHealth, exported: &mut Vec<WarmupSpend>,
 ) {
@@ -89,8 +90,8 @@
     }
 }
 
-/// Restores what an earlier process learned, where nothing was learned since. Backends that were ejected
-/// begin on probation; work sent before counts against the warm-up budget of those that were sent it.
+/// Restores the snapshot of an earlier process, except for estimates that already have samples. Ejected
+/// backends begin on probation, and the work sent before counts against the warm-up budget of its backend.
 pub(crate) fn restore_snapshot(
     now: Time, config: &Config, snapshot: &Snapshot, estimates: &mut Estimates, backends: &mut BackendTable,
 ) {
@@ -114,7 +115,8 @@
 
 fn restore_estimates(snapshot: &Snapshot, estimates: &mut Estimates) {
     restore(&mut estimates.overall_latency, snapshot.overall_latency);
-    // The work of a class is its latency relative to that of all: one without the other tells nothing.
+    // The work of a class is its latency relative to the overall latency; neither is of use without the
+    // other.
     if estimates.overall_latency.count > 0.0 {
         for (id, exported) in &snapshot.class_latency {
             if let Some(class) = estimates.classes.get_mut(id.0) {
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,17 +1,17 @@
-//! What the balancer knows, for display.
+//! Views of the balancer's state, for display.
 
 use crate::api::{BackendId, BackendState, KindId, Time};
 use crate::backend_health::BackendHealth;
 use crate::estimates::KindStats;
 
-/// What is known of a kind of machine.
+/// The state of a kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindView {
     /// The kind.
     pub id: KindId,
     /// Sum of the readiness of its backends.
     pub readiness: f64,
-    /// Requests a second that one backend could serve; 0 before anything was learned.
+    /// Requests per second that one backend could serve; 0 before the first solution.
     pub service_rate: f64,
     /// Its share of the traffic of all proxies.
     pub traffic_share: f64,
@@ -28,28 +28,28 @@
     }
 }
 
-/// What is known of a backend.
+/// The state of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendView {
     /// The backend.
     pub id: BackendId,
     /// Its kind.
     pub kind: KindId,
-    /// What the endpoint list lets it be sent.
+    /// What the backend may be sent, according to the endpoint list.
     pub state: BackendState,
-    /// Operators have taken it out of service.
+    /// Whether operators have cordoned the backend.
     pub cordoned: bool,
-    /// From 0 (gets nothing) to 1 (healthy and warmed up).
+    /// From 0 (is sent nothing) to 1 (healthy and warmed up).
     pub readiness: f64,
     /// Its share of this proxy's traffic.
     pub traffic_share: f64,
-    /// Attempts of this proxy that it has in flight.
+    /// Attempts of this proxy in flight on the backend.
     pub in_flight: u32,
-    /// How many it may have in flight.
+    /// Maximum number of attempts of this proxy in flight on the backend.
     pub in_flight_limit: f64,
-    /// Moving share of error answers.
+    /// Moving share of failed attempts.
     pub error_rate: f64,
-    /// It is ejected, until this time at least.
+    /// Earliest end of its ejection; `None` while it is not ejected.
     pub ejected_until: Option<Time>,
 }
 
