--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,26 +1,26 @@
-//! What the balancer asks of the host.
+//! Actions that the balancer requests from the host.
 
 use super::id::{AttemptNo, BackendId, RequestId, TimerToken};
 use super::time::Micros;
 
-/// What the balancer asks of the host, in order.
+/// An action that the balancer requests from the host. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt; it may run until the client gives up.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Its destination.
+        /// The backend to send it to.
         backend: BackendId,
     },
-    /// Final answer: rejected, and the client may safely retry.
+    /// Give the final answer: rejected, and the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// After what time the client had better retry.
+        /// Time after which the client should retry.
         retry_after: Micros,
     },
-    /// Final answer: failed; the request may have run.
+    /// Give the final answer: failed, and the request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -34,7 +34,7 @@
     },
     /// Set a timer that reports [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// The token that it reports.
+        /// The token that the event reports.
         token: TimerToken,
         /// Time until it expires.
         after: Micros,
--- a/crates/policy/src/api/backend.rs
+++ b/crates/policy/src/api/backend.rs
@@ -8,7 +8,7 @@
 pub struct Backend {
     /// The backend.
     pub id: BackendId,
-    /// A hash of its name, the same at every proxy: it orders the backends.
+    /// A hash of its name, the same at every proxy, by which backends are ordered.
     pub order_key: u64,
     /// Its zone.
     pub zone: ZoneId,
@@ -25,11 +25,11 @@
 /// What a backend may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// New requests.
+    /// It may be sent new requests.
     Ready,
-    /// Nothing new: it completes what it has in flight.
+    /// It is sent no new requests, and completes those in flight.
     Draining,
-    /// Nothing: it has left the list.
+    /// It is sent nothing, as it has left the list.
     #[default]
     Removed,
 }
@@ -39,10 +39,10 @@
 pub enum ListUpdate {
     /// The entries that changed.
     Changes,
-    /// The full list; backends that are absent have left it.
+    /// The full list; backends that are not in it have left.
     Full,
-    /// The full list as it was before a restart, perhaps out of date.
+    /// The full list from before a restart, possibly outdated.
     Cached,
-    /// The poll or the subscription failed; the present list stays.
+    /// Nothing: the poll or the subscription failed, and the current list stays valid.
     Failed,
 }
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -18,37 +18,37 @@
     pub tenants: Vec<Tenant>,
     /// Value of a request beyond its tenant's quota, relative to one within it; from 0 to 1.
     pub over_quota_factor: f64,
-    /// What the operators' goal consists of.
+    /// The weights of the operators' goal.
     pub goal: GoalWeights,
     /// How updates of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// How many attempts a request may have.
+    /// Limits on the attempts of a request.
     pub attempts: AttemptLimits,
-    /// Time resolution: no timer is shorter.
+    /// Time resolution, and the shortest timer.
     pub tick: Micros,
     /// How backends warm up.
     pub slow_start: SlowStartConfig,
 }
 
-/// What the operators' goal consists of.
+/// The weights of the operators' goal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GoalWeights {
     /// Weight of all traffic; from 0 to 1.
     pub overall: f64,
     /// Weight of the worst-served class; from 0 to 1.
     pub worst_class: f64,
-    /// What the goal loses when every request crosses zones once; 0 or more.
+    /// Cost in the goal if every request crosses zones once; 0 or more.
     pub cross_zone_cost: f64,
 }
 
-/// How many attempts a request may have.
+/// Limits on the attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// Attempts that a request may have, the first included.
+    /// Maximum number of attempts of a request, including the first.
     pub max_attempts: u32,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub allow_cancel: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub allow_hedging: bool,
 }
 
@@ -57,16 +57,17 @@
 pub struct SlowStartConfig {
     /// The part of its capacity that a backend has when it starts; from 0 to 1.
     pub floor: f64,
-    /// A started backend has its full capacity after this time at most.
+    /// Maximum time after its start until a backend has its full capacity.
     pub duration: Micros,
-    /// A backend in slow start fails when it is sent more than this multiple of its present capacity ...
+    /// A backend in slow start fails when it is sent more than this multiple of its current capacity over
+    /// [`overload_window`](SlowStartConfig::overload_window).
     pub overload_multiple: f64,
-    /// ... over this time.
+    /// The time to which `overload_multiple` applies.
     pub overload_window: Micros,
 }
 
 impl Config {
-    /// A small valid configuration: one zone, three proxies, one class without side effects.
+    /// Returns a small valid configuration: one zone, three proxies, one class without side effects.
     pub fn example() -> Config {
         Config {
             proxy_count: 3,
@@ -98,7 +99,7 @@
     /// Checks the range of every field.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// Returns the first field that is out of range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let is_part = |number: f64| (0.0..=1.0).contains(&number);
         let is_positive = |number: f64| number > 0.0 && number.is_finite();
@@ -132,19 +133,19 @@
 pub struct Class {
     /// An answer within this time has the full value.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's work hint.
+    /// Multiple of the request's work hint by which the latency objective is extended.
     pub objective_per_work_hint: f64,
-    /// What running a request twice would do.
+    /// The effect of running a request twice.
     pub side_effects: SideEffects,
     /// Value of a request relative to those of other classes.
     pub priority_weight: f64,
-    /// The part of the value that an answer after the latency objective has; from 0 to 1.
+    /// Part of the value that an answer after the latency objective has; from 0 to 1.
     pub late_value_factor: f64,
-    /// New requests are not of this class any more; open ones end under its rules.
+    /// Whether the class is retired: it gets no new requests, and open ones are completed under its rules.
     pub retired: bool,
 }
 
-/// Numbers that have a new meaning: nothing that was learned under them counts any more.
+/// Ids that have a new meaning, so that nothing recorded under them applies any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReassignedIds {
     /// Of classes, in ascending order.
@@ -154,25 +155,25 @@
 }
 
 impl Class {
-    /// A new request of the class does no harm when it fails or runs twice.
+    /// Returns whether a new request of the class may fail or run twice without harm.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.side_effects == SideEffects::None && !self.retired
     }
 }
 
-/// What running a request twice would do.
+/// The effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SideEffects {
-    /// Nothing: it may be repeated and rejected at will.
+    /// None: the request may be repeated and rejected freely.
     None,
     /// Requests carry an idempotency key: the backends of one scope discard duplicates for a time.
     IdempotencyKey {
         /// Which backends discard each other's duplicates.
         scope: KeyScope,
-        /// How long after the first attempt was sent they do.
+        /// How long after the first attempt was sent duplicates are discarded.
         window: Micros,
     },
-    /// It would do harm.
+    /// Running the request twice would do harm.
     NonIdempotent,
 }
 
@@ -200,7 +201,7 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that have their full value.
+    /// Requests per second, over all proxies, that have their full value.
     pub quota_per_s: f64,
 }
 
@@ -211,7 +212,7 @@
     Push,
     /// After a subscription by [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
     Subscribe {
-        /// A proxy that has not subscribed for so long counts as notified of every update.
+        /// Time after which a proxy that has not subscribed again counts as notified of every update.
         poll_within: Micros,
     },
 }
@@ -219,9 +220,9 @@
 /// A field of a configuration that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The name of the field in operators' terms.
+    /// The operators' name of the field.
     pub field: &'static str,
-    /// What was expected of it.
+    /// The values that are valid.
     pub expected: &'static str,
 }
 
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the host reports to the balancer.
+//! Events that the host reports to the balancer.
 
 use super::backend::{Backend, ListUpdate};
 use super::config::{Config, ReassignedIds};
@@ -6,7 +6,7 @@
 use super::snapshot::Snapshot;
 use super::time::Micros;
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
@@ -28,7 +28,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent)
     }
@@ -47,13 +47,13 @@
     pub time_left: Micros,
     /// The expected work, as time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client marks the request as a retry of its own.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
-    /// A part of its body is still to come: its time begins with [`Event::BodyReceived`].
+    /// Whether a part of its body has not arrived yet; its time then starts at [`Event::BodyReceived`].
     pub body_incomplete: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
@@ -64,59 +64,59 @@
     pub outcome: Outcome,
     /// Time since its dispatch.
     pub latency: Micros,
-    /// The request has had its final answer; the balancer gives none.
+    /// Whether the request has had its final answer, so that the balancer gives none.
     pub request_answered: bool,
-    /// The attempt has consumed the request's body: there can be no other.
+    /// Whether the attempt has consumed the request's body, so that there can be no other attempt.
     pub body_consumed: bool,
 }
 
-/// What the host reports to the balancer.
+/// An event that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointsUpdated {
-        /// What the entries are.
+        /// What the update contains.
         update: ListUpdate,
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// Operators have taken exactly these backends out of service: they get nothing new, whatever the
-    /// endpoint list says. One that was among them before may have been restarted meanwhile.
+    /// The full set of backends that operators have cordoned. They get no new requests, whatever the endpoint
+    /// list says. A backend that has left the set may have been restarted meanwhile.
     Cordoned {
-        /// All backends that are out of service.
+        /// All cordoned backends.
         backends: Vec<BackendId>,
     },
-    /// Another configuration holds from now on. Classes and tenants keep their numbers, but for the
-    /// reassigned ones.
+    /// A new configuration applies from now on. Classes and tenants keep their ids, except for the reassigned
+    /// ones.
     ConfigApplied {
         /// The configuration.
         config: Box<Config>,
-        /// Numbers that nothing open refers to and that have a new meaning.
+        /// Ids with a new meaning, to which no open request refers.
         reassigned: ReassignedIds,
     },
     /// The load that the other proxies report, where proxies gossip.
     FleetLoad {
-        /// Attempts that all of them together have in flight.
+        /// Attempts that the other proxies together have in flight.
         in_flight: f64,
     },
-    /// What an earlier process learned, as far as it is still trusted.
+    /// The snapshot of an earlier process, as far as it is still trusted.
     Restored(Box<Snapshot>),
-    /// The number of processes that act for this proxy, this one included: two while one takes over from the
-    /// other.
+    /// The number of processes that act for this proxy, this one included: two during a handover.
     ProcessCount {
         /// Their number.
         count: u32,
     },
-    /// A client's request: it is owed one final answer.
+    /// A client's request, to which the balancer gives one final answer.
     Request(Arrival),
-    /// The last byte of a request's body has come; the attempt that consumed it is the only one there can be.
+    /// The last byte of a request's body has arrived. The attempt that consumed the body is the only possible
+    /// one.
     BodyReceived {
         /// The request.
         request: RequestId,
         /// Time until the client gives up.
         time_left: Micros,
     },
-    /// The answer streams to the client: no time-out of the balancer applies to the attempt any more.
+    /// The answer is being streamed to the client: none of the balancer's timeouts ends the request any more.
     StreamStarted {
         /// The request.
         request: RequestId,
--- a/crates/policy/src/api/id.rs
+++ b/crates/policy/src/api/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: numbers that the host assigns. A number has no meaning outside the process.
+//! Identifiers, which are numbers that the host assigns and have no meaning outside the process.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,7 +9,7 @@
 }
 
 ids! {
-    /// A client request; its number is never used again.
+    /// A client request; its id is never reused.
     RequestId(u64);
     /// A backend: the address of one server process.
     BackendId(u32);
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: configuration, events, actions. No decisions.
+//! The interface of the decision module: its configuration, events and actions.
 
 mod action;
 mod backend;
--- a/crates/policy/src/api/snapshot.rs
+++ b/crates/policy/src/api/snapshot.rs
@@ -3,21 +3,21 @@
 use super::id::{BackendId, ClassId, KindId};
 use super::time::Micros;
 
-/// A mean, and how many samples it is worth: each new sample weighs one among so many.
+/// A mean with its weight in samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
     /// The mean.
     pub value: f64,
-    /// Samples that it is worth; 0 where nothing is known.
+    /// Weight of the mean, in samples; 0 if nothing is known.
     pub samples: f64,
 }
 
 /// Estimates for a kind of machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KindEstimates {
-    /// Seconds from dispatch to answer, with the class mix taken out.
+    /// Latency from dispatch to answer, in seconds, normalized for the class mix.
     pub latency: Estimate,
-    /// Requests a second that one backend got while the latency was measured.
+    /// Requests per second that one backend got while the latency was measured.
     pub measured_rate: Estimate,
 }
 
@@ -26,18 +26,18 @@
 pub struct WarmupSpend {
     /// The backend.
     pub backend: BackendId,
-    /// Time since it was sent, to the tick.
+    /// Time since it was sent, with the resolution of a tick.
     pub ago: Micros,
     /// The work, in requests of mean work.
     pub work: f64,
 }
 
-/// What a balancer learned, under the numbers of its process.
+/// The estimates and state of a balancer, with the ids of its process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Seconds from dispatch to answer, of all classes.
+    /// Latency of all classes from dispatch to answer, in seconds.
     pub overall_latency: Estimate,
-    /// Seconds from dispatch to answer, by class.
+    /// Latency from dispatch to answer by class, in seconds.
     pub class_latency: Vec<(ClassId, Estimate)>,
     /// Estimates by kind.
     pub kinds: Vec<(KindId, KindEstimates)>,
--- a/crates/policy/src/api/time.rs
+++ b/crates/policy/src/api/time.rs
@@ -1,6 +1,6 @@
 //! Points and spans of time, in microseconds of the host's clock.
 
-/// A point in time, in microseconds of the host's clock; it begins at no particular value.
+/// A point in time, in microseconds of the host's clock, which may start at any value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -17,7 +17,7 @@
 
 impl std::ops::Sub for Time {
     type Output = Micros;
-    /// The span since `earlier`; zero where that lies ahead.
+    /// Returns the span since `earlier`, or zero if `earlier` is later.
     fn sub(self, earlier: Time) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -31,15 +31,15 @@
 }
 
 impl Micros {
-    /// The span of so many seconds; negative ones give zero.
+    /// Returns a span of `secs` seconds, or zero if that is negative.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// The span times a factor; negative factors give zero.
+    /// Returns the span multiplied by `factor`, or zero if that is negative.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
--- a/crates/policy/src/settings/difference.rs
+++ b/crates/policy/src/settings/difference.rs
@@ -1,15 +1,14 @@
-//! What changes from some settings to others, for the log.
+//! Describes the difference between two settings, for the log.
 
 use super::model::Settings;
 use crate::api::{Class, Micros, SideEffects};
 use std::collections::HashSet;
 
-/// Changes of classes that are listed one by one: a line of the log stays readable, however many classes
-/// change.
+/// Maximum number of class changes listed one by one, which keeps the log line readable.
 const MAX_LISTED_CHANGES: usize = 24;
 
 impl Settings {
-    /// What changes from these settings to `new`, in a few words for the operators.
+    /// Returns a short description for the operators of what changes from these settings to `new`.
     pub fn difference(&self, new: &Settings) -> String {
         let old_classes = self.current_classes();
         let new_classes = new.current_classes();
@@ -36,7 +35,7 @@
         listed.join(", ")
     }
 
-    /// The classes that new requests may be of, in the order of their numbers.
+    /// Returns the classes that new requests can belong to, in the order of their ids.
     fn current_classes(&self) -> Vec<ClassSummary<'_>> {
         let names = self.names.classes.iter();
         let classes = names.zip(&self.config.classes).zip(&self.network.deadlines).enumerate();
@@ -47,7 +46,7 @@
     }
 }
 
-/// What operators are told of a class.
+/// The properties of a class that operators are shown.
 #[derive(PartialEq, Eq, Hash)]
 struct ClassSummary<'a> {
     name: &'a str,
--- a/crates/policy/src/settings/document.rs
+++ b/crates/policy/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! Reads values out of a JSON document and notes what is wrong with them.
+//! Reads values out of a JSON document and records the faults in them.
 
 use super::faults::{Fault, Faults};
 use crate::api::Micros;
@@ -6,11 +6,11 @@
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// Characters of an invalid value that a fault shows: a value may be large.
+/// Maximum number of characters of an invalid value that a fault shows, as a value may be large.
 const MAX_SHOWN_VALUE: usize = 60;
 
-/// A value of the document, with the path that led to it. A fault is noted, and reading goes on with a
-/// default, so that all faults are reported at once.
+/// A value of the document, with its path. A fault is recorded and reading continues with a default, so that
+/// all faults are reported at once.
 pub(super) struct DocumentKey<'a> {
     path: String,
     value: Option<&'a Value>,
@@ -18,18 +18,18 @@
 }
 
 impl<'a> DocumentKey<'a> {
-    /// The value of that name inside this one.
+    /// Returns the member `name` of this value.
     pub(super) fn get(&self, name: &str) -> DocumentKey<'a> {
         let path = if self.path.is_empty() { name.into() } else { format!("{}.{name}", self.path) };
         DocumentKey { path, value: self.value.and_then(|v| v.get(name)), faults: self.faults }
     }
 
-    /// The document has this key.
+    /// Returns whether the document has this key.
     pub(super) fn is_present(&self) -> bool {
         self.value.is_some()
     }
 
-    /// Notes that this key is not what was expected.
+    /// Records the fault that the value of this key is not `expected`.
     pub(super) fn note_fault(&self, expected: &str) {
         let shorten = |value: &Value| value.to_string().chars().take(MAX_SHOWN_VALUE).collect();
         self.faults.borrow_mut().push(Fault {
@@ -39,7 +39,7 @@
         });
     }
 
-    /// The parsed value; where there is none, a fault is noted and a default stands in.
+    /// Returns the parsed value, or records a fault and returns a default if there is none.
     pub(super) fn require<T: Default>(&self, parsed: Option<T>, expected: &str) -> T {
         parsed.unwrap_or_else(|| {
             self.note_fault(expected);
@@ -47,12 +47,12 @@
         })
     }
 
-    /// The text, if it is one.
+    /// Returns the value if it is a string.
     pub(super) fn as_text(&self) -> Option<&'a str> {
         self.value.and_then(Value::as_str)
     }
 
-    /// The natural number, if it is one.
+    /// Returns the value if it is an unsigned integer.
     pub(super) fn as_u64(&self) -> Option<u64> {
         self.value.and_then(Value::as_u64)
     }
@@ -90,14 +90,14 @@
     }
 }
 
-/// Reads a document with `read`, which notes faults; unknown keys are skipped.
+/// Reads a document with `read`, which records faults; unknown keys are ignored.
 pub(super) fn read_document<T>(
     document: &Value, read: impl FnOnce(&DocumentKey<'_>) -> T,
 ) -> Result<T, Faults> {
     let noted = RefCell::default();
     let result = read(&DocumentKey { path: String::new(), value: Some(document), faults: &noted });
     let mut faults: Vec<Fault> = noted.into_inner();
-    // A key that is read twice has one fault.
+    // A key that is read twice is reported once.
     let mut known = BTreeSet::new();
     faults.retain(|fault| known.insert((fault.key.clone(), fault.expected.clone())));
     if faults.is_empty() {
--- a/crates/policy/src/settings/endpoint_record.rs
+++ b/crates/policy/src/settings/endpoint_record.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list under their names.
+//! Entries of the endpoint list, with names in place of ids.
 
 use crate::api::Backend;
 
@@ -6,10 +6,10 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Bits of the hash that are left out of an order key.
+/// Number of low bits of the hash that are dropped from an order key.
 const ORDER_KEY_SHIFT: u32 = 20;
 
-/// An entry of the endpoint list under its names; each proxy numbers these for itself.
+/// An entry of the endpoint list, with names in place of ids, which each proxy assigns for itself.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     /// The address at which the backend listens.
@@ -20,8 +20,7 @@
 }
 
 impl EndpointRecord {
-    /// The record of the backend that every proxy knows by `name`: the order that all proxies share is a hash
-    /// of it.
+    /// Creates the record of a backend. `name` is its name at every proxy, whose hash is the order key.
     pub fn new(name: &str, address: &str, zone: &str, kind: &str, entry: Backend) -> EndpointRecord {
         let entry = Backend { order_key: fnv1a(name) >> ORDER_KEY_SHIFT, ..entry };
         EndpointRecord { address: address.into(), zone: zone.into(), kind: kind.into(), entry }
--- a/crates/policy/src/settings/faults.rs
+++ b/crates/policy/src/settings/faults.rs
@@ -1,13 +1,13 @@
-//! What is invalid in settings, key by key.
+//! Faults in settings, by key.
 
-/// What is invalid in one key of the settings.
+/// A fault in one key of the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The key, as `rules.cold_from` or `profiles[2].name`.
+    /// The path of the key, such as `rules.cold_from` or `profiles[2].name`.
     pub key: String,
-    /// What was expected of it.
+    /// What was expected of the value.
     pub expected: String,
-    /// The value found there; `None` where there is none.
+    /// The value that was found; `None` if the key is missing.
     pub got: Option<String>,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// All that is invalid in the settings, in the order of reading; never empty.
+/// All faults in the settings, in the order of reading; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/policy/src/settings/merge.rs
+++ b/crates/policy/src/settings/merge.rs
@@ -1,9 +1,9 @@
-//! Merging settings with those before: which number each name gets, and which numbers are assigned again.
+//! Merges settings with the previous ones: which number each name gets, and which numbers are reassigned.
 //!
-//! A name keeps its number for as long as settings declare it. Once left out the number is retired: it goes
-//! back to its name should that return, and to another name only when nothing open refers to it. So no number
-//! ever changes its meaning for an open request, and there are never more numbers than were current or
-//! referred to at once, and some spare ones.
+//! A name keeps its number as long as the settings declare it. Once it is left out, its number is retired:
+//! the name gets it back if it returns, and another name gets it only when no open request refers to it. So
+//! no number changes its meaning for an open request, and there are never more numbers than were current or
+//! referred to at once, plus some spare ones.
 
 use super::model::Settings;
 use super::name_table::DeclaredNames;
@@ -13,33 +13,34 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Retired numbers that nothing refers to are kept for names that return: as many as are current, and so many
-/// more.
+/// Number of unreferenced retired numbers that are kept for names that return, beyond as many as there are
+/// current ones.
 const SPARE_NUMBERS: usize = 1_024;
 
-/// Numbers that open requests refer to, or may yet.
+/// Ids that open requests refer to or may still refer to.
 #[derive(Clone, Debug, Default)]
 pub struct IdsInUse {
-    /// Of classes.
+    /// Ids of classes.
     pub classes: HashSet<ClassId>,
-    /// Of tenants.
+    /// Ids of tenants.
     pub tenants: HashSet<TenantId>,
 }
 
-/// Settings under the numbers of those before.
+/// New settings with the numbers of the previous ones.
 #[derive(Debug)]
 pub struct SettingsMerge {
-    /// The settings that hold now.
+    /// The merged settings.
     pub settings: Settings,
-    /// Numbers that have a new meaning.
+    /// Ids that have a new meaning.
     pub reassigned: ReassignedIds,
 }
 
 impl Settings {
-    /// `new` under the numbers of these settings: a class keeps its number while its name and side effects
-    /// stay, and one with other side effects gets another. `names` are these settings' own, with what
-    /// endpoint lists have added; `in_use` is what was open at some moment since these came into force: later
-    /// requests refer to current numbers only. Linear in the size of both.
+    /// Merges `new` into the numbering of these settings: a class keeps its number while its name and side
+    /// effects stay the same, and gets another one with other side effects. `names` are the names of these
+    /// settings, including those added by endpoint lists. `in_use` holds the ids in use at some moment since
+    /// these settings took effect, as later requests refer to current numbers only. Takes time linear in the
+    /// size of both.
     pub fn merge_successor(&self, new: Settings, names: &Names, in_use: &IdsInUse) -> SettingsMerge {
         let mut merged = Settings { names: names.clone(), ..new };
         let declared = new.names;
@@ -87,26 +88,26 @@
     }
 }
 
-/// By what a class is the same one under other settings.
+/// Returns what identifies each class across settings: its name and side effects.
 fn class_identities<'a>(
     names: &'a Names, config: &'a Config,
 ) -> impl Iterator<Item = (&'a str, SideEffects)> {
     names.classes.iter().zip(config.classes.iter().map(|class| class.side_effects))
 }
 
-/// The numbers of new entries among those of the old.
+/// The numbers of the entries of new settings among the previous numbers.
 struct Numbering {
     /// The number of each new entry, in the order of the new settings.
     of_new: Vec<usize>,
-    /// How many numbers there are then.
+    /// How many numbers there are after the merge.
     len: usize,
     /// Numbers that have a new meaning, in ascending order.
     reassigned: Vec<usize>,
 }
 
 impl Numbering {
-    /// Each new entry gets the number of the old one of the same identity, else the lowest one that is free,
-    /// or the next behind them all. The map is only looked into, as its order is random.
+    /// Assigns to each new entry the number of the old one with the same identity, or else the lowest free
+    /// one, or the next one after them all. The map is not iterated over, as its order is random.
     fn new<K: Eq + Hash>(
         old: impl Iterator<Item = K>, new: impl Iterator<Item = K>, is_free: impl Fn(usize) -> bool,
     ) -> Numbering {
@@ -140,7 +141,7 @@
         Numbering { of_new, len: len - dropped, reassigned }
     }
 
-    /// What stands at each number: of `new` where it has an entry there, else as in `old`.
+    /// Returns the entry of each number: that of `new` if there is one, or else that of `old`.
     fn merge<T>(&self, old: impl Iterator<Item = T>, new: impl Iterator<Item = T>) -> Vec<T> {
         let mut merged: Vec<Option<T>> = old.take(self.len).map(Some).collect();
         merged.resize_with(self.len, || None);
@@ -150,7 +151,7 @@
         merged.into_iter().flatten().collect()
     }
 
-    /// The names at each number; those that `new` does not declare cannot be found any more.
+    /// Merges the names by number; those that `new` does not declare can no longer be found.
     fn merge_names(&self, old: &DeclaredNames, new: &DeclaredNames) -> DeclaredNames {
         let mut is_current = vec![false; self.len];
         for number in &self.of_new {
@@ -168,8 +169,8 @@
     }
 }
 
-/// How many of the ascending numbers are the last ones below `len`: spare numbers are dropped from the end
-/// only.
+/// Returns how many of the ascending numbers are the last ones below `len`, as spare numbers are only dropped
+/// from the end.
 fn count_trailing(numbers: &[usize], len: usize) -> usize {
     numbers.iter().rev().zip((0..len).rev()).take_while(|(number, last)| **number == *last).count()
 }
--- a/crates/policy/src/settings/mod.rs
+++ b/crates/policy/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance: read from the platform's document, merged with those before, and the names
-//! behind the numbers of the decision module. Shared by the proxy and the simulator's adapter.
+//! The settings of an instance: reading the platform's document, merging with the previous settings, and the
+//! names that belong to the ids of the decision module. Shared by the proxy and the simulator adapter.
 
 mod difference;
 mod document;
--- a/crates/policy/src/settings/model.rs
+++ b/crates/policy/src/settings/model.rs
@@ -7,22 +7,22 @@
 use crate::api::{Config, ConfigError};
 use serde_json::Value;
 
-/// All settings, read and checked as one. One generation of them never changes.
+/// All settings, read and validated together, and immutable.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The configuration of the decision module.
     pub config: Config,
-    /// The names behind its numbers.
+    /// The names that belong to its ids.
     pub names: Names,
-    /// What concerns sockets.
+    /// The settings for sockets.
     pub network: NetworkSettings,
 }
 
 impl Settings {
-    /// Reads all settings; none are accepted where any is invalid.
+    /// Reads all settings, or none if any is invalid.
     ///
     /// # Errors
-    /// All faults at once.
+    /// Returns all faults found while reading or, if there are none, the first value out of range.
     pub fn read(document: &Value) -> Result<Settings, Faults> {
         let (config, names, network) = wire::read_all(document)?;
         config.validate().map_err(|error| Faults(vec![out_of_range(&error)]))?;
--- a/crates/policy/src/settings/wire.rs
+++ b/crates/policy/src/settings/wire.rs
@@ -1,5 +1,5 @@
-//! The platform's names for the settings, turned into the terms of the decision module. No other file knows
-//! them.
+//! Translates the platform's keys of the settings into the terms of the decision module. No other file reads
+//! these keys.
 
 use super::document::{read_document, DocumentKey};
 use super::faults::Faults;
@@ -13,16 +13,16 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Reads the configuration of the decision module, and the names behind its numbers; unknown keys are
-/// skipped.
+/// Reads the configuration of the decision module, and the names that belong to its ids; unknown keys are
+/// ignored.
 ///
 /// # Errors
-/// Every key that is missing or invalid.
+/// Returns every key that is missing or invalid.
 pub fn read(document: &Value) -> Result<(Config, Names), Faults> {
     read_document(document, read_config)
 }
 
-/// Reads the configuration, the names, and what concerns sockets.
+/// Reads the configuration, the names and the settings for sockets.
 pub(super) fn read_all(document: &Value) -> Result<(Config, Names, NetworkSettings), Faults> {
     read_document(document, |root| {
         let (config, names) = read_config(root);
@@ -69,7 +69,7 @@
     (config, names)
 }
 
-/// The names of zones and kinds.
+/// Reads the names of zones and kinds.
 fn read_places(root: &DocumentKey<'_>) -> Names {
     let mut names = Names::default();
     for zone in root.get("zones").list() {
@@ -101,7 +101,7 @@
     (tenants, names)
 }
 
-/// The name of a class or tenant. No other may have it, as rules are found by name.
+/// Reads and declares the name of a class or tenant, which must be unique, as rules are looked up by name.
 fn declare_name(entry: &DocumentKey<'_>, names: &mut DeclaredNames, expected: &str) {
     let name = entry.get("name");
     if !names.push(name.text()) {
@@ -188,7 +188,7 @@
     }
 }
 
-/// The deadline of a class. That it is a time at all was checked with the class.
+/// Reads the deadline of a class. A value that is no time was already reported by [`read_class`].
 fn read_deadline(profile: &DocumentKey<'_>) -> Micros {
     let key = profile.get("deadline_us");
     let deadline = key.as_u64();
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module as lines.
+//! Writes the actions of the decision module as lines.
 
 use crate::instance::Instance;
 use lotusdeck_policy::Action;
@@ -7,11 +7,11 @@
 
 /// Adds a line to the reply.
 pub(crate) fn write_line(reply: &mut Vec<u8>, value: &Value) {
-    let _ = writeln!(reply, "{value}"); // writing to memory cannot fail
+    let _ = writeln!(reply, "{value}"); // a write to memory cannot fail
 }
 
-/// Adds the line of an action to the reply. The names of instances and the addresses of backends were checked to hold
-/// nothing that JSON would escape, so that the frequent lines are formatted directly.
+/// Adds the line of an action to the reply. Instance names and backend addresses were checked to need no JSON
+/// escapes, so that the frequent lines are formatted directly.
 pub(crate) fn write_action(name: &str, instance: &Instance, action: &Action, reply: &mut Vec<u8>) {
     let _ = match action {
         Action::Dispatch { request, backend } => {
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All simulated proxies of this process, and the lines that concern them.
+//! The simulated proxies of this process, and the handling of lines.
 
 use crate::actions::{write_action, write_line};
 use crate::endpoints::{read_endpoint, EndpointLists};
@@ -14,7 +14,7 @@
 /// The largest number of an endpoint list.
 const MAX_LIST_NUMBER: u64 = 15;
 
-/// Whether a reply is to be sent now.
+/// Whether the reply to the simulator is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reply {
     /// Further lines of this turn follow.
@@ -26,20 +26,20 @@
 /// All simulated proxies of this process.
 #[derive(Default)]
 pub(crate) struct Adapter {
-    /// By name; `None` where the settings were not sound and that was reported.
+    /// By name; `None` if the settings were invalid, which was reported.
     instances: HashMap<String, Option<Instance>>,
     lists: EndpointLists,
-    /// The simulated time of the present turn.
+    /// The simulated time of the current turn; `None` between turns.
     now: Option<Time>,
-    /// Kept between events for its allocation.
+    /// Reused between events to keep its allocation.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Handles one line and adds what follows from it to the reply.
+    /// Handles one line and adds the resulting lines to the reply.
     ///
     /// # Errors
-    /// The line is not understood.
+    /// Returns an error if the line is invalid.
     pub(crate) fn handle_line(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<Reply, WireError> {
         let value: Value = serde_json::from_str(line)?;
         let values = value.as_array().ok_or(WireError::NotAnArray)?;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Each message has a fixed number of values.
+/// Checks the number of values, which is fixed for each message.
 fn check_value_count(fields: &Fields) -> Result<(), WireError> {
     let expected = match fields.message {
         "END" => 0,
--- a/crates/simulator-adapter/src/endpoints.rs
+++ b/crates/simulator-adapter/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint lists.
+//! Reads entries of the endpoint lists.
 
 use crate::error::WireError;
 use lotusdeck_policy::settings::EndpointRecord;
@@ -9,7 +9,8 @@
 /// Endpoint lists by the numbers under which `VIEW` lines refer to them.
 pub(crate) type EndpointLists = HashMap<u64, Vec<EndpointRecord>>;
 
-/// Values of an entry, in the order of the wire's page: zone, cell, kind, address, state, weight, start time.
+/// Number of values of an entry, which are in this order: zone, cell, kind, address, state, weight, start
+/// time.
 const ENTRY_VALUES: usize = 7;
 const ZONE: usize = 0;
 const CELL: usize = 1;
@@ -21,7 +22,7 @@
 /// Reads one entry.
 ///
 /// # Errors
-/// It has another number of values, or one of them is not understood.
+/// Returns an error if the entry has another number of values, or if one of them is invalid.
 pub(crate) fn read_endpoint(entry: &Value) -> Result<EndpointRecord, WireError> {
     let unexpected = |expected| WireError::Endpoint { entry: entry.clone(), expected };
     let values = entry.as_array().filter(|values| values.len() == ENTRY_VALUES);
@@ -51,7 +52,7 @@
     Ok(EndpointRecord::new(address, address, text(ZONE, "a zone")?, text(KIND, "a kind")?, backend))
 }
 
-/// JSON shows the byte as it is: addresses are written into lines without being escaped.
+/// Returns whether JSON writes the byte unescaped, as addresses are written into lines without escaping.
 fn needs_no_escape(byte: u8) -> bool {
     byte.is_ascii_graphic() && byte != b'"' && byte != b'\\'
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,10 +1,10 @@
-//! Why the adapter stops.
+//! The errors that end the adapter.
 
 use serde_json::Value;
 use std::io;
 use thiserror::Error;
 
-/// Why the conversation with the simulator ended before its input did.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub(crate) enum RunError {
     /// The input could not be read.
@@ -12,15 +12,15 @@
     Read {
         /// The line, counted from 1.
         line: u64,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A line was not understood.
+    /// A line is invalid.
     #[error("line {line}: {source}")]
     Message {
         /// The line, counted from 1.
         line: u64,
-        /// What was wrong with it.
+        /// The fault in the line.
         source: WireError,
     },
     /// A reply could not be written.
@@ -28,52 +28,52 @@
     Reply {
         /// The line that completed the reply, counted from 1.
         line: u64,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
 }
 
-/// What is wrong with a line.
+/// A fault in a line.
 #[derive(Debug, Error)]
 pub(crate) enum WireError {
-    /// It is not JSON.
+    /// The line is not JSON.
     #[error("expected a JSON array: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// It is JSON of another type.
+    /// The line is JSON, but not an array.
     #[error("expected a JSON array")]
     NotAnArray,
-    /// Its first element is no text.
+    /// The first element is not a string.
     #[error("expected a message name first")]
     NoMessageName,
     /// No message has that name.
     #[error("unknown message {0}")]
     UnknownMessage(String),
-    /// It has too many or too few values.
+    /// The message has too many or too few values.
     #[error("{message}: expected {expected} values, got {got}")]
     ValueCount {
         /// The message's name.
         message: String,
-        /// How many values that message has.
+        /// The number of values of that message.
         expected: usize,
-        /// How many there are.
+        /// The number of values in the line.
         got: usize,
     },
-    /// It came before the clock was told.
+    /// The message came outside a turn: no `TICK` precedes it.
     #[error("{0}: expected TICK first")]
     NoTick(String),
-    /// One of its values is of another type or out of range.
+    /// A value is of another type or out of range.
     #[error("{message}: value {index}: expected {expected}, got {got}")]
     Value {
         /// The message's name.
         message: String,
-        /// The value's index behind the name, from 0.
+        /// The index of the value after the name, from 0.
         index: usize,
-        /// What that value is meant to be.
+        /// The valid values.
         expected: &'static str,
-        /// What stands there.
+        /// The value that was found.
         got: Value,
     },
-    /// An entry of an endpoint list is not understood.
+    /// An entry of an endpoint list is invalid.
     #[error("list entry {entry}: expected {expected}")]
     Endpoint {
         /// The entry.
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Lines that are events of one simulated proxy.
+//! Reads lines that are events of one simulated proxy.
 
 use crate::endpoints::EndpointLists;
 use crate::error::WireError;
@@ -7,15 +7,16 @@
 use lotusdeck_policy::{Arrival, AttemptEnd, Event, ListUpdate, Micros, TenantId, TimerToken};
 use serde_json::Value;
 
-/// Flag of a `JOB_IN` line: it tells the expected work.
+/// Flag of a `JOB_IN` line: the line contains the expected work.
 const HAS_WORK_HINT: u64 = 1;
-/// Flag of a `JOB_IN` line: the client says that it asked before.
+/// Flag of a `JOB_IN` line: the client marks the request as a retry.
 const IS_CLIENT_RETRY: u64 = 2;
 
-/// The event that a line tells; `None` for a message that concerns parts which this proxy does not have.
+/// Reads the event of a line; returns `None` for a message that concerns parts which this proxy does not
+/// have.
 ///
 /// # Errors
-/// One of its values is not understood, or names something unknown.
+/// Returns an error if a value is invalid or names something unknown.
 pub(crate) fn read_event(
     fields: &Fields, instance: &mut Instance, lists: &EndpointLists,
 ) -> Result<Option<Event>, WireError> {
@@ -26,7 +27,8 @@
         "RETURNED" => Event::AttemptEnded(read_attempt_end(fields)?),
         "VANISHED" => Event::ClientDisconnected { request: fields.request(1)? },
         "TIMEOUT_FIRED" => Event::Timer { token: TimerToken(fields.unsigned(1, "a token")?) },
-        // MEMO and STATUS_BACK: nothing is told to other proxies and no backend is probed, so neither is ever sent.
+        // MEMO and STATUS_BACK: this proxy sends no messages to other proxies and no probes, so neither is
+        // ever received.
         _ => return Ok(None),
     };
     Ok(Some(event))
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -11,12 +11,12 @@
 pub(crate) struct Fields<'a> {
     /// The message's name.
     pub(crate) message: &'a str,
-    /// The values behind it.
+    /// The values after the name.
     pub(crate) values: &'a [Value],
 }
 
 impl<'a> Fields<'a> {
-    /// The error that the value at `index` is not what was expected.
+    /// Returns the error that the value at `index` is not as expected.
     pub(crate) fn unexpected(&self, index: usize, expected: &'static str) -> WireError {
         let got = self.values.get(index).cloned().unwrap_or(Value::Null);
         WireError::Value { message: self.message.to_owned(), index, expected, got }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -6,18 +6,18 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// Why no proxy can be made of its settings.
+/// Why settings are rejected.
 #[derive(Debug, Error)]
 pub(crate) enum SettingsError {
-    /// Keys are missing or make no sense.
+    /// Keys are missing or invalid.
     #[error(transparent)]
     Unreadable(#[from] Faults),
-    /// They are well formed but no sound configuration.
+    /// A value of the configuration is out of range.
     #[error(transparent)]
     Unsound(#[from] ConfigError),
 }
 
-/// One simulated proxy: its decisions, and its own numbers of backends.
+/// One simulated proxy: its balancer, and the backend ids that it assigned.
 pub(crate) struct Instance {
     pub(crate) balancer: Balancer,
     pub(crate) names: Names,
@@ -26,17 +26,17 @@
 }
 
 impl Instance {
-    /// A proxy that knows nothing yet but its settings.
+    /// Creates a proxy without backends from its settings.
     ///
     /// # Errors
-    /// The settings are not sound.
+    /// Returns an error if the settings are invalid.
     pub(crate) fn new(settings: &Value, seed: u64) -> Result<Instance, SettingsError> {
         let (config, names) = settings::read(settings)?;
         let balancer = Balancer::new(config, seed)?;
         Ok(Instance { balancer, names, ids: HashMap::new(), addresses: Vec::new() })
     }
 
-    /// The number of the backend at that address, given here where it is new.
+    /// Returns the id of the backend at an address, which is assigned if the address is new.
     pub(crate) fn backend_id(&mut self, address: &str) -> BackendId {
         if let Some(id) = self.ids.get(address) {
             return *id;
@@ -47,7 +47,7 @@
         id
     }
 
-    /// The address of a backend that this proxy has numbered.
+    /// Returns the address of a backend whose id this proxy assigned.
     pub(crate) fn address(&self, id: BackendId) -> &str {
         &self.addresses[id.0 as usize]
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs the decision module on the simulator's wire: lines of JSON on standard input and output, one
-//! [`lotusdeck_policy::Balancer`] for each simulated proxy. It only translates; every decision is the module's.
+//! Runs the decision module behind the simulator's wire protocol: lines of JSON on standard input and output,
+//! with one [`lotusdeck_policy::Balancer`] for each simulated proxy. It only translates; every decision is
+//! made by the module.
 #![forbid(unsafe_code)]
 
 mod actions;
@@ -30,7 +31,7 @@
 /// Answers lines until the input ends.
 ///
 /// # Errors
-/// A line could not be read or understood, or a reply could not be written.
+/// Returns an error if a line cannot be read or is invalid, or if a reply cannot be written.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), RunError> {
     let mut adapter = Adapter::default();
     let mut text = String::new();
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire lines of our own.
+//! Runs the adapter on hand-written wire lines.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -28,7 +28,7 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
+/// Runs the adapter on `input`; returns its standard output, its standard error and whether it succeeded.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_lotusdeck-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -37,7 +37,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // it may have ended on an early line
+    let _ = stdin.write_all(input.as_bytes()); // the adapter may have exited on an earlier line
     drop(stdin);
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -87,7 +87,7 @@
     assert!(!good && err.contains("known instance"), "{err}");
 }
 
-/// Each is told with its line number and what was expected, and ends the process.
+/// Each malformed line is reported with its line number and what was expected, and ends the process.
 #[test]
 fn malformed_lines_are_told_and_end_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
