--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -65,21 +65,21 @@
         if self.waiting.is_empty() || self.blocked_below == f64::MAX {
             return Vec::new();
         }
-        let mut line = Vec::new();
+        let mut ordered = Vec::new();
         for id in std::mem::take(&mut self.waiting) {
             let Some(request) = requests.pending.get(&id) else { continue };
             let weight = config.classes[request.class].priority_weight;
-            line.push(QueuedRequest {
+            ordered.push(QueuedRequest {
                 request: id,
                 priority: if request.attempts.is_empty() { request.priority } else { f64::MAX },
                 arrived_at: request.arrived_at,
                 weight_per_work: weight / estimates.relative_work(request.class) * request.priority,
             });
         }
-        line.sort_by(|a, b| {
+        ordered.sort_by(|a, b| {
             let by_weight = b.weight_per_work.total_cmp(&a.weight_per_work);
             by_weight.then(b.arrived_at.cmp(&a.arrived_at)).then(a.request.cmp(&b.request))
         });
-        line
+        ordered
     }
 }
--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -33,7 +33,7 @@
         let id = end.request;
         let key = AttemptKey { request: id, attempt: end.attempt };
         let Some(attempt) = self.requests.in_flight.remove(&key) else { return };
-        self.learn(now, &attempt, end);
+        self.record_outcome(now, &attempt, end);
         let Some(request) = self.requests.pending.get_mut(&id) else { return };
         if let Some(record) = request.attempts.get_mut(end.attempt.0 as usize) {
             record.in_flight = false;
@@ -52,7 +52,7 @@
     }
 
     /// Updates the estimates and the health of the backend by the outcome of an attempt.
-    fn learn(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
+    fn record_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let usual_latency = self.usual_latency(attempt.class);
         let is_lost = !attempt.uploading && now >= attempt.sent_at + self.loss_timeout(attempt.class);
         if !attempt.uploading {
@@ -84,12 +84,12 @@
             Outcome::Rejected => outlier::record_rejection(backend, attempt.class, now, usual_latency),
             Outcome::Cancelled | Outcome::NeverSent => {}
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
-                self.learn_failure(now, attempt, outcome);
+                self.record_failed_attempt(now, attempt, outcome);
             }
         }
     }
 
-    fn learn_failure(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
+    fn record_failed_attempt(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
         let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
         let failed = FailedAttempt { class: attempt.class, sent_at: attempt.sent_at, outcome };
         let common_error_rate = self.traffic.solver.common_error_rate;
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -15,8 +15,8 @@
     /// Sends the queued requests for which a backend has capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time) {
         let estimates = &self.traffic.estimates;
-        let line = self.admission.queue.take_in_order(&self.config, estimates, &self.requests);
-        for queued in line {
+        let ordered = self.admission.queue.take_in_order(&self.config, estimates, &self.requests);
+        for queued in ordered {
             self.dispatch(now, &queued);
         }
     }
@@ -64,7 +64,7 @@
             work: estimates.relative_work(request.class),
             respects_class_ejections: !estimates.classes[request.class].is_ejected_by_most,
             any_idempotent: self.recovery.any_idempotent,
-            may_return: self.may_return(request),
+            may_reuse_backends: self.may_reuse_backends(request),
             warmup: WarmupBudget {
                 now,
                 config: &self.config,
@@ -78,7 +78,7 @@
     /// Returns whether the request may be sent again to a backend that already had an attempt of it: the
     /// request is idempotent, the fleet is small, and every backend in use has had an attempt. Lost answers
     /// would otherwise leave the request without a backend.
-    fn may_return(&self, request: &PendingRequest) -> bool {
+    fn may_reuse_backends(&self, request: &PendingRequest) -> bool {
         let is_idempotent = self.config.classes[request.class].is_idempotent();
         if !is_idempotent || request.attempts.is_empty() || self.backends.by_id.len() > SMALL_FLEET {
             return false;
--- a/crates/policy/src/estimators.rs
+++ b/crates/policy/src/estimators.rs
@@ -78,9 +78,9 @@
 
     /// Counts `events` at `now`; 0 only advances the time.
     pub(crate) fn add(&mut self, now: Time, events: f64) {
-        let fade = (-self.gap_s(now) / self.memory_s).exp();
-        self.events = self.events * fade + events;
-        self.observed_s = self.observed_s * fade + (1.0 - fade) * self.memory_s;
+        let decay = (-self.gap_s(now) / self.memory_s).exp();
+        self.events = self.events * decay + events;
+        self.observed_s = self.observed_s * decay + (1.0 - decay) * self.memory_s;
         self.updated_at = Some(now);
     }
 
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -46,36 +46,41 @@
             return None;
         }
         let usual_latency = self.estimates.usual_latency(self.config, request.class);
-        let pays_late = self.pays_late(request);
+        let waits_for_late_answer = self.waits_for_late_answer(request);
         // At the tick of the deadline itself it would be too late to answer.
-        let (last_start, margin) = if has_attempt_in_flight {
+        let (answer_due_at, margin) = if has_attempt_in_flight {
             (request.deadline, self.config.tick)
         } else {
-            (self.last_start(request, usual_latency, pays_late), usual_latency.max(self.config.tick))
+            (
+                self.answer_due_at(request, usual_latency, waits_for_late_answer),
+                usual_latency.max(self.config.tick),
+            )
         };
-        let step = if self.now + margin >= last_start {
+        let step = if self.now + margin >= answer_due_at {
             RequestStep::GiveUp
         } else if self.is_lost(request, usual_latency)
-            && self.is_worth_retrying(request, usual_latency, pays_late)
+            && self.is_worth_retrying(request, usual_latency, waits_for_late_answer)
         {
             self.replace_lost(request)
         } else {
             RequestStep::Wait
         };
-        Some(RequestCheck { step, next_check_at: last_start - margin })
+        Some(RequestCheck { step, next_check_at: answer_due_at - margin })
     }
 
     /// Returns whether to wait for an answer after the latency objective: it has some value, and the request
     /// may have run, so that its client gains nothing from an early failure.
-    fn pays_late(&self, request: &PendingRequest) -> bool {
+    fn waits_for_late_answer(&self, request: &PendingRequest) -> bool {
         self.config.classes[request.class].late_value_factor > 0.0 && !request.never_ran()
     }
 
     /// Returns when a request without an attempt in flight has to be answered. If a late answer has no value,
     /// the request is rejected once it cannot meet its objective, while that is still harmless, and before
     /// half of its time is over.
-    fn last_start(&self, request: &PendingRequest, usual_latency: Micros, pays_late: bool) -> Time {
-        if pays_late {
+    fn answer_due_at(
+        &self, request: &PendingRequest, usual_latency: Micros, waits_for_late_answer: bool,
+    ) -> Time {
+        if waits_for_late_answer {
             return request.deadline;
         }
         let half_time = (request.deadline - request.arrived_at).times(0.5);
@@ -97,9 +102,12 @@
     }
 
     /// Returns whether another attempt is likely to be answered in time and there is budget for it.
-    fn is_worth_retrying(&self, request: &PendingRequest, usual_latency: Micros, pays_late: bool) -> bool {
+    fn is_worth_retrying(
+        &self, request: &PendingRequest, usual_latency: Micros, waits_for_late_answer: bool,
+    ) -> bool {
         let expected_end = self.now + usual_latency;
-        let in_time = expected_end < request.objective_at || pays_late && expected_end < request.deadline;
+        let in_time =
+            expected_end < request.objective_at || waits_for_late_answer && expected_end < request.deadline;
         in_time && self.may_retry
     }
 
--- a/crates/policy/src/picker/eligibility.rs
+++ b/crates/policy/src/picker/eligibility.rs
@@ -20,7 +20,7 @@
     /// Whether some class is idempotent; then only idempotent requests probe backends on probation.
     pub any_idempotent: bool,
     /// Whether backends that already had an attempt of the request are eligible.
-    pub may_return: bool,
+    pub may_reuse_backends: bool,
     pub warmup: WarmupBudget<'a>,
 }
 
@@ -43,8 +43,8 @@
     fn is_eligible(&self, backend: &BackendHealth) -> bool {
         backend.is_listed()
             && (!backend.ejection.on_probation || self.may_probe(backend))
-            && !self.is_barred(backend)
-            && (self.may_return || !retry::has_tried(self.request, backend.entry.id))
+            && !self.is_excluded(backend)
+            && (self.may_reuse_backends || !retry::has_tried(self.request, backend.entry.id))
             && retry::may_repeat_on(self.config(), self.request, &backend.entry)
             && self.warmup.warmup_budget(backend) >= self.work
     }
@@ -59,14 +59,14 @@
     }
 
     /// Returns whether the backend is silent, full, or ejected for the class.
-    fn is_barred(&self, backend: &BackendHealth) -> bool {
-        let is_class_barred = |class: &ClassHealth| {
+    fn is_excluded(&self, backend: &BackendHealth) -> bool {
+        let is_excluded_for_class = |class: &ClassHealth| {
             class.silent_attempts >= SILENT_ATTEMPTS
                 || self.warmup.now < class.full_until
                 || self.respects_class_ejections && self.warmup.now < class.ejected_until
         };
         backend.silent_attempts >= SILENT_ATTEMPTS
-            || backend.classes.get(&self.request.class).is_some_and(is_class_barred)
+            || backend.classes.get(&self.request.class).is_some_and(is_excluded_for_class)
     }
 
     fn config(&self) -> &Config {
--- a/crates/policy/src/settings/document.rs
+++ b/crates/policy/src/settings/document.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records the fault that the value of this key is not `expected`.
-    pub(super) fn note_fault(&self, expected: &str) {
+    pub(super) fn record_fault(&self, expected: &str) {
         let shorten = |value: &Value| value.to_string().chars().take(MAX_SHOWN_VALUE).collect();
         self.faults.borrow_mut().push(Fault {
             key: self.path.clone(),
@@ -42,7 +42,7 @@
     /// Returns the parsed value, or records a fault and returns a default if there is none.
     pub(super) fn require<T: Default>(&self, parsed: Option<T>, expected: &str) -> T {
         parsed.unwrap_or_else(|| {
-            self.note_fault(expected);
+            self.record_fault(expected);
             T::default()
         })
     }
@@ -61,11 +61,11 @@
         self.require(self.as_text(), "text")
     }
 
-    pub(super) fn flag(&self) -> bool {
+    pub(super) fn boolean(&self) -> bool {
         self.require(self.value.and_then(Value::as_bool), "true or false")
     }
 
-    pub(super) fn real(&self) -> f64 {
+    pub(super) fn float(&self) -> f64 {
         self.require(self.value.and_then(Value::as_f64), "a number")
     }
 
@@ -94,12 +94,12 @@
 pub(super) fn read_document<T>(
     document: &Value, read: impl FnOnce(&DocumentKey<'_>) -> T,
 ) -> Result<T, Faults> {
-    let noted = RefCell::default();
-    let result = read(&DocumentKey { path: String::new(), value: Some(document), faults: &noted });
-    let mut faults: Vec<Fault> = noted.into_inner();
+    let recorded = RefCell::default();
+    let result = read(&DocumentKey { path: String::new(), value: Some(document), faults: &recorded });
+    let mut faults: Vec<Fault> = recorded.into_inner();
     // A key that is read twice is reported once.
-    let mut known = BTreeSet::new();
-    faults.retain(|fault| known.insert((fault.key.clone(), fault.expected.clone())));
+    let mut seen = BTreeSet::new();
+    faults.retain(|fault| seen.insert((fault.key.clone(), fault.expected.clone())));
     if faults.is_empty() {
         Ok(result)
     } else {
--- a/crates/policy/src/settings/merge.rs
+++ b/crates/policy/src/settings/merge.rs
@@ -98,7 +98,7 @@
 /// The numbers of the entries of new settings among the previous numbers.
 struct Numbering {
     /// The number of each new entry, in the order of the new settings.
-    of_new: Vec<usize>,
+    new_numbers: Vec<usize>,
     /// How many numbers there are after the merge.
     len: usize,
     /// Numbers that have a new meaning, in ascending order.
@@ -126,9 +126,9 @@
             (0..old_len).filter(|number| !is_taken[*number] && is_free(*number)).collect();
         let mut vacant = spare.iter().copied().chain(old_len..);
         let mut reassigned = Vec::new();
-        let mut of_new = Vec::with_capacity(known.len());
+        let mut new_numbers = Vec::with_capacity(known.len());
         for number in known {
-            of_new.push(number.unwrap_or_else(|| {
+            new_numbers.push(number.unwrap_or_else(|| {
                 let number = vacant.next().unwrap_or(old_len);
                 reassigned.push(number);
                 number
@@ -136,16 +136,16 @@
         }
         let reused = reassigned.iter().filter(|number| **number < old_len).count();
         let len = old_len + reassigned.len() - reused;
-        let surplus = (spare.len() - reused).saturating_sub(of_new.len() + SPARE_NUMBERS);
+        let surplus = (spare.len() - reused).saturating_sub(new_numbers.len() + SPARE_NUMBERS);
         let dropped = count_trailing(&spare[reused..], len).min(surplus);
-        Numbering { of_new, len: len - dropped, reassigned }
+        Numbering { new_numbers, len: len - dropped, reassigned }
     }
 
     /// Returns the entry of each number: that of `new` if there is one, or else that of `old`.
     fn merge<T>(&self, old: impl Iterator<Item = T>, new: impl Iterator<Item = T>) -> Vec<T> {
         let mut merged: Vec<Option<T>> = old.take(self.len).map(Some).collect();
         merged.resize_with(self.len, || None);
-        for (number, entry) in self.of_new.iter().zip(new) {
+        for (number, entry) in self.new_numbers.iter().zip(new) {
             merged[*number] = Some(entry);
         }
         merged.into_iter().flatten().collect()
@@ -154,7 +154,7 @@
     /// Merges the names by number; those that `new` does not declare can no longer be found.
     fn merge_names(&self, old: &DeclaredNames, new: &DeclaredNames) -> DeclaredNames {
         let mut is_current = vec![false; self.len];
-        for number in &self.of_new {
+        for number in &self.new_numbers {
             is_current[*number] = true;
         }
         let mut names = DeclaredNames::with_capacity(self.len);
--- a/crates/policy/src/settings/name_table.rs
+++ b/crates/policy/src/settings/name_table.rs
@@ -41,7 +41,7 @@
     }
 
     /// Assigns the next number to a name without adding it to the index, so that it cannot be found.
-    pub(crate) fn push_hidden(&mut self, name: &str) -> usize {
+    pub(crate) fn push_unindexed(&mut self, name: &str) -> usize {
         self.texts.push_str(name);
         self.ends.push(self.texts.len());
         self.ends.len() - 1
@@ -52,7 +52,7 @@
         if self.find(name).is_some() {
             return None;
         }
-        let number = self.push_hidden(name);
+        let number = self.push_unindexed(name);
         // The fields are borrowed separately, as the index is borrowed mutably.
         let texts = &self.texts;
         let ends = &self.ends;
@@ -114,7 +114,7 @@
 
     /// Assigns the next number to a name that was left out.
     pub(crate) fn push_retired(&mut self, name: &str) {
-        self.table.push_hidden(name);
+        self.table.push_unindexed(name);
         self.current.push(false);
     }
 
--- a/crates/policy/src/settings/wire.rs
+++ b/crates/policy/src/settings/wire.rs
@@ -47,22 +47,22 @@
         zone,
         classes,
         tenants,
-        over_quota_factor: root.get("over_share_worth").real(),
+        over_quota_factor: root.get("over_share_worth").float(),
         goal: GoalWeights {
-            overall: goal.get("whole").real(),
-            worst_class: goal.get("worst_class").real(),
-            cross_zone_cost: root.get("costs").get("cross_zone").real(),
+            overall: goal.get("whole").float(),
+            worst_class: goal.get("worst_class").float(),
+            cross_zone_cost: root.get("costs").get("cross_zone").float(),
         },
         attempts: AttemptLimits {
             max_attempts: limits.get("max_attempts").count(),
-            allow_cancel: limits.get("cancel").flag(),
-            allow_hedging: limits.get("parallel_tries").flag(),
+            allow_cancel: limits.get("cancel").boolean(),
+            allow_hedging: limits.get("parallel_tries").boolean(),
         },
         tick: root.get("granularity_us").micros(),
         slow_start: SlowStartConfig {
-            floor: rules.get("cold_from").real(),
+            floor: rules.get("cold_from").float(),
             duration: rules.get("ramp_time_us").micros(),
-            overload_multiple: rules.get("fall_multiple").real(),
+            overload_multiple: rules.get("fall_multiple").float(),
             overload_window: rules.get("tip_after_us").micros(),
         },
     };
@@ -105,13 +105,13 @@
 fn declare_name(entry: &DocumentKey<'_>, names: &mut DeclaredNames, expected: &str) {
     let name = entry.get("name");
     if !names.push(name.text()) {
-        name.note_fault(expected);
+        name.record_fault(expected);
     }
 }
 
 fn read_tenant(customer: &DocumentKey<'_>, names: &mut DeclaredNames) -> Tenant {
     declare_name(customer, names, "a name that no other customer has");
-    Tenant { quota_per_s: customer.get("quota_rps").real() }
+    Tenant { quota_per_s: customer.get("quota_rps").float() }
 }
 
 fn read_class(profile: &DocumentKey<'_>, names: &mut DeclaredNames) -> Class {
@@ -120,15 +120,15 @@
     let objective = profile.get("aim_us");
     let deadline = profile.get("deadline_us").micros();
     if objective.micros() > deadline {
-        objective.note_fault("no more than deadline_us");
+        objective.record_fault("no more than deadline_us");
     }
     let stretch = profile.get("aim_stretch");
     Class {
         latency_objective: objective.micros(),
-        objective_per_work_hint: if stretch.is_present() { stretch.real() } else { 0.0 },
+        objective_per_work_hint: if stretch.is_present() { stretch.float() } else { 0.0 },
         side_effects,
-        priority_weight: profile.get("gain").real(),
-        late_value_factor: profile.get("late_worth").real(),
+        priority_weight: profile.get("gain").float(),
+        late_value_factor: profile.get("late_worth").float(),
         retired: false,
     }
 }
@@ -143,7 +143,7 @@
         },
         "single_shot" => SideEffects::NonIdempotent,
         _ => {
-            effect.note_fault("free, guarded or single_shot");
+            effect.record_fault("free, guarded or single_shot");
             SideEffects::NonIdempotent
         }
     }
@@ -155,7 +155,7 @@
         "zone" => KeyScope::Zone,
         "cell" => KeyScope::Cell,
         _ => {
-            scope.note_fault("all, zone or cell");
+            scope.record_fault("all, zone or cell");
             KeyScope::All
         }
     }
@@ -169,7 +169,7 @@
             DiscoveryMode::Subscribe { poll_within: root.get("rules").get("must_ask_in_us").micros() }
         }
         _ => {
-            discovery.note_fault("automatic or subscribe");
+            discovery.record_fault("automatic or subscribe");
             DiscoveryMode::Push
         }
     }
@@ -178,7 +178,7 @@
 fn read_network(root: &DocumentKey<'_>) -> NetworkSettings {
     let limits = root.get("limits");
     let retry_after = limits.get("retry_after");
-    let sends_retry_after = !retry_after.is_present() || retry_after.flag();
+    let sends_retry_after = !retry_after.is_present() || retry_after.boolean();
     let max_retry_after = limits.get("max_retry_after_us").micros();
     NetworkSettings {
         connect_timeout: limits.get("dial_timeout_us").micros(),
@@ -193,7 +193,7 @@
     let key = profile.get("deadline_us");
     let deadline = key.as_u64();
     if deadline == Some(0) {
-        key.note_fault("a time above 0");
+        key.record_fault("a time above 0");
     }
     Micros(deadline.unwrap_or(0))
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -59,8 +59,8 @@
         if factor >= 1.0 {
             return f64::MAX;
         }
-        let known = self.kinds.get(&backend.entry.kind).and_then(sustainable_rate);
-        let rate = known.unwrap_or_else(|| 1.0 / longest_objective_s(config));
+        let known_rate = self.kinds.get(&backend.entry.kind).and_then(sustainable_rate);
+        let rate = known_rate.unwrap_or_else(|| 1.0 / longest_objective_s(config));
         let total =
             config.slow_start.overload_multiple * factor * rate * config.slow_start.overload_window.secs();
         total * BUDGET_MARGIN / self.slow_start.processes_per_proxy(self.now)
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -25,12 +25,12 @@
 }
 
 /// Replaces a mean that has no samples by an exported one.
-fn restore(own: &mut MovingAverage, exported: Estimate) {
-    if own.count > 0.0 {
+fn restore(current: &mut MovingAverage, exported: Estimate) {
+    if current.count > 0.0 {
         return;
     }
     if let Some(average) = import(exported) {
-        *own = average;
+        *current = average;
     }
 }
 
--- a/crates/policy/src/solver/solution.rs
+++ b/crates/policy/src/solver/solution.rs
@@ -45,7 +45,7 @@
     pub readiness: f64,
     pub traffic_share: f64,
     /// Traffic share of the backends that the subset stage has visited.
-    pub passed_share: f64,
+    pub visited_share: f64,
 }
 
 /// A solution in progress. The picker uses the last complete one.
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -15,7 +15,7 @@
 const MIN_SHARE: f64 = 1e-9;
 /// Factor of a backend's readiness or traffic share that is added to its traffic share or pick weight: a
 /// backend that would get nothing else takes the overflow when all others are at their limits.
-const TRACE: f64 = 1e-6;
+const OVERFLOW_FACTOR: f64 = 1e-6;
 
 /// The stages of a solution, in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -65,21 +65,23 @@
     let backends = &mut context.backends.by_id;
     match progress.stage {
         SolverStage::Idle | SolverStage::Subset => None,
-        SolverStage::Census => walk(backends, resume_at, steps_left, |b| count(solution, b)),
+        SolverStage::Census => {
+            visit_backends(backends, resume_at, steps_left, |b| count_backend(solution, b))
+        }
         SolverStage::Readiness => {
-            walk(backends, resume_at, steps_left, |b| set_readiness(solution, config, now, b))
+            visit_backends(backends, resume_at, steps_left, |b| set_readiness(solution, config, now, b))
         }
-        SolverStage::ZoneShares => walk(backends, resume_at, steps_left, |backend| {
+        SolverStage::ZoneShares => visit_backends(backends, resume_at, steps_left, |backend| {
             if backend.plan.readiness > 0.0 {
                 *solution.zone_shares.entry(backend.entry.zone).or_default() += fleet_share(kinds, backend);
             }
         }),
         SolverStage::TrafficShares => {
             let zones = ZoneBalance::new(config, &solution.zone_shares);
-            walk(backends, resume_at, steps_left, |backend| {
+            visit_backends(backends, resume_at, steps_left, |backend| {
                 let bias = zones.bias(solution.zone_shares.get(&backend.entry.zone), backend);
-                let drawn = fleet_share(kinds, backend) * bias;
-                set_traffic_share(solution, config, backend, bias, drawn);
+                let base_share = fleet_share(kinds, backend) * bias;
+                set_traffic_share(solution, config, backend, bias, base_share);
             })
         }
     }
@@ -111,7 +113,7 @@
 
 /// Visits backends from `resume_at` on while steps are left; returns the backend to resume at, or `None`
 /// after the last one.
-fn walk(
+fn visit_backends(
     backends: &mut BTreeMap<BackendId, BackendHealth>, resume_at: BackendId, steps_left: &mut usize,
     mut visit: impl FnMut(&mut BackendHealth),
 ) -> Option<BackendId> {
@@ -125,7 +127,7 @@
     None
 }
 
-fn count(solution: &mut Solution, backend: &BackendHealth) {
+fn count_backend(solution: &mut Solution, backend: &BackendHealth) {
     if !backend.is_listed() {
         return;
     }
@@ -207,19 +209,19 @@
 
 /// Sets a backend's share of this proxy's traffic and its limit of attempts in flight.
 fn set_traffic_share(
-    solution: &mut Solution, config: &Config, backend: &mut BackendHealth, bias: f64, drawn: f64,
+    solution: &mut Solution, config: &Config, backend: &mut BackendHealth, bias: f64, base_share: f64,
 ) {
     let proxies = f64::from(config.proxy_count);
     // Half of the target of all proxies is distributed by the bias, half evenly. A fractional limit is
     // rounded up at the corresponding fraction of the proxies. Each proxy may have at least one attempt in
     // flight, as more proxies than the target would otherwise have to take turns; the overload check keeps
     // the target.
-    let turn = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
-    let rounding = ((turn % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
+    let rounding_slot = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
+    let rounding = ((rounding_slot % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
     let even = TARGET_IN_FLIGHT_PER_BACKEND / proxies * backend.plan.readiness;
     backend.plan.in_flight_limit = (even * (0.5 + 0.5 * bias) + rounding).floor().max(1.0);
-    backend.plan.traffic_share = drawn + backend.plan.readiness * TRACE;
-    solution.reachable += f64::from(drawn > 0.0);
+    backend.plan.traffic_share = base_share + backend.plan.readiness * OVERFLOW_FACTOR;
+    solution.reachable += f64::from(base_share > 0.0);
     solution.kinds.entry(backend.entry.kind).or_default().traffic_share += backend.plan.traffic_share;
 }
 
@@ -229,9 +231,9 @@
     backend: &mut BackendHealth,
 ) {
     let proxies = f64::from(config.proxy_count);
-    let from = totals.passed_share / totals.traffic_share.max(MIN_SHARE);
-    totals.passed_share += backend.plan.traffic_share;
-    let to = totals.passed_share / totals.traffic_share.max(MIN_SHARE);
+    let from = totals.visited_share / totals.traffic_share.max(MIN_SHARE);
+    totals.visited_share += backend.plan.traffic_share;
+    let to = totals.visited_share / totals.traffic_share.max(MIN_SHARE);
     let in_subset = if senders < proxies {
         // If only some proxies may send to a cold backend, they share it regardless of their subsets.
         let is_sender = subset_position(config, backend.entry.order_key) < senders;
@@ -240,7 +242,7 @@
     } else {
         window.overlap(from, to)
     };
-    backend.plan.pick_weight = in_subset + backend.plan.traffic_share * TRACE;
+    backend.plan.pick_weight = in_subset + backend.plan.traffic_share * OVERFLOW_FACTOR;
 }
 
 /// Adds a ready backend to the pick tables and counts the classes for which it is ejected.
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -79,8 +79,8 @@
 
     fn create(&mut self, fields: &Fields, reply: &mut Vec<u8>) -> Result<(), WireError> {
         let name = fields.text(0, "an instance")?;
-        let is_plain = name.strip_prefix("proxy-").is_some_and(|number| number.parse::<u64>().is_ok());
-        if !is_plain {
+        let is_valid = name.strip_prefix("proxy-").is_some_and(|number| number.parse::<u64>().is_ok());
+        if !is_valid {
             return Err(fields.unexpected(0, "an instance such as proxy-3"));
         }
         let seed = fields.unsigned(1, "a seed")?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -11,17 +11,17 @@
 pub(crate) enum SettingsError {
     /// Keys are missing or invalid.
     #[error(transparent)]
-    Unreadable(#[from] Faults),
+    Invalid(#[from] Faults),
     /// A value of the configuration is out of range.
     #[error(transparent)]
-    Unsound(#[from] ConfigError),
+    OutOfRange(#[from] ConfigError),
 }
 
 /// One simulated proxy: its balancer, and the backend ids that it assigned.
 pub(crate) struct Instance {
     pub(crate) balancer: Balancer,
     pub(crate) names: Names,
-    ids: HashMap<String, BackendId>,
+    backend_ids: HashMap<String, BackendId>,
     addresses: Vec<String>,
 }
 
@@ -33,16 +33,16 @@
     pub(crate) fn new(settings: &Value, seed: u64) -> Result<Instance, SettingsError> {
         let (config, names) = settings::read(settings)?;
         let balancer = Balancer::new(config, seed)?;
-        Ok(Instance { balancer, names, ids: HashMap::new(), addresses: Vec::new() })
+        Ok(Instance { balancer, names, backend_ids: HashMap::new(), addresses: Vec::new() })
     }
 
     /// Returns the id of the backend at an address, which is assigned if the address is new.
     pub(crate) fn backend_id(&mut self, address: &str) -> BackendId {
-        if let Some(id) = self.ids.get(address) {
+        if let Some(id) = self.backend_ids.get(address) {
             return *id;
         }
         let id = BackendId(self.addresses.len() as u32);
-        self.ids.insert(address.to_owned(), id);
+        self.backend_ids.insert(address.to_owned(), id);
         self.addresses.push(address.to_owned());
         id
     }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -39,13 +39,13 @@
     let mut stdin = child.stdin.take().unwrap();
     let _ = stdin.write_all(input.as_bytes()); // the adapter may have exited on an earlier line
     drop(stdin);
-    let out = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (text(out.stdout), text(out.stderr), out.status.success())
+    (text(output.stdout), text(output.stderr), output.status.success())
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn an_empty_turn_gets_an_empty_reply_and_the_end_of_input_is_clean() {
     assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), ("[\"YIELD\"]\n".into(), String::new(), true));
     assert_eq!(run(""), (String::new(), String::new(), true));
 }
@@ -53,43 +53,44 @@
 #[test]
 fn a_request_is_handed_off_and_its_answer_closes_it() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
-    let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
+    let completion =
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
-        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
+        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{completion}\n[\"END\"]\n",
         create(SETTINGS)
     );
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let (stdout, stderr, succeeded) = run(&input);
+    assert!(succeeded, "{stderr}");
     let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
-    assert_eq!(out.matches(sent).count(), 1, "{out}");
-    assert_eq!(out.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
+    assert_eq!(stdout.matches(sent).count(), 1, "{stdout}");
+    assert_eq!(stdout.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
 #[test]
-fn with_no_backend_a_request_is_refused_in_time() {
+fn without_a_backend_a_request_is_rejected_in_time() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
-    let refusals = out.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
-    assert_eq!(refusals, 1, "once, with the term after which an ejected backend is tried again: {out}");
+    let (stdout, stderr, succeeded) = run(&input);
+    assert!(succeeded, "{stderr}");
+    let rejections = stdout.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
+    assert_eq!(rejections, 1, "expected one rejection, to be retried after the first ejection term: {stdout}");
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_come_again() {
+fn a_killed_instance_is_removed_and_can_be_created_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
-    assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
-    let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!good && err.contains("known instance"), "{err}");
+    let (stdout, _, succeeded) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
+    assert!(succeeded && stdout.ends_with("[\"YIELD\"]\n"), "{stdout}");
+    let (_, stderr, succeeded) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
+    assert!(!succeeded && stderr.contains("known instance"), "{stderr}");
 }
 
 /// Each malformed line is reported with its line number and what was expected, and ends the process.
 #[test]
-fn malformed_lines_are_told_and_end_the_process() {
+fn malformed_lines_are_reported_and_end_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
@@ -117,17 +118,18 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
-        assert!(!good, "accepted {line}");
-        assert!(err.contains("line 5:") && err.contains(expected), "{line}: {err}");
-        assert!(!err.contains("panicked"), "{err}");
+        let (_, stderr, succeeded) =
+            run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
+        assert!(!succeeded, "accepted {line}");
+        assert!(stderr.contains("line 5:") && stderr.contains(expected), "{line}: {stderr}");
+        assert!(!stderr.contains("panicked"), "{stderr}");
     }
-    let (_, err, good) = run("[\"END\"]\n");
-    assert!(!good && err.contains("TICK first"), "{err}");
+    let (_, stderr, succeeded) = run("[\"END\"]\n");
+    assert!(!succeeded && stderr.contains("TICK first"), "{stderr}");
 }
 
 #[test]
-fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
+fn invalid_settings_are_reported_for_the_instance_with_the_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "proxies"),
@@ -143,8 +145,9 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
-        assert!(good, "{err}");
-        assert!(out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key), "{to}: {out}");
+        let (stdout, stderr, succeeded) =
+            run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
+        assert!(succeeded, "{stderr}");
+        assert!(stdout.starts_with("[\"BROKEN\",\"proxy-3\",") && stdout.contains(key), "{to}: {stdout}");
     }
 }
