--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -76,7 +76,10 @@
     let (stdout, stderr, succeeded) = run(&input);
     assert!(succeeded, "{stderr}");
     let rejections = stdout.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
-    assert_eq!(rejections, 1, "expected one rejection, to be retried after the first ejection term: {stdout}");
+    assert_eq!(
+        rejections, 1,
+        "expected one rejection, to be retried after the first ejection term: {stdout}"
+    );
 }
 
 #[test]
