--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -148,9 +148,9 @@
 /// Ids that have a new meaning, so that nothing recorded under them applies any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReassignedIds {
-    /// Of classes, in ascending order.
+    /// Ids of classes, in ascending order.
     pub classes: Vec<ClassId>,
-    /// Of tenants, in ascending order.
+    /// Ids of tenants, in ascending order.
     pub tenants: Vec<TenantId>,
 }
 
--- a/crates/policy/src/backend_health.rs
+++ b/crates/policy/src/backend_health.rs
@@ -31,7 +31,7 @@
 /// The ejection of a backend for all classes.
 #[derive(Default)]
 pub(crate) struct Ejection {
-    /// Earliest end of the ejection; `None` while not ejected.
+    /// Earliest end of the ejection; `None` while neither ejected nor on probation.
     pub until: Option<Time>,
     /// Whether the term is over and successes have to show that the backend is healthy.
     pub on_probation: bool,
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -113,8 +113,7 @@
     class.error_rate < ERROR_WEIGHT / 2.0 && now < class.answered_at + Micros::from_secs(EJECTION_TERM_S)
 }
 
-/// Ejects the backend, unless its current term is still running; returns whether it did. `jitter` is in [0,
-/// 1).
+/// Ejects the backend, unless its term is still running; returns whether it did. `jitter` is in [0, 1).
 pub(crate) fn eject(backend: &mut BackendHealth, now: Time, jitter: f64) -> bool {
     let term_s = EJECTION_TERM_S * (0.75 + 0.5 * jitter);
     let ejection = &mut backend.ejection;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -3,7 +3,7 @@
 use crate::api::{Backend, BackendId, Class, Config, KeyScope, SideEffects, Time};
 use crate::requests::{AttemptRecord, PendingRequest};
 
-/// Retries and hedged attempts per request: twice the usual tenth, as failures are detected late.
+/// Retries and hedged attempts per request: twice the usual ratio of a tenth, as failures are detected late.
 const RETRY_RATIO: f64 = 0.2;
 /// Factor on the ratio while answers are being lost.
 const LOSING_FACTOR: f64 = 2.0;
--- a/crates/policy/src/settings/name_table.rs
+++ b/crates/policy/src/settings/name_table.rs
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeclaredNames {
     table: NameTable,
-    /// Whether new requests can refer to a number, by number.
+    /// Whether each number is current, so that new requests can refer to it.
     current: Vec<bool>,
 }
 
--- a/crates/policy/src/solver/solution.rs
+++ b/crates/policy/src/solver/solution.rs
@@ -4,8 +4,8 @@
 use crate::picker::PickTables;
 use std::collections::BTreeMap;
 
-/// Maximum share of ejected backends. Beyond it the ejected ones are used again, as the backends are then
-/// unlikely to be the cause of the failures.
+/// Maximum share of ejected backends. Beyond it the ejected ones are used again, as so many failures are
+/// unlikely to be caused by the backends themselves.
 pub(super) const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// The counts of the census stage.
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -1,4 +1,4 @@
-//! What each stage of a solution does with each backend.
+//! The stages of a solution: what each does with each backend.
 
 use super::context::SolverContext;
 use super::solution::{KindTotals, Solution};
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,4 +1,5 @@
-//! Subsetting: in a large fleet of proxies, each proxy uses only a part of the backends.
+//! Subsetting: in a large fleet of proxies, each proxy sends, and keeps connections, to only a part of the
+//! backends.
 
 use crate::api::Config;
 
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -49,7 +49,7 @@
     pub in_flight_limit: f64,
     /// Moving share of failed attempts.
     pub error_rate: f64,
-    /// Earliest end of its ejection; `None` while it is not ejected.
+    /// Earliest end of its ejection; `None` while it is neither ejected nor on probation.
     pub ejected_until: Option<Time>,
 }
 
