--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -48,8 +48,8 @@
         let class = &config.classes[arrival.class.0];
         let exceeds_quota = arrival.tenant.is_some_and(|tenant| self.quotas.exceeds(now, config, tenant));
         let hint = arrival.work_hint.unwrap_or_default();
-        let stretch = hint.times(class.objective_per_work_hint);
-        let objective = Micros(class.latency_objective.0 + stretch.0);
+        let extension = hint.times(class.objective_per_work_hint);
+        let objective = Micros(class.latency_objective.0 + extension.0);
         // The client of a retry has already waited for its first request, so that most of the value is lost.
         // Serving it before a new request would make both late for as long as a retry storm lasts.
         let retry_factor = if arrival.is_client_retry { class.late_value_factor } else { 1.0 };
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -31,7 +31,7 @@
         self.waiting.push(request);
     }
 
-    pub(crate) fn push_once(&mut self, request: RequestId) {
+    pub(crate) fn push_if_absent(&mut self, request: RequestId) {
         if !self.waiting.contains(&request) {
             self.waiting.push(request);
         }
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -101,7 +101,7 @@
     /// # Errors
     /// Returns the first field that is out of range.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        let is_part = |number: f64| (0.0..=1.0).contains(&number);
+        let is_fraction = |number: f64| (0.0..=1.0).contains(&number);
         let is_positive = |number: f64| number > 0.0 && number.is_finite();
         let classes = &self.classes;
         require(self.proxy_count > 0, "proxies", "at least 1")?;
@@ -110,19 +110,23 @@
         require(classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0")?;
         require(classes.iter().all(|c| c.objective_per_work_hint >= 0.0), "aim_stretch", "at least 0")?;
         require(classes.iter().all(|c| is_positive(c.priority_weight)), "worth", "a finite number above 0")?;
-        require(classes.iter().all(|c| is_part(c.late_value_factor)), "late_worth", "a part from 0 to 1")?;
+        require(
+            classes.iter().all(|c| is_fraction(c.late_value_factor)),
+            "late_worth",
+            "a part from 0 to 1",
+        )?;
         require(
             self.tenants.iter().all(|t| is_positive(t.quota_per_s)),
             "quota_per_s",
             "a finite rate above 0",
         )?;
-        require(is_part(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1")?;
-        require(is_part(self.goal.overall), "goal_whole", "a part from 0 to 1")?;
-        require(is_part(self.goal.worst_class), "goal_worst_class", "a part from 0 to 1")?;
+        require(is_fraction(self.over_quota_factor), "over_quota_worth", "a part from 0 to 1")?;
+        require(is_fraction(self.goal.overall), "goal_whole", "a part from 0 to 1")?;
+        require(is_fraction(self.goal.worst_class), "goal_worst_class", "a part from 0 to 1")?;
         require(self.goal.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0")?;
         require(self.attempts.max_attempts > 0, "max_attempts", "at least 1")?;
         require(self.tick.0 > 0, "tick", "a time above 0")?;
-        require(is_part(self.slow_start.floor), "cold_from", "a part from 0 to 1")?;
+        require(is_fraction(self.slow_start.floor), "cold_from", "a part from 0 to 1")?;
         require(is_positive(self.slow_start.overload_multiple), "fall_multiple", "a finite number above 0")?;
         Ok(())
     }
--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -47,7 +47,7 @@
             self.close(id);
         } else if !has_attempt_in_flight {
             // From the queue it is sent again or given up.
-            self.admission.queue.push_once(id);
+            self.admission.queue.push_if_absent(id);
         }
     }
 
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -118,8 +118,8 @@
         };
         self.requests.in_flight.insert(key, attempt);
         self.output.actions.push(Action::Dispatch { request: id, backend: picked });
-        self.schedule.check_by(now + self.loss_timeout(request.class));
-        self.schedule.check_by(request.deadline - self.config.tick);
+        self.schedule.schedule_check(now + self.loss_timeout(request.class));
+        self.schedule.schedule_check(request.deadline - self.config.tick);
     }
 
     /// Gives the final answer to a request that will not be served.
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -112,7 +112,7 @@
         }
         self.dispatch_queued(now);
         if !self.admission.queue.is_empty() {
-            self.schedule.check_by(now + self.config.tick);
+            self.schedule.schedule_check(now + self.config.tick);
         }
         let timer = self.schedule.timer_to_set(now, self.config.tick);
         self.output.actions.extend(timer);
--- a/crates/policy/src/balancer/schedule.rs
+++ b/crates/policy/src/balancer/schedule.rs
@@ -26,7 +26,7 @@
     }
 
     /// Schedules the next check of the timeouts at `at`, unless it is due earlier.
-    pub(super) fn check_by(&mut self, at: Time) {
+    pub(super) fn schedule_check(&mut self, at: Time) {
         self.next_check_at = self.next_check_at.min(at);
     }
 
--- a/crates/policy/src/balancer/timeouts.rs
+++ b/crates/policy/src/balancer/timeouts.rs
@@ -11,7 +11,7 @@
     /// Checks all timeouts and schedules the next check.
     pub(super) fn check_timeouts(&mut self, now: Time) {
         let latest_check = now + Micros::from_secs(LOAD_MEMORY_S);
-        if self.discovery.take_due(now, self.config.discovery) {
+        if self.discovery.take_if_due(now, self.config.discovery) {
             self.output.actions.push(Action::WatchEndpoints);
         }
         let next_poll_at = self.discovery.next_at().unwrap_or(latest_check);
@@ -72,7 +72,7 @@
                 RequestStep::GiveUp => unservable.push(id),
                 RequestStep::Hedge => {
                     if retry::may_attempt(&self.config, now, request) {
-                        self.admission.queue.push_once(id);
+                        self.admission.queue.push_if_absent(id);
                     }
                 }
                 RequestStep::CancelLost => {
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -45,7 +45,7 @@
 
     /// Returns whether to subscribe now. Schedules the next subscription as well, in case this one is lost
     /// without an answer.
-    pub(crate) fn take_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
+    pub(crate) fn take_if_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
         let DiscoveryMode::Subscribe { poll_within } = mode else { return false };
         if self.next_at.is_none_or(|at| now < at) {
             return false;
