--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -46,7 +46,7 @@
         if end.request_answered || end.outcome == Outcome::Success {
             self.close(id);
         } else if !has_attempt_in_flight {
-            // From the queue it is sent again or given up.
+            // The dispatch of the queue retries it or gives it up.
             self.admission.queue.push_if_absent(id);
         }
     }
