--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that go on or end, and what their outcomes say of backends, kinds and classes.
+//! Progress and end of attempts, and how their outcomes are recorded for backends, kinds and classes.
 
 use super::Balancer;
 use crate::answer_loss::EndedAttempt;
@@ -7,8 +7,8 @@
 use crate::requests::{AttemptKey, InFlightAttempt};
 
 impl Balancer {
-    /// A body is complete: its time begins, and it counts as work on the backend that has it. No other
-    /// attempt can have it.
+    /// Records that the body of a request is complete: its objective and deadline start now, and its attempt
+    /// counts as load on the backend. The body is consumed, so that no further attempt is allowed.
     pub(super) fn receive_body(&mut self, now: Time, id: RequestId, time_left: Micros) {
         let Some(request) = self.requests.pending.get_mut(&id).filter(|request| request.uploading) else {
             return;
@@ -33,7 +33,7 @@
         let id = end.request;
         let key = AttemptKey { request: id, attempt: end.attempt };
         let Some(attempt) = self.requests.in_flight.remove(&key) else { return };
-        self.learn(now, &attempt, end);
+        self.record_outcome(now, &attempt, end);
         let Some(request) = self.requests.pending.get_mut(&id) else { return };
         if let Some(record) = request.attempts.get_mut(end.attempt.0 as usize) {
             record.in_flight = false;
@@ -46,20 +46,20 @@
         if end.request_answered || end.outcome == Outcome::Success {
             self.close(id);
         } else if !has_attempt_in_flight {
-            // From the queue it is sent again or given up.
-            self.admission.queue.push_once(id);
+            // The dispatch of the queue retries it or gives it up.
+            self.admission.queue.push_if_absent(id);
         }
     }
 
-    /// What an outcome says of the backend, its kind and its class.
-    fn learn(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
+    /// Updates the estimates and the health of the backend by the outcome of an attempt.
+    fn record_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let usual_latency = self.usual_latency(attempt.class);
         let is_lost = !attempt.uploading && now >= attempt.sent_at + self.loss_timeout(attempt.class);
         if !attempt.uploading {
             let ended = EndedAttempt { sent_at: attempt.sent_at, outcome: end.outcome, usual_latency };
             self.recovery.answer_loss.record(now, &ended);
         }
-        // One cancelled so late was not answered in time either.
+        // An attempt that was cancelled after the loss timeout counts as timed out.
         let outcome = match end.outcome {
             Outcome::Cancelled if is_lost => Outcome::TimedOut,
             outcome => outcome,
@@ -84,12 +84,12 @@
             Outcome::Rejected => outlier::record_rejection(backend, attempt.class, now, usual_latency),
             Outcome::Cancelled | Outcome::NeverSent => {}
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
-                self.learn_failure(now, attempt, outcome);
+                self.record_failed_attempt(now, attempt, outcome);
             }
         }
     }
 
-    fn learn_failure(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
+    fn record_failed_attempt(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome) {
         let Some(backend) = self.backends.by_id.get_mut(&attempt.backend) else { return };
         let failed = FailedAttempt { class: attempt.class, sent_at: attempt.sent_at, outcome };
         let common_error_rate = self.traffic.solver.common_error_rate;
@@ -104,7 +104,7 @@
         let Some(backend) = self.backends.by_id.get_mut(&id) else { return };
         if outlier::eject_for_class(backend, class, now) {
             self.traffic.solver.next_solve_at = now;
-            self.output.log(now, format!("backend {} gets none of class {class}", id.0));
+            self.output.log(now, format!("backend {} ejected for class {class}", id.0));
         }
     }
 
