--- a/crates/policy/src/balancer/attempts.rs
+++ b/crates/policy/src/balancer/attempts.rs
@@ -104,7 +104,7 @@
         let Some(backend) = self.backends.by_id.get_mut(&id) else { return };
         if outlier::eject_for_class(backend, class, now) {
             self.traffic.solver.next_solve_at = now;
-            self.output.log(now, format!("backend {} ejected for class {class}", id.0));
+            self.output.log(now, format!("backend {} gets none of class {class}", id.0));
         }
     }
 
