--- a/crates/core/examples/reload.rs
+++ b/crates/core/examples/reload.rs
@@ -11,25 +11,25 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How many names settings hold.
+/// The number of names in settings.
 struct Size {
     classes: usize,
     tenants: usize,
 }
 
-/// From a common size to the largest that is planned for.
+/// Sizes from a common one to the largest that is planned for.
 const SIZES: [Size; 3] = [
     Size { classes: 1_000, tenants: 1_000 },
     Size { classes: 4_000, tenants: 4_000 },
     Size { classes: 16_000, tenants: 34_000 },
 ];
 const BACKENDS: u16 = 1_000;
-/// Changes of settings that are measured.
+/// Number of settings changes that are measured.
 const CHANGES: usize = 21;
-/// Each change replaces one name in so many.
+/// Each change replaces one name in this many.
 const REPLACED_EVERY: usize = 20;
 
-/// Settings of so many classes and tenants, whose names are numbered from `first` on.
+/// Builds settings with these numbers of classes and tenants, whose names are numbered from `first`.
 fn settings(classes: usize, tenants: usize, first: usize) -> Value {
     let class = |i| {
         json!({"name": format!("class-{i:05}"), "aim_us": 900_000, "deadline_us": 3_000_000, "effect": "free",
@@ -57,7 +57,7 @@
     Endpoint { name, address, state: BackendState::Ready, row }
 }
 
-/// A host that knows all backends, under settings of so many classes and tenants.
+/// Creates a host with all backends and with settings of these numbers of classes and tenants.
 fn host(classes: usize, tenants: usize) -> Result<Rc<Host>, Box<dyn Error>> {
     let settings = Settings::read(&settings(classes, tenants, 0))?;
     let balancer = Balancer::new(settings.config.clone(), 1)?;
@@ -67,7 +67,8 @@
     Ok(host)
 }
 
-/// How long one change of settings blocks the event loop at most, µs. The merge itself runs on another thread.
+/// Measures the longest time for which a change of settings blocks the event loop, µs. The merge itself runs on
+/// another thread.
 fn blocked_us(host: &Rc<Host>, new: Settings) -> Result<f64, Box<dyn Error>> {
     let copy_started = Instant::now();
     let active = host.active_settings();
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -3,7 +3,8 @@
 use lotusdeck_policy::{Micros, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock whose origin is Unix time, so that it compares with the start times in endpoint lists.
+/// A monotonic clock that counts from the Unix epoch, so that its times compare with the start times in endpoint
+/// lists.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -18,25 +19,26 @@
 }
 
 impl Clock {
-    /// Reads the wall clock once; later steps of the wall clock have no effect.
+    /// Creates a clock from one reading of the wall clock; later changes of the wall clock have no effect.
     pub fn new() -> Clock {
         let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started_at: Instant::now(), unix_start_us: unix_start.as_micros() as u64 }
     }
 
-    /// The present time, in microseconds of Unix time.
+    /// Returns the current time, in microseconds of Unix time.
     pub fn now(&self) -> Time {
         Time(self.unix_start_us + self.started_at.elapsed().as_micros() as u64)
     }
 
-    /// The instant of the runtime's clock at which this clock shows `time`.
+    /// Converts a time of this clock to an instant of the runtime's clock. Times before the clock was created become
+    /// the instant of its creation.
     pub fn instant(&self, time: Time) -> tokio::time::Instant {
         let since_start = Duration::from_micros(time.0.saturating_sub(self.unix_start_us));
         (self.started_at + since_start).into()
     }
 }
 
-/// Converts the balancer's time span to the standard library's.
+/// Converts a time span of the balancer to one of the standard library.
 pub fn to_duration(span: Micros) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -1,5 +1,5 @@
-//! The backends that operators have cordoned: no request is sent to them, whatever discovery reports. They are kept
-//! in a file, so that a cordon survives an upgrade and applies to both processes while two serve.
+//! The backends that operators have cordoned: they are sent no requests, whatever discovery reports. The set is
+//! saved in a file, so that a cordon survives an upgrade and applies to both processes while two run.
 
 #[cfg(test)]
 mod tests;
@@ -14,17 +14,17 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// How often the file is checked for changes by the other process: well inside the time in which sends to a cordoned
-/// backend have to end.
+/// Interval between checks of the file for changes by the other process; well below the time within which sends to a
+/// cordoned backend have to end.
 pub(crate) const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The other process holds the lock only while it writes some hundred bytes.
+/// Longest wait for the lock. The other process holds it only while it writes a few hundred bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why a change was not saved. Nothing has changed then, neither in the file nor in memory.
+/// An error that prevented a change from being saved. The change has been made neither in the file nor in memory.
 #[derive(Debug, Error)]
 pub enum CordonError {
-    /// The lock was not free within the lock's timeout.
+    /// The lock could not be acquired within the timeout.
     #[error("the other process holds the lock")]
     Locked,
     /// The file or its lock could not be opened, locked or written.
@@ -32,7 +32,7 @@
     Io(#[from] io::Error),
 }
 
-/// Identifies one version of the file: each write replaces it with a new file.
+/// Identifies a version of the file by its metadata: each write replaces the file with a new one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -52,9 +52,10 @@
     }
 }
 
-/// The ids of the cordoned backends, and the file that they are saved in, one id a line.
+/// The ids of the cordoned backends and the file that they are saved in, one id per line.
 ///
-/// The file is in memory (`$TMPDIR`) and holds some hundred bytes, so reading it does not block the event loop.
+/// The file is in an in-memory file system (`$TMPDIR`) and holds a few hundred bytes, so reading it does not block
+/// the event loop.
 pub struct Cordon {
     file: PathBuf,
     lock: PathBuf,
@@ -63,7 +64,7 @@
 }
 
 impl Cordon {
-    /// Loads the file that belongs to `base`, if there is one. Lines that are no ids are ignored with a warning.
+    /// Loads the file at `base` with the extension `cordon`, if it exists. Invalid lines are ignored with a warning.
     pub fn load(base: &Path) -> Cordon {
         let cordon = Cordon {
             file: base.with_extension("cordon"),
@@ -75,19 +76,20 @@
         cordon
     }
 
-    /// Whether the backend of that id is cordoned.
+    /// Returns whether the backend with this id is cordoned.
     pub fn contains(&self, id: &str) -> bool {
         self.ids.borrow().contains(id)
     }
 
-    /// How many backends are cordoned.
+    /// Returns the number of cordoned backends.
     pub fn count(&self) -> usize {
         self.ids.borrow().len()
     }
 
-    /// Loads the file again if another process replaced it; returns whether the set of ids changed.
+    /// Reloads the file if another process replaced it; returns whether the set of ids changed.
     pub fn refresh(&self) -> bool {
-        // Without a file nothing is cordoned: it is written before the first change is confirmed, and never removed.
+        // Without a file no backend has been cordoned: it is written before the first change is confirmed and never
+        // removed.
         let Ok(metadata) = std::fs::metadata(&self.file) else { return false };
         let version = Some(FileVersion::from(&metadata));
         if self.loaded_version.replace(version) == version {
@@ -102,10 +104,11 @@
         }
     }
 
-    /// Cordons a backend or lifts its cordon, and saves that before it returns; returns whether anything changed.
+    /// Cordons a backend or lifts its cordon, and saves the change before it returns; returns whether anything
+    /// changed.
     ///
     /// # Errors
-    /// The change could not be saved, and has not taken effect.
+    /// Returns an error if the change could not be saved; it has not taken effect then.
     pub async fn set(&self, id: &str, cordoned: bool) -> Result<bool, CordonError> {
         let _lock = self.acquire_lock().await?;
         self.refresh();
@@ -118,8 +121,8 @@
         Ok(changed)
     }
 
-    /// Takes the lock under which the file is read and replaced, so that two processes lose neither's change. It is
-    /// released when the returned file is dropped.
+    /// Acquires the lock under which the file is read and replaced, so that no change is lost when two processes
+    /// write. The lock is released when the returned file is dropped.
     async fn acquire_lock(&self) -> Result<File, CordonError> {
         let file = File::options().create(true).append(true).open(&self.lock)?;
         let attempts = LOCK_TIMEOUT.as_millis() / LOCK_RETRY_INTERVAL.as_millis();
@@ -133,8 +136,8 @@
         Err(CordonError::Locked)
     }
 
-    /// Replaces the file by a rename: a reader, or a process that starts after a kill, finds the old or the new one
-    /// complete.
+    /// Replaces the file by a rename, so that a reader, or a process started after a kill, finds either the old or
+    /// the new version complete.
     fn save(&self, ids: &BTreeSet<String>) -> io::Result<()> {
         let temporary = self.file.with_extension("cordon.new");
         let mut file = File::create(&temporary)?;
@@ -158,7 +161,7 @@
     Ok(valid.into_iter().map(String::from).collect())
 }
 
-/// Whether a line can be an id; what was not UTF-8 shows as the replacement character.
+/// Returns whether a line can be an id. Bytes that are not UTF-8 appear as the replacement character.
 fn is_valid_id(line: &str) -> bool {
     !line.chars().any(|c| c.is_control() || c.is_whitespace() || c == char::REPLACEMENT_CHARACTER)
 }
--- a/crates/core/src/cordon/tests.rs
+++ b/crates/core/src/cordon/tests.rs
@@ -7,7 +7,7 @@
     dir.join("n0")
 }
 
-/// Two processes share one file: neither loses the other's change, and each sees it.
+/// Guards against two processes with one file that overwrite or miss each other's changes.
 #[tokio::test]
 async fn two_processes_on_one_file_see_and_keep_each_others_changes() {
     let base = base("two");
@@ -21,7 +21,7 @@
     assert_eq!(Cordon::load(&base).count(), 1);
 }
 
-/// The valid lines of a damaged file apply, and the next change writes a sound file.
+/// Guards against a damaged file that loses its valid lines or stays damaged after the next change.
 #[tokio::test]
 async fn damaged_file_keeps_its_valid_ids_and_is_repaired_by_the_next_change() {
     let base = base("damaged");
--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -6,7 +6,7 @@
 
 macro_rules! counts {
     ($($(#[$attribute:meta])* $name:ident,)*) => {
-        /// Counts of what happened to requests and attempts.
+        /// Counts of requests and attempts by their outcome.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
         pub struct Counts {
             $($(#[$attribute])* pub $name: u64,)*
@@ -23,21 +23,21 @@
 counts! {
     /// Requests received from clients.
     requests,
-    /// Requests answered: served.
+    /// Requests that were served.
     served,
-    /// Requests answered: rejected without effect, the client may retry.
+    /// Requests that were rejected without effect; the client may retry.
     #[serde(rename = "refused")]
     rejected,
-    /// Requests answered: failed, with or without effect.
+    /// Requests that failed, with or without effect.
     failed,
-    /// Requests that the balancer did not decide by the deadline.
+    /// Requests that the balancer had not decided by their deadline.
     timed_out,
     /// Requests whose client disconnected before the answer.
     #[serde(rename = "gone")]
     client_disconnects,
-    /// Attempts sent to backends.
+    /// Attempts that were started, whether or not they could be sent.
     attempts,
-    /// Attempts that the backend rejected unprocessed.
+    /// Attempts that the backend rejected without processing them.
     #[serde(rename = "full")]
     attempts_rejected,
     /// Attempts answered with an error.
@@ -46,16 +46,16 @@
     /// Attempts whose connection broke.
     #[serde(rename = "resets")]
     attempts_reset,
-    /// Attempts for which no connection came up.
+    /// Attempts for which no connection could be established.
     #[serde(rename = "unconnected")]
     attempts_not_connected,
-    /// Attempts given up before the first byte.
+    /// Attempts given up before their first byte was sent.
     #[serde(rename = "unsent")]
     attempts_not_sent,
 }
 
 impl Counts {
-    /// Counts the end of an attempt by its outcome.
+    /// Counts an attempt that ended, by its outcome.
     pub(crate) fn count_attempt_end(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Rejected => self.attempts_rejected += 1,
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -1,4 +1,5 @@
-//! Converts the balancer's estimates between ids, which last as long as the process, and names, which outlive it.
+//! Converts the balancer's estimates between ids, which are valid in one process only, and names, which stay the
+//! same across restarts.
 
 use crate::registry::Registry;
 use lotusdeck_policy::settings::Names;
@@ -15,7 +16,8 @@
     Estimate { value: mean.value, samples: mean.samples }
 }
 
-/// The snapshot by names. Its origin and time of writing are left for the writer of the file to fill in.
+/// Converts a snapshot from ids to names, without classes and kinds that have no samples and without unknown
+/// backends. The origin and the time of writing are left for the writer of the file to fill in.
 pub(crate) fn by_name(snapshot: &Snapshot, names: &Names, registry: &Registry) -> Estimates {
     let backend_name = |id| registry.get(id).map(|backend| backend.name.clone());
     let classes = snapshot.class_latency.iter().filter(|(_, latency)| latency.samples > 0.0);
@@ -49,8 +51,8 @@
     }
 }
 
-/// The estimates by this process's ids. Classes and backends that are unknown here are left out; kinds are not, as
-/// later lists may bring them.
+/// Converts estimates from names to the ids of this process, without unknown classes and backends. Unknown kinds are
+/// assigned ids, as later endpoint lists may contain them.
 pub(crate) fn by_id(estimates: &Estimates, names: &mut Names, registry: &Registry) -> Snapshot {
     let classes = estimates.class_latency.iter();
     let class_latency =
--- a/crates/core/src/host/actions.rs
+++ b/crates/core/src/host/actions.rs
@@ -1,4 +1,4 @@
-//! The balancer's events and actions: each event is handled, and its actions are carried out, before the next one.
+//! Passes events to the balancer and carries out its actions: those of one event before the next event is handled.
 
 use super::state::{Answer, AttemptKey, State};
 use super::{Host, LOG_TARGET};
@@ -7,7 +7,7 @@
 use tracing::info;
 
 impl Host {
-    /// Has the balancer handle an event, and all events that follow from its actions.
+    /// Passes an event to the balancer, and then all events that follow from its actions.
     pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Cancels what is still in flight of a request that is over: the balancer may be configured not to cancel.
+    /// Cancels the attempts still in flight of a request that is over, as the balancer may be configured not to
+    /// cancel.
     pub(super) fn drop_attempts(self: &Rc<Self>, request: RequestId) {
         let left = self.state.borrow().attempts_left(request);
         for key in left {
--- a/crates/core/src/host/answers.rs
+++ b/crates/core/src/host/answers.rs
@@ -1,25 +1,25 @@
-//! The one final answer to a request.
+//! The final answer to a request.
 
 use super::state::{Answer, OpenRequest, State};
 use super::Host;
 use lotusdeck_policy::{Micros, RequestId};
 
 impl Host {
-    /// Gives the final answer, unless the request is over already.
+    /// Gives a request its final answer, unless the request is over already.
     pub(super) fn finish(&self, state: &mut State, id: RequestId, answer: Answer) {
         let Some(request) = state.requests.remove(&id) else { return };
         self.release_request(id, &request);
-        // The receiver is gone where the client has disconnected.
+        // Fails if the client has disconnected, as the receiver is dropped then.
         let _ = request.answer.send(answer);
     }
 
-    /// Rejects a request: the client may retry after that time.
+    /// Rejects a request; the client may retry after `retry_after`.
     pub(super) fn reject(&self, state: &mut State, id: RequestId, retry_after: Micros) {
         state.counts.rejected += 1;
         self.finish(state, id, Answer::Rejected(retry_after));
     }
 
-    /// Notifies the journal and the fleet's limits that a request is over.
+    /// Notifies the journal and the fleet limiter that a request is over.
     pub(super) fn release_request(&self, id: RequestId, request: &OpenRequest) {
         if let Some(journal) = self.services.journal.as_ref().filter(|_| request.journaled) {
             journal.request_finished(id);
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are sent, what is checked before their first byte, and how they are closed.
+//! Sends attempts, checks the conditions before their first byte, and closes them.
 
 use super::state::{Answer, AttemptKey, OpenAttempt, State};
 use super::{Host, LOG_TARGET};
@@ -9,22 +9,22 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Called with the outcome of an attempt whose task ran to its end. A parameter, as `actions`, which handles the end,
-/// comes after this module in the order.
+/// Handles the outcome of an attempt whose task completed. Passed as a parameter, because the handler is in
+/// `actions`, which this module must not depend on.
 pub(super) type OnAttemptEnd = fn(&Rc<Host>, AttemptKey, Outcome);
 
-/// What has to hold right before the first byte of an attempt.
+/// The conditions that are checked right before the first byte of an attempt.
 pub(super) struct SendCondition {
     pub(super) request: RequestId,
     pub(super) backend: BackendId,
-    /// Where the backend listened when the attempt was dispatched.
+    /// The backend's address when the attempt was dispatched.
     pub(super) address: SocketAddr,
     /// The end of the idempotency window of a retry.
     pub(super) send_by: Option<Time>,
 }
 
 impl Host {
-    /// Sends the next attempt of a request, unless the request is over or the backend unknown.
+    /// Starts the next attempt of a request, unless the request is over or the backend is unknown.
     pub(super) fn dispatch(
         self: &Rc<Self>, state: &mut State, now: Time, id: RequestId, backend: BackendId,
         on_end: OnAttemptEnd,
@@ -55,7 +55,7 @@
         let send_by = state.send_by(request, key);
         let condition = SendCondition { request: key.request, backend, address, send_by };
         let host = self.clone();
-        // The journal writes while the connection comes up.
+        // The journal writes while the connection is being established.
         let journal = self.services.journal.as_ref().filter(|_| request.journaled);
         let send_permit =
             journal.map(|journal| journal.attempt_intended(key.request, key.attempt, &known.name, address));
@@ -69,8 +69,9 @@
         })
     }
 
-    /// Whether the backend is still usable and still at the address that the connection goes to, where another may
-    /// listen by now, the request still waits, and a retry still falls in the idempotency window.
+    /// Returns whether an attempt may be sent: the backend is still usable and still at the address that the
+    /// connection goes to, where another one may listen by now, the request still waits for its answer, and a retry
+    /// is still within the idempotency window.
     pub(super) fn may_send(&self, condition: &SendCondition) -> bool {
         let state = self.state.borrow();
         let is_usable = |backend: &KnownBackend| {
@@ -83,7 +84,7 @@
             && condition.send_by.is_none_or(|send_by| self.clock.now() < send_by)
     }
 
-    /// Closes an attempt, and answers its request if it was served; `None` if it is not in flight.
+    /// Closes an attempt, and answers its request if the attempt succeeded; returns `None` if it is not in flight.
     pub(super) fn close_attempt(
         &self, state: &mut State, key: AttemptKey, outcome: Outcome,
     ) -> Option<AttemptEnd> {
@@ -114,7 +115,8 @@
         Some(state.attempt_end(key, outcome, self.clock.now() - open.time_runs_from))
     }
 
-    /// Gives up an attempt that the balancer cancels; `None` if it is not in flight. Such ends are not counted.
+    /// Gives up an attempt that the balancer cancels, without counting its end; returns `None` if it is not in
+    /// flight.
     pub(super) fn cancel_attempt(&self, state: &mut State, now: Time, key: AttemptKey) -> Option<AttemptEnd> {
         let open = state.attempts.remove(&key)?;
         open.task.abort();
@@ -123,7 +125,7 @@
         Some(state.attempt_end(key, Outcome::Cancelled, now - open.time_runs_from))
     }
 
-    /// Notifies the journal of the end of an attempt that it was notified of.
+    /// Notifies the journal of the end of an attempt that is recorded there.
     fn journal_end(&self, key: AttemptKey, outcome: Outcome, open: &OpenAttempt) {
         if let (Some(journal), Some(exchange)) = (&self.services.journal, &open.journaled) {
             let status = exchange.answer_status(key.attempt);
--- a/crates/core/src/host/membership.rs
+++ b/crates/core/src/host/membership.rs
@@ -1,4 +1,4 @@
-//! Which backends there are and which are cordoned: endpoint lists and operators.
+//! Applies endpoint lists, which say which backends there are, and the cordons that operators set.
 
 use super::{Host, LOG_TARGET};
 use crate::cordon::{CordonError, FILE_CHECK_INTERVAL};
@@ -23,12 +23,14 @@
         self.handle_event(Event::EndpointsUpdated { update, backends });
     }
 
-    /// Discovery has another address: what drains now stays so by lists that predate the move.
+    /// Records that discovery moved to another address: lists older than the move do not end the draining of
+    /// backends that drain now.
     pub fn discovery_moved(&self) {
         self.state.borrow_mut().registry.record_move();
     }
 
-    /// Whether the list has or recently had a backend of that id, or one is cordoned under it.
+    /// Returns whether the list contains or recently contained a backend of that id, or a backend of that id is
+    /// cordoned.
     pub fn knows_backend(&self, id: &str) -> bool {
         self.state.borrow().registry.knows(id) || self.cordon.contains(id)
     }
@@ -36,14 +38,14 @@
     /// Cordons a backend or lifts its cordon; returns whether that changed anything.
     ///
     /// # Errors
-    /// The change could not be saved, and has not taken effect.
+    /// Returns an error if the change could not be saved; it has not taken effect then.
     pub async fn set_cordon(self: &Rc<Self>, id: &str, cordoned: bool) -> Result<bool, CordonError> {
         let changed = self.cordon.set(id, cordoned).await;
         self.apply_cordons();
         changed
     }
 
-    /// Applies what another process of this proxy writes to the cordon file, for as long as the program runs.
+    /// Applies the changes that another process of this proxy makes to the cordon file. Never returns.
     pub async fn follow_cordon_file(self: Rc<Self>) {
         loop {
             tokio::time::sleep(FILE_CHECK_INTERVAL).await;
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Keeps connections only to usable backends, and notifies the balancer if the cordoned ones changed.
+    /// Keeps connections only to usable backends, and notifies the balancer if the set of cordoned backends changed.
     fn apply_cordons(self: &Rc<Self>) {
         let changed = {
             let mut state = self.state.borrow_mut();
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -1,10 +1,10 @@
-//! The host of the balancer: it alone owns the balancer and all open requests and attempts. Events are handled one at
-//! a time, and the actions that the balancer decides on are carried out at once.
+//! The host of the balancer, the sole owner of the balancer and of all open requests and attempts. Events are
+//! handled one at a time, and the actions that the balancer decides on are carried out immediately.
 //!
-//! `state` is what is owned; `answers` gives the one final answer to a request; `attempts` sends attempts and closes
-//! them; `actions` passes events to the balancer and carries its actions out. `request`, `membership` and `settings`
-//! turn what fronts, clients, endpoint lists and operators bring into events, and `report` describes the present
-//! state. Each uses only those named before it.
+//! `state` holds the data; `answers` gives a request its final answer; `attempts` sends attempts and closes them;
+//! `actions` passes events to the balancer and carries out its actions. `request`, `membership` and `settings` turn
+//! input from fronts, clients, endpoint lists and operators into events, and `report` describes the current state.
+//! Each module uses only those named before it.
 
 mod actions;
 mod answers;
@@ -37,19 +37,20 @@
 use tokio::sync::Notify;
 use tracing::info;
 
-/// The target of the host's log lines, whichever of its modules writes them: operators filter by it.
+/// The target of the host's log lines, the same for all of its modules, as operators filter by it.
 const LOG_TARGET: &str = "lotusdeck_core::host";
-/// Part of the client's time that is reserved for the answer's way back, on top of how late timers fire, µs.
+/// Part of the client's time that is reserved for returning the answer, in addition to the lag of timers, µs.
 const REPLY_MARGIN: Micros = Micros(3_000);
-/// Most that is reserved, µs, however late timers fire: a busy process must not use up the shortest deadlines.
+/// Upper limit of the reserved time, µs, however late timers fire: a busy process must not use up the shortest
+/// deadlines.
 const MAX_REPLY_MARGIN: Micros = Micros(20_000);
 
-/// The services that the host uses where they are configured.
+/// The services that the host uses if they are configured.
 #[derive(Clone, Default)]
 pub struct OptionalServices {
     /// The journal of non-idempotent requests.
     pub journal: Option<Rc<dyn Journal>>,
-    /// Limits that the whole fleet shares.
+    /// The limits that the whole fleet shares.
     pub fleet_limiter: Option<Rc<dyn FleetLimiter>>,
 }
 
@@ -65,12 +66,12 @@
     timers: Timers,
     /// Notified when the balancer wants discovery to watch for changes.
     watch_request: Notify,
-    /// Ids of classes and tenants that requests being read use.
+    /// The ids of classes and tenants used by requests that are being read.
     id_usage: IdUsage,
 }
 
 impl Host {
-    /// Creates a host without backends and requests; `pools` are the connections of each protocol.
+    /// Creates a host without backends or requests; `pools` are the connections of each protocol.
     pub fn new(
         balancer: Balancer, settings: Settings, clock: Clock, pools: Vec<Rc<dyn ConnectionPools>>,
         cordon: Cordon, services: OptionalServices,
@@ -87,12 +88,12 @@
         })
     }
 
-    /// The part of a client's time that is reserved for the way of its answer.
+    /// Returns the part of a client's time that is reserved for returning its answer.
     pub fn reply_margin(&self) -> Micros {
         Micros((REPLY_MARGIN.0 + self.timers.lag().0).min(MAX_REPLY_MARGIN.0))
     }
 
-    /// Whether a second process serves for this proxy, as during an upgrade.
+    /// Sets whether a second process serves for this proxy, as during an upgrade.
     pub fn set_other_process(self: &Rc<Self>, is_running: bool) {
         let processes = 1 + u32::from(is_running);
         info!(target: LOG_TARGET, processes, "processes of this proxy");
@@ -102,7 +103,7 @@
         self.handle_event(Event::ProcessCount { count: processes });
     }
 
-    /// The balancer's estimates by names; `None` if no request arrived since the last call.
+    /// Returns the balancer's estimates by names; `None` if no request has arrived since the last call.
     pub fn export_estimates(&self) -> Option<Estimates> {
         let mut state = self.state.borrow_mut();
         let exported_up_to = state.exported_up_to;
@@ -114,7 +115,8 @@
         Some(estimates::by_name(&snapshot, &state.active.names, &state.registry))
     }
 
-    /// Restores estimates of an earlier process; to be called after the first endpoint list, whose backends they name.
+    /// Restores the estimates of an earlier process. Must be called after the first endpoint list is applied, as the
+    /// estimates refer to backends by name.
     pub fn restore_estimates(self: &Rc<Self>, estimates: &Estimates) {
         let snapshot = {
             let mut state = self.state.borrow_mut();
@@ -124,12 +126,12 @@
         self.handle_event(Event::Restored(Box::new(snapshot)));
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.state.borrow().attempts.len()
     }
 
-    /// The attempts in flight that the other proxies together report.
+    /// Sets the number of attempts in flight that the other proxies report in total.
     pub fn set_fleet_load(self: &Rc<Self>, in_flight: f64) {
         self.handle_event(Event::FleetLoad { in_flight });
     }
@@ -139,12 +141,12 @@
         self.watch_request.notified().await;
     }
 
-    /// Forgets that the balancer wanted discovery to be watched before now: only what it wants from now on counts.
+    /// Discards a watch request that the balancer made before now; [`Host::watch_requested`] waits for the next one.
     pub fn discard_watch_request(&self) {
         pin!(self.watch_request.notified()).as_mut().enable();
     }
 
-    /// Fires the balancer's timers for as long as the program runs.
+    /// Fires the balancer's timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let Some(due_at) = self.timers.next_due() else {
--- a/crates/core/src/host/report.rs
+++ b/crates/core/src/host/report.rs
@@ -1,4 +1,4 @@
-//! What the host reports of itself: the regular log line on its counts, and the status for operators.
+//! Reports the state of the host: the regular log line with its counts, and the status for operators.
 
 use super::state::State;
 use super::{Host, LOG_TARGET};
@@ -32,7 +32,7 @@
         );
     }
 
-    /// The present state of the whole process.
+    /// Returns the current state of the whole process.
     pub fn status(&self) -> Status {
         let state = self.state.borrow();
         let mut counts = state.logged_counts;
@@ -61,7 +61,7 @@
     }
 }
 
-/// `None` for a backend that the registry has forgotten.
+/// Describes a backend; returns `None` if the registry does not know it.
 fn backend_status(state: &State, backend: BackendView) -> Option<BackendStatus> {
     let known = state.registry.get(backend.id)?;
     Some(BackendStatus {
@@ -79,7 +79,7 @@
     })
 }
 
-/// The state's name in the status document.
+/// Returns the state's name in the status document.
 fn state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Ready => "ready",
--- a/crates/core/src/host/request.rs
+++ b/crates/core/src/host/request.rs
@@ -1,4 +1,4 @@
-//! A request's life as its front and its client see it: submitted, received completely, given up, timed out.
+//! The life cycle of a request: submission, complete receipt of its body, disconnect of the client, and deadline.
 
 use super::state::{Answer, OpenRequest, State};
 use super::{Host, LOG_TARGET};
@@ -10,8 +10,8 @@
 use tracing::warn;
 
 impl Host {
-    /// Accepts a request and assigns `arrival.request`; the receiver gets its final answer. `labels` identify it in
-    /// the journal, where there is one and the request is not idempotent.
+    /// Accepts a request and assigns `arrival.request`; the returned receiver gets the final answer. `labels`
+    /// identify the request in the journal, if there is one and the request is non-idempotent.
     pub fn submit(
         self: &Rc<Self>, mut arrival: Arrival, exchange: Rc<dyn Exchange>, side_effects: SideEffects,
         labels: impl FnOnce() -> RequestLabels,
@@ -38,7 +38,7 @@
     /// Checks the fleet's limits and, for a non-idempotent request, the journal.
     ///
     /// # Errors
-    /// One of them rejects it: after this time the client may retry.
+    /// If one of them rejects the request, returns the time after which the client may retry.
     fn admit(
         &self, state: &mut State, arrival: &Arrival, side_effects: SideEffects,
         labels: impl FnOnce() -> RequestLabels,
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// The client disconnected before its answer.
+    /// Ends a request whose client disconnected before the answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
@@ -72,8 +72,8 @@
         self.drop_attempts(id);
     }
 
-    /// The request's deadline has passed. Its attempts in flight time out, upon which the balancer gives its final
-    /// answer; if it does not, the request is answered as timed out.
+    /// Ends a request whose deadline has passed. Its attempts in flight time out, upon which the balancer gives its
+    /// final answer; if it does not, the request is answered as timed out.
     pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
         let in_flight = self.state.borrow().attempts_of(id);
         for key in in_flight {
@@ -84,13 +84,14 @@
         warn!(target: LOG_TARGET, request = id.0, attempts = request.attempts, "no decision by the deadline");
         self.release_request(id, &request);
         self.state.borrow_mut().counts.timed_out += 1;
-        // The receiver is gone where the client has disconnected.
+        // Fails if the client has disconnected, as the receiver is dropped then.
         let _ = request.answer.send(Answer::TimedOut);
         self.handle_event(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
-    /// The request's body was received completely: its time counts from now.
+    /// Records that the request's body was received completely: its deadline and the latency of its attempts count
+    /// from now.
     pub fn body_received(self: &Rc<Self>, id: RequestId, time_left: Micros) {
         {
             let mut state = self.state.borrow_mut();
--- a/crates/core/src/host/settings.rs
+++ b/crates/core/src/host/settings.rs
@@ -1,4 +1,4 @@
-//! The active settings and how they are replaced.
+//! The active settings and their replacement.
 
 use super::Host;
 use crate::id_usage::IdGuard;
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 
 impl Host {
-    /// The settings that apply to a request that arrives now.
+    /// Returns the settings that apply to a request that arrives now.
     pub fn settings(&self) -> Arc<Settings> {
         self.state.borrow().active.settings.clone()
     }
 
-    /// A copy of what new settings are merged with, on another thread.
+    /// Returns a copy of the state that new settings are merged with on another thread.
     pub fn active_settings(&self) -> ActiveSettings {
         let state = self.state.borrow();
         let mut in_use = self.id_usage.ids_in_use();
@@ -22,11 +22,11 @@
         ActiveSettings { settings: state.active.settings.clone(), names: state.active.names.clone(), in_use }
     }
 
-    /// Applies new settings in one step, and returns what changed, for the log. The time this takes grows with their
-    /// names only for what the balancer stores by id.
+    /// Applies new settings in one step, and returns a description of what changed, for the log. The time depends on
+    /// the number of names only for the data that the balancer stores by id.
     ///
     /// # Errors
-    /// They were merged with others than the active ones.
+    /// Returns an error if they were not merged with the active settings.
     pub fn apply_settings(self: &Rc<Self>, new: PreparedSettings) -> Result<String, Outdated> {
         {
             let mut state = self.state.borrow_mut();
@@ -42,8 +42,8 @@
         Ok(new.difference)
     }
 
-    /// Keeps the meaning of ids found in [`Host::settings`] at this moment, for a request that is being read, until
-    /// the guard is dropped, whatever settings are applied meanwhile.
+    /// Prevents ids obtained from [`Host::settings`] for a request that is being read from being reassigned by later
+    /// settings, until the returned guard is dropped. Must be called before other settings are applied.
     pub fn hold_ids(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
         self.id_usage.reserve(class, tenant)
     }
--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -1,4 +1,4 @@
-//! What the host owns and changes while it runs: the balancer, the backends, the open requests and attempts.
+//! The mutable state of the host: the balancer, the backends, the open requests and attempts.
 
 use crate::counts::Counts;
 use crate::exchange::Exchange;
@@ -14,12 +14,12 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// The final answer to a request: there is exactly one.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Served by this attempt: the exchange has its answer.
+    /// Served by this attempt; the exchange has its answer.
     Served(AttemptNo),
-    /// Rejected without effect; after this time the client may retry.
+    /// Rejected without effect; the client may retry after this time.
     Rejected(Micros),
     /// Failed: it may or may not have taken effect.
     Failed,
@@ -29,26 +29,27 @@
 
 /// A request that waits for its final answer.
 pub(super) struct OpenRequest {
-    /// What its attempts send.
+    /// The request in its protocol, which sends the attempts.
     pub(super) exchange: Rc<dyn Exchange>,
-    /// With an idempotency key: how long after the first send that may have run backends still drop a retry.
+    /// For a request with an idempotency key: how long after the sending of the first attempt that may have run
+    /// backends recognize a retry and drop it.
     pub(super) idempotency_window: Option<Micros>,
-    /// When the first attempt that may have run was sent, of those that have ended.
+    /// Of the attempts that have ended and may have run: when the first was sent.
     pub(super) first_may_have_run: Option<Time>,
-    /// Takes the final answer.
+    /// Sends the final answer to the front.
     pub(super) answer: oneshot::Sender<Answer>,
     /// When the client gives up.
     pub(super) deadline: Time,
-    /// How many attempts were started.
+    /// Number of attempts that were started.
     pub(super) attempts: u32,
-    /// Whether the journal is notified of it.
+    /// Whether it is recorded in the journal.
     pub(super) journaled: bool,
-    /// The fleet's limits that it was admitted under.
+    /// The fleet's limits under which it was admitted.
     pub(super) admission: Option<Admission>,
 }
 
 impl OpenRequest {
-    /// A request without attempts, not yet admitted or journaled.
+    /// Creates a request without attempts, not yet admitted or recorded in the journal.
     pub(super) fn new(
         exchange: Rc<dyn Exchange>, idempotency_window: Option<Micros>, answer: oneshot::Sender<Answer>,
         deadline: Time,
@@ -75,36 +76,37 @@
 
 /// An attempt in flight.
 pub(super) struct OpenAttempt {
-    /// Where it was sent.
+    /// The backend that it is sent to.
     pub(super) backend: BackendId,
     /// When it was handed to its protocol.
     pub(super) sent_at: Time,
-    /// When its time began to count: with the last byte of the request's body.
+    /// When the measurement of its latency began: when it was handed to its protocol, or when the last byte of the
+    /// request's body was received if that was later.
     pub(super) time_runs_from: Time,
     /// The task that sends it.
     pub(super) task: AbortHandle,
-    /// If the journal is to be notified of its end: the exchange, which knows the answer's status.
+    /// The exchange, which knows the answer's status, if the end of the attempt has to be recorded in the journal.
     pub(super) journaled: Option<Rc<dyn Exchange>>,
 }
 
-/// The settings that are active.
+/// The active settings.
 pub(super) struct ActiveGeneration {
-    /// How many settings have been active so far, these included.
+    /// Number of settings that have been active so far, including these.
     pub(super) number: u64,
     pub(super) settings: Arc<Settings>,
-    /// The names of the settings, with those that endpoint lists have added since.
+    /// The names of the settings, and those that endpoint lists have added since.
     pub(super) names: Names,
 }
 
-/// All that changes while the host runs.
+/// All mutable state of the host.
 pub(super) struct State {
     pub(super) balancer: Balancer,
     pub(super) active: ActiveGeneration,
     /// The backends.
     pub(super) registry: Registry,
-    /// Requests that wait for their answer.
+    /// The open requests.
     pub(super) requests: HashMap<RequestId, OpenRequest>,
-    /// Attempts in flight.
+    /// The attempts in flight.
     pub(super) attempts: HashMap<AttemptKey, OpenAttempt>,
     /// Events that the balancer has not handled yet.
     pub(super) events: VecDeque<Event>,
@@ -114,14 +116,14 @@
     pub(super) last_request: u64,
     /// The id of the last request when the estimates were last exported.
     pub(super) exported_up_to: u64,
-    /// Counts since the last log line on them.
+    /// Counts since they were last logged.
     pub(super) counts: Counts,
-    /// Counts of all log lines so far.
+    /// Sum of all counts that were logged.
     pub(super) logged_counts: Counts,
 }
 
 impl State {
-    /// The state of a host that has received no request yet.
+    /// Creates the state of a host that has received no request yet.
     pub(super) fn new(balancer: Balancer, settings: Settings) -> State {
         let names = settings.names.clone();
         State {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Assigns a request its id and keeps it open.
+    /// Assigns an id to a request and adds it to the open requests.
     pub(super) fn open(&mut self, request: OpenRequest) -> RequestId {
         self.last_request += 1;
         let id = RequestId(self.last_request);
@@ -148,20 +150,21 @@
         id
     }
 
-    /// The attempts in flight of an open request, in their order.
+    /// Returns the attempts in flight of an open request, in the order in which they were started.
     pub(super) fn attempts_of(&self, request: RequestId) -> Vec<AttemptKey> {
         let count = self.requests.get(&request).map_or(0, |open| open.attempts);
         let keys = (0..count).map(|number| AttemptKey { request, attempt: AttemptNo(number) });
         keys.filter(|key| self.attempts.contains_key(key)).collect()
     }
 
-    /// The attempts still in flight of a request that is over.
+    /// Returns the attempts still in flight of a request that is over.
     pub(super) fn attempts_left(&self, request: RequestId) -> Vec<AttemptKey> {
         self.attempts.keys().filter(|key| key.request == request).copied().collect()
     }
 
-    /// Until when an attempt may be sent: a retry with an idempotency key that leaves after the window, as its
-    /// connection was slow to come up, would run again. `None` where there is no such limit.
+    /// Returns the time until which an attempt may be sent, or `None` without such a limit. A retry with an
+    /// idempotency key that is sent after the window, because its connection was slow to be established, would run
+    /// again.
     pub(super) fn send_by(&self, request: &OpenRequest, key: AttemptKey) -> Option<Time> {
         let earlier_keys = (0..key.attempt.0).map(|number| AttemptKey { attempt: AttemptNo(number), ..key });
         let earlier = earlier_keys.filter_map(|key| self.attempts.get(&key));
@@ -169,14 +172,14 @@
         Some(first_sent + request.idempotency_window?)
     }
 
-    /// Records that an attempt which may have run, sent at `sent_at`, has ended.
+    /// Records the end of an attempt that was sent at `sent_at` and may have run.
     pub(super) fn record_possible_run(&mut self, request: RequestId, sent_at: Time) {
         let Some(request) = self.requests.get_mut(&request) else { return };
         let first = request.first_may_have_run.map_or(sent_at, |earlier| earlier.min(sent_at));
         request.first_may_have_run = Some(first);
     }
 
-    /// What the balancer is notified of when an attempt ends.
+    /// Describes the end of an attempt to the balancer.
     pub(super) fn attempt_end(&self, key: AttemptKey, outcome: Outcome, latency: Micros) -> AttemptEnd {
         let request = self.requests.get(&key.request);
         AttemptEnd {
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! What is checked before the first byte of an attempt, and what is left of a request and a backend that are over.
+//! Tests of the checks before the first byte of an attempt, and of the cleanup after requests and backends.
 
 use super::attempts::SendCondition;
 use super::{Answer, Host, OptionalServices};
@@ -56,7 +56,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// The list's only backend changes to this state at this port.
+/// Changes the state and the port of the only backend on the list.
 fn change_backend(host: &Rc<Host>, state: BackendState, port: u16) {
     let address = address(port);
     let backend = Backend { state, ..Backend::default() };
@@ -78,13 +78,14 @@
     host.submit(arrival, Rc::new(NeverAnswered), SideEffects::None, || unreachable!())
 }
 
-/// Whether an attempt of this request may be sent to the backend at the first port.
+/// Returns whether an attempt of this request may be sent to the backend at `PORT`.
 fn may_send(host: &Host, request: RequestId, send_by: Option<Time>) -> bool {
     host.may_send(&SendCondition { request, backend: BackendId(0), address: address(PORT), send_by })
 }
 
-/// Each change that may happen while a connection comes up stops the send: of the list, of the request, and the end
-/// of the idempotency window. Nothing is left of a request and a backend that are over.
+/// Guards against an attempt that is sent although, while its connection was being established, the endpoint list or
+/// the request changed or the idempotency window ended, and against leftovers of a request and a backend that are
+/// gone.
 #[tokio::test]
 async fn attempt_is_sent_only_while_list_request_and_idempotency_window_allow_it() {
     let check = async {
@@ -109,7 +110,8 @@
     tokio::task::LocalSet::new().run_until(check).await;
 }
 
-/// Guards against a pause after a failed poll that ends at once, as the balancer wanted one while the poll was silent.
+/// Guards against a pause after a failed poll that ends at once because the balancer requested a watch during the
+/// poll.
 #[tokio::test]
 async fn a_watch_that_was_requested_before_is_not_waited_for_again() {
     let host = host();
--- a/crates/core/src/id_usage.rs
+++ b/crates/core/src/id_usage.rs
@@ -1,4 +1,4 @@
-//! The ids of classes and tenants that open requests use: later settings must not reassign these to other names.
+//! The ids of classes and tenants that requests use: later settings must not reassign these to other names.
 
 use lotusdeck_policy::settings::IdsInUse;
 use lotusdeck_policy::{ClassId, TenantId};
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// Counts the requests that use each id. There are no more entries than open requests.
+/// Counts the requests that use each id. There are at most as many entries as open requests.
 #[derive(Clone, Default)]
 pub(crate) struct IdUsage(Rc<RefCell<UsageCounts>>);
 
@@ -17,7 +17,7 @@
     tenants: HashMap<TenantId, usize>,
 }
 
-/// Keeps the ids of one request from being reassigned until it is dropped.
+/// Prevents the ids of a request from being reassigned until it is dropped.
 pub struct IdGuard {
     usage: IdUsage,
     class: ClassId,
@@ -25,7 +25,7 @@
 }
 
 impl IdUsage {
-    /// Counts a request that uses these ids, until the guard is dropped.
+    /// Counts a request as a user of these ids until the returned guard is dropped.
     pub(crate) fn reserve(&self, class: ClassId, tenant: Option<TenantId>) -> IdGuard {
         let mut counts = self.0.borrow_mut();
         *counts.classes.entry(class).or_default() += 1;
@@ -35,7 +35,7 @@
         IdGuard { usage: self.clone(), class, tenant }
     }
 
-    /// The ids that any request uses.
+    /// Returns the ids that at least one request uses.
     pub(crate) fn ids_in_use(&self) -> IdsInUse {
         let counts = self.0.borrow();
         IdsInUse {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! The core of the proxy: it owns the balancer, and with it requests, attempts, deadlines and the promise of exactly
-//! one final answer to each request. It knows no protocol: a front hands it an [`Exchange`], which sends itself, and
-//! keeps the connections that attempts are sent on behind [`ConnectionPools`].
+//! The protocol-independent core of the proxy. It owns the balancer, the open requests and their attempts, enforces
+//! deadlines, and gives each request exactly one final answer. A front submits each request as an [`Exchange`],
+//! which sends the attempts, and provides the connections to backends through its [`ConnectionPools`].
 
 mod clock;
 pub mod cordon;
--- a/crates/core/src/registry.rs
+++ b/crates/core/src/registry.rs
@@ -1,4 +1,5 @@
-//! The known backends: their names, ids, addresses and states, and which of them the balancer knows to be cordoned.
+//! The known backends: their names, ids, addresses and states, and which of them were last reported to the balancer
+//! as cordoned.
 
 use crate::retired::RetiredBackends;
 use lotusdeck_policy::settings::{EndpointRecord, Names};
@@ -11,19 +12,19 @@
 pub struct Endpoint {
     /// The backend's name, the same at every proxy.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Whether it may be sent requests.
     pub state: BackendState,
-    /// What the balancer is notified of.
+    /// The entry as passed on to the balancer.
     pub row: EndpointRecord,
 }
 
-/// An entry that could be decoded only in part.
+/// An entry of the endpoint list that could be decoded only in part.
 pub struct PartialEndpoint {
     /// The backend's name.
     pub name: String,
-    /// Its new state; `None` leaves the state as it was.
+    /// Its new state; `None` leaves the state unchanged.
     pub state: Option<BackendState>,
 }
 
@@ -32,11 +33,11 @@
 pub struct EndpointUpdate {
     /// The entries that were decoded completely.
     pub complete: Vec<Endpoint>,
-    /// The others, applied after those: a known backend keeps everything else that is known of it, an unknown one
-    /// stays unknown.
+    /// The entries that were decoded in part, applied after the complete ones. They change only the state of a known
+    /// backend, and do not add an unknown one.
     pub partial: Vec<PartialEndpoint>,
-    /// It is older than the list that was in place when discovery moved: it makes no backend ready that drained then,
-    /// unless that has been started again since.
+    /// Whether the list is older than the one in place when discovery moved to another address. Such a list does not
+    /// make a backend ready that was draining at that time, unless the backend has been restarted since.
     pub predates_move: bool,
 }
 
@@ -46,18 +47,19 @@
     }
 }
 
-/// A backend of the list, or one removed from it that is still referred to.
+/// A backend on the list, or one removed from it that still has an attempt in flight or is cordoned.
 pub(crate) struct KnownBackend {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     pub(crate) state: BackendState,
-    /// It drained when discovery moved, and the new address has not said anything newer of it.
+    /// Whether the backend was draining when discovery moved. Cleared by the next complete entry, unless the backend
+    /// is kept draining in spite of that entry.
     drained_at_move: bool,
-    /// What the balancer was last notified of.
+    /// The entry that was last passed on to the balancer.
     notified: Backend,
 }
 
-/// A state that a partial entry leaves or gives a backend.
+/// The state that a backend has after a partial entry.
 struct StateChange {
     name: String,
     state: BackendState,
@@ -66,10 +68,10 @@
 /// All backends by id.
 #[derive(Default)]
 pub(crate) struct Registry {
-    /// Those on the list, and those removed that still have an attempt in flight or are cordoned.
+    /// Backends on the list, and removed ones that still have an attempt in flight or are cordoned.
     backends: HashMap<BackendId, KnownBackend>,
     ids: HashMap<String, BackendId>,
-    /// Operators may still name them.
+    /// Backends that left the list, which operators may still name.
     retired: RetiredBackends,
     /// The cordoned backends as of the last [`Registry::cordon_change`], sorted.
     cordoned: Vec<BackendId>,
@@ -77,16 +79,17 @@
 }
 
 impl Registry {
-    /// Applies an update of the endpoint list and returns the entries that the balancer is to be notified of.
+    /// Applies an update of the endpoint list and returns the entries to pass on to the balancer.
     ///
-    /// A removed backend is forgotten, with its id, unless it is `in_flight` or cordoned: a cordon outlasts an
-    /// absence, and the balancer knows the cordoned backends by id.
+    /// A removed backend is forgotten, with its id, unless it is `in_flight` or cordoned: a cordon stays in effect
+    /// while the backend is absent, and the balancer knows the cordoned backends by id.
     pub(crate) fn update(
         &mut self, update: ListUpdate, endpoints: EndpointUpdate, names: &mut Names,
         in_flight: &HashSet<BackendId>, is_cordoned: impl Fn(&str) -> bool,
     ) -> Vec<Backend> {
         let EndpointUpdate { complete, partial, predates_move } = endpoints;
-        // Before the complete entries are applied: a partial one may keep the state from before this update.
+        // Resolved before the complete entries are applied, as a partial entry may keep the state from before this
+        // update.
         let state_changes = self.resolve_states(partial, &complete);
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             self.backends.values_mut().for_each(|backend| backend.state = BackendState::Removed);
@@ -109,8 +112,8 @@
         notifications
     }
 
-    /// The states that partial entries give: their own or, unless a complete entry of the same name overrides it, the
-    /// present one.
+    /// Resolves the states that partial entries result in: the entry's own, or else the backend's current one unless
+    /// a complete entry of the same name overrides it.
     fn resolve_states(&self, partial: Vec<PartialEndpoint>, complete: &[Endpoint]) -> Vec<StateChange> {
         if partial.is_empty() {
             return Vec::new();
@@ -127,7 +130,7 @@
         partial.into_iter().filter_map(resolve).collect()
     }
 
-    /// The backend that an entry describes, with its id.
+    /// Resolves the backend that an entry describes, and assigns an id to a new one.
     fn resolve(&mut self, endpoint: Endpoint, update: ListUpdate, names: &mut Names) -> KnownBackend {
         let Endpoint { name, address, state, row } = endpoint;
         let id = self.id_or_assign(&name, address);
@@ -138,7 +141,8 @@
         KnownBackend { name, address, state, drained_at_move: false, notified }
     }
 
-    /// The backend drained when discovery moved, and is said to be ready though it was not started again.
+    /// Returns whether the entry reports a backend as ready that was draining when discovery moved and has not been
+    /// restarted since.
     fn keeps_draining(&self, entry: &KnownBackend) -> bool {
         let Some(known) = self.backends.get(&entry.notified.id) else { return false };
         entry.state == BackendState::Ready
@@ -146,7 +150,7 @@
             && known.notified.started_at == entry.notified.started_at
     }
 
-    /// Discovery moves: what drains now may be said to be ready by a list that is older.
+    /// Records that discovery moves to another address: an older list may report as ready what drains now.
     pub(crate) fn record_move(&mut self) {
         for backend in self.backends.values_mut() {
             backend.drained_at_move |= backend.state == BackendState::Draining;
@@ -160,12 +164,12 @@
         let id = BackendId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.into(), id);
-        // The balancer's log lines name backends by id alone.
+        // The balancer's log lines identify backends by id alone.
         info!(backend = id.0, name = %name, %address, "backend discovered");
         id
     }
 
-    /// Sets the state of a backend, if it is known; returns what the balancer is to be notified of.
+    /// Sets the state of a backend, if it is known; returns the entry to pass on to the balancer.
     fn apply_state(&mut self, change: &StateChange) -> Option<Backend> {
         let id = self.id_of(&change.name)?;
         let backend = self.backends.get_mut(&id)?;
@@ -186,29 +190,29 @@
         });
     }
 
-    /// Whether the list has or recently had a backend of that name.
+    /// Returns whether the list contains or recently contained a backend of that name.
     pub(crate) fn knows(&self, name: &str) -> bool {
         self.ids.contains_key(name) || self.retired.contains(name)
     }
 
-    /// The id of the backend of that name.
+    /// Returns the id of the backend of that name.
     pub(crate) fn id_of(&self, name: &str) -> Option<BackendId> {
         self.ids.get(name).copied()
     }
 
-    /// The backend of that id.
+    /// Returns the backend of that id.
     pub(crate) fn get(&self, id: BackendId) -> Option<&KnownBackend> {
         self.backends.get(&id)
     }
 
-    /// The backends that may be sent requests: ready by the list and not cordoned.
+    /// Returns the backends that may be sent requests: those that are ready on the list and not cordoned.
     pub(crate) fn usable(&self, is_cordoned: impl Fn(&str) -> bool) -> HashSet<BackendId> {
         let is_usable =
             |backend: &KnownBackend| backend.state == BackendState::Ready && !is_cordoned(&backend.name);
         self.backends.iter().filter(|(_, backend)| is_usable(backend)).map(|(id, _)| *id).collect()
     }
 
-    /// All cordoned backends, if they are not the same as at the last call.
+    /// Returns all cordoned backends, or `None` if they are the same as at the last call.
     pub(crate) fn cordon_change(&mut self, is_cordoned: impl Fn(&str) -> bool) -> Option<Vec<BackendId>> {
         let cordoned = self.backends.iter().filter(|(_, backend)| is_cordoned(&backend.name));
         let mut cordoned: Vec<BackendId> = cordoned.map(|(id, _)| *id).collect();
@@ -220,7 +224,7 @@
         Some(cordoned)
     }
 
-    /// Whether neither a backend nor an id is left.
+    /// Returns whether neither a backend nor an id is left.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
         self.backends.is_empty() && self.ids.is_empty()
--- a/crates/core/src/retired.rs
+++ b/crates/core/src/retired.rs
@@ -5,23 +5,23 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Ids remembered at most. The largest list planned for, 11,000 backends, may be replaced at once; at 100 bytes an id
-/// these take some 4 MB.
+/// Maximum number of ids kept. The largest list planned for, 11,000 backends, may be replaced at once. At 100 bytes
+/// an id, the maximum takes about 4 MB.
 const MAX_RETIRED_IDS: usize = 16_384;
 
-/// The ids of the backends that left last: operators may still name them.
+/// The ids of the backends that left most recently, which operators may still name.
 #[derive(Default)]
 pub(crate) struct RetiredBackends {
-    /// Ids in the order in which they left.
+    /// The ids in the order in which they left.
     by_departure: BTreeMap<u64, String>,
-    /// The key in `by_departure` of each id.
+    /// The key of each id in `by_departure`.
     departures: HashMap<String, u64>,
     next_departure: u64,
 }
 
 impl RetiredBackends {
-    /// Adds an id as the latest that left, whether or not it had left before; beyond the limit the earliest is
-    /// forgotten.
+    /// Adds an id as the most recent one to leave, even if it had left before. Beyond the limit, removes the one
+    /// that left first.
     pub(crate) fn add(&mut self, name: &str) {
         let departure = self.next_departure;
         self.next_departure += 1;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether the id is remembered.
+    /// Returns whether the id is kept.
     pub(crate) fn contains(&self, name: &str) -> bool {
         self.departures.contains_key(name)
     }
--- a/crates/core/src/settings_change.rs
+++ b/crates/core/src/settings_change.rs
@@ -5,27 +5,28 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A copy of the active settings, with which another thread merges new ones.
+/// A copy of the active settings, for merging new ones on another thread.
 pub struct ActiveSettings {
     pub(crate) settings: Arc<Settings>,
     pub(crate) names: Names,
     pub(crate) in_use: IdsInUse,
 }
 
-/// New settings under the ids of the active ones, ready to be applied.
+/// New settings that use the ids of the active ones, ready to be applied.
 pub struct PreparedSettings {
-    /// The names with which they were merged: they apply only while these are the active ones.
+    /// The names that they were merged with: they can be applied only while these names are the active ones.
     pub(crate) merged_with: Names,
     pub(crate) settings: Arc<Settings>,
     /// A copy for the balancer, which owns its configuration.
     pub(crate) config: Box<Config>,
     pub(crate) reassigned: ReassignedIds,
-    /// What changes, for the log.
+    /// A description of what changes, for the log.
     pub(crate) difference: String,
 }
 
 impl ActiveSettings {
-    /// Merges `new` with these. Takes time in proportion to the number of names: not for the event loop.
+    /// Merges new settings with these. The time is proportional to the number of names: not to be called on the
+    /// event loop.
     pub fn prepare(self, new: Settings) -> PreparedSettings {
         let SettingsMerge { settings, reassigned } =
             self.settings.merge_successor(new, &self.names, &self.in_use);
@@ -39,7 +40,8 @@
     }
 }
 
-/// Other settings were applied, or an endpoint list brought new names, since the merge: it has to be repeated.
+/// The error returned if other settings were applied, or an endpoint list added names, since the merge. The merge
+/// has to be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("other settings or names have come into force meanwhile")]
 pub struct Outdated;
--- a/crates/core/src/socket_state.rs
+++ b/crates/core/src/socket_state.rs
@@ -1,20 +1,22 @@
-//! What the kernel knows of a client's or a backend's connection: the event loop may not have come round to it yet.
+//! Queries the kernel for the state of a client's or a backend's connection, which the event loop may not have seen
+//! yet.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io;
 use tokio::net::TcpStream;
 
-/// Something waits to be read, be it bytes, the end of the connection or an error.
+/// Returns whether there is something to read: bytes, the end of the connection or an error.
 pub fn is_readable(tcp: &TcpStream) -> bool {
     !peek(tcp).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Bytes wait that nobody has read.
+/// Returns whether there are unread bytes.
 pub fn has_bytes(tcp: &TcpStream) -> bool {
     matches!(peek(tcp), Ok(count) if count > 0)
 }
 
-/// The other side sends no more: it has closed or reset the connection, be it behind bytes that nobody has read.
+/// Returns whether the peer has closed its side of the connection or reset it, even if unread bytes come before the
+/// end.
 pub fn is_closed_by_peer(tcp: &TcpStream) -> bool {
     match peek(tcp) {
         Ok(0) => true,
@@ -27,7 +29,7 @@
     socket2::SockRef::from(tcp).peek(&mut [std::mem::MaybeUninit::uninit()])
 }
 
-/// Whether the other side's end lies behind bytes that are still to be read.
+/// Returns whether the peer has closed its side of the connection; there may be unread bytes before the end.
 fn has_hung_up(tcp: &TcpStream) -> bool {
     let mut descriptors = [PollFd::new(tcp, PollFlags::RDHUP)];
     let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -1,4 +1,4 @@
-//! The present state of the proxy, for operators.
+//! The current state of the proxy, for operators.
 
 use crate::counts::Counts;
 use crate::fleet_limits::FleetLimitStatus;
@@ -8,7 +8,7 @@
 /// The state of the whole process.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// How many settings have been active since the start.
+    /// Number of settings that have been active since the start.
     pub settings_generation: u64,
     /// Requests that wait for their answer.
     pub open_requests: usize,
@@ -22,9 +22,9 @@
     pub ledger: Option<LedgerStatus>,
     /// The fleet's limits, where there are any.
     pub fleet: Option<FleetLimitStatus>,
-    /// One for each kind of machine.
+    /// The estimates of each kind of machine.
     pub kinds: Vec<KindStatus>,
-    /// In the order in which they were discovered.
+    /// The backends in the order in which they were discovered.
     pub backends: Vec<BackendStatus>,
 }
 
@@ -49,7 +49,7 @@
 pub struct BackendStatus {
     /// Its name in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: String,
     /// Its state in the endpoint list: `ready`, `draining` or `gone`.
     pub state: &'static str,
@@ -57,7 +57,7 @@
     pub cordoned: bool,
     /// The name of its kind of machine.
     pub kind: String,
-    /// From 0 (nothing is sent) to 1 (healthy and warmed up).
+    /// Readiness from 0 (nothing is sent) to 1 (healthy and warmed up).
     #[serde(rename = "ready")]
     pub readiness: f64,
     /// Its fraction of this proxy's traffic.
@@ -66,7 +66,7 @@
     /// This proxy's attempts in flight to it.
     #[serde(rename = "held")]
     pub in_flight: u32,
-    /// How many of these may be in flight.
+    /// Limit on these attempts.
     #[serde(rename = "room")]
     pub in_flight_limit: f64,
     /// Moving average of the fraction of error answers.
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -6,11 +6,11 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// With each timer that fires, the lag seen before counts 15/16 of what it did.
+/// The recorded lag decays to 15/16 with each timer that fires.
 const LAG_DECAY_NUMERATOR: u64 = 15;
 const LAG_DECAY_DENOMINATOR: u64 = 16;
 
-/// A timer that is set; the order of the fields is the order in which timers fire.
+/// A timer that is set. The order of the fields is the order in which timers fire.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingTimer {
     due_at: Time,
@@ -22,7 +22,7 @@
 pub(crate) struct Timers {
     pending: RefCell<BinaryHeap<Reverse<PendingTimer>>>,
     earlier_timer_set: Notify,
-    /// The greatest recent lag, decaying, µs.
+    /// The largest recent lag, µs, which decays with each timer that fires.
     lag_us: Cell<u64>,
 }
 
@@ -36,12 +36,12 @@
         pending.push(Reverse(PendingTimer { due_at, token }));
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.pending.borrow().peek().map(|Reverse(first)| first.due_at)
     }
 
-    /// Removes the first timer that is due at `now`, and returns its token.
+    /// Removes the first timer if it is due at `now`, and returns its token.
     pub(crate) fn take_due(&self, now: Time) -> Option<TimerToken> {
         let mut pending = self.pending.borrow_mut();
         let Reverse(first) = pending.peek().copied()?;
@@ -60,7 +60,7 @@
         self.earlier_timer_set.notified().await;
     }
 
-    /// How late timers fire at present.
+    /// Returns how late timers currently fire.
     pub(crate) fn lag(&self) -> Micros {
         Micros(self.lag_us.get())
     }
