--- a/crates/core/src/host/actions.rs
+++ b/crates/core/src/host/actions.rs
@@ -51,9 +51,9 @@
 
     /// Cancels the attempts still in flight of a request that is over, as the balancer may be configured not to
     /// cancel.
-    pub(super) fn drop_attempts(self: &Rc<Self>, request: RequestId) {
-        let left = self.state.borrow().attempts_left(request);
-        for key in left {
+    pub(super) fn cancel_orphaned_attempts(self: &Rc<Self>, request: RequestId) {
+        let orphaned = self.state.borrow().orphaned_attempts(request);
+        for key in orphaned {
             self.attempt_ended(key, Outcome::Cancelled);
         }
     }
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -42,7 +42,7 @@
             on_end(&host, key, outcome);
         });
         let attempt =
-            OpenAttempt { backend, sent_at: now, time_runs_from: now, task: task.abort_handle(), journaled };
+            OpenAttempt { backend, sent_at: now, latency_from: now, task: task.abort_handle(), journaled };
         state.attempts.insert(key, attempt);
     }
 
@@ -112,7 +112,7 @@
                 "attempt ended"
             );
         }
-        Some(state.attempt_end(key, outcome, self.clock.now() - open.time_runs_from))
+        Some(state.attempt_end(key, outcome, self.clock.now() - open.latency_from))
     }
 
     /// Gives up an attempt that the balancer cancels, without counting its end; returns `None` if it is not in
@@ -122,7 +122,7 @@
         open.task.abort();
         self.journal_end(key, Outcome::Cancelled, &open);
         self.notify_unanswered(&open);
-        Some(state.attempt_end(key, Outcome::Cancelled, now - open.time_runs_from))
+        Some(state.attempt_end(key, Outcome::Cancelled, now - open.latency_from))
     }
 
     /// Notifies the journal of the end of an attempt that is recorded there.
--- a/crates/core/src/host/request.rs
+++ b/crates/core/src/host/request.rs
@@ -69,7 +69,7 @@
             state.counts.client_disconnects += 1;
         }
         self.handle_event(Event::ClientDisconnected { request: id });
-        self.drop_attempts(id);
+        self.cancel_orphaned_attempts(id);
     }
 
     /// Ends a request whose deadline has passed. Its attempts in flight time out, upon which the balancer gives its
@@ -87,7 +87,7 @@
         // Fails if the client has disconnected, as the receiver is dropped then.
         let _ = request.answer.send(Answer::TimedOut);
         self.handle_event(Event::ClientDisconnected { request: id });
-        self.drop_attempts(id);
+        self.cancel_orphaned_attempts(id);
     }
 
     /// Records that the request's body was received completely: its deadline and the latency of its attempts count
@@ -100,7 +100,7 @@
             request.deadline = now + time_left;
             for (key, attempt) in &mut state.attempts {
                 if key.request == id {
-                    attempt.time_runs_from = now;
+                    attempt.latency_from = now;
                 }
             }
         }
--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -82,7 +82,7 @@
     pub(super) sent_at: Time,
     /// When the measurement of its latency began: when it was handed to its protocol, or when the last byte of the
     /// request's body was received if that was later.
-    pub(super) time_runs_from: Time,
+    pub(super) latency_from: Time,
     /// The task that sends it.
     pub(super) task: AbortHandle,
     /// The exchange, which knows the answer's status, if the end of the attempt has to be recorded in the journal.
@@ -158,7 +158,7 @@
     }
 
     /// Returns the attempts still in flight of a request that is over.
-    pub(super) fn attempts_left(&self, request: RequestId) -> Vec<AttemptKey> {
+    pub(super) fn orphaned_attempts(&self, request: RequestId) -> Vec<AttemptKey> {
         self.attempts.keys().filter(|key| key.request == request).copied().collect()
     }
 
