--- a/crates/core/src/cordon/tests.rs
+++ b/crates/core/src/cordon/tests.rs
@@ -13,10 +13,10 @@
     let base = base("two");
     let (first, second) = (Cordon::load(&base), Cordon::load(&base));
     assert!(first.set("s-1", true).await.unwrap() && second.set("s-2", true).await.unwrap());
-    assert!(!second.set("s-1", true).await.unwrap(), "it is cordoned already");
+    assert!(!second.set("s-1", true).await.unwrap(), "already cordoned");
     assert!(first.refresh() && !first.refresh());
     assert!(first.contains("s-1") && first.contains("s-2") && second.contains("s-1"));
-    assert!(first.set("s-1", false).await.unwrap(), "one call lifts what two calls cordoned");
+    assert!(first.set("s-1", false).await.unwrap(), "one call lifts a cordon that was set by two");
     assert!(second.refresh() && !second.contains("s-1") && second.contains("s-2"));
     assert_eq!(Cordon::load(&base).count(), 1);
 }
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -94,7 +94,7 @@
         let (id, _answer) = submit(&host);
         let now = host.clock.now();
         assert!(may_send(&host, id, None) && may_send(&host, id, Some(now + MINUTE)));
-        assert!(!may_send(&host, id, Some(now)), "the window is over");
+        assert!(!may_send(&host, id, Some(now)), "the idempotency window is over");
         assert!(!may_send(&host, RequestId(99), None), "the request is over");
         change_backend(&host, BackendState::Ready, OTHER_PORT);
         assert!(!may_send(&host, id, None), "the backend moved, and another may listen at its old address");
@@ -103,7 +103,10 @@
         change_backend(&host, BackendState::Draining, PORT);
         assert!(!may_send(&host, id, None), "the backend drains");
         host.client_disconnected(id);
-        assert!(host.state.borrow().attempts.is_empty(), "nothing is in flight for a client that left");
+        assert!(
+            host.state.borrow().attempts.is_empty(),
+            "no attempt stays in flight after the client disconnected"
+        );
         change_backend(&host, BackendState::Removed, PORT);
         assert!(host.state.borrow().registry.is_empty(), "a removed backend is forgotten");
     };
@@ -119,7 +122,7 @@
     host.discard_watch_request();
     let mut requested = std::pin::pin!(host.watch_requested());
     let is_ready = std::future::poll_fn(|cx| std::task::Poll::Ready(requested.as_mut().poll(cx).is_ready()));
-    assert!(!is_ready.await, "the request from before counts");
+    assert!(!is_ready.await, "an earlier watch request must not count");
     host.watch_request.notify_one();
     requested.await;
 }
--- a/crates/core/src/settings_change.rs
+++ b/crates/core/src/settings_change.rs
@@ -43,5 +43,5 @@
 /// The error returned if other settings were applied, or an endpoint list added names, since the merge. The merge
 /// has to be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("other settings or names have come into force meanwhile")]
+#[error("the active settings or names have changed since the merge")]
 pub struct Outdated;
