--- a/crates/policy/benches/cost.rs
+++ b/crates/policy/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What the means of `decision` hide: the worst single decision, allocations, and memory for each backend.
-//! `cargo bench -p lotusdeck-policy --bench cost`; results in docs/scale.md.
+//! Measures what the means of `decision` do not show: the worst single decision, allocations, and memory per
+//! backend. `cargo bench -p lotusdeck-policy --bench cost`; results in docs/scale.md.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,11 +18,12 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const TURNS: usize = 90_000;
-/// The worst of a round may be the machine's, which interrupts; what the program does comes again in every round, so
-/// that the least of so many rounds' worst is told.
+/// Number of rounds. Interruptions by the machine differ between rounds, while the program's own worst case recurs
+/// in each, so the least of the rounds' worst times is reported.
 const ROUNDS: usize = 9;
 
-/// Times of so many calls, us: their mean, their 99.9th percentile and the worst, each the least of all rounds.
+/// Measures the times of `TURNS` calls, us: their mean, their 99.9th percentile and the worst, each the least of all
+/// rounds.
 fn times(mut call: impl FnMut() -> Duration) -> [f64; 3] {
     let mut least = [f64::INFINITY; 3];
     for _ in 0..ROUNDS {
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What a decision costs as the fleet grows: a request and its answer together, and a change of one line of the list.
-//! `cargo bench -p lotusdeck-policy`; results in docs/measurements.md.
+//! Measures the cost of decisions by the size of the fleet: of a request with its answer, and of a change of one
+//! list entry. `cargo bench -p lotusdeck-policy`; results in docs/measurements.md.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet before one proxy, for benchmarks.
+//! A proxy in front of a fleet, for benchmarks.
 
 use lotusdeck_policy::*;
 
-/// A line of the list.
+/// Builds an entry of the list.
 pub(crate) fn line(id: u32) -> Backend {
     Backend {
         id: BackendId(id),
@@ -13,7 +13,7 @@
     }
 }
 
-/// One proxy of three, warm, with a third of a request held for each backend.
+/// One proxy of three, warmed up, with a third of a request in flight for each backend.
 pub(crate) struct Bench {
     balancer: Balancer,
     pub now: Time,
@@ -23,7 +23,7 @@
 }
 
 impl Bench {
-    /// Warmed up.
+    /// Creates a proxy and warms it up.
     pub(crate) fn new(size: u32) -> Bench {
         let config = Config { proxy_count: 3, ..Config::example() };
         let balancer = Balancer::new(config, 7).expect("sound");
@@ -36,11 +36,11 @@
         b
     }
 
-    /// Passes an event on.
+    /// Passes an event to the balancer.
     pub(crate) fn tell(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
-        // One that had to wait may leave at any event.
+        // A request that had to wait may be dispatched at any event.
         for action in &self.actions {
             if let Action::Dispatch { request, .. } = action {
                 self.out.push_back((*request, self.now));
@@ -65,7 +65,7 @@
         self.tell(Event::Request(arrival));
     }
 
-    /// The oldest request is answered and another one comes.
+    /// Answers the oldest request and submits another one.
     pub(crate) fn turn(&mut self) {
         self.now = self.now + Micros(30);
         if let Some((request, sent)) = self.out.pop_front() {
@@ -84,7 +84,7 @@
     }
 }
 
-/// The n-th change of one line of the list: backends drain and come back in turn.
+/// Builds the n-th change of one list entry: backends drain and become ready again in turn.
 pub(crate) fn change(n: u32, size: u32) -> Event {
     let state = if n.is_multiple_of(2) { BackendState::Ready } else { BackendState::Draining };
     let backends = vec![Backend { state, ..line(n / 2 % size) }];
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -1,5 +1,5 @@
-//! What tens of thousands of classes and tenants cost: reading settings, taking them after others, finding a name in a
-//! request, and the memory held for each. `cargo bench -p lotusdeck-policy --bench names`.
+//! Measures the cost of tens of thousands of classes and tenants: reading settings, merging and applying them,
+//! looking up a name, and the memory for each. `cargo bench -p lotusdeck-policy --bench names`.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,19 +18,19 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// From what is served today to what is expected in two years.
+/// Sizes from those of today to those expected in two years.
 const SIZES: [usize; 4] = [1_000, 4_000, 16_000, 34_000];
-/// Each figure is the median of so many runs: others use the machine.
+/// Each figure is the median of this many runs, as others use the machine.
 const RUNS: usize = 7;
-/// Lookups that are timed together: one is too short for the clock.
+/// Number of lookups that are timed together, as one is too short for the clock.
 const LOOKUPS: usize = 2_000;
 
-/// One name in so many is replaced by a change whose hold of the event loop is timed.
+/// A change of settings whose time on the event loop is measured replaces one name in this many.
 const REPLACED: usize = 20;
-/// Backends that the module knows of meanwhile.
+/// Number of backends that the balancer knows meanwhile.
 const BACKENDS: u32 = 1_000;
 
-/// Settings of so many classes and tenants, whose names are numbered from `first` on.
+/// Builds settings with these numbers of classes and tenants, whose names are numbered from `first`.
 fn settings(classes: usize, tenants: usize, first: usize) -> Value {
     let class = |i| {
         json!({"name": format!("class-{i:05}"), "aim_us": 900_000, "deadline_us": 3_000_000, "effect": "free",
@@ -50,7 +50,7 @@
     })
 }
 
-/// Median time of a call, us.
+/// Measures the median time of a call, us.
 fn median<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
@@ -65,8 +65,8 @@
     times[RUNS / 2]
 }
 
-/// How long the module takes over other settings, us, in ascending order; what is left of the old ones is dropped
-/// within that time, as on the event loop.
+/// Measures how long the balancer takes to apply other settings, us, in ascending order. This includes dropping the
+/// old settings, as on the event loop.
 fn hold_times(settings_then: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
     let mut balancer = Balancer::new(settings_then.config.clone(), 1).expect("sound settings");
     let backend = |id| Backend { id: BackendId(id), state: BackendState::Ready, ..Backend::default() };
@@ -93,7 +93,7 @@
     times
 }
 
-/// One line: `classes` and `tenants` in the settings, of which the last is looked up.
+/// Prints a row for settings with these numbers of classes and tenants, the last of which are looked up.
 fn row(classes: usize, tenants: usize) {
     let value = settings(classes, tenants, 0);
     let read = || Settings::read(&value).expect("sound settings");
@@ -113,7 +113,7 @@
     };
     let class_ns = find(&|| old.names.class(black_box(&class)).is_some());
     let tenant_ns = find(&|| old.names.tenant(black_box(&tenant)).is_some());
-    // The medians' own lists are two.
+    // Minus the list that each of the two calls of `median` allocates.
     let allocations = region.change().allocations - 2;
     let holds = hold_times(&old, classes, tenants);
     println!(
--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -13,13 +13,13 @@
 
 const PROXIES: u32 = 100;
 const BACKENDS: u32 = 60;
-/// Requests that each proxy gets at once.
+/// Requests that arrive at each proxy at once.
 const BURST: usize = 20;
 const STEP: Micros = Micros(5_000);
 const TIME_LEFT: u64 = 1_000_000;
-/// Steps between the requests of one proxy apart from the burst.
+/// Steps between two requests to a proxy, apart from the burst.
 const STEPS_PER_REQUEST: u64 = 40;
-/// At most one proxy in ten may reject so many requests, all that it gets for so long, with no attempt between them.
+/// No proxy may reject this many requests over this time without an attempt between them.
 const MAX_REJECTED: usize = 15;
 const MAX_SILENCE: Micros = Micros(4_000_000);
 
@@ -30,18 +30,18 @@
     attempt: usize,
 }
 
-/// A backend that handles requests in turn.
+/// A backend that processes requests one at a time, in the order of arrival.
 #[derive(Default)]
 struct Backlog {
     queue: VecDeque<Received>,
-    /// Time that it has had for the first of them.
+    /// Time spent on the first of them.
     spent: Micros,
 }
 
-/// One proxy, and what it has rejected since its last attempt.
+/// A proxy, and what it has rejected since its last attempt.
 struct Proxy {
     host: Host,
-    /// The open requests, and how many of their attempts have gone out.
+    /// The open requests, and how many of their attempts were sent.
     sent: BTreeMap<RequestId, usize>,
     rejected: usize,
     last_attempt_at: Time,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The attempts that have gone out since the last call, with their backends.
+    /// Returns the attempts that were sent since the last call, with their backends.
     fn take_sent(&mut self, proxy: usize) -> Vec<(usize, Received)> {
         let mut out = Vec::new();
         for (&request, sent) in &mut self.sent {
@@ -97,7 +97,7 @@
 struct Fleet {
     proxies: Vec<Proxy>,
     backends: Vec<Backlog>,
-    /// What one request takes at a backend.
+    /// Time that a backend takes for a request.
     work: Micros,
     steps: u64,
 }
@@ -109,7 +109,7 @@
         Fleet { proxies, backends, work, steps: 0 }
     }
 
-    /// Plays so long, with a burst at the beginning or without.
+    /// Runs for `span`, with a burst of `burst` requests at each proxy in the first step.
     fn play(&mut self, span: Micros, burst: usize) {
         for step in 0..span.0 / STEP.0 {
             for (index, proxy) in self.proxies.iter_mut().enumerate() {
@@ -141,7 +141,8 @@
     }
 }
 
-/// Guards against proxies that go on rejecting everything after a burst, by a load that they only remember.
+/// Guards against proxies that keep rejecting everything after a burst because their estimate of the load is out of
+/// date.
 #[test]
 fn after_a_burst_no_proxy_rejects_all_that_it_gets_for_four_seconds() {
     for warm_up_s in [0, 1, 10] {
--- a/crates/policy/tests/cold_sum.rs
+++ b/crates/policy/tests/cold_sum.rs
@@ -1,5 +1,5 @@
-//! Backends that come back cold under a burst: what all proxies send them together stays under the bound of
-//! their fall, though no proxy hears of another.
+//! Tests that all proxies together send restarted backends no more than the overload limit during bursts, although
+//! no proxy learns what the others send.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,37 +12,37 @@
 use lotusdeck_policy::*;
 
 const BACKENDS: u32 = 12;
-/// Of these, so many come back cold together.
+/// Number of these that restart together.
 const COLD: u32 = 4;
-/// Part of the warm fleet's capacity that is asked for before the burst.
+/// Load before the burst, as a fraction of the warm fleet's capacity.
 const LOAD: f64 = 0.3;
-/// The least span of this test's clock.
+/// The time step of the test.
 const STEP: Micros = Micros(20_000);
 
-/// An attempt that a backend works on.
+/// An attempt that a backend is processing.
 struct Job {
     host: usize,
     request: RequestId,
     attempt: usize,
     backend: u32,
-    /// The part of a request's work that is still to do.
+    /// The remaining work, as a fraction of a request.
     left: f64,
 }
 
-/// A fleet of proxies that share settings and the list, and nothing else, before backends that share their
-/// processor among what they hold.
+/// A fleet of proxies that share only the settings and the endpoint list, in front of backends that divide their
+/// processor evenly among their attempts.
 struct Fleet {
     hosts: Vec<Host>,
-    /// What a warm backend serves, requests a second.
+    /// Requests per second that a warm backend serves.
     capacity: f64,
     booted: Option<Time>,
     jobs: Vec<Job>,
-    /// When a backend was sent a request.
+    /// When each attempt was sent, and to which backend.
     sends: Vec<(Time, u32)>,
-    /// By proxy: when it was asked, and when it sent something on.
+    /// By proxy: when each request arrived, and when each attempt was sent.
     asked: Vec<Vec<Time>>,
     tried: Vec<Vec<Time>>,
-    /// Arrivals due, and the state of the generator that deals them out.
+    /// Requests due to arrive, and the state of the random generator that assigns them to proxies.
     due: f64,
     dice: u64,
 }
@@ -63,7 +63,7 @@
         Fleet { hosts, capacity, booted: None, jobs, sends, asked, tried, due: 0.0, dice: seed }
     }
 
-    /// Another process in the place of a proxy: it knows the list and nothing else.
+    /// Replaces a proxy by a new process that knows only the endpoint list.
     fn replace(&mut self, number: usize) {
         let old = &self.hosts[number];
         let mut new = Host::new(old.cfg.clone(), old.now.0 + number as u64);
@@ -73,7 +73,7 @@
         self.jobs.retain(|job| job.host != number);
     }
 
-    /// Marks as far apart as those that are drawn from addresses.
+    /// Builds a list entry whose order key is spread like a hash of an address.
     fn entry(id: u32) -> Backend {
         Backend {
             order_key: u64::from(id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Some backends come back cold, and every proxy is told at once.
+    /// Restarts some backends, and notifies every proxy immediately.
     fn restart(&mut self) {
         self.booted = Some(self.hosts[0].now);
         for host in &mut self.hosts {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What a backend can do at that time, requests a second.
+    /// Returns how many requests per second a backend can serve at a time.
     fn able(&self, id: u32, at: Time) -> f64 {
         let cfg = &self.hosts[0].cfg;
         let Some(booted) = self.booted.filter(|_| id < COLD) else { return self.capacity };
@@ -98,7 +98,8 @@
         self.capacity * (cfg.slow_start.floor + (1.0 - cfg.slow_start.floor) * ramp)
     }
 
-    /// A step of the clock: requests at `rate` a second over the fleet, and `extra` more at each proxy.
+    /// Advances the clock by a step, with requests at `rate` per second over the fleet and `extra` more at each
+    /// proxy.
     fn step(&mut self, rate: f64, extra: usize) {
         let mut arrivals = vec![extra; self.hosts.len()];
         self.due += rate * STEP.secs();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Hands the backends what the proxy has sent since.
+    /// Hands the backends the attempts that the proxy has sent since the last call.
     fn take_up(&mut self, number: usize) {
         let host = &self.hosts[number];
         for (request, attempt) in host.out() {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Backends go on with what they hold, and answer what is done.
+    /// Lets the backends process their attempts for a step, and answers those that are done.
     fn work(&mut self) {
         let now = self.hosts[0].now;
         let open = |j: &Job| self.hosts[j.host].requests[&j.request].tries[j.attempt].outcome.is_none();
@@ -151,15 +152,16 @@
     }
 }
 
-/// The worst window: what was sent, and the bound of the fall then.
+/// The window in which most was sent in relation to the overload limit, and that limit.
 struct Worst {
     sent: usize,
     bound: f64,
-    /// Sent to the cold backends in all, over what the settings allow them.
+    /// Total sent to the cold backends, as a fraction of what the settings allow.
     used: f64,
 }
 
-/// Bursts at every proxy at once, from the moment at which some backends come back cold until they are warm.
+/// Restarts some backends and sends bursts to all proxies at once until the backends are warm; returns the worst
+/// window.
 fn worst_window(proxies: u32, capacity: f64, seed: u64) -> Worst {
     let mut fleet = Fleet::new(proxies, capacity, seed);
     let rate = LOAD * capacity * f64::from(BACKENDS);
@@ -171,7 +173,7 @@
     let start = fleet.hosts[0].now;
     let cfg = fleet.hosts[0].cfg.clone();
     for step in 0..cfg.slow_start.duration.0 / STEP.0 {
-        // A burst that fills every room, now and again.
+        // From time to time, a burst that reaches every in-flight limit.
         let extra = if step % 45 == 0 { 2 * BACKENDS as usize } else { 0 };
         fleet.step(2.0 * rate, extra);
     }
@@ -185,7 +187,7 @@
         for (first, from) in times.iter().enumerate() {
             let sent =
                 times[first..].iter().take_while(|t| **t - *from < cfg.slow_start.overload_window).count();
-            // By what it could do as the window began: no part of the ramp is counted on.
+            // Uses the capacity at the start of the window: the increase during the window must not be relied on.
             let allowed = cfg.slow_start.overload_multiple
                 * fleet.able(id, *from)
                 * cfg.slow_start.overload_window.secs();
@@ -203,7 +205,8 @@
     worst
 }
 
-/// A small backend is allowed less than one request of each proxy in a window; a large one many.
+/// Checks the limit for small backends, which are allowed less than one request from each proxy in a window, and for
+/// large ones, which are allowed many.
 fn holds(proxies: u32) {
     for capacity in [1.0, 4.0, 40.0] {
         for seed in [1, 2, 3] {
@@ -231,12 +234,12 @@
     holds(300);
 }
 
-/// A proxy that sends nothing on for so long, though it is asked so often, serves nobody.
+/// A proxy counts as idle if it sends nothing for this time while at least `ASKED` requests arrive.
 const SERVES_NOBODY: Micros = Micros(4_000_000);
 const ASKED: usize = 15;
 
-/// Some backends come back cold under half as much again while every proxy is replaced, a tenth at a time: those
-/// that know nothing yet find others to send to.
+/// Guards against new proxies that send nothing while some backends are cold, as they have no estimates yet. Some
+/// backends restart under one and a half times the load while all proxies are replaced, a tenth at a time.
 #[test]
 fn no_proxy_serves_nobody_while_backends_and_proxies_are_replaced() {
     for (proxies, seed) in [(30, 1), (30, 2), (100, 3)] {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! A host for one balancer, which carries out the actions and checks every rule while doing so.
 #![allow(dead_code)]
 
 use lotusdeck_policy::*;
@@ -14,7 +14,7 @@
 }
 
 impl Try {
-    /// No outcome proves yet that it did not run.
+    /// Returns whether the attempt may have run: no outcome shows that it did not.
     pub(crate) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|o| !o.never_ran())
     }
@@ -193,12 +193,12 @@
         id
     }
 
-    /// So many requests at once.
+    /// Submits `count` requests at once.
     pub(crate) fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
         (0..count).map(|_| self.arrive(class, left)).collect()
     }
 
-    /// One event of each sort about things that were never heard of.
+    /// Sends one event of each kind that refers to a request, an attempt or a timer, with unknown ids.
     pub(crate) fn nonsense(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
@@ -214,7 +214,7 @@
         }));
     }
 
-    /// Ends an attempt that is out.
+    /// Ends an attempt that is in flight.
     pub(crate) fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
+    /// Advances the time. Timers and time-outs fire when they are due, and every deadline is checked.
     pub(crate) fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
@@ -277,7 +277,7 @@
         self.requests[&id].tries.iter().map(|t| t.backend.0).collect()
     }
 
-    /// Serves everything that is out, each after `span`.
+    /// Advances the time by `span`, then serves all attempts in flight.
     pub(crate) fn serve_all(&mut self, span: u64) {
         self.advance(span);
         for (id, no) in self.out() {
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each behaviour and each failure found, through the public interface.
+//! Tests of single behaviours and of failures found earlier, through the public interface.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -24,7 +24,8 @@
     host
 }
 
-/// Requests one by one, each served after a time that may depend on its backend.
+/// Serves requests one after the other, each after a time that may depend on its backend; returns the chosen
+/// backends.
 fn serve(host: &mut Host, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
@@ -61,14 +62,14 @@
     let mut host =
         host(config(vec![class(SideEffects::None), class(SideEffects::NonIdempotent)]), Vec::new());
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
-    // Later days: a refusal after half of the time, with nothing sent, costs as much as a third of a request.
+    // A rejection after half of the request's time, with nothing sent, costs as much as a third of a request.
     host.advance(345_000);
     assert!(ids.iter().all(|id| host.requests[id].answer == Some("refused")));
 }
 
 #[test]
 fn a_short_request_after_idleness_is_answered_in_time() {
-    // Found by the invariants: the timer once ran ten ticks long while nothing was in hand.
+    // Guards against a timer that ran for ten ticks while no request was open; found by the property tests.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
@@ -76,7 +77,8 @@
     assert_eq!(host.requests[&id].answer, Some("refused"));
 }
 
-/// What operators take out gets nothing, in spite of the list; what they give back begins as after a start.
+/// Guards against requests to a cordoned backend after an update of the list, and against full load on it once the
+/// cordon is lifted: it goes through slow start then, as after a restart.
 #[test]
 fn a_cordoned_backend_is_out_and_comes_back_cold() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(3));
@@ -124,7 +126,8 @@
     let ids = host.burst(6, 0, 900_000);
     let hung = host.sent_to(ids[0])[0];
     assert!(ids.iter().all(|id| host.sent_to(*id).len() == 1));
-    // Later days: one answer that never came kept its room, and a backend with room for one got nothing more.
+    // An answer that never came used to count as in flight, so that a backend with a limit of one got no more
+    // requests.
     let mut unanswered = 0;
     for id in ids {
         let there = host.sent_to(id)[0] == hung;
@@ -148,7 +151,8 @@
     assert_eq!(unanswered, 2, "one may be lost, two are silence");
 }
 
-/// Later days: a backend never answered one class and served the others; two in a row of each went there still.
+/// Guards against a backend that never answers one class and serves the others: two requests in a row of each class
+/// still went there.
 #[test]
 fn a_backend_silent_for_one_class_serves_the_others() {
     let mut host = host(config(vec![class(SideEffects::None), class(SideEffects::None)]), fleet(4));
@@ -171,7 +175,8 @@
     assert!(served > 10, "the other class goes on there: {served}");
 }
 
-/// Later days: at four times the load one answer in a hundred never came, and each waited out its deadline.
+/// Guards against lost answers that are noticed only at the deadline: at four times the load, one answer in a
+/// hundred never came, and each request waited until its deadline.
 #[test]
 fn where_most_attempts_of_some_age_are_lost_they_get_a_copy() {
     for lost in [true, false] {
@@ -192,7 +197,7 @@
         }
         assert!(!copied[..5].contains(&true), "not before it is known: {copied:?}");
         assert_eq!(copied[10..].contains(&true), lost, "slow ones that are answered need none: {copied:?}");
-        // Those sent to a backend that is on trial may find no other with room.
+        // Requests sent to a backend on probation may find no other one with capacity.
         let most = copied[10..].iter().filter(|c| **c).count() > 2;
         assert_eq!(most, lost, "{copied:?}");
     }
@@ -219,7 +224,7 @@
 
 #[test]
 fn the_rooms_of_few_proxies_on_a_backend_add_up_to_the_hold() {
-    // Incident i962b3c: when each rounded by its own coin, some backends were crowded and others idle.
+    // Incident i962b3c: when each proxy rounded its limit at random, some backends were overloaded and others idle.
     let mut held = [0; 6];
     for position in 0..3 {
         let mut host = host(Config { proxy_count: 3, proxy_index: position, ..Config::example() }, fleet(6));
@@ -232,12 +237,14 @@
 
 #[test]
 fn a_thin_tenant_inside_its_quota_is_not_taken_for_a_flood() {
-    // Full size: a proxy's part of a quota is below one a second; two at once by chance were beyond it.
+    // In a fleet of full size, a proxy's part of a quota is below one request per second: two that arrived at once
+    // by chance exceeded it.
     let tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut host = host(Config { proxy_count: 100, tenants, ..Config::example() }, fleet(30));
     let mut refused = 0;
     for _ in 0..30 {
-        // Two at once each nine seconds, 0.22 a second of 0.5 due, on a fleet that holds about five each.
+        // Two requests every nine seconds, 0.22 per second of the 0.5 allowed, in a fleet with about five in flight
+        // on each backend.
         let ids: Vec<RequestId> = (0..2).map(|_| host.arrive_for(0, 8_000_000, Some(TenantId(0)))).collect();
         host.advance(7_000_000);
         refused += ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count();
@@ -249,7 +256,7 @@
 
 #[test]
 fn an_idle_proxy_sets_hardly_a_timer() {
-    // Standing days, ibb5992, ifde279, i0dce2b: a timer every tick at each of a thousand proxies used up the CPU.
+    // Incidents ibb5992, ifde279 and i0dce2b: a timer at every tick in each of a thousand proxies used up the CPU.
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(100));
     serve(&mut host, 20, 0, |_| 10_000);
     host.timers_set = 0;
@@ -259,7 +266,8 @@
 
 #[test]
 fn the_slices_of_many_proxies_are_small_and_cover_every_backend_alike() {
-    // Full size: with a connection from every proxy to every backend two attempts in three found none free.
+    // In a fleet of full size, with a connection from every proxy to every backend, two attempts in three found none
+    // free.
     let mut sent = [0; 30];
     for position in 0..300 {
         let mut host =
@@ -274,7 +282,8 @@
 
 #[test]
 fn a_full_backend_is_left_alone_for_a_moment_and_not_ejected() {
-    // Full size: busy backends were ejected by the hundred, and the rest took their load and filled up too.
+    // In a fleet of full size, busy backends were ejected by the hundred, and the others were filled up by their
+    // load.
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -285,7 +294,8 @@
     assert!(!serve(&mut host, 2, 0, |_| 5_000).contains(&full), "used at once again");
     assert!(host.logs.iter().all(|l| !l.contains("ejected")), "{:?}", host.logs);
     assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&full), "not used after a service time");
-    // Churn: a pause of half a second after each took half of the fleet away that had room again.
+    // Under churn, a pause of half a second after each rejection excluded half of the fleet, which had capacity
+    // again.
     let mut pauses = Vec::new();
     for _ in 0..6 {
         let mut waited = 0;
@@ -303,20 +313,22 @@
         }
         pauses.push(waited);
     }
-    // Chance adds to each pause until it is drawn again, and takes nothing away.
+    // The random choice of the next backend can lengthen a pause, but not shorten it.
     let short_at_first = pauses[..2].iter().any(|p| *p < 80_000);
     assert!(pauses[5] >= 80_000 && short_at_first, "left alone longer each time: {pauses:?}");
 }
 
 #[test]
 fn many_proxies_refuse_low_worth_first_and_at_once_when_the_fleet_is_crowded() {
-    // Full size: without a room of its own a proxy sent all it had, and the machines tipped into the slow state.
+    // In a fleet of full size, proxies without an in-flight limit sent all they had, and overload made the machines
+    // slow.
     let mut cfg =
         Config { proxy_count: 100, tenants: vec![Tenant { quota_per_s: 1e6 }], ..Config::example() };
     cfg.tenants.push(Tenant { quota_per_s: 1e-3 });
     let mut host = host(cfg, fleet(20));
     let mut answer = |proxied: u64, tenant: usize| {
-        // One attempt out for so long of every second: all hundred hold so many on twenty backends.
+        // One attempt is in flight for `proxied` µs of every second, and all hundred proxies count as equally busy,
+        // on twenty backends.
         for _ in 0..20 {
             let id = host.arrive_for(0, 990_000, Some(TenantId(0)));
             host.advance(proxied);
@@ -375,7 +387,8 @@
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
-/// Serves on all but the erring backend until that is ejected; gives its number.
+/// Serves requests on all backends but one, which answers with errors until it is ejected; returns the id of that
+/// one.
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
@@ -428,13 +441,14 @@
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend { started_at: Some(host.now), ..backend(9, 0, 0) };
     host.members(ListUpdate::Changes, vec![cold]);
-    let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
+    let chosen = serve(&mut host, 100, 0, |_| 20_000); // 2 s, one overload window
     let sent = chosen.iter().filter(|b| **b == 9).count();
-    // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
+    // One warm backend serves about 50 + 17 per second: a tenth of that, doubled, over two seconds, is 27 at most.
     assert!((1..=14).contains(&sent), "{sent} of 100 went to the cold backend");
 }
 
-/// What a burst sends to a fleet that has just started: in all, and the most to one backend.
+/// Sends a burst to a fleet that has just restarted; returns how many requests were sent in total, and the most that
+/// were sent to one backend.
 fn burst_on_cold(before: impl Fn(&mut Host)) -> (usize, usize) {
     let mut cfg = Config { proxy_count: 3, ..Config::example() };
     cfg.slow_start.floor = 0.1;
@@ -460,12 +474,14 @@
 
 #[test]
 fn a_burst_cannot_push_a_cold_backend_over() {
-    // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third, by 0.8: 11 each.
+    // Requests take 20 ms, so a backend serves at most 100 per second. A tenth of that, doubled, over two seconds,
+    // divided by three proxies and times 0.8 is 11 for each backend.
     let (sent, most) = burst_on_cold(|_| ());
     assert!(sent >= 1 && (6..=11).contains(&most), "{sent} sent, {most} to one cold backend");
 }
 
-/// While two processes act for a proxy, and for as long after as the other's work weighs, each has half.
+/// Guards against two processes of a proxy that each spend its full warm-up budget. Each gets half, until the
+/// overload window after the end of the other one is over.
 #[test]
 fn two_processes_share_the_budget_of_a_cold_backend() {
     let (sent, most) = burst_on_cold(|host| host.event(Event::ProcessCount { count: 2 }));
@@ -484,7 +500,8 @@
 
 #[test]
 fn a_clients_repeat_waits_behind_first_tries() {
-    // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
+    // Incident ic9a8f4: client retries counted as new requests and, as the newest were served first, made all others
+    // late.
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(1));
     let fill = host.burst(8, 0, 900_000);
     host.advance(5_000);
@@ -539,7 +556,8 @@
 
 #[test]
 fn a_zone_short_of_backends_sends_its_surplus_out() {
-    // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
+    // The proxy's zone has one of seven backends, and the proxies of three zones bring a third of the traffic each:
+    // 3/7 may stay.
     let mut cfg = Config::example();
     cfg.goal.cross_zone_cost = 0.05;
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
@@ -589,8 +607,8 @@
     assert_eq!(run(false), run(true));
 }
 
-/// An upload holds no room and no time runs on it until its last byte is in; then both begin, and there is no
-/// other attempt.
+/// Guards against uploads that count as work or run out of time before their last byte. Both begin with the last
+/// byte, and there is no second attempt.
 #[test]
 fn an_upload_weighs_and_is_timed_from_its_last_byte() {
     let cfg = || Config {
--- a/crates/policy/tests/halb.rs
+++ b/crates/policy/tests/halb.rs
@@ -1,4 +1,4 @@
-//! Shares against values worked by hand from the paper's formula.
+//! Compares shares with values computed by hand from the paper's formula.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,7 +19,7 @@
 
 #[test]
 fn both_kinds_serve_above_the_clamp() {
-    // roots 3, speeds 5: flows 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
+    // Sum of roots 3, of service rates 5: flows 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
     close(halb_shares(&TWO, Some(3.5)), &[6.0 / 7.0, 1.0 / 7.0]);
 }
 
@@ -31,15 +31,16 @@
 
 #[test]
 fn a_clamped_kind_leaves_and_the_rest_is_solved_anew() {
-    // Of all three: roots 6, speeds 14, the third flow 1 - 8.5 / 6 < 0.
-    // Of the first two: roots 5, speeds 13: 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
+    // All three: sum of roots 6, of service rates 14; the third flow is 1 - 8.5 / 6 < 0.
+    // The first two: sum of roots 5, of service rates 13; flows 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
     let three = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
     close(halb_shares(&three, Some(5.5)), &[4.5 / 5.5, 1.0 / 5.5, 0.0]);
 }
 
 #[test]
 fn counts_weigh_and_may_be_parts() {
-    // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
+    // Sum of roots 2 * 2 + 0.5 = 4.5, of service rates 8.5. At 4 per second, (8.5 - 4) / 4.5 = 1: flows 8 - 4 and
+    // 0.5 - 0.5.
     close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)), &[1.0, 0.0]);
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
     close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(6.25)), &[0.96, 0.04]);
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules as invariants over generated sequences of events; `common::Host` checks each action.
+//! Property tests of the rules over generated sequences of events; `common::Host` checks each action.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -78,7 +78,7 @@
     cfg
 }
 
-/// Plays the steps and returns every action as text, for the test of repeatability.
+/// Runs the steps and returns every action as text, for the test of determinism.
 fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = Host::new(config(bits), seed);
     let mut trace = Vec::new();
@@ -129,7 +129,7 @@
     trace
 }
 
-/// Some item of the list, if it holds any.
+/// Returns an item of the list, chosen by `n`, unless the list is empty.
 fn nth<T: Copy>(list: &[T], n: usize) -> Option<T> {
     list.get(n % list.len().max(1)).copied()
 }
--- a/crates/policy/tests/large.rs
+++ b/crates/policy/tests/large.rs
@@ -1,4 +1,5 @@
-//! Fleets that are too large to be walked over at each event: solutions come in parts, and every rule holds meanwhile.
+//! Fleets that are too large to be traversed at each event: solutions are computed in parts, and every rule has to
+//! hold meanwhile.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +19,8 @@
     host
 }
 
-/// So many requests, each served at once; to whom each went. The host checks that none went past the list.
+/// Sends `count` requests, each served before the next one; returns the backends that they were sent to. The host
+/// checks that each is on the list.
 fn serve(host: &mut Host, count: usize) -> Vec<u32> {
     let one = |_| {
         let id = host.arrive(0, 900_000);
@@ -30,7 +32,8 @@
     (0..count).flat_map(one).collect()
 }
 
-/// What drains is out with the next event; what is new gets its part once a solution knows it.
+/// Guards against requests to backends that drain while the next solution is still being computed, and against
+/// backends that get no traffic after they return.
 #[test]
 fn a_change_of_the_list_holds_at_once_and_is_solved_in_parts() {
     let mut host = host();
@@ -46,12 +49,13 @@
     assert!((600..900).contains(&back), "{back} of 1500 went to the half that is back");
 }
 
-/// Ejected backends are drawn for their trials like all others, seldomer after each ejection.
+/// Guards against ejected backends that are never probed in a large fleet. They are drawn like all others, less
+/// often after each ejection.
 #[test]
 fn the_ejected_of_a_large_fleet_are_tried_and_come_back() {
     let mut host = host();
     serve(&mut host, 300);
-    // These do not answer.
+    // The backends that do not answer.
     let ill = |b: u32| b < 40;
     let mut tried = std::collections::BTreeSet::new();
     let fail = |host: &mut Host, outcome: &dyn Fn(u32) -> Outcome, count: usize| {
@@ -75,6 +79,6 @@
     let out = |host: &Host| host.balancer.backends().filter(|b| b.ejected_until.is_some()).count();
     assert!(out(&host) >= 35, "{} ejected", out(&host));
     tried.extend(fail(&mut host, &|_| Outcome::Success, 8_000).into_iter().filter(|b| ill(*b)));
-    // Those ejected most often are tried last.
+    // The backends ejected most often are probed last.
     assert!(tried.len() >= 30 && out(&host) <= 12, "{} tried, {} still out", tried.len(), out(&host));
 }
--- a/crates/policy/tests/lost_answers.rs
+++ b/crates/policy/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Backends whose answers are lost now and then.
+//! Tests of backends that lose some of their answers.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,15 +12,15 @@
 use std::collections::BTreeMap;
 
 const BACKENDS: u32 = 3;
-/// Each backend loses the answer to every one of so many requests.
+/// Each backend loses the answer to one in this many requests.
 const LOST_EVERY: u32 = 4;
 const TIME_LEFT: u64 = 400_000;
 
-/// A fleet whose backends each lose every fourth answer, and one client that sends a request after the other.
+/// A fleet whose backends each lose every fourth answer, and a client that sends one request after the other.
 struct LossyFleet {
     host: Host,
     received: BTreeMap<u32, u32>,
-    /// How long an answer takes.
+    /// The time that an answer takes.
     latency: Micros,
 }
 
@@ -35,7 +35,7 @@
         LossyFleet { host, received: BTreeMap::new(), latency }
     }
 
-    /// Sends one request and waits for its end; whether it was served.
+    /// Sends a request and waits for its end; returns whether it was served.
     fn is_next_served(&mut self) -> bool {
         let id = self.host.arrive(0, TIME_LEFT);
         let mut is_lost: Vec<bool> = Vec::new();
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Sends so many requests; how many were not served.
+    /// Sends this many requests; returns how many were not served.
     fn count_lost(&mut self, requests: u32) -> usize {
         (0..requests).filter(|_| !self.is_next_served()).count()
     }
 }
 
-/// Guards against requests that are given up with most of their time left, because each backend has lost an answer of
-/// theirs or is ejected for one lost answer.
+/// Guards against requests that are given up with most of their time left, because each backend has lost one of
+/// their answers or was ejected for one lost answer.
 #[test]
 fn where_every_fourth_answer_is_lost_one_request_in_thirty_is_at_most() {
     let mut lost_in_all = 0;
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What outlives the process: speeds, ejections and cold budget spent, taken back by a module that begins anew.
+//! Tests that latencies, ejections and the used warm-up budget are restored by a process that starts.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,7 +10,7 @@
 use common::{backend, class, Host};
 use lotusdeck_policy::*;
 
-/// One of three proxies, at `now`, with what it remembers.
+/// Creates one of three proxies at `now`, and restores the snapshot if there is one.
 fn begun(seed: u64, list: &[Backend], now: Time, memory: Option<Snapshot>) -> Host {
     let mut host = Host::new(Config { classes: vec![class(SideEffects::None)], ..Config::example() }, seed);
     host.now = now;
@@ -21,7 +21,8 @@
     host
 }
 
-/// Serves `requests` at 5 ms each other, each after the time that its backend takes; which backends were sent them.
+/// Serves requests one after the other with 5 ms between them, each after the time that its backend takes; returns
+/// the backends that they were sent to.
 fn serve(host: &mut Host, requests: usize, takes_us: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut sent = Vec::new();
     for _ in 0..requests {
@@ -39,7 +40,8 @@
     sent.iter().filter(|b| of(**b)).count() as f64 / sent.len().max(1) as f64
 }
 
-/// Two kinds, one ten times as fast. A blank module takes them for alike at first; one that remembers does not.
+/// Guards against estimates that are not used from the first request on. One of two kinds is ten times as fast;
+/// without estimates they count as equal at first.
 #[test]
 fn remembered_speeds_hold_from_the_first_request_on() {
     let list: Vec<Backend> = (0..8).map(|i| backend(i, 0, i / 4)).collect();
@@ -50,8 +52,8 @@
     let memory = old.balancer.snapshot(old.now);
     assert!(memory.kinds.len() == 2 && memory.kinds.iter().all(|k| k.1.latency.samples >= 1.0), "{memory:?}");
     let later = old.now + Micros(5_000_000);
-    // Before any answer, so that nothing new is learned: clients that leave after 5 ms. The first tenth of a second
-    // tells no rate yet, and without one shares go by counts.
+    // Clients disconnect after 5 ms, before any answer, so that nothing new is learned. The first tenth of a second
+    // gives no arrival rate yet, and without one the shares follow the numbers of backends.
     let first = |memory: Option<&Snapshot>| {
         let mut sent = Vec::new();
         for seed in 0..20 {
@@ -71,13 +73,13 @@
     assert!(steady > 0.9 && kept > 0.9 && (0.35..0.65).contains(&blank));
 }
 
-/// A process killed and started again inside the fall window sends a cold backend no more than one that lived:
-/// what the first was given by its budget counts against the second's.
+/// Guards against a warm-up budget that is granted again after a restart: a process that is killed and restarted
+/// within the overload window must send a cold backend no more than one that kept running.
 #[test]
 fn cold_budget_spent_before_a_restart_is_not_given_again() {
     let now = Time(1_000_000_000);
     let list = vec![Backend { started_at: Some(now), ..backend(0, 0, 0) }, backend(1, 0, 0)];
-    // A flood, each answered after 50 ms; how many went to the cold one.
+    // Sends a flood of requests, each answered after 50 ms; returns how many went to the cold backend.
     let flood = |host: &mut Host, steps: usize| {
         let before = host.requests.len();
         for _ in 0..steps {
@@ -108,7 +110,8 @@
     assert!(kept <= on + 1, "kept {kept}, alive {on}");
 }
 
-/// A backend out of use before the restart begins on trial: with one request at a time, and trusted after three.
+/// Guards against full load on a backend that was ejected before a restart: it starts on probation, gets one request
+/// at a time, and is trusted after three.
 #[test]
 fn ejected_before_a_restart_begins_on_trial() {
     let list: Vec<Backend> = (0..4).map(|i| backend(i, 0, 0)).collect();
@@ -124,7 +127,8 @@
     assert!(kept.logs.iter().any(|l| l == "backend 2 is back"), "{:?}", kept.logs);
 }
 
-/// Whatever stands in a file that was kept: unknown numbers, no numbers, times past, work without end.
+/// Guards against invalid values in a restored file: unknown ids, values that are not positive numbers, times before
+/// the start of the clock, unlimited work.
 #[test]
 fn a_memory_that_makes_no_sense_changes_nothing() {
     let list: Vec<Backend> = (0..4).map(|i| backend(i, 0, 0)).collect();
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings say holds by name, and for no longer than they say it.
+//! Tests that settings apply by name, and only while they are active.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,7 +9,7 @@
 use lotusdeck_policy::settings::{IdsInUse, Settings};
 use serde_json::{json, Value};
 
-/// Settings whose customers have these names and quotas, in requests a second.
+/// Builds settings whose customers have these names and quotas, in requests per second.
 fn with(customers: &[(&str, f64)]) -> Value {
     let customers: Vec<Value> =
         customers.iter().map(|(name, rps)| json!({"name": name, "quota_rps": rps})).collect();
@@ -30,18 +30,18 @@
     Settings::read(settings).expect("sound settings")
 }
 
-/// `new` after `old`, of whose numbers nothing open speaks.
+/// Merges `new` with `old`, while no open request uses an id.
 fn after(old: &Settings, new: Settings) -> Settings {
     old.merge_successor(new, &old.names, &IdsInUse::default()).settings
 }
 
-/// The quota of whoever comes under that name.
+/// Returns the quota of the customer of that name.
 fn quota(settings: &Settings, name: &str) -> Option<f64> {
     settings.names.tenant(name).map(|tenant| settings.config.tenants[tenant.0].quota_per_s)
 }
 
-/// A customer has the quota that the settings in force give to its name, wherever it stands in them, and none once
-/// they leave it out; its number stays its own, as requests that are open go by it.
+/// Guards against a customer that gets another one's quota, wherever the active settings list it, or keeps its quota
+/// when they no longer do. Its id stays its own, as open requests refer to it.
 #[test]
 fn a_customer_has_the_quota_that_the_settings_in_force_name() {
     let first = read(&with(&[("north", 500.0), ("south", 20.0)]));
@@ -57,7 +57,8 @@
     assert_eq!(asked.map(|name| quota(&none, name)), [None; 3]);
 }
 
-/// Rules are found by name: two customers of one name are told with their place, and nothing is taken.
+/// Guards against two customers of one name, as quotas are found by name: the error gives the place, and the
+/// settings are rejected.
 #[test]
 fn two_customers_of_one_name_are_refused() {
     let faults = Settings::read(&with(&[("north", 500.0), ("north", 20.0)])).expect_err("a fault");
@@ -65,7 +66,8 @@
     assert_eq!(told, ["customers[1].name: expected a name that no other customer has, got \"north\""]);
 }
 
-/// A class of another effect is another class, whatever its name: the number of the one that left keeps its meaning.
+/// Guards against an id that changes its meaning: a class with other side effects is another class, even under the
+/// same name.
 #[test]
 fn a_class_of_another_effect_gets_a_number_of_its_own() {
     let mut changed = with(&[]);
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -1,4 +1,4 @@
-//! The files that decide are named in the deploy file, and stay readable.
+//! Checks that the deploy file names the files that make decisions, and limits their size.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,13 +9,13 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The formatter's own width.
+/// The maximum line width of the formatter.
 const MAX_LINE_WIDTH: usize = 110;
 
-/// Lines of a file, comments included: a longer one has several jobs.
+/// Maximum number of lines of a file, comments included: a longer one has more than one purpose.
 const MAX_FILE_LINES: usize = 300;
 
-/// Files of the crate that decide nothing: types, settings, names and views.
+/// Files of the crate that make no decisions: types, settings, names and views.
 const WITHOUT_DECISIONS: [&str; 22] = [
     "api/action.rs",
     "api/backend.rs",
@@ -45,7 +45,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// The crate's source files, relative to its source folder.
+/// Returns the crate's source files, relative to its source folder.
 fn source_files() -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     let mut folders = vec![source_folder()];
@@ -63,7 +63,7 @@
     found
 }
 
-/// The files that decide.
+/// Returns the files that make decisions.
 fn deciding_files() -> impl Iterator<Item = String> {
     source_files().into_iter().filter(|name| !WITHOUT_DECISIONS.contains(&name.as_str()))
 }
--- a/crates/policy/tests/succession.rs
+++ b/crates/policy/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Settings that follow upon others, thousands of times: numbers are used again, and never under an open request.
+//! Tests thousands of successive settings: ids are reused, but not while an open request uses them.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -20,7 +20,7 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// One test at a time: memory is counted for the whole process.
+/// Runs one test at a time, as memory is counted for the whole process.
 fn alone() -> MutexGuard<'static, ()> {
     static ALONE: Mutex<()> = Mutex::new(());
     ALONE.lock().unwrap_or_else(PoisonError::into_inner)
@@ -29,10 +29,11 @@
 const CHANGES: usize = 2_000;
 const CLASSES: usize = 50;
 const TENANTS: usize = 200;
-/// Names that each change replaces.
+/// Number of names that each change replaces.
 const REPLACED: usize = 5;
 
-/// Settings of free classes and tenants with these names; `last` is one more class that must never run twice.
+/// Builds settings with these tenants and with classes of these names without side effects; `last` is one more
+/// class, which is non-idempotent.
 fn settings(classes: &[String], tenants: &[String], last: Option<&str>) -> Settings {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim_us": 900_000, "deadline_us": 3_000_000, "effect": effect, "gain": 1.0,
@@ -54,17 +55,17 @@
     Settings::read(&value).expect("sound settings")
 }
 
-/// The names after so many changes, each of which replaces the oldest ones.
+/// Returns the names after `change` changes, each of which replaces the oldest ones.
 fn names(of: &str, count: usize, change: usize) -> Vec<String> {
     (0..count).map(|i| format!("{of}-{:06}", change * REPLACED + i)).collect()
 }
 
-/// The settings after so many changes.
+/// Builds the settings after `change` changes.
 fn at(change: usize, last: Option<&str>) -> Settings {
     settings(&names("class", CLASSES, change), &names("tenant", TENANTS, change), last)
 }
 
-/// A module, and the settings that it goes by.
+/// A balancer in its host, and the active settings.
 struct Rig {
     host: Host,
     settings: Settings,
@@ -77,7 +78,7 @@
         Rig { host, settings }
     }
 
-    /// Other settings, while nothing but the module's requests is open.
+    /// Applies other settings, while only requests that the balancer knows use ids.
     fn adopt(&mut self, new: Settings) -> ReassignedIds {
         let classes: HashSet<ClassId> = self.host.balancer.classes_in_use().collect();
         let pinned = IdsInUse { classes, ..IdsInUse::default() };
@@ -91,7 +92,8 @@
     }
 }
 
-/// Each change replaces names, and requests of the newest ones are served in between.
+/// Guards against tables and memory that grow with each change. Each change replaces names, and a request of the
+/// newest class is served between two changes.
 #[test]
 fn thousands_of_changes_leave_tables_and_memory_as_large_as_a_few() {
     let _alone = alone();
@@ -123,15 +125,15 @@
     assert!(growth < 16_384, "{growth} bytes more than after {} changes", CHANGES / 20);
 }
 
-/// Its number outlasts its class's name for as long as it is open, whatever comes, and is then used again with nothing
-/// of what was learned under it.
+/// Guards against an id of a class that is reassigned while a request of the class is open, whatever settings
+/// follow, and against estimates that outlast the reassignment.
 #[test]
 fn an_open_request_ends_under_its_own_rules_and_its_number_is_free_then() {
     let _alone = alone();
     let mut rig = Rig::new(at(0, Some("pay")));
     let pay = rig.settings.names.class("pay").expect("in force");
     rig.host.arrive(pay.0, 900_000);
-    rig.host.serve_all(20_000); // something is learned of it
+    rig.host.serve_all(20_000); // its latency is recorded
     let open = rig.host.arrive(pay.0, 60_000_000);
     assert_eq!(rig.host.sent_to(open).len(), 1);
     for change in 1..=CHANGES {
@@ -153,7 +155,7 @@
     assert_eq!(rig.settings.config.classes[pay.0].side_effects, SideEffects::None);
 }
 
-/// A number that a request may still come to speak of is given to no other name: tenants, too.
+/// Guards against an id of a class or a tenant that is reassigned although a request may still refer to it.
 #[test]
 fn a_pinned_number_keeps_its_name() {
     let _alone = alone();
@@ -174,7 +176,7 @@
     assert_eq!(back.settings.names.tenant("tenant-000000"), Some(tenant));
 }
 
-/// Far fewer names than before: what is spare beyond its bound goes.
+/// Guards against unlimited spare ids after a change to far fewer names.
 #[test]
 fn numbers_that_nothing_needs_go() {
     let _alone = alone();
--- a/crates/policy/tests/thin.rs
+++ b/crates/policy/tests/thin.rs
@@ -1,4 +1,4 @@
-//! Proxies so many that each meets most backends seldom: what one does alone is little, what all do is not.
+//! Fleets of so many proxies that each rarely uses most of the backends: effects that are small at one proxy add up.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,8 +10,8 @@
 use common::{backend, class, Host};
 use lotusdeck_policy::*;
 
-/// One of a hundred proxies, with ten requests a second; `answers` tells which backends answer at all.
-/// The part of the first attempts that went to the others, by spans of so many requests.
+/// Runs one of a hundred proxies with ten requests per second, where only the backends accepted by `answers` answer.
+/// Returns the fraction of the first attempts that went to the others, for each span of 200 requests.
 fn unanswered(list: Vec<Backend>, answers: impl Fn(u32) -> bool, spans: usize) -> Vec<f64> {
     let cfg = Config { proxy_count: 100, classes: vec![class(SideEffects::None)], ..Config::example() };
     let mut host = Host::new(cfg, 7);
@@ -34,8 +34,9 @@
     (0..spans).map(span).collect()
 }
 
-/// All proxies begin by taking kinds to be alike, and so overrun the slowest: its answers come too late to be
-/// measured. It counted as fast as the others for ever, and a third of all requests went on being lost there.
+/// Guards against a slow kind of machine that keeps its traffic share. All proxies first assume that kinds are
+/// equally fast and overload the slowest one, whose answers come too late to be measured. It used to count as fast
+/// as the others for ever, and a third of all requests were lost there.
 #[test]
 fn a_kind_that_never_answers_in_time_loses_its_share() {
     let list: Vec<Backend> = (0..60).map(|i| backend(i, 0, i / 20)).collect();
@@ -43,7 +44,8 @@
     assert!(parts[2] < 0.04, "part that went to the overrun kind, by 20 s: {parts:?}");
 }
 
-/// Each proxy alone tries what is ill a little; all together kept it from ever coming up for air.
+/// Guards against probes of unhealthy backends that are few at each proxy, but together keep the backends from
+/// recovering.
 #[test]
 fn trials_of_what_stays_ill_are_a_small_part_of_a_thin_proxys_traffic() {
     let list: Vec<Backend> = (0..60).map(|i| backend(i, 0, 0)).collect();
@@ -51,7 +53,8 @@
     assert!(parts[2] < 0.06, "part that went to the ill third, by 20 s: {parts:?}");
 }
 
-/// With twenty proxies to a backend, each with room for one request there, a slow one held twenty at once.
+/// Guards against too many proxies on one backend: with twenty, each of which may have one request in flight there,
+/// a slow backend held twenty at once.
 #[test]
 fn no_more_proxies_share_a_backend_than_it_can_hold_requests() {
     let mut sharing = [0; 60];
@@ -68,17 +71,18 @@
         }
         used.iter().for_each(|b| sharing[*b as usize] += 1);
     }
-    // Eight, and those whose slice ends inside it.
+    // Eight, and those whose subset ends within the backend's share.
     assert!(sharing.iter().all(|n| (4..=12).contains(n)), "{sharing:?}");
 }
 
-/// Twice the hold on every backend, as one proxy sees it, was reached when most answers were too late already.
+/// Guards against rejecting too late: when a proxy estimated twice the target in flight on every backend, most
+/// answers were late already.
 #[test]
 fn a_thin_proxy_refuses_at_once_when_all_hold_half_more_than_the_hold() {
     let refused = |proxies: u32| {
         let mut host = Host::new(Config { proxy_count: proxies, ..Config::example() }, 3);
         host.members(ListUpdate::Full, (0..20).map(|i| backend(i, 0, 0)).collect());
-        // Nearly always one out, at each of so many proxies on twenty backends.
+        // One attempt in flight nearly all the time at each of the proxies, on twenty backends.
         let mut one = || {
             let id = host.arrive(0, 990_000);
             host.advance(950_000);
@@ -91,12 +95,14 @@
     assert!(refused(145), "7 held on each backend");
 }
 
-/// A proxy with four times the mean traffic takes all the others to be like itself and refuses before a fleet that is
-/// a third full. Where they tell what they hold it does not; and where they tell that they hold much, it refuses.
+/// Guards against a proxy with four times the mean traffic that expects the same of all others, and rejects requests
+/// while the fleet is a third full. If the others report few attempts in flight, it must not reject; if they report
+/// many, it must.
 #[test]
 fn a_dense_proxy_is_put_right_by_what_the_others_tell() {
     let list: Vec<Backend> = (0..10).map(|i| backend(i, 0, 0)).collect();
-    // Refused of its requests in the last ten of forty seconds, each served after 200 ms, while the others hold so many.
+    // Returns the fraction of requests rejected in the last ten of forty seconds, each served after 200 ms, while
+    // the others report this many attempts in flight.
     let refused = |others: Option<f64>| {
         let cfg = Config { proxy_count: 20, classes: vec![class(SideEffects::None)], ..Config::example() };
         let mut host = Host::new(cfg, 7);
@@ -120,7 +126,8 @@
         }
         f64::from(refused as u32) / f64::from(asked)
     };
-    // It holds eight; nineteen like it would hold 152, where sixty are a hold and a half of ten backends.
+    // It has 8 in flight, and 19 like it would have 152, where 60 are one and a half times the target on ten
+    // backends.
     let (alone, idle, full) = (refused(None), refused(Some(12.0)), refused(Some(200.0)));
     println!("refused: {alone:.2} alone, {idle:.2} among idle ones, {full:.2} among full ones");
     assert!(alone > 0.3 && idle < 0.02 && full > 0.3);
