--- a/crates/policy/benches/cost.rs
+++ b/crates/policy/benches/cost.rs
@@ -39,9 +39,9 @@
 }
 
 fn timed(call: impl FnOnce()) -> Duration {
-    let began = Instant::now();
+    let started = Instant::now();
     call();
-    began.elapsed()
+    started.elapsed()
 }
 
 fn main() {
@@ -55,14 +55,14 @@
         let held = region.change();
         let bytes = held.bytes_allocated.saturating_sub(held.bytes_deallocated) as f64 / f64::from(size);
         let region = Region::new(ALLOCATOR);
-        (0..TURNS).for_each(|_| bench.turn());
+        (0..TURNS).for_each(|_| bench.serve_and_submit());
         let allocations = region.change().allocations as f64 / TURNS as f64;
-        let turn = times(|| timed(|| bench.turn()));
+        let turn = times(|| timed(|| bench.serve_and_submit()));
         let mut n = 0;
         let line = times(|| {
             n += 1;
             let change = change(n, size);
-            timed(|| bench.tell(change))
+            timed(|| bench.handle(change))
         });
         println!(
             "{size:>9} {bytes:>14.0} {allocations:>18.1} | {:>30.2} {:>7.1} {:>7.1} | {:>18.2} {:>7.1} {:>7.1}",
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -19,7 +19,7 @@
     let mut group = c.benchmark_group("request and answer");
     for size in SIZES {
         let mut bench = Bench::new(size);
-        group.bench_function(BenchmarkId::from_parameter(size), |b| b.iter(|| bench.turn()));
+        group.bench_function(BenchmarkId::from_parameter(size), |b| b.iter(|| bench.serve_and_submit()));
     }
     group.finish();
     let mut group = c.benchmark_group("one line of the list");
@@ -29,7 +29,7 @@
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter(|| {
                 n += 1;
-                bench.tell(change(n, size));
+                bench.handle(change(n, size));
             });
         });
     }
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -3,7 +3,7 @@
 use lotusdeck_policy::*;
 
 /// Builds an entry of the list.
-pub(crate) fn line(id: u32) -> Backend {
+pub(crate) fn list_entry(id: u32) -> Backend {
     Backend {
         id: BackendId(id),
         order_key: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
@@ -18,7 +18,7 @@
     balancer: Balancer,
     pub now: Time,
     next: u64,
-    out: std::collections::VecDeque<(RequestId, Time)>,
+    in_flight: std::collections::VecDeque<(RequestId, Time)>,
     actions: Vec<Action>,
 }
 
@@ -28,27 +28,27 @@
         let config = Config { proxy_count: 3, ..Config::example() };
         let balancer = Balancer::new(config, 7).expect("sound");
         let now = Time(1_000_000_000);
-        let mut b = Bench { balancer, now, next: 0, out: Default::default(), actions: Vec::new() };
-        let backends = (0..size).map(line).collect();
-        b.tell(Event::EndpointsUpdated { update: ListUpdate::Full, backends });
-        (0..size / 3 + 1).for_each(|_| b.ask());
-        (0..size * 2).for_each(|_| b.turn());
+        let mut b = Bench { balancer, now, next: 0, in_flight: Default::default(), actions: Vec::new() };
+        let backends = (0..size).map(list_entry).collect();
+        b.handle(Event::EndpointsUpdated { update: ListUpdate::Full, backends });
+        (0..size / 3 + 1).for_each(|_| b.submit());
+        (0..size * 2).for_each(|_| b.serve_and_submit());
         b
     }
 
     /// Passes an event to the balancer.
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
         // A request that had to wait may be dispatched at any event.
         for action in &self.actions {
             if let Action::Dispatch { request, .. } = action {
-                self.out.push_back((*request, self.now));
+                self.in_flight.push_back((*request, self.now));
             }
         }
     }
 
-    fn ask(&mut self) {
+    fn submit(&mut self) {
         self.next += 1;
         let request = RequestId(self.next);
         let (class, time_left) = (ClassId(0), Micros(5_000_000));
@@ -62,13 +62,13 @@
             is_client_retry: repeat,
             body_incomplete: uploading,
         };
-        self.tell(Event::Request(arrival));
+        self.handle(Event::Request(arrival));
     }
 
     /// Answers the oldest request and submits another one.
-    pub(crate) fn turn(&mut self) {
+    pub(crate) fn serve_and_submit(&mut self) {
         self.now = self.now + Micros(30);
-        if let Some((request, sent)) = self.out.pop_front() {
+        if let Some((request, sent)) = self.in_flight.pop_front() {
             let (attempt, outcome, latency) = (AttemptNo(0), Outcome::Success, self.now - sent);
             let end = AttemptEnd {
                 request,
@@ -78,15 +78,15 @@
                 request_answered: true,
                 body_consumed: false,
             };
-            self.tell(Event::AttemptEnded(end));
+            self.handle(Event::AttemptEnded(end));
         }
-        self.ask();
+        self.submit();
     }
 }
 
 /// Builds the n-th change of one list entry: backends drain and become ready again in turn.
 pub(crate) fn change(n: u32, size: u32) -> Event {
     let state = if n.is_multiple_of(2) { BackendState::Ready } else { BackendState::Draining };
-    let backends = vec![Backend { state, ..line(n / 2 % size) }];
+    let backends = vec![Backend { state, ..list_entry(n / 2 % size) }];
     Event::EndpointsUpdated { update: ListUpdate::Changes, backends }
 }
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -54,9 +54,9 @@
 fn median<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             let made = black_box(call());
-            let took = began.elapsed().as_secs_f64() * 1e6;
+            let took = started.elapsed().as_secs_f64() * 1e6;
             drop(made);
             took
         })
@@ -67,26 +67,26 @@
 
 /// Measures how long the balancer takes to apply other settings, us, in ascending order. This includes dropping the
 /// old settings, as on the event loop.
-fn hold_times(settings_then: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
-    let mut balancer = Balancer::new(settings_then.config.clone(), 1).expect("sound settings");
+fn apply_times(old: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
+    let mut balancer = Balancer::new(old.config.clone(), 1).expect("sound settings");
     let backend = |id| Backend { id: BackendId(id), state: BackendState::Ready, ..Backend::default() };
     let backends = (0..BACKENDS).map(backend).collect();
     let mut actions = Vec::new();
     balancer.handle(Time(0), Event::EndpointsUpdated { update: ListUpdate::Full, backends }, &mut actions);
-    let mut in_force = settings_then.clone();
+    let mut active = old.clone();
     let mut one = |run: usize| {
         let first = run * classes.max(tenants).div_ceil(REPLACED);
         let new = Settings::read(&settings(classes, tenants, first)).expect("sound settings");
-        let next = in_force.merge_successor(new, &in_force.names, &IdsInUse::default());
+        let next = active.merge_successor(new, &active.names, &IdsInUse::default());
         let config = Box::new(next.settings.config.clone());
-        let began = Instant::now();
+        let started = Instant::now();
         balancer.handle(
             Time(run as u64),
             Event::ConfigApplied { config, reassigned: next.reassigned },
             &mut actions,
         );
-        drop(std::mem::replace(&mut in_force, next.settings));
-        began.elapsed().as_secs_f64() * 1e6
+        drop(std::mem::replace(&mut active, next.settings));
+        started.elapsed().as_secs_f64() * 1e6
     };
     let mut times: Vec<f64> = (1..=RUNS).map(&mut one).collect();
     times.sort_unstable_by(f64::total_cmp);
@@ -103,25 +103,25 @@
     let bytes = held.bytes_allocated.saturating_sub(held.bytes_deallocated);
     let read_us = median(read);
     let mut fresh: Vec<Settings> = (0..RUNS).map(|_| read()).collect();
-    let succeed_us =
+    let merge_us =
         median(|| old.merge_successor(fresh.pop().unwrap_or_else(read), &old.names, &IdsInUse::default()));
     let (class, tenant) = (format!("class-{:05}", classes - 1), format!("tenant-{:05}", tenants - 1));
     let region = Region::new(ALLOCATOR);
-    let find = |find: &dyn Fn() -> bool| {
-        let all = || (0..LOOKUPS).filter(|_| find()).count();
-        median(all) * 1e3 / LOOKUPS as f64
+    let median_lookup_ns = |lookup: &dyn Fn() -> bool| {
+        let lookups = || (0..LOOKUPS).filter(|_| lookup()).count();
+        median(lookups) * 1e3 / LOOKUPS as f64
     };
-    let class_ns = find(&|| old.names.class(black_box(&class)).is_some());
-    let tenant_ns = find(&|| old.names.tenant(black_box(&tenant)).is_some());
+    let class_ns = median_lookup_ns(&|| old.names.class(black_box(&class)).is_some());
+    let tenant_ns = median_lookup_ns(&|| old.names.tenant(black_box(&tenant)).is_some());
     // Minus the list that each of the two calls of `median` allocates.
     let allocations = region.change().allocations - 2;
-    let holds = hold_times(&old, classes, tenants);
+    let apply_us = apply_times(&old, classes, tenants);
     println!(
-        "{classes:>8} {tenants:>8} {read_us:>10.0} {succeed_us:>10.0} {class_ns:>10.0} {tenant_ns:>10.0} \
+        "{classes:>8} {tenants:>8} {read_us:>10.0} {merge_us:>10.0} {class_ns:>10.0} {tenant_ns:>10.0} \
          {allocations:>12} {bytes:>10} {:>10.1} {:>10.0} {:>10.0}",
         bytes as f64 / classes.max(tenants) as f64,
-        holds[RUNS / 2],
-        holds[RUNS - 1]
+        apply_us[RUNS / 2],
+        apply_us[RUNS - 1]
     );
 }
 
--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -53,14 +53,14 @@
         let classes = vec![class(SideEffects::None)];
         let config = Config { proxy_count: PROXIES, proxy_index: index, classes, ..Config::example() };
         let mut host = Host::new(config, u64::from(index));
-        host.members(ListUpdate::Full, (0..BACKENDS).map(|id| backend(id, 0, 0)).collect());
+        host.update_endpoints(ListUpdate::Full, (0..BACKENDS).map(|id| backend(id, 0, 0)).collect());
         let last_attempt_at = host.now;
         Proxy { host, sent: BTreeMap::new(), rejected: 0, last_attempt_at, longest_rejection: Micros(0) }
     }
 
-    fn arrive(&mut self, count: usize) {
+    fn submit(&mut self, count: usize) {
         for _ in 0..count {
-            let id = self.host.arrive(0, TIME_LEFT);
+            let id = self.host.submit(0, TIME_LEFT);
             self.sent.insert(id, 0);
         }
     }
@@ -69,11 +69,11 @@
     fn take_sent(&mut self, proxy: usize) -> Vec<(usize, Received)> {
         let mut out = Vec::new();
         for (&request, sent) in &mut self.sent {
-            let tries = &self.host.requests[&request].tries;
-            for (attempt, tried) in tries.iter().enumerate().skip(*sent) {
+            let attempts = &self.host.requests[&request].attempts;
+            for (attempt, tried) in attempts.iter().enumerate().skip(*sent) {
                 out.push((tried.backend.0 as usize, Received { proxy, request, attempt }));
             }
-            *sent = tries.len();
+            *sent = attempts.len();
         }
         if !out.is_empty() {
             (self.rejected, self.last_attempt_at) = (0, self.host.now);
@@ -115,7 +115,7 @@
             for (index, proxy) in self.proxies.iter_mut().enumerate() {
                 proxy.host.advance(STEP.0);
                 let is_due = (self.steps + 7 * index as u64).is_multiple_of(STEPS_PER_REQUEST);
-                proxy.arrive(usize::from(is_due) + if step == 0 { burst } else { 0 });
+                proxy.submit(usize::from(is_due) + if step == 0 { burst } else { 0 });
                 for (backend, received) in proxy.take_sent(index) {
                     self.backends[backend].queue.push_back(received);
                 }
@@ -132,7 +132,11 @@
             while backend.spent >= self.work {
                 let Some(received) = backend.queue.pop_front() else { break };
                 backend.spent.0 -= self.work.0;
-                self.proxies[received.proxy].host.end(received.request, received.attempt, Outcome::Success);
+                self.proxies[received.proxy].host.end_attempt(
+                    received.request,
+                    received.attempt,
+                    Outcome::Success,
+                );
             }
             if backend.queue.is_empty() {
                 backend.spent = Micros(0);
@@ -150,13 +154,13 @@
             let mut fleet = Fleet::new(Micros(work_ms * 1_000));
             fleet.play(Micros(warm_up_s * 1_000_000), 0);
             fleet.play(Micros(12_000_000), BURST);
-            let is_dark = |proxy: &&Proxy| proxy.longest_rejection >= MAX_SILENCE;
-            let dark = fleet.proxies.iter().filter(is_dark).count();
+            let is_silent = |proxy: &&Proxy| proxy.longest_rejection >= MAX_SILENCE;
+            let silent = fleet.proxies.iter().filter(is_silent).count();
             let longest = fleet.proxies.iter().map(|proxy| proxy.longest_rejection).max();
             println!(
-                "burst after {warm_up_s} s, {work_ms} ms a request: {dark} dark, {longest:?} at the longest"
+                "burst after {warm_up_s} s, {work_ms} ms a request: {silent} dark, {longest:?} at the longest"
             );
-            assert_eq!(dark, 0, "of {PROXIES}, burst after {warm_up_s} s, {work_ms} ms a request");
+            assert_eq!(silent, 0, "of {PROXIES}, burst after {warm_up_s} s, {work_ms} ms a request");
         }
     }
 }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -18,9 +18,9 @@
     Config { classes, ..Config::example() }
 }
 
-fn host(cfg: Config, list: Vec<Backend>) -> Host {
-    let mut host = Host::new(cfg, 11);
-    host.members(ListUpdate::Full, list);
+fn host(config: Config, list: Vec<Backend>) -> Host {
+    let mut host = Host::new(config, 11);
+    host.update_endpoints(ListUpdate::Full, list);
     host
 }
 
@@ -29,39 +29,39 @@
 fn serve(host: &mut Host, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
-        let id = host.arrive(class, 900_000);
+        let id = host.submit(class, 900_000);
         chosen.extend(host.sent_to(id));
         host.advance(host.sent_to(id).first().map_or(5_000, |b| time(*b)));
-        host.end(id, 0, Outcome::Success);
+        host.end_attempt(id, 0, Outcome::Success);
     }
     chosen
 }
 
 #[test]
-fn an_unsound_configuration_is_a_typed_error() {
-    let bad = |change: fn(&mut Config)| {
-        let mut cfg = Config::example();
-        change(&mut cfg);
-        Balancer::new(cfg, 1).err().map(|e| e.field)
+fn an_invalid_configuration_is_a_typed_error() {
+    let invalid_field_of = |change: fn(&mut Config)| {
+        let mut config = Config::example();
+        change(&mut config);
+        Balancer::new(config, 1).err().map(|e| e.field)
     };
-    assert_eq!(bad(|c| c.proxy_count = 0), Some("proxies"));
-    assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
-    assert_eq!(bad(|c| c.classes[0].latency_objective = Micros(0)), Some("aim"));
-    assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
-    assert_eq!(bad(|c| c.classes[0].late_value_factor = 1.5), Some("late_worth"));
-    assert_eq!(bad(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
-    assert_eq!(bad(|c| c.attempts.max_attempts = 0), Some("max_attempts"));
-    assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.slow_start.floor = -0.1), Some("cold_from"));
-    assert_eq!(bad(|c| c.slow_start.overload_multiple = f64::INFINITY), Some("fall_multiple"));
-    assert_eq!(bad(|_| ()), None);
+    assert_eq!(invalid_field_of(|c| c.proxy_count = 0), Some("proxies"));
+    assert_eq!(invalid_field_of(|c| c.classes.clear()), Some("classes"));
+    assert_eq!(invalid_field_of(|c| c.classes[0].latency_objective = Micros(0)), Some("aim"));
+    assert_eq!(invalid_field_of(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
+    assert_eq!(invalid_field_of(|c| c.classes[0].late_value_factor = 1.5), Some("late_worth"));
+    assert_eq!(invalid_field_of(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
+    assert_eq!(invalid_field_of(|c| c.attempts.max_attempts = 0), Some("max_attempts"));
+    assert_eq!(invalid_field_of(|c| c.tick = Micros(0)), Some("tick"));
+    assert_eq!(invalid_field_of(|c| c.slow_start.floor = -0.1), Some("cold_from"));
+    assert_eq!(invalid_field_of(|c| c.slow_start.overload_multiple = f64::INFINITY), Some("fall_multiple"));
+    assert_eq!(invalid_field_of(|_| ()), None);
 }
 
 #[test]
-fn an_empty_fleet_refuses_in_time() {
+fn an_empty_fleet_rejects_in_time() {
     let mut host =
         host(config(vec![class(SideEffects::None), class(SideEffects::NonIdempotent)]), Vec::new());
-    let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
+    let ids = [host.submit(0, 700_000), host.submit(1, 700_000)];
     // A rejection after half of the request's time, with nothing sent, costs as much as a third of a request.
     host.advance(345_000);
     assert!(ids.iter().all(|id| host.requests[id].answer == Some("refused")));
@@ -72,7 +72,7 @@
     // Guards against a timer that ran for ten ticks while no request was open; found by the property tests.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
-    let id = host.arrive(0, 6_000);
+    let id = host.submit(0, 6_000);
     host.advance(20_000);
     assert_eq!(host.requests[&id].answer, Some("refused"));
 }
@@ -80,22 +80,22 @@
 /// Guards against requests to a cordoned backend after an update of the list, and against full load on it once the
 /// cordon is lifted: it goes through slow start then, as after a restart.
 #[test]
-fn a_cordoned_backend_is_out_and_comes_back_cold() {
+fn a_cordoned_backend_gets_no_requests_and_comes_back_cold() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(3));
-    let mean = |chosen: Vec<u32>| chosen.iter().filter(|b| **b == 1).count();
-    assert!(mean(serve(&mut host, 300, 0, |_| 20_000)) > 60);
-    host.event(Event::Cordoned { backends: vec![BackendId(1)] });
-    assert_eq!(mean(serve(&mut host, 100, 0, |_| 20_000)), 0);
-    host.members(ListUpdate::Full, fleet(3));
-    assert_eq!(mean(serve(&mut host, 100, 0, |_| 20_000)), 0, "the list does not undo it");
-    host.event(Event::Cordoned { backends: Vec::new() });
-    let first = mean(serve(&mut host, 300, 0, |_| 20_000));
+    let count_sent_to_1 = |chosen: Vec<u32>| chosen.iter().filter(|b| **b == 1).count();
+    assert!(count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000)) > 60);
+    host.handle_event(Event::Cordoned { backends: vec![BackendId(1)] });
+    assert_eq!(count_sent_to_1(serve(&mut host, 100, 0, |_| 20_000)), 0);
+    host.update_endpoints(ListUpdate::Full, fleet(3));
+    assert_eq!(count_sent_to_1(serve(&mut host, 100, 0, |_| 20_000)), 0, "the list does not undo it");
+    host.handle_event(Event::Cordoned { backends: Vec::new() });
+    let first = count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000));
     assert!((1..75).contains(&first), "{first} of 300 to one that is cold");
-    host.members(ListUpdate::Full, fleet(3));
-    let again = mean(serve(&mut host, 30, 0, |_| 20_000));
+    host.update_endpoints(ListUpdate::Full, fleet(3));
+    let again = count_sent_to_1(serve(&mut host, 30, 0, |_| 20_000));
     assert!(again < 15, "{again}: an older list does not make it warm");
     host.advance(20_000_000);
-    assert!(mean(serve(&mut host, 300, 0, |_| 20_000)) > 60, "warm in the end");
+    assert!(count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000)) > 60, "warm in the end");
 }
 
 #[test]
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn inside_a_kind_the_draw_is_even() {
+fn within_a_kind_traffic_is_spread_evenly() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(4));
     let chosen = serve(&mut host, 800, 0, |_| 20_000);
     for b in 0..4 {
@@ -120,32 +120,32 @@
 }
 
 #[test]
-fn a_silent_backend_gets_nothing_new() {
+fn a_silent_backend_gets_no_new_requests() {
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let ids = host.burst(6, 0, 900_000);
-    let hung = host.sent_to(ids[0])[0];
+    let silent = host.sent_to(ids[0])[0];
     assert!(ids.iter().all(|id| host.sent_to(*id).len() == 1));
     // An answer that never came used to count as in flight, so that a backend with a limit of one got no more
     // requests.
     let mut unanswered = 0;
     for id in ids {
-        let there = host.sent_to(id)[0] == hung;
+        let there = host.sent_to(id)[0] == silent;
         unanswered += usize::from(there);
         if !there {
-            host.end(id, 0, Outcome::Success);
+            host.end_attempt(id, 0, Outcome::Success);
         }
     }
     host.advance(100_000);
     for _ in 0..100 {
-        let id = host.arrive(0, 900_000);
-        if host.sent_to(id)[0] == hung {
+        let id = host.submit(0, 900_000);
+        if host.sent_to(id)[0] == silent {
             unanswered += 1;
             host.advance(100_000);
             assert_eq!(host.sent_to(id).len(), 1, "age alone sent a copy: such copies crowd every backend");
         } else {
             host.advance(5_000);
-            host.end(id, 0, Outcome::Success);
+            host.end_attempt(id, 0, Outcome::Success);
         }
     }
     assert_eq!(unanswered, 2, "one may be lost, two are silence");
@@ -160,7 +160,7 @@
     serve(&mut host, 100, 1, |_| 10_000);
     let (mut unanswered, mut served) = (0, 0);
     for n in 0..120 {
-        let id = host.arrive(n % 2, 900_000);
+        let id = host.submit(n % 2, 900_000);
         let there = host.sent_to(id)[0] == 2;
         if there && n % 2 == 1 {
             unanswered += 1;
@@ -168,7 +168,7 @@
         } else {
             served += usize::from(there);
             host.advance(1_000);
-            host.end(id, 0, Outcome::Success);
+            host.end_attempt(id, 0, Outcome::Success);
         }
     }
     assert!((2..=4).contains(&unanswered), "two are silence, and again at each trial: {unanswered}");
@@ -178,84 +178,85 @@
 /// Guards against lost answers that are noticed only at the deadline: at four times the load, one answer in a
 /// hundred never came, and each request waited until its deadline.
 #[test]
-fn where_most_attempts_of_some_age_are_lost_they_get_a_copy() {
+fn where_most_attempts_of_some_age_are_lost_they_are_hedged() {
     for lost in [true, false] {
         let mut host = host(config(vec![class(SideEffects::None)]), fleet(6));
         serve(&mut host, 100, 0, |_| 10_000);
-        let mut copied = Vec::new();
+        let mut hedged = Vec::new();
         for n in 0..150 {
-            let id = host.arrive(0, 700_000);
+            let id = host.submit(0, 700_000);
             host.advance([300_000, 100_000, 100_000].get(n % 10).copied().unwrap_or(10_000));
             if n % 10 == 0 {
-                copied.push(host.sent_to(id).len() == 2);
+                hedged.push(host.sent_to(id).len() == 2);
             }
             if n % 10 == 0 && lost && host.sent_to(id).len() == 1 {
                 host.advance(400_000);
             } else {
-                host.end(id, host.sent_to(id).len() - 1, Outcome::Success);
+                host.end_attempt(id, host.sent_to(id).len() - 1, Outcome::Success);
             }
         }
-        assert!(!copied[..5].contains(&true), "not before it is known: {copied:?}");
-        assert_eq!(copied[10..].contains(&true), lost, "slow ones that are answered need none: {copied:?}");
+        assert!(!hedged[..5].contains(&true), "not before it is known: {hedged:?}");
+        assert_eq!(hedged[10..].contains(&true), lost, "slow ones that are answered need none: {hedged:?}");
         // Requests sent to a backend on probation may find no other one with capacity.
-        let most = copied[10..].iter().filter(|c| **c).count() > 2;
-        assert_eq!(most, lost, "{copied:?}");
+        let most = hedged[10..].iter().filter(|c| **c).count() > 2;
+        assert_eq!(most, lost, "{hedged:?}");
     }
 }
 
 #[test]
-fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
-    for copies in [true, false] {
-        let mut cfg = Config { proxy_count: 1, ..config(vec![class(SideEffects::None)]) };
-        cfg.attempts.allow_hedging = copies;
-        let mut host = host(cfg, fleet(1));
+fn once_a_backend_is_ejected_its_other_requests_are_sent_again() {
+    for allow_hedging in [true, false] {
+        let mut config = Config { proxy_count: 1, ..config(vec![class(SideEffects::None)]) };
+        config.attempts.allow_hedging = allow_hedging;
+        let mut host = host(config, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         host.advance(5_000);
-        let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-        host.members(ListUpdate::Full, fleet(6));
+        let two = [host.submit(0, 900_000), host.submit(0, 900_000)];
+        host.update_endpoints(ListUpdate::Full, fleet(6));
         host.advance(20_000);
-        host.end(two[0], 0, Outcome::TimedOut);
+        host.end_attempt(two[0], 0, Outcome::TimedOut);
         host.advance(20_000);
-        assert_eq!(host.sent_to(two[1]).len(), 2, "copies {copies}");
-        let called_back = host.requests[&two[1]].tries[0].outcome == Some(Outcome::Cancelled);
-        assert_eq!(called_back, !copies, "where no copy may run beside it the first is called back");
+        assert_eq!(host.sent_to(two[1]).len(), 2, "copies {allow_hedging}");
+        let is_cancelled = host.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
+        assert_eq!(is_cancelled, !allow_hedging, "where no copy may run beside it the first is called back");
     }
 }
 
 #[test]
-fn the_rooms_of_few_proxies_on_a_backend_add_up_to_the_hold() {
+fn in_flight_limits_of_few_proxies_add_up_to_the_target_of_a_backend() {
     // Incident i962b3c: when each proxy rounded its limit at random, some backends were overloaded and others idle.
     let mut held = [0; 6];
     for position in 0..3 {
         let mut host = host(Config { proxy_count: 3, proxy_index: position, ..Config::example() }, fleet(6));
         host.burst(40, 0, 900_000);
-        let tries = host.requests.values().flat_map(|r| &r.tries);
-        tries.for_each(|t| held[t.backend.0 as usize] += 1);
+        let attempts = host.requests.values().flat_map(|r| &r.attempts);
+        attempts.for_each(|t| held[t.backend.0 as usize] += 1);
     }
     assert_eq!(held, [4; 6]);
 }
 
 #[test]
-fn a_thin_tenant_inside_its_quota_is_not_taken_for_a_flood() {
+fn a_low_traffic_tenant_within_its_quota_is_rarely_rejected() {
     // In a fleet of full size, a proxy's part of a quota is below one request per second: two that arrived at once
     // by chance exceeded it.
     let tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut host = host(Config { proxy_count: 100, tenants, ..Config::example() }, fleet(30));
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..30 {
         // Two requests every nine seconds, 0.22 per second of the 0.5 allowed, in a fleet with about five in flight
         // on each backend.
-        let ids: Vec<RequestId> = (0..2).map(|_| host.arrive_for(0, 8_000_000, Some(TenantId(0)))).collect();
+        let ids: Vec<RequestId> =
+            (0..2).map(|_| host.submit_for_tenant(0, 8_000_000, Some(TenantId(0)))).collect();
         host.advance(7_000_000);
-        refused += ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count();
-        ids.iter().for_each(|id| host.end(*id, 0, Outcome::Success));
+        rejected += ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count();
+        ids.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Success));
         host.advance(2_000_000);
     }
-    assert!(refused <= 3, "{refused} of 60 were refused");
+    assert!(rejected <= 3, "{rejected} of 60 were refused");
 }
 
 #[test]
-fn an_idle_proxy_sets_hardly_a_timer() {
+fn an_idle_proxy_sets_few_timers() {
     // Incidents ibb5992, ifde279 and i0dce2b: a timer at every tick in each of a thousand proxies used up the CPU.
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(100));
     serve(&mut host, 20, 0, |_| 10_000);
@@ -265,32 +266,32 @@
 }
 
 #[test]
-fn the_slices_of_many_proxies_are_small_and_cover_every_backend_alike() {
+fn subsets_of_many_proxies_are_small_and_cover_every_backend_evenly() {
     // In a fleet of full size, with a connection from every proxy to every backend, two attempts in three found none
     // free.
     let mut sent = [0; 30];
     for position in 0..300 {
         let mut host =
             host(Config { proxy_count: 300, proxy_index: position, ..Config::example() }, fleet(30));
-        let mine = serve(&mut host, 20, 0, |_| 10_000);
-        let used: std::collections::BTreeSet<u32> = mine.iter().copied().collect();
+        let chosen = serve(&mut host, 20, 0, |_| 10_000);
+        let used: std::collections::BTreeSet<u32> = chosen.iter().copied().collect();
         assert!(used.len() <= 3, "proxy {position} uses {} backends, two and an edge would do", used.len());
-        mine.iter().for_each(|b| sent[*b as usize] += 1);
+        chosen.iter().for_each(|b| sent[*b as usize] += 1);
     }
     assert!(sent.iter().all(|n| (140..=260).contains(n)), "200 each expected: {sent:?}");
 }
 
 #[test]
-fn a_full_backend_is_left_alone_for_a_moment_and_not_ejected() {
+fn a_full_backend_is_paused_briefly_and_not_ejected() {
     // In a fleet of full size, busy backends were ejected by the hundred, and the others were filled up by their
     // load.
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
-    let id = host.arrive(0, 900_000);
+    let id = host.submit(0, 900_000);
     let full = host.sent_to(id)[0];
-    host.end(id, 0, Outcome::Rejected);
+    host.end_attempt(id, 0, Outcome::Rejected);
     let retried = host.sent_to(id).len();
-    host.end(id, retried - 1, Outcome::Success);
+    host.end_attempt(id, retried - 1, Outcome::Success);
     assert!(!serve(&mut host, 2, 0, |_| 5_000).contains(&full), "used at once again");
     assert!(host.logs.iter().all(|l| !l.contains("ejected")), "{:?}", host.logs);
     assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&full), "not used after a service time");
@@ -300,14 +301,14 @@
     for _ in 0..6 {
         let mut waited = 0;
         loop {
-            let id = host.arrive(0, 900_000);
+            let id = host.submit(0, 900_000);
             let last = *host.sent_to(id).last().unwrap();
             host.advance(10_000);
             waited += 10_000;
-            host.end(id, 0, if last == full { Outcome::Rejected } else { Outcome::Success });
+            host.end_attempt(id, 0, if last == full { Outcome::Rejected } else { Outcome::Success });
             if last == full {
                 let again = host.sent_to(id).len();
-                host.end(id, again - 1, Outcome::Success);
+                host.end_attempt(id, again - 1, Outcome::Success);
                 break;
             }
         }
@@ -319,25 +320,25 @@
 }
 
 #[test]
-fn many_proxies_refuse_low_worth_first_and_at_once_when_the_fleet_is_crowded() {
+fn many_proxies_reject_low_priority_first_and_at_once_when_the_fleet_is_overloaded() {
     // In a fleet of full size, proxies without an in-flight limit sent all they had, and overload made the machines
     // slow.
-    let mut cfg =
+    let mut config =
         Config { proxy_count: 100, tenants: vec![Tenant { quota_per_s: 1e6 }], ..Config::example() };
-    cfg.tenants.push(Tenant { quota_per_s: 1e-3 });
-    let mut host = host(cfg, fleet(20));
-    let mut answer = |proxied: u64, tenant: usize| {
-        // One attempt is in flight for `proxied` µs of every second, and all hundred proxies count as equally busy,
-        // on twenty backends.
+    config.tenants.push(Tenant { quota_per_s: 1e-3 });
+    let mut host = host(config, fleet(20));
+    let mut answer = |in_flight_us: u64, tenant: usize| {
+        // One attempt is in flight for `in_flight_us` of every second, and all hundred proxies count as equally
+        // busy, on twenty backends.
         for _ in 0..20 {
-            let id = host.arrive_for(0, 990_000, Some(TenantId(0)));
-            host.advance(proxied);
-            host.end(id, 0, Outcome::Success);
-            host.advance(1_000_000 - proxied);
+            let id = host.submit_for_tenant(0, 990_000, Some(TenantId(0)));
+            host.advance(in_flight_us);
+            host.end_attempt(id, 0, Outcome::Success);
+            host.advance(1_000_000 - in_flight_us);
         }
-        let id = host.arrive_for(0, 990_000, Some(TenantId(tenant)));
+        let id = host.submit_for_tenant(0, 990_000, Some(TenantId(tenant)));
         let answer = host.requests[&id].answer;
-        host.end(id, 0, Outcome::Success);
+        host.end_attempt(id, 0, Outcome::Success);
         answer
     };
     assert_eq!(answer(300_000, 1), None, "1.5 held on each backend: the quota's first token");
@@ -347,42 +348,42 @@
 }
 
 #[test]
-fn a_full_backend_is_drawn_again_and_the_rest_waits() {
+fn a_full_backend_is_used_again_and_the_rest_waits() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(2));
     host.burst(20, 0, 900_000);
-    let out = host.out();
+    let out = host.in_flight();
     assert!((8..=10).contains(&out.len()), "{} out on two backends", out.len());
     let (id, no) = out[0];
     host.advance(20_000);
-    let before = host.out().len();
-    host.end(id, no, Outcome::Success);
-    assert_eq!(host.out().len(), before, "the room made is used at once");
+    let before = host.in_flight().len();
+    host.end_attempt(id, no, Outcome::Success);
+    assert_eq!(host.in_flight().len(), before, "the room made is used at once");
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
+fn a_non_idempotent_request_that_may_have_run_fails_and_one_that_never_ran_is_retried() {
     let mut host = host(config(vec![class(SideEffects::NonIdempotent)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
-    let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::Error);
+    let id = host.submit(0, 900_000);
+    host.end_attempt(id, 0, Outcome::Error);
     assert_eq!(host.requests[&id].answer, Some("failed"));
-    let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ConnectFailed);
+    let id = host.submit(0, 900_000);
+    host.end_attempt(id, 0, Outcome::ConnectFailed);
     assert_eq!(host.sent_to(id).len(), 2);
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_zone_and_window() {
+fn a_retry_with_an_idempotency_key_stays_in_its_zone_and_window() {
     let keyed = class(SideEffects::IdempotencyKey { scope: KeyScope::Zone, window: Micros(200_000) });
     let mut host = host(config(vec![keyed]), (0..6).map(|i| backend(i, i % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
-    let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::Error);
+    let id = host.submit(0, 900_000);
+    host.end_attempt(id, 0, Outcome::Error);
     let sent = host.sent_to(id);
     assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "{sent:?}");
-    let id = host.arrive(0, 900_000);
+    let id = host.submit(0, 900_000);
     host.advance(210_000);
-    host.end(id, 0, Outcome::Error);
+    host.end_attempt(id, 0, Outcome::Error);
     assert_eq!(host.sent_to(id).len(), 1, "repeated after its window");
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
@@ -392,12 +393,12 @@
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
-        let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id)[0] == 3;
+        let id = host.submit(0, 900_000);
+        let is_failing = host.sent_to(id)[0] == 3;
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::Error } else { Outcome::Success });
-        let again = host.requests[&id].tries.len();
-        host.end(id, again - 1, Outcome::Success);
+        host.end_attempt(id, 0, if is_failing { Outcome::Error } else { Outcome::Success });
+        let again = host.requests[&id].attempts.len();
+        host.end_attempt(id, again - 1, Outcome::Success);
         if host.logs.iter().any(|l| l.contains("ejected")) {
             return 3;
         }
@@ -406,27 +407,27 @@
 }
 
 #[test]
-fn an_erring_backend_is_ejected_and_tried_by_free_requests_only() {
+fn an_erring_backend_is_ejected_and_probed_only_by_requests_without_side_effects() {
     let mut host = host(config(vec![class(SideEffects::None), class(SideEffects::NonIdempotent)]), fleet(6));
-    let bad = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
+    let ejected = eject_one(&mut host);
+    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used during its term");
     host.advance(2_000_000);
-    assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&bad), "an unsafe request tried it");
-    assert!(serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "no free request tried it");
+    assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&ejected), "an unsafe request tried it");
+    assert!(serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "no free request tried it");
     assert!(host.logs.iter().any(|l| l.contains("is back")));
 }
 
 #[test]
-fn when_most_backends_err_they_are_used_after_all() {
+fn when_most_backends_err_they_are_still_used() {
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
-        let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id).first().is_some_and(|b| *b != 0);
+        let id = host.submit(0, 900_000);
+        let is_failing = host.sent_to(id).first().is_some_and(|b| *b != 0);
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::Error } else { Outcome::Success });
-        let no = host.requests[&id].tries.len().saturating_sub(1);
-        host.end(id, no, Outcome::Success);
+        host.end_attempt(id, 0, if is_failing { Outcome::Error } else { Outcome::Success });
+        let no = host.requests[&id].attempts.len().saturating_sub(1);
+        host.end_attempt(id, no, Outcome::Success);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
     assert!(chosen.iter().any(|b| *b != 0), "all load went to the one backend left");
@@ -434,13 +435,13 @@
 
 #[test]
 fn a_cold_backend_gets_less_than_its_budget() {
-    let mut cfg = Config { proxy_count: 1, ..Config::example() };
-    cfg.slow_start.floor = 0.1;
-    cfg.slow_start.overload_multiple = 2.0;
-    let mut host = host(cfg, fleet(3));
+    let mut config = Config { proxy_count: 1, ..Config::example() };
+    config.slow_start.floor = 0.1;
+    config.slow_start.overload_multiple = 2.0;
+    let mut host = host(config, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend { started_at: Some(host.now), ..backend(9, 0, 0) };
-    host.members(ListUpdate::Changes, vec![cold]);
+    host.update_endpoints(ListUpdate::Changes, vec![cold]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // 2 s, one overload window
     let sent = chosen.iter().filter(|b| **b == 9).count();
     // One warm backend serves about 50 + 17 per second: a tenth of that, doubled, over two seconds, is 27 at most.
@@ -450,30 +451,31 @@
 /// Sends a burst to a fleet that has just restarted; returns how many requests were sent in total, and the most that
 /// were sent to one backend.
 fn burst_on_cold(before: impl Fn(&mut Host)) -> (usize, usize) {
-    let mut cfg = Config { proxy_count: 3, ..Config::example() };
-    cfg.slow_start.floor = 0.1;
-    cfg.slow_start.overload_multiple = 2.0;
-    let mut host = host(cfg, fleet(12));
+    let mut config = Config { proxy_count: 3, ..Config::example() };
+    config.slow_start.floor = 0.1;
+    config.slow_start.overload_multiple = 2.0;
+    let mut host = host(config, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     before(&mut host);
-    let booted = Some(host.now);
-    let list = (0..12).map(|i| Backend { started_at: booted, ..backend(i, 0, 0) }).collect();
-    host.members(ListUpdate::Full, list);
+    let restarted_at = Some(host.now);
+    let list = (0..12).map(|i| Backend { started_at: restarted_at, ..backend(i, 0, 0) }).collect();
+    host.update_endpoints(ListUpdate::Full, list);
     let mut sent = 0;
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
         host.advance(20_000);
-        let out = host.out();
+        let out = host.in_flight();
         sent += out.len();
-        out.into_iter().for_each(|(id, no)| host.end(id, no, Outcome::Success));
+        out.into_iter().for_each(|(id, no)| host.end_attempt(id, no, Outcome::Success));
     }
-    let tries = || host.requests.values().flat_map(|r| &r.tries).filter(|t| Some(t.at) >= booted);
-    let most = (0..12).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
+    let attempts =
+        || host.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.sent_at) >= restarted_at);
+    let most = (0..12).map(|b| attempts().filter(|t| t.backend == BackendId(b)).count()).max();
     (sent, most.unwrap_or(0))
 }
 
 #[test]
-fn a_burst_cannot_push_a_cold_backend_over() {
+fn a_burst_does_not_overload_a_cold_backend() {
     // Requests take 20 ms, so a backend serves at most 100 per second. A tenth of that, doubled, over two seconds,
     // divided by three proxies and times 0.8 is 11 for each backend.
     let (sent, most) = burst_on_cold(|_| ());
@@ -484,111 +486,116 @@
 /// overload window after the end of the other one is over.
 #[test]
 fn two_processes_share_the_budget_of_a_cold_backend() {
-    let (sent, most) = burst_on_cold(|host| host.event(Event::ProcessCount { count: 2 }));
+    let (sent, most) = burst_on_cold(|host| host.handle_event(Event::ProcessCount { count: 2 }));
     assert!(sent >= 1 && most <= 5, "{sent} sent, {most} to one cold backend");
     let (sent, most) = burst_on_cold(|host| {
-        host.event(Event::ProcessCount { count: 2 });
-        host.event(Event::ProcessCount { count: 1 });
+        host.handle_event(Event::ProcessCount { count: 2 });
+        host.handle_event(Event::ProcessCount { count: 1 });
     });
     assert!(sent >= 1 && most <= 5, "{sent} sent, {most} to one just after");
     let (_, most) = burst_on_cold(|host| {
-        host.event(Event::ProcessCount { count: 1 });
+        host.handle_event(Event::ProcessCount { count: 1 });
         host.advance(2_000_000);
     });
     assert!(most >= 6, "{most} to one: all of it is this process's again");
 }
 
 #[test]
-fn a_clients_repeat_waits_behind_first_tries() {
+fn a_client_retry_waits_behind_first_requests() {
     // Incident ic9a8f4: client retries counted as new requests and, as the newest were served first, made all others
     // late.
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(1));
     let fill = host.burst(8, 0, 900_000);
     host.advance(5_000);
-    let first = host.arrive(0, 900_000);
-    host.repeat = true;
-    let repeat = host.arrive(0, 900_000);
+    let first = host.submit(0, 900_000);
+    host.is_client_retry = true;
+    let retry = host.submit(0, 900_000);
     host.advance(15_000);
-    fill.iter().for_each(|id| host.end(*id, 0, Outcome::Success));
-    let at = |id: &RequestId| host.requests[id].tries.first().map(|t| t.at);
+    fill.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Success));
+    let at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.sent_at);
     assert!(at(&first).is_some());
-    assert!(at(&repeat).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
+    assert!(at(&retry).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
 }
 
 #[test]
-fn traffic_beyond_a_quota_leaves_room_for_the_others() {
+fn traffic_beyond_a_quota_leaves_capacity_for_other_tenants() {
     let tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1_000.0 }];
     let mut host = host(Config { proxy_count: 1, tenants, ..Config::example() }, fleet(2));
-    let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
+    let flood: Vec<RequestId> =
+        (0..30).map(|_| host.submit_for_tenant(0, 900_000, Some(TenantId(0)))).collect();
     let flooded = flood.iter().filter(|id| !host.sent_to(**id).is_empty()).count();
-    let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
+    let other = host.submit_for_tenant(0, 900_000, Some(TenantId(1)));
     assert!(flooded <= 6, "{flooded} of the flood went out");
     assert_eq!(host.sent_to(other).len(), 1, "the other tenant waits behind the flood");
 }
 
 #[test]
-fn in_overload_the_densest_worth_is_served() {
-    let rich = Class { priority_weight: 8.0, ..class(SideEffects::None) };
-    let mut host = host(Config { proxy_count: 1, ..config(vec![class(SideEffects::None), rich]) }, fleet(1));
-    let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
+fn in_overload_requests_of_higher_priority_weight_are_served_first() {
+    let high = Class { priority_weight: 8.0, ..class(SideEffects::None) };
+    let mut host = host(Config { proxy_count: 1, ..config(vec![class(SideEffects::None), high]) }, fleet(1));
+    let ids: Vec<RequestId> = (0..60).map(|n| host.submit(n % 2, 900_000)).collect();
     for _ in 0..6 {
         host.serve_all(60_000);
     }
     host.advance(900_000);
     let served =
         |c: usize| ids.iter().skip(c).step_by(2).filter(|i| host.requests[i].answer == Some("served"));
-    let (poor, rich) = (served(0).count(), served(1).count());
-    assert!(rich > poor, "{rich} rich and {poor} poor requests were served");
+    let (low, high) = (served(0).count(), served(1).count());
+    assert!(high > low, "{high} rich and {low} poor requests were served");
 }
 
-fn zones(cost: f64) -> usize {
-    let mut cfg = Config::example();
-    cfg.goal.cross_zone_cost = cost;
-    let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
+fn count_in_own_zone(cost: f64) -> usize {
+    let mut config = Config::example();
+    config.goal.cross_zone_cost = cost;
+    let mut host = host(config, (0..9).map(|i| backend(i, i % 3, 0)).collect());
     serve(&mut host, 300, 0, |_| 10_000).iter().filter(|b| *b % 3 == 0).count()
 }
 
 #[test]
-fn where_crossing_zones_costs_traffic_stays_near() {
-    assert!(zones(0.05) >= 270, "{} of 300 stayed", zones(0.05));
-    assert!((70..=130).contains(&zones(0.0)), "{} of 300 stayed without a cost", zones(0.0));
+fn with_a_cross_zone_cost_traffic_stays_in_its_zone() {
+    assert!(count_in_own_zone(0.05) >= 270, "{} of 300 stayed", count_in_own_zone(0.05));
+    assert!(
+        (70..=130).contains(&count_in_own_zone(0.0)),
+        "{} of 300 stayed without a cost",
+        count_in_own_zone(0.0)
+    );
 }
 
 #[test]
-fn a_zone_short_of_backends_sends_its_surplus_out() {
+fn a_zone_short_of_backends_sends_its_surplus_to_other_zones() {
     // The proxy's zone has one of seven backends, and the proxies of three zones bring a third of the traffic each:
     // 3/7 may stay.
-    let mut cfg = Config::example();
-    cfg.goal.cross_zone_cost = 0.05;
+    let mut config = Config::example();
+    config.goal.cross_zone_cost = 0.05;
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
-    let mut host = host(cfg, list);
+    let mut host = host(config, list);
     let near = serve(&mut host, 400, 0, |_| 10_000).iter().filter(|b| **b == 0).count();
     assert!((120..=220).contains(&near), "{near} of 400 stayed on the one near backend");
 }
 
 #[test]
-fn discovery_is_followed_at_once_and_again_after_a_loss() {
-    let cfg = Config {
+fn discovery_is_watched_at_once_and_again_after_a_failure() {
+    let config = Config {
         discovery: DiscoveryMode::Subscribe { poll_within: Micros(10_000_000) },
         ..Config::example()
     };
-    let mut host = Host::new(cfg, 3);
-    host.members(ListUpdate::Cached, fleet(2));
-    assert_eq!(host.follows, 1);
-    host.members(ListUpdate::Changes, fleet(3));
+    let mut host = Host::new(config, 3);
+    host.update_endpoints(ListUpdate::Cached, fleet(2));
+    assert_eq!(host.watch_requests, 1);
+    host.update_endpoints(ListUpdate::Changes, fleet(3));
     host.advance(8_000_000);
-    assert_eq!(host.follows, 1, "a living subscription is not asked for again");
-    host.event(Event::EndpointsUpdated { update: ListUpdate::Failed, backends: Vec::new() });
+    assert_eq!(host.watch_requests, 1, "a living subscription is not asked for again");
+    host.handle_event(Event::EndpointsUpdated { update: ListUpdate::Failed, backends: Vec::new() });
     host.advance(400_000);
-    assert_eq!(host.follows, 2);
+    assert_eq!(host.watch_requests, 2);
     host.advance(6_000_000);
-    assert_eq!(host.follows, 3, "an unanswered call is repeated");
+    assert_eq!(host.watch_requests, 3, "an unanswered call is repeated");
 }
 
 #[test]
-fn a_stream_once_begun_is_left_alone() {
+fn a_started_stream_is_neither_timed_out_nor_retried() {
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(2));
-    let id = host.arrive(0, 300_000);
+    let id = host.submit(0, 300_000);
     host.start_stream(id, 0);
     host.advance(2_000_000);
     assert_eq!(host.requests[&id].answer, None);
@@ -596,11 +603,11 @@
 }
 
 #[test]
-fn events_of_unknown_things_change_nothing() {
-    let run = |noise: bool| {
+fn events_with_unknown_ids_change_nothing() {
+    let run = |with_unknown_ids: bool| {
         let mut host = host(config(vec![class(SideEffects::None)]), fleet(3));
-        if noise {
-            host.nonsense(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
+        if with_unknown_ids {
+            host.send_unknown_ids(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
         }
         serve(&mut host, 50, 0, |_| 10_000)
     };
@@ -610,30 +617,30 @@
 /// Guards against uploads that count as work or run out of time before their last byte. Both begin with the last
 /// byte, and there is no second attempt.
 #[test]
-fn an_upload_weighs_and_is_timed_from_its_last_byte() {
-    let cfg = || Config {
+fn an_upload_counts_as_work_and_is_timed_from_its_last_byte() {
+    let config = || Config {
         proxy_count: 1,
         ..config(vec![class(SideEffects::NonIdempotent), class(SideEffects::None)])
     };
-    let mut host = host(cfg(), fleet(1));
+    let mut host = host(config(), fleet(1));
     serve(&mut host, 60, 1, |_| 20_000);
-    host.uploading = true;
-    let uploads: Vec<RequestId> = (0..12).map(|_| host.arrive(0, 60_000_000)).collect();
-    host.uploading = false;
+    host.body_incomplete = true;
+    let uploads: Vec<RequestId> = (0..12).map(|_| host.submit(0, 60_000_000)).collect();
+    host.body_incomplete = false;
     assert!(uploads.iter().all(|id| host.sent_to(*id).len() == 1), "what is still coming is no work");
     host.advance(5_000_000);
-    let owed = |host: &Host, id: RequestId| host.requests[&id].answer.is_none();
-    assert!(uploads.iter().all(|id| owed(&host, *id)), "no time runs on them");
-    let beside = host.arrive(1, 900_000);
-    assert_eq!(host.sent_to(beside).len(), 1, "nor is the backend taken for silent");
-    host.end(beside, 0, Outcome::Success);
+    let is_open = |host: &Host, id: RequestId| host.requests[&id].answer.is_none();
+    assert!(uploads.iter().all(|id| is_open(&host, *id)), "no time runs on them");
+    let other = host.submit(1, 900_000);
+    assert_eq!(host.sent_to(other).len(), 1, "nor is the backend taken for silent");
+    host.end_attempt(other, 0, Outcome::Success);
     for id in &uploads {
-        host.event(Event::BodyReceived { request: *id, time_left: Micros(900_000) });
+        host.handle_event(Event::BodyReceived { request: *id, time_left: Micros(900_000) });
     }
-    let late = host.arrive(1, 900_000);
+    let late = host.submit(1, 900_000);
     assert!(host.sent_to(late).is_empty(), "now they are work, more than it may hold");
-    host.end(uploads[0], 0, Outcome::ConnectFailed);
-    assert!(!owed(&host, uploads[0]) && host.sent_to(uploads[0]).len() == 1, "its body is gone");
+    host.end_attempt(uploads[0], 0, Outcome::ConnectFailed);
+    assert!(!is_open(&host, uploads[0]) && host.sent_to(uploads[0]).len() == 1, "its body is gone");
     host.advance(2_000_000);
-    assert!(uploads.iter().all(|id| !owed(&host, *id)), "and their time is up in the end");
+    assert!(uploads.iter().all(|id| !is_open(&host, *id)), "and their time is up in the end");
 }
--- a/crates/policy/tests/lost_answers.rs
+++ b/crates/policy/tests/lost_answers.rs
@@ -29,15 +29,15 @@
         let class =
             Class { latency_objective: Micros(900_000), late_value_factor: 0.5, ..class(SideEffects::None) };
         let attempts = AttemptLimits { max_attempts: 4, allow_cancel: true, allow_hedging: true };
-        let cfg = Config { proxy_count: 1, classes: vec![class], attempts, ..Config::example() };
-        let mut host = Host::new(cfg, seed);
-        host.members(ListUpdate::Full, (0..BACKENDS).map(|id| backend(id, 0, 0)).collect());
+        let config = Config { proxy_count: 1, classes: vec![class], attempts, ..Config::example() };
+        let mut host = Host::new(config, seed);
+        host.update_endpoints(ListUpdate::Full, (0..BACKENDS).map(|id| backend(id, 0, 0)).collect());
         LossyFleet { host, received: BTreeMap::new(), latency }
     }
 
     /// Sends a request and waits for its end; returns whether it was served.
     fn is_next_served(&mut self) -> bool {
-        let id = self.host.arrive(0, TIME_LEFT);
+        let id = self.host.submit(0, TIME_LEFT);
         let mut is_lost: Vec<bool> = Vec::new();
         loop {
             for to in self.host.sent_to(id).iter().skip(is_lost.len()) {
@@ -46,13 +46,13 @@
                 is_lost.push(count.is_multiple_of(LOST_EVERY));
             }
             for (attempt, _) in is_lost.iter().enumerate().filter(|(_, is_lost)| !**is_lost) {
-                if self.host.now >= self.host.requests[&id].tries[attempt].at + self.latency {
-                    self.host.end(id, attempt, Outcome::Success);
+                if self.host.now >= self.host.requests[&id].attempts[attempt].sent_at + self.latency {
+                    self.host.end_attempt(id, attempt, Outcome::Success);
                 }
             }
             if let Some(answer) = self.host.requests[&id].answer {
-                for (id, attempt) in self.host.out() {
-                    self.host.end(id, attempt, Outcome::Cancelled);
+                for (id, attempt) in self.host.in_flight() {
+                    self.host.end_attempt(id, attempt, Outcome::Cancelled);
                 }
                 return answer == "served";
             }
@@ -69,20 +69,20 @@
 /// Guards against requests that are given up with most of their time left, because each backend has lost one of
 /// their answers or was ejected for one lost answer.
 #[test]
-fn where_every_fourth_answer_is_lost_one_request_in_thirty_is_at_most() {
-    let mut lost_in_all = 0;
+fn with_every_fourth_answer_lost_at_most_one_request_in_thirty_fails() {
+    let mut lost_in_total = 0;
     for latency_ms in [1, 3, 10, 30] {
         for seed in 0..20 {
             let mut fleet = LossyFleet::new(seed, Micros(latency_ms * 1_000));
-            let until_it_tells = fleet.count_lost(30);
+            let lost_at_first = fleet.count_lost(30);
             let lost = fleet.count_lost(30);
-            lost_in_all += lost;
+            lost_in_total += lost;
             assert!(
-                until_it_tells > 3,
-                "it takes some to tell: {until_it_tells}, {latency_ms} ms, seed {seed}"
+                lost_at_first > 3,
+                "it takes some to tell: {lost_at_first}, {latency_ms} ms, seed {seed}"
             );
             assert!(lost < 2, "{lost} of 30 were lost, {latency_ms} ms, seed {seed}");
         }
     }
-    println!("{lost_in_all} of 2,400 lost once it could tell");
+    println!("{lost_in_total} of 2,400 lost once it could tell");
 }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 
 /// Builds settings whose customers have these names and quotas, in requests per second.
-fn with(customers: &[(&str, f64)]) -> Value {
+fn settings_with(customers: &[(&str, f64)]) -> Value {
     let customers: Vec<Value> =
         customers.iter().map(|(name, rps)| json!({"name": name, "quota_rps": rps})).collect();
     json!({
@@ -31,7 +31,7 @@
 }
 
 /// Merges `new` with `old`, while no open request uses an id.
-fn after(old: &Settings, new: Settings) -> Settings {
+fn merged_after(old: &Settings, new: Settings) -> Settings {
     old.merge_successor(new, &old.names, &IdsInUse::default()).settings
 }
 
@@ -43,42 +43,42 @@
 /// Guards against a customer that gets another one's quota, wherever the active settings list it, or keeps its quota
 /// when they no longer do. Its id stays its own, as open requests refer to it.
 #[test]
-fn a_customer_has_the_quota_that_the_settings_in_force_name() {
-    let first = read(&with(&[("north", 500.0), ("south", 20.0)]));
+fn a_customer_has_the_quota_of_the_active_settings() {
+    let first = read(&settings_with(&[("north", 500.0), ("south", 20.0)]));
     let south = first.names.tenant("south");
-    let second = after(&first, read(&with(&[("west", 5.0), ("south", 30.0)])));
-    let asked = ["north", "south", "west"];
-    assert_eq!(asked.map(|name| quota(&second, name)), [None, Some(30.0), Some(5.0)]);
+    let second = merged_after(&first, read(&settings_with(&[("west", 5.0), ("south", 30.0)])));
+    let customers = ["north", "south", "west"];
+    assert_eq!(customers.map(|name| quota(&second, name)), [None, Some(30.0), Some(5.0)]);
     assert_eq!(second.names.tenant("south"), south);
-    let third = after(&second, read(&with(&[("north", 7.0)])));
-    assert_eq!(asked.map(|name| quota(&third, name)), [Some(7.0), None, None]);
+    let third = merged_after(&second, read(&settings_with(&[("north", 7.0)])));
+    assert_eq!(customers.map(|name| quota(&third, name)), [Some(7.0), None, None]);
     assert_eq!(third.names.tenant("north"), first.names.tenant("north"));
-    let none = after(&third, read(&with(&[])));
-    assert_eq!(asked.map(|name| quota(&none, name)), [None; 3]);
+    let none = merged_after(&third, read(&settings_with(&[])));
+    assert_eq!(customers.map(|name| quota(&none, name)), [None; 3]);
 }
 
 /// Guards against two customers of one name, as quotas are found by name: the error gives the place, and the
 /// settings are rejected.
 #[test]
-fn two_customers_of_one_name_are_refused() {
-    let faults = Settings::read(&with(&[("north", 500.0), ("north", 20.0)])).expect_err("a fault");
-    let told: Vec<String> = faults.0.iter().map(ToString::to_string).collect();
-    assert_eq!(told, ["customers[1].name: expected a name that no other customer has, got \"north\""]);
+fn two_customers_of_one_name_are_rejected() {
+    let faults = Settings::read(&settings_with(&[("north", 500.0), ("north", 20.0)])).expect_err("a fault");
+    let messages: Vec<String> = faults.0.iter().map(ToString::to_string).collect();
+    assert_eq!(messages, ["customers[1].name: expected a name that no other customer has, got \"north\""]);
 }
 
 /// Guards against an id that changes its meaning: a class with other side effects is another class, even under the
 /// same name.
 #[test]
-fn a_class_of_another_effect_gets_a_number_of_its_own() {
-    let mut changed = with(&[]);
+fn a_class_with_other_side_effects_gets_an_id_of_its_own() {
+    let mut changed = settings_with(&[]);
     changed["profiles"][0]["effect"] = "single_shot".into();
-    let first = read(&with(&[]));
-    let second = after(&first, read(&changed));
-    let (was, is) = (first.names.class("read").unwrap(), second.names.class("read").unwrap());
-    assert_ne!(was, is);
-    assert!(second.config.classes[was.0].retired && !second.config.classes[is.0].retired);
-    assert_eq!([was, is].map(|class| second.names.class_name(class)), ["read"; 2]);
-    assert_eq!(second.config.classes[was.0].side_effects, first.config.classes[was.0].side_effects);
-    let third = after(&second, read(&with(&[])));
-    assert_eq!(third.names.class("read"), Some(was), "it has come back");
+    let first = read(&settings_with(&[]));
+    let second = merged_after(&first, read(&changed));
+    let (old_id, new_id) = (first.names.class("read").unwrap(), second.names.class("read").unwrap());
+    assert_ne!(old_id, new_id);
+    assert!(second.config.classes[old_id.0].retired && !second.config.classes[new_id.0].retired);
+    assert_eq!([old_id, new_id].map(|class| second.names.class_name(class)), ["read"; 2]);
+    assert_eq!(second.config.classes[old_id.0].side_effects, first.config.classes[old_id.0].side_effects);
+    let third = merged_after(&second, read(&settings_with(&[])));
+    assert_eq!(third.names.class("read"), Some(old_id), "it has come back");
 }
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn no_line_that_decides_is_wider_than_the_formatter_allows() {
+fn no_line_of_a_deciding_file_is_wider_than_the_formatter_allows() {
     for name in deciding_files() {
         let text = std::fs::read_to_string(source_folder().join(&name)).expect("a source file");
         for (index, line) in text.lines().enumerate() {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn no_file_of_the_crate_is_longer_than_one_job_takes() {
+fn no_file_of_the_crate_is_longer_than_the_maximum() {
     for name in source_files() {
         let text = std::fs::read_to_string(source_folder().join(&name)).expect("a source file");
         let lines = text.lines().count();
--- a/crates/policy/tests/succession.rs
+++ b/crates/policy/tests/succession.rs
@@ -21,9 +21,9 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// Runs one test at a time, as memory is counted for the whole process.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn serialize_tests() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 const CHANGES: usize = 2_000;
@@ -61,7 +61,7 @@
 }
 
 /// Builds the settings after `change` changes.
-fn at(change: usize, last: Option<&str>) -> Settings {
+fn settings_at(change: usize, last: Option<&str>) -> Settings {
     settings(&names("class", CLASSES, change), &names("tenant", TENANTS, change), last)
 }
 
@@ -74,21 +74,21 @@
 impl Rig {
     fn new(settings: Settings) -> Rig {
         let mut host = Host::new(settings.config.clone(), 7);
-        host.members(ListUpdate::Full, (0..4).map(|id| backend(id, 0, 0)).collect());
+        host.update_endpoints(ListUpdate::Full, (0..4).map(|id| backend(id, 0, 0)).collect());
         Rig { host, settings }
     }
 
     /// Applies other settings, while only requests that the balancer knows use ids.
-    fn adopt(&mut self, new: Settings) -> ReassignedIds {
+    fn apply(&mut self, new: Settings) -> ReassignedIds {
         let classes: HashSet<ClassId> = self.host.balancer.classes_in_use().collect();
-        let pinned = IdsInUse { classes, ..IdsInUse::default() };
-        let SettingsMerge { settings, reassigned: renewed } =
-            self.settings.merge_successor(new, &self.settings.names, &pinned);
+        let in_use = IdsInUse { classes, ..IdsInUse::default() };
+        let SettingsMerge { settings, reassigned: reassigned_ids } =
+            self.settings.merge_successor(new, &self.settings.names, &in_use);
         self.settings = settings;
-        self.host.cfg = self.settings.config.clone();
+        self.host.config = self.settings.config.clone();
         let config = Box::new(self.settings.config.clone());
-        self.host.event(Event::ConfigApplied { config, reassigned: renewed.clone() });
-        renewed
+        self.host.handle_event(Event::ConfigApplied { config, reassigned: reassigned_ids.clone() });
+        reassigned_ids
     }
 }
 
@@ -96,8 +96,8 @@
 /// newest class is served between two changes.
 #[test]
 fn thousands_of_changes_leave_tables_and_memory_as_large_as_a_few() {
-    let _alone = alone();
-    let mut rig = Rig::new(at(0, None));
+    let _guard = serialize_tests();
+    let mut rig = Rig::new(settings_at(0, None));
     let region = Region::new(ALLOCATOR);
     let held = || {
         let held = region.change();
@@ -105,10 +105,10 @@
     };
     let mut after_a_few = 0;
     for change in 1..=CHANGES {
-        rig.adopt(at(change, None));
+        rig.apply(settings_at(change, None));
         let newest = ("class", CLASSES - 1 + change * REPLACED);
         let class = rig.settings.names.class(&format!("{}-{:06}", newest.0, newest.1)).expect("in force");
-        let id = rig.host.arrive(class.0, 900_000);
+        let id = rig.host.submit(class.0, 900_000);
         rig.host.serve_all(2_000);
         assert_eq!(rig.host.requests.remove(&id).and_then(|r| r.answer), Some("served"));
         rig.host.timers.clear();
@@ -128,60 +128,60 @@
 /// Guards against an id of a class that is reassigned while a request of the class is open, whatever settings
 /// follow, and against estimates that outlast the reassignment.
 #[test]
-fn an_open_request_ends_under_its_own_rules_and_its_number_is_free_then() {
-    let _alone = alone();
-    let mut rig = Rig::new(at(0, Some("pay")));
+fn an_open_request_ends_under_the_rules_of_its_class_and_its_id_is_then_free() {
+    let _guard = serialize_tests();
+    let mut rig = Rig::new(settings_at(0, Some("pay")));
     let pay = rig.settings.names.class("pay").expect("in force");
-    rig.host.arrive(pay.0, 900_000);
+    rig.host.submit(pay.0, 900_000);
     rig.host.serve_all(20_000); // its latency is recorded
-    let open = rig.host.arrive(pay.0, 60_000_000);
+    let open = rig.host.submit(pay.0, 60_000_000);
     assert_eq!(rig.host.sent_to(open).len(), 1);
     for change in 1..=CHANGES {
-        let renewed = rig.adopt(at(change, None));
-        assert!(!renewed.classes.contains(&pay), "change {change} gives its number away");
+        let reassigned_ids = rig.apply(settings_at(change, None));
+        assert!(!reassigned_ids.classes.contains(&pay), "change {change} gives its number away");
         assert_eq!(rig.settings.names.class("pay"), None);
         assert_eq!(rig.settings.names.class_name(pay), "pay");
         assert_eq!(rig.settings.config.classes[pay.0].side_effects, SideEffects::NonIdempotent);
     }
-    rig.host.end(open, 0, Outcome::Reset);
+    rig.host.end_attempt(open, 0, Outcome::Reset);
     assert_eq!(rig.host.sent_to(open).len(), 1, "it may have run: it is not sent again");
     assert_eq!(rig.host.requests[&open].answer, Some("failed"));
     assert_eq!(rig.host.balancer.classes_in_use().count(), 0);
     let samples = |rig: &Rig| rig.host.balancer.snapshot(rig.host.now).class_latency[pay.0].1.samples;
     assert_eq!(samples(&rig), 1.0);
-    let renewed = (1..4).find(|n| rig.adopt(at(CHANGES + n, None)).classes.contains(&pay));
-    assert!(renewed.is_some(), "its number is used again");
+    let reassigned_at = (1..4).find(|n| rig.apply(settings_at(CHANGES + n, None)).classes.contains(&pay));
+    assert!(reassigned_at.is_some(), "its number is used again");
     assert_eq!(samples(&rig), 0.0, "what was learned of another class says nothing of this one");
     assert_eq!(rig.settings.config.classes[pay.0].side_effects, SideEffects::None);
 }
 
 /// Guards against an id of a class or a tenant that is reassigned although a request may still refer to it.
 #[test]
-fn a_pinned_number_keeps_its_name() {
-    let _alone = alone();
-    let first = at(0, None);
+fn an_id_in_use_keeps_its_name() {
+    let _guard = serialize_tests();
+    let first = settings_at(0, None);
     let (class, tenant) = (first.names.class("class-000000"), first.names.tenant("tenant-000000"));
     let (class, tenant) = (class.expect("in force"), tenant.expect("in force"));
-    let pinned = IdsInUse { classes: [class].into(), tenants: [tenant].into() };
+    let in_use = IdsInUse { classes: [class].into(), tenants: [tenant].into() };
     let mut settings = first;
     for change in 1..10 {
-        let next = settings.merge_successor(at(change, None), &settings.names, &pinned);
+        let next = settings.merge_successor(settings_at(change, None), &settings.names, &in_use);
         assert!(!next.reassigned.classes.contains(&class) && !next.reassigned.tenants.contains(&tenant));
         settings = next.settings;
     }
     assert_eq!(settings.names.class_name(class), "class-000000");
     assert_eq!(settings.names.tenant_name(tenant), "tenant-000000");
-    let back = settings.merge_successor(at(0, None), &settings.names, &pinned);
+    let back = settings.merge_successor(settings_at(0, None), &settings.names, &in_use);
     assert_eq!(back.settings.names.class("class-000000"), Some(class), "it has come back while it was held");
     assert_eq!(back.settings.names.tenant("tenant-000000"), Some(tenant));
 }
 
 /// Guards against unlimited spare ids after a change to far fewer names.
 #[test]
-fn numbers_that_nothing_needs_go() {
-    let _alone = alone();
+fn unneeded_ids_are_dropped() {
+    let _guard = serialize_tests();
     let many = settings(&names("class", 9_000, 0), &names("tenant", 20_000, 0), None);
-    let few = || at(0, None);
+    let few = || settings_at(0, None);
     let shrunk = many.merge_successor(few(), &many.names, &IdsInUse::default()).settings;
     assert_eq!(shrunk.config.tenants.len(), 20_000, "requests that come meanwhile may still be theirs");
     let next = shrunk.merge_successor(few(), &shrunk.names, &IdsInUse::default()).settings;
