--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -26,7 +26,7 @@
     /// Creates a proxy and warms it up.
     pub(crate) fn new(size: u32) -> Bench {
         let config = Config { proxy_count: 3, ..Config::example() };
-        let balancer = Balancer::new(config, 7).expect("sound");
+        let balancer = Balancer::new(config, 7).expect("a valid configuration");
         let now = Time(1_000_000_000);
         let mut b = Bench { balancer, now, next: 0, in_flight: Default::default(), actions: Vec::new() };
         let backends = (0..size).map(list_entry).collect();
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -68,7 +68,7 @@
 /// Measures how long the balancer takes to apply other settings, us, in ascending order. This includes dropping the
 /// old settings, as on the event loop.
 fn apply_times(old: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
-    let mut balancer = Balancer::new(old.config.clone(), 1).expect("sound settings");
+    let mut balancer = Balancer::new(old.config.clone(), 1).expect("valid settings");
     let backend = |id| Backend { id: BackendId(id), state: BackendState::Ready, ..Backend::default() };
     let backends = (0..BACKENDS).map(backend).collect();
     let mut actions = Vec::new();
@@ -76,7 +76,7 @@
     let mut active = old.clone();
     let mut one = |run: usize| {
         let first = run * classes.max(tenants).div_ceil(REPLACED);
-        let new = Settings::read(&settings(classes, tenants, first)).expect("sound settings");
+        let new = Settings::read(&settings(classes, tenants, first)).expect("valid settings");
         let next = active.merge_successor(new, &active.names, &IdsInUse::default());
         let config = Box::new(next.settings.config.clone());
         let started = Instant::now();
@@ -96,7 +96,7 @@
 /// Prints a row for settings with these numbers of classes and tenants, the last of which are looked up.
 fn row(classes: usize, tenants: usize) {
     let value = settings(classes, tenants, 0);
-    let read = || Settings::read(&value).expect("sound settings");
+    let read = || Settings::read(&value).expect("valid settings");
     let region = Region::new(ALLOCATOR);
     let old = read();
     let held = region.change();
--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -158,7 +158,7 @@
             let silent = fleet.proxies.iter().filter(is_silent).count();
             let longest = fleet.proxies.iter().map(|proxy| proxy.longest_rejection).max();
             println!(
-                "burst after {warm_up_s} s, {work_ms} ms a request: {silent} dark, {longest:?} at the longest"
+                "burst after {warm_up_s} s, {work_ms} ms a request: {silent} proxies silent, {longest:?} at the longest"
             );
             assert_eq!(silent, 0, "of {PROXIES}, burst after {warm_up_s} s, {work_ms} ms a request");
         }
--- a/crates/policy/tests/cold_sum.rs
+++ b/crates/policy/tests/cold_sum.rs
@@ -233,9 +233,9 @@
         for seed in [1, 2, 3] {
             let Worst { sent, limit, used } = worst_window(proxies, capacity, seed);
             println!(
-                "{proxies} proxies, {capacity}/s, seed {seed}: {sent} sent, bound {limit:.1}, used {used:.2}"
+                "{proxies} proxies, {capacity}/s, seed {seed}: {sent} sent, limit {limit:.1}, used {used:.2}"
             );
-            assert!(sent as f64 <= limit, "{sent} sent in a window, bound {limit:.1}");
+            assert!(sent as f64 <= limit, "{sent} sent in a window, limit {limit:.1}");
         }
     }
 }
@@ -291,7 +291,7 @@
         let requests: usize = fleet.arrival_times.iter().map(Vec::len).sum();
         let sends: usize = fleet.send_times.iter().map(Vec::len).sum();
         println!("{proxies} proxies, seed {seed}: {sends} sends for {requests} requests, idle: {idle:?}");
-        assert!(idle.is_empty(), "they serve nobody: {idle:?}");
+        assert!(idle.is_empty(), "idle proxies: {idle:?}");
         assert!(sends * 20 >= requests * 19, "{sends} sends for {requests} requests");
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -70,7 +70,7 @@
 
 impl Host {
     pub(crate) fn new(config: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(config.clone(), seed).expect("sound");
+        let balancer = Balancer::new(config.clone(), seed).expect("a valid configuration");
         Host {
             config,
             balancer,
@@ -101,27 +101,30 @@
     fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend } => {
-                let r = self.requests.get_mut(&request).expect("dispatch of a known request");
+                let r = self.requests.get_mut(&request).expect("the dispatched request is known");
                 assert!(r.answer.is_none(), "sent after the final answer");
-                let b = self.endpoints.get(&backend).expect("a listed backend");
-                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
+                let b = self.endpoints.get(&backend).expect("the backend is on the list");
+                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or was removed");
                 assert!(r.attempts.len() < self.config.attempts.max_attempts as usize, "too many attempts");
                 assert!(
                     self.config.attempts.allow_hedging || r.attempts.iter().all(|t| t.outcome.is_some()),
-                    "two at once"
+                    "two attempts at once without hedging"
                 );
                 for t in r.attempts.iter().filter(|t| t.may_have_run()) {
                     match self.config.classes[r.class].side_effects {
                         SideEffects::None => {}
-                        SideEffects::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        SideEffects::NonIdempotent => panic!("a non-idempotent request was sent twice"),
                         SideEffects::IdempotencyKey { scope, window } => {
-                            assert!(self.now <= t.sent_at + window, "a key was repeated after its window");
+                            assert!(
+                                self.now <= t.sent_at + window,
+                                "a request with an idempotency key was retried after its window"
+                            );
                             let same = match scope {
                                 KeyScope::All => true,
                                 KeyScope::Zone => t.zone == b.zone,
                                 KeyScope::Cell => t.cell == b.cell,
                             };
-                            assert!(same, "a key was repeated outside its scope");
+                            assert!(same, "a request with an idempotency key was retried outside its scope");
                         }
                     }
                 }
@@ -129,24 +132,24 @@
                 r.attempts.push(SentAttempt { backend, zone, cell, sent_at, outcome: None });
             }
             Action::Reject { request, retry_after } => {
-                assert!(retry_after > Micros(0), "refused without advice");
-                let r = self.requests.get_mut(&request).expect("a known request");
+                assert!(retry_after > Micros(0), "rejected without a retry time");
+                let r = self.requests.get_mut(&request).expect("the request is known");
                 let ran = r.attempts.iter().any(SentAttempt::may_have_run);
                 let free = matches!(
                     self.config.classes[r.class].side_effects,
                     SideEffects::None | SideEffects::IdempotencyKey { scope: KeyScope::All, .. }
                 );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
+                assert!(free || !ran, "rejected a request that may have run");
+                assert!(r.answer.replace("rejected").is_none(), "answered twice");
             }
             Action::Fail { request } => {
-                let r = self.requests.get_mut(&request).expect("a known request");
+                let r = self.requests.get_mut(&request).expect("the request is known");
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.config.attempts.allow_cancel, "cancel is not allowed");
+                assert!(self.config.attempts.allow_cancel, "cancelled although cancellation is disabled");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled what was never sent");
+                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled an attempt that was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -64,7 +64,7 @@
     let ids = [host.submit(0, 700_000), host.submit(1, 700_000)];
     // A rejection after half of the request's time, with nothing sent, costs as much as a third of a request.
     host.advance(345_000);
-    assert!(ids.iter().all(|id| host.requests[id].answer == Some("refused")));
+    assert!(ids.iter().all(|id| host.requests[id].answer == Some("rejected")));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     host.advance(1_000_000);
     let id = host.submit(0, 6_000);
     host.advance(20_000);
-    assert_eq!(host.requests[&id].answer, Some("refused"));
+    assert_eq!(host.requests[&id].answer, Some("rejected"));
 }
 
 /// Guards against requests to a cordoned backend after an update of the list, and against full load on it once the
@@ -87,15 +87,19 @@
     host.handle_event(Event::Cordoned { backends: vec![BackendId(1)] });
     assert_eq!(count_sent_to_1(serve(&mut host, 100, 0, |_| 20_000)), 0);
     host.update_endpoints(ListUpdate::Full, fleet(3));
-    assert_eq!(count_sent_to_1(serve(&mut host, 100, 0, |_| 20_000)), 0, "the list does not undo it");
+    assert_eq!(
+        count_sent_to_1(serve(&mut host, 100, 0, |_| 20_000)),
+        0,
+        "an update of the list does not lift the cordon"
+    );
     host.handle_event(Event::Cordoned { backends: Vec::new() });
     let first = count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000));
-    assert!((1..75).contains(&first), "{first} of 300 to one that is cold");
+    assert!((1..75).contains(&first), "{first} of 300 went to the cold backend");
     host.update_endpoints(ListUpdate::Full, fleet(3));
     let again = count_sent_to_1(serve(&mut host, 30, 0, |_| 20_000));
-    assert!(again < 15, "{again}: an older list does not make it warm");
+    assert!(again < 15, "{again} of 30: an older list does not end slow start");
     host.advance(20_000_000);
-    assert!(count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000)) > 60, "warm in the end");
+    assert!(count_sent_to_1(serve(&mut host, 300, 0, |_| 20_000)) > 60, "fully used after slow start");
 }
 
 #[test]
@@ -142,13 +146,20 @@
         if host.sent_to(id)[0] == silent {
             unanswered += 1;
             host.advance(100_000);
-            assert_eq!(host.sent_to(id).len(), 1, "age alone sent a copy: such copies crowd every backend");
+            assert_eq!(
+                host.sent_to(id).len(),
+                1,
+                "hedged because of age alone, which would overload every backend"
+            );
         } else {
             host.advance(5_000);
             host.end_attempt(id, 0, Outcome::Success);
         }
     }
-    assert_eq!(unanswered, 2, "one may be lost, two are silence");
+    assert_eq!(
+        unanswered, 2,
+        "one unanswered request may be a lost answer, two mean that the backend is silent"
+    );
 }
 
 /// Guards against a backend that never answers one class and serves the others: two requests in a row of each class
@@ -171,8 +182,11 @@
             host.end_attempt(id, 0, Outcome::Success);
         }
     }
-    assert!((2..=4).contains(&unanswered), "two are silence, and again at each trial: {unanswered}");
-    assert!(served > 10, "the other class goes on there: {served}");
+    assert!(
+        (2..=4).contains(&unanswered),
+        "two unanswered requests, and one more for each probe: {unanswered}"
+    );
+    assert!(served > 10, "the other class is still served there: {served}");
 }
 
 /// Guards against lost answers that are noticed only at the deadline: at four times the load, one answer in a
@@ -195,8 +209,8 @@
                 host.end_attempt(id, host.sent_to(id).len() - 1, Outcome::Success);
             }
         }
-        assert!(!hedged[..5].contains(&true), "not before it is known: {hedged:?}");
-        assert_eq!(hedged[10..].contains(&true), lost, "slow ones that are answered need none: {hedged:?}");
+        assert!(!hedged[..5].contains(&true), "hedged before the loss could be known: {hedged:?}");
+        assert_eq!(hedged[10..].contains(&true), lost, "hedged if and only if answers are lost: {hedged:?}");
         // Requests sent to a backend on probation may find no other one with capacity.
         let most = hedged[10..].iter().filter(|c| **c).count() > 2;
         assert_eq!(most, lost, "{hedged:?}");
@@ -216,9 +230,12 @@
         host.advance(20_000);
         host.end_attempt(two[0], 0, Outcome::TimedOut);
         host.advance(20_000);
-        assert_eq!(host.sent_to(two[1]).len(), 2, "copies {allow_hedging}");
+        assert_eq!(host.sent_to(two[1]).len(), 2, "hedging allowed: {allow_hedging}");
         let is_cancelled = host.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
-        assert_eq!(is_cancelled, !allow_hedging, "where no copy may run beside it the first is called back");
+        assert_eq!(
+            is_cancelled, !allow_hedging,
+            "the first attempt is cancelled if and only if hedging is not allowed"
+        );
     }
 }
 
@@ -248,11 +265,11 @@
         let ids: Vec<RequestId> =
             (0..2).map(|_| host.submit_for_tenant(0, 8_000_000, Some(TenantId(0)))).collect();
         host.advance(7_000_000);
-        rejected += ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count();
+        rejected += ids.iter().filter(|id| host.requests[id].answer == Some("rejected")).count();
         ids.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Success));
         host.advance(2_000_000);
     }
-    assert!(rejected <= 3, "{rejected} of 60 were refused");
+    assert!(rejected <= 3, "{rejected} of 60 were rejected");
 }
 
 #[test]
@@ -275,10 +292,14 @@
             host(Config { proxy_count: 300, proxy_index: position, ..Config::example() }, fleet(30));
         let chosen = serve(&mut host, 20, 0, |_| 10_000);
         let used: std::collections::BTreeSet<u32> = chosen.iter().copied().collect();
-        assert!(used.len() <= 3, "proxy {position} uses {} backends, two and an edge would do", used.len());
+        assert!(
+            used.len() <= 3,
+            "proxy {position} uses {} backends, where two and one at the edge suffice",
+            used.len()
+        );
         chosen.iter().for_each(|b| sent[*b as usize] += 1);
     }
-    assert!(sent.iter().all(|n| (140..=260).contains(n)), "200 each expected: {sent:?}");
+    assert!(sent.iter().all(|n| (140..=260).contains(n)), "expected 200 each: {sent:?}");
 }
 
 #[test]
@@ -292,9 +313,9 @@
     host.end_attempt(id, 0, Outcome::Rejected);
     let retried = host.sent_to(id).len();
     host.end_attempt(id, retried - 1, Outcome::Success);
-    assert!(!serve(&mut host, 2, 0, |_| 5_000).contains(&full), "used at once again");
+    assert!(!serve(&mut host, 2, 0, |_| 5_000).contains(&full), "used again immediately");
     assert!(host.logs.iter().all(|l| !l.contains("ejected")), "{:?}", host.logs);
-    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&full), "not used after a service time");
+    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&full), "not used again after a service time");
     // Under churn, a pause of half a second after each rejection excluded half of the fleet, which had capacity
     // again.
     let mut pauses = Vec::new();
@@ -316,7 +337,7 @@
     }
     // The random choice of the next backend can lengthen a pause, but not shorten it.
     let short_at_first = pauses[..2].iter().any(|p| *p < 80_000);
-    assert!(pauses[5] >= 80_000 && short_at_first, "left alone longer each time: {pauses:?}");
+    assert!(pauses[5] >= 80_000 && short_at_first, "the pauses must grow: {pauses:?}");
 }
 
 #[test]
@@ -341,10 +362,10 @@
         host.end_attempt(id, 0, Outcome::Success);
         answer
     };
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend: the quota's first token");
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend");
-    assert_eq!(answer(600_000, 1), Some("refused"), "3 held on each backend, beyond quota");
-    assert_eq!(answer(600_000, 0), None, "3 held on each backend, within quota");
+    assert_eq!(answer(300_000, 1), None, "1.5 in flight on each backend, first token of the quota");
+    assert_eq!(answer(300_000, 1), None, "1.5 in flight on each backend");
+    assert_eq!(answer(600_000, 1), Some("rejected"), "3 in flight on each backend, beyond quota");
+    assert_eq!(answer(600_000, 0), None, "3 in flight on each backend, within quota");
 }
 
 #[test]
@@ -352,12 +373,12 @@
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(2));
     host.burst(20, 0, 900_000);
     let out = host.in_flight();
-    assert!((8..=10).contains(&out.len()), "{} out on two backends", out.len());
+    assert!((8..=10).contains(&out.len()), "{} in flight on two backends", out.len());
     let (id, no) = out[0];
     host.advance(20_000);
     let before = host.in_flight().len();
     host.end_attempt(id, no, Outcome::Success);
-    assert_eq!(host.in_flight().len(), before, "the room made is used at once");
+    assert_eq!(host.in_flight().len(), before, "the freed capacity is used immediately");
 }
 
 #[test]
@@ -384,7 +405,7 @@
     let id = host.submit(0, 900_000);
     host.advance(210_000);
     host.end_attempt(id, 0, Outcome::Error);
-    assert_eq!(host.sent_to(id).len(), 1, "repeated after its window");
+    assert_eq!(host.sent_to(id).len(), 1, "retried after its window");
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
@@ -403,17 +424,20 @@
             return 3;
         }
     }
-    panic!("never ejected");
+    panic!("the backend was never ejected");
 }
 
 #[test]
 fn an_erring_backend_is_ejected_and_probed_only_by_requests_without_side_effects() {
     let mut host = host(config(vec![class(SideEffects::None), class(SideEffects::NonIdempotent)]), fleet(6));
     let ejected = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used during its term");
+    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used during its ejection");
     host.advance(2_000_000);
-    assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&ejected), "an unsafe request tried it");
-    assert!(serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "no free request tried it");
+    assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&ejected), "probed by a non-idempotent request");
+    assert!(
+        serve(&mut host, 40, 0, |_| 5_000).contains(&ejected),
+        "not probed by a request without side effects"
+    );
     assert!(host.logs.iter().any(|l| l.contains("is back")));
 }
 
@@ -430,7 +454,7 @@
         host.end_attempt(id, no, Outcome::Success);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
-    assert!(chosen.iter().any(|b| *b != 0), "all load went to the one backend left");
+    assert!(chosen.iter().any(|b| *b != 0), "all requests went to the only backend that does not fail");
 }
 
 #[test]
@@ -492,12 +516,12 @@
         host.handle_event(Event::ProcessCount { count: 2 });
         host.handle_event(Event::ProcessCount { count: 1 });
     });
-    assert!(sent >= 1 && most <= 5, "{sent} sent, {most} to one just after");
+    assert!(sent >= 1 && most <= 5, "{sent} sent, {most} to one backend just after the second process ended");
     let (_, most) = burst_on_cold(|host| {
         host.handle_event(Event::ProcessCount { count: 1 });
         host.advance(2_000_000);
     });
-    assert!(most >= 6, "{most} to one: all of it is this process's again");
+    assert!(most >= 6, "{most} to one backend: the full budget is this process's again");
 }
 
 #[test]
@@ -514,7 +538,7 @@
     fill.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Success));
     let at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.sent_at);
     assert!(at(&first).is_some());
-    assert!(at(&retry).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
+    assert!(at(&retry).is_none_or(|t| t >= at(&first).unwrap()), "the client retry was sent first");
 }
 
 #[test]
@@ -525,8 +549,8 @@
         (0..30).map(|_| host.submit_for_tenant(0, 900_000, Some(TenantId(0)))).collect();
     let flooded = flood.iter().filter(|id| !host.sent_to(**id).is_empty()).count();
     let other = host.submit_for_tenant(0, 900_000, Some(TenantId(1)));
-    assert!(flooded <= 6, "{flooded} of the flood went out");
-    assert_eq!(host.sent_to(other).len(), 1, "the other tenant waits behind the flood");
+    assert!(flooded <= 6, "{flooded} of the flood were sent");
+    assert_eq!(host.sent_to(other).len(), 1, "the other tenant must not wait behind the flood");
 }
 
 #[test]
@@ -541,7 +565,7 @@
     let served =
         |c: usize| ids.iter().skip(c).step_by(2).filter(|i| host.requests[i].answer == Some("served"));
     let (low, high) = (served(0).count(), served(1).count());
-    assert!(high > low, "{high} rich and {low} poor requests were served");
+    assert!(high > low, "{high} requests of high and {low} of low priority weight were served");
 }
 
 fn count_in_own_zone(cost: f64) -> usize {
@@ -553,10 +577,10 @@
 
 #[test]
 fn with_a_cross_zone_cost_traffic_stays_in_its_zone() {
-    assert!(count_in_own_zone(0.05) >= 270, "{} of 300 stayed", count_in_own_zone(0.05));
+    assert!(count_in_own_zone(0.05) >= 270, "{} of 300 stayed in the zone", count_in_own_zone(0.05));
     assert!(
         (70..=130).contains(&count_in_own_zone(0.0)),
-        "{} of 300 stayed without a cost",
+        "{} of 300 stayed in the zone without a cost",
         count_in_own_zone(0.0)
     );
 }
@@ -570,7 +594,7 @@
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
     let mut host = host(config, list);
     let near = serve(&mut host, 400, 0, |_| 10_000).iter().filter(|b| **b == 0).count();
-    assert!((120..=220).contains(&near), "{near} of 400 stayed on the one near backend");
+    assert!((120..=220).contains(&near), "{near} of 400 stayed on the only backend of the zone");
 }
 
 #[test]
@@ -584,12 +608,12 @@
     assert_eq!(host.watch_requests, 1);
     host.update_endpoints(ListUpdate::Changes, fleet(3));
     host.advance(8_000_000);
-    assert_eq!(host.watch_requests, 1, "a living subscription is not asked for again");
+    assert_eq!(host.watch_requests, 1, "a live subscription is not requested again");
     host.handle_event(Event::EndpointsUpdated { update: ListUpdate::Failed, backends: Vec::new() });
     host.advance(400_000);
     assert_eq!(host.watch_requests, 2);
     host.advance(6_000_000);
-    assert_eq!(host.watch_requests, 3, "an unanswered call is repeated");
+    assert_eq!(host.watch_requests, 3, "an unanswered watch request is repeated");
 }
 
 #[test]
@@ -627,20 +651,23 @@
     host.body_incomplete = true;
     let uploads: Vec<RequestId> = (0..12).map(|_| host.submit(0, 60_000_000)).collect();
     host.body_incomplete = false;
-    assert!(uploads.iter().all(|id| host.sent_to(*id).len() == 1), "what is still coming is no work");
+    assert!(uploads.iter().all(|id| host.sent_to(*id).len() == 1), "an incomplete upload is no work");
     host.advance(5_000_000);
     let is_open = |host: &Host, id: RequestId| host.requests[&id].answer.is_none();
-    assert!(uploads.iter().all(|id| is_open(&host, *id)), "no time runs on them");
+    assert!(uploads.iter().all(|id| is_open(&host, *id)), "incomplete uploads do not time out");
     let other = host.submit(1, 900_000);
-    assert_eq!(host.sent_to(other).len(), 1, "nor is the backend taken for silent");
+    assert_eq!(host.sent_to(other).len(), 1, "the backend does not count as silent");
     host.end_attempt(other, 0, Outcome::Success);
     for id in &uploads {
         host.handle_event(Event::BodyReceived { request: *id, time_left: Micros(900_000) });
     }
     let late = host.submit(1, 900_000);
-    assert!(host.sent_to(late).is_empty(), "now they are work, more than it may hold");
+    assert!(host.sent_to(late).is_empty(), "complete uploads are work, more than the backend's limit");
     host.end_attempt(uploads[0], 0, Outcome::ConnectFailed);
-    assert!(!is_open(&host, uploads[0]) && host.sent_to(uploads[0]).len() == 1, "its body is gone");
+    assert!(
+        !is_open(&host, uploads[0]) && host.sent_to(uploads[0]).len() == 1,
+        "it cannot be retried, as its body is consumed"
+    );
     host.advance(2_000_000);
-    assert!(uploads.iter().all(|id| !is_open(&host, *id)), "and their time is up in the end");
+    assert!(uploads.iter().all(|id| !is_open(&host, *id)), "complete uploads time out");
 }
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -103,7 +103,7 @@
                 let open: Vec<RequestId> =
                     host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&open, n) {
-                    host.requests.get_mut(&id).unwrap().answer = Some("left");
+                    host.requests.get_mut(&id).unwrap().answer = Some("disconnected");
                     host.handle_event(Event::ClientDisconnected { request: id });
                 }
             }
@@ -125,7 +125,7 @@
     }
     host.advance(3_000_000);
     let answered = |r: &common::OpenRequest| r.answer.is_some() || r.streaming;
-    assert!(host.requests.values().all(answered), "a request was left without an answer");
+    assert!(host.requests.values().all(answered), "a request got no answer");
     trace
 }
 
--- a/crates/policy/tests/large.rs
+++ b/crates/policy/tests/large.rs
@@ -38,7 +38,7 @@
 fn a_list_change_applies_at_once_and_is_solved_in_parts() {
     let mut host = host();
     let first = serve(&mut host, 600);
-    assert_eq!(first.len(), 600, "the first solution is whole: nothing waits");
+    assert_eq!(first.len(), 600, "the first solution is complete, so that no request waits");
     let half: Vec<Backend> = (0..BACKENDS).filter(|i| i % 2 == 0).map(|i| backend(i, 0, 0)).collect();
     let drained = half.clone().into_iter().map(|b| Backend { state: BackendState::Draining, ..b }).collect();
     host.update_endpoints(ListUpdate::Changes, drained);
@@ -46,7 +46,7 @@
     host.update_endpoints(ListUpdate::Changes, half);
     let after = serve(&mut host, 3_000);
     let back = after[1_500..].iter().filter(|b| **b % 2 == 0).count();
-    assert!((600..900).contains(&back), "{back} of 1500 went to the half that is back");
+    assert!((600..900).contains(&back), "{back} of 1500 went to the half that returned");
 }
 
 /// Guards against ejected backends that are never probed in a large fleet. They are drawn like all others, less
@@ -83,7 +83,7 @@
     // The backends ejected most often are probed last.
     assert!(
         probed.len() >= 30 && count_ejected(&host) <= 12,
-        "{} tried, {} still out",
+        "{} probed, {} still ejected",
         probed.len(),
         count_ejected(&host)
     );
--- a/crates/policy/tests/lost_answers.rs
+++ b/crates/policy/tests/lost_answers.rs
@@ -79,10 +79,10 @@
             lost_in_total += lost;
             assert!(
                 lost_at_first > 3,
-                "it takes some to tell: {lost_at_first}, {latency_ms} ms, seed {seed}"
+                "some are lost before the loss is known: {lost_at_first}, {latency_ms} ms, seed {seed}"
             );
             assert!(lost < 2, "{lost} of 30 were lost, {latency_ms} ms, seed {seed}");
         }
     }
-    println!("{lost_in_total} of 2,400 lost once it could tell");
+    println!("{lost_in_total} of 2,400 lost once the loss was known");
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -72,7 +72,7 @@
         part(&sent, |b| b < 4)
     };
     let (unrestored_share, restored) = (first(None), first(Some(&snapshot)));
-    println!("to the fast kind: steady {steady:.2}, kept {restored:.2}, blank {unrestored_share:.2}");
+    println!("share of the fast kind: steady {steady:.2}, restored {restored:.2}, unrestored {unrestored_share:.2}");
     assert!(steady > 0.9 && restored > 0.9 && (0.35..0.65).contains(&unrestored_share));
 }
 
@@ -100,17 +100,24 @@
     let first = flood(&mut running, 150);
     let snapshot = running.balancer.snapshot(running.now);
     let spent: f64 = snapshot.warmup_spend.iter().map(|s| s.work).sum();
-    assert!(first > 3 && (spent - first as f64).abs() < 1.0, "{spent} kept of {first}");
-    assert!(snapshot.warmup_spend.len() <= 9, "eight slots and a part: {}", snapshot.warmup_spend.len());
+    assert!(first > 3 && (spent - first as f64).abs() < 1.0, "{spent} of {first} in the snapshot");
+    assert!(
+        snapshot.warmup_spend.len() <= 9,
+        "at most eight full slots and a partial one: {}",
+        snapshot.warmup_spend.len()
+    );
     let without_spend = Snapshot { warmup_spend: Vec::new(), ..snapshot.clone() };
     let again = |snapshot| flood(&mut started_host(5, &list, running.now, Some(snapshot)), 40);
     let (unrestored, restored) = (again(without_spend), again(snapshot));
     let sent_by_running = flood(&mut running, 40);
     println!(
-        "sent to the cold backend: {first} before; then {sent_by_running} alive, {restored} kept, {unrestored} with the budget anew"
+        "sent to the cold backend: {first} before; then {sent_by_running} running, {restored} restored, {unrestored} unrestored"
+    );
+    assert!(
+        unrestored > sent_by_running + 2,
+        "the flood must show a budget granted again: {unrestored}, running {sent_by_running}"
     );
-    assert!(unrestored > sent_by_running + 2, "a budget anew is seen: {unrestored}, alive {sent_by_running}");
-    assert!(restored <= sent_by_running + 1, "kept {restored}, alive {sent_by_running}");
+    assert!(restored <= sent_by_running + 1, "restored {restored}, running {sent_by_running}");
 }
 
 /// Guards against full load on a backend that was ejected before a restart: it starts on probation, gets one request
@@ -123,10 +130,10 @@
     let mut restored = started_host(5, &list, now, Some(snapshot));
     let ids = restored.burst(4, 0, 500_000);
     let there = ids.iter().filter(|id| restored.sent_to(**id) == [2]).count();
-    assert!(there <= 1, "one request at a time: {there}");
+    assert!(there <= 1, "more than one request at a time on probation: {there}");
     restored.serve_all(5_000);
     let sent = serve(&mut restored, 120, |_| 5_000);
-    assert!(sent.contains(&2), "it is tried");
+    assert!(sent.contains(&2), "the backend is probed");
     assert!(restored.logs.iter().any(|l| l == "backend 2 is back"), "{:?}", restored.logs);
 }
 
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -27,7 +27,7 @@
 }
 
 fn read(settings: &Value) -> Settings {
-    Settings::read(settings).expect("sound settings")
+    Settings::read(settings).expect("valid settings")
 }
 
 /// Merges `new` with `old`, while no open request uses an id.
@@ -61,7 +61,7 @@
 /// settings are rejected.
 #[test]
 fn two_customers_of_one_name_are_rejected() {
-    let faults = Settings::read(&settings_with(&[("north", 500.0), ("north", 20.0)])).expect_err("a fault");
+    let faults = Settings::read(&settings_with(&[("north", 500.0), ("north", 20.0)])).expect_err("an error");
     let messages: Vec<String> = faults.0.iter().map(ToString::to_string).collect();
     assert_eq!(messages, ["customers[1].name: expected a name that no other customer has, got \"north\""]);
 }
@@ -80,5 +80,5 @@
     assert_eq!([old_id, new_id].map(|class| second.names.class_name(class)), ["read"; 2]);
     assert_eq!(second.config.classes[old_id.0].side_effects, first.config.classes[old_id.0].side_effects);
     let third = merged_after(&second, read(&settings_with(&[])));
-    assert_eq!(third.names.class("read"), Some(old_id), "it has come back");
+    assert_eq!(third.names.class("read"), Some(old_id), "the first id is used again");
 }
--- a/crates/policy/tests/succession.rs
+++ b/crates/policy/tests/succession.rs
@@ -52,7 +52,7 @@
         "rules": {"cold_from": 0.3, "fall_multiple": 2.5, "must_ask_in_us": 9_000_000,
             "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000},
     });
-    Settings::read(&value).expect("sound settings")
+    Settings::read(&value).expect("valid settings")
 }
 
 /// Returns the names after `change` changes, each of which replaces the oldest ones.
@@ -107,7 +107,8 @@
     for change in 1..=CHANGES {
         rig.apply(settings_at(change, None));
         let newest = ("class", CLASSES - 1 + change * REPLACED);
-        let class = rig.settings.names.class(&format!("{}-{:06}", newest.0, newest.1)).expect("in force");
+        let class =
+            rig.settings.names.class(&format!("{}-{:06}", newest.0, newest.1)).expect("an active name");
         let id = rig.host.submit(class.0, 900_000);
         rig.host.serve_all(2_000);
         assert_eq!(rig.host.requests.remove(&id).and_then(|r| r.answer), Some("served"));
@@ -118,8 +119,8 @@
         }
     }
     let config = &rig.settings.config;
-    assert!(config.classes.len() <= CLASSES + 2 * REPLACED, "{} numbers of classes", config.classes.len());
-    assert!(config.tenants.len() <= TENANTS + 2 * REPLACED, "{} numbers of tenants", config.tenants.len());
+    assert!(config.classes.len() <= CLASSES + 2 * REPLACED, "{} ids of classes", config.classes.len());
+    assert!(config.tenants.len() <= TENANTS + 2 * REPLACED, "{} ids of tenants", config.tenants.len());
     assert_eq!(config.classes.iter().filter(|c| !c.retired).count(), CLASSES);
     let growth = held() - after_a_few;
     assert!(growth < 16_384, "{growth} bytes more than after {} changes", CHANGES / 20);
@@ -131,27 +132,27 @@
 fn an_open_request_ends_under_the_rules_of_its_class_and_its_id_is_then_free() {
     let _guard = serialize_tests();
     let mut rig = Rig::new(settings_at(0, Some("pay")));
-    let pay = rig.settings.names.class("pay").expect("in force");
+    let pay = rig.settings.names.class("pay").expect("an active name");
     rig.host.submit(pay.0, 900_000);
     rig.host.serve_all(20_000); // its latency is recorded
     let open = rig.host.submit(pay.0, 60_000_000);
     assert_eq!(rig.host.sent_to(open).len(), 1);
     for change in 1..=CHANGES {
         let reassigned_ids = rig.apply(settings_at(change, None));
-        assert!(!reassigned_ids.classes.contains(&pay), "change {change} gives its number away");
+        assert!(!reassigned_ids.classes.contains(&pay), "change {change} reassigned the id");
         assert_eq!(rig.settings.names.class("pay"), None);
         assert_eq!(rig.settings.names.class_name(pay), "pay");
         assert_eq!(rig.settings.config.classes[pay.0].side_effects, SideEffects::NonIdempotent);
     }
     rig.host.end_attempt(open, 0, Outcome::Reset);
-    assert_eq!(rig.host.sent_to(open).len(), 1, "it may have run: it is not sent again");
+    assert_eq!(rig.host.sent_to(open).len(), 1, "not retried, as it may have run");
     assert_eq!(rig.host.requests[&open].answer, Some("failed"));
     assert_eq!(rig.host.balancer.classes_in_use().count(), 0);
     let samples = |rig: &Rig| rig.host.balancer.snapshot(rig.host.now).class_latency[pay.0].1.samples;
     assert_eq!(samples(&rig), 1.0);
     let reassigned_at = (1..4).find(|n| rig.apply(settings_at(CHANGES + n, None)).classes.contains(&pay));
-    assert!(reassigned_at.is_some(), "its number is used again");
-    assert_eq!(samples(&rig), 0.0, "what was learned of another class says nothing of this one");
+    assert!(reassigned_at.is_some(), "the id is reassigned");
+    assert_eq!(samples(&rig), 0.0, "estimates of another class do not pass to this one");
     assert_eq!(rig.settings.config.classes[pay.0].side_effects, SideEffects::None);
 }
 
@@ -161,7 +162,7 @@
     let _guard = serialize_tests();
     let first = settings_at(0, None);
     let (class, tenant) = (first.names.class("class-000000"), first.names.tenant("tenant-000000"));
-    let (class, tenant) = (class.expect("in force"), tenant.expect("in force"));
+    let (class, tenant) = (class.expect("an active name"), tenant.expect("an active name"));
     let in_use = IdsInUse { classes: [class].into(), tenants: [tenant].into() };
     let mut settings = first;
     for change in 1..10 {
@@ -172,7 +173,11 @@
     assert_eq!(settings.names.class_name(class), "class-000000");
     assert_eq!(settings.names.tenant_name(tenant), "tenant-000000");
     let back = settings.merge_successor(settings_at(0, None), &settings.names, &in_use);
-    assert_eq!(back.settings.names.class("class-000000"), Some(class), "it has come back while it was held");
+    assert_eq!(
+        back.settings.names.class("class-000000"),
+        Some(class),
+        "the name returned while its id was in use"
+    );
     assert_eq!(back.settings.names.tenant("tenant-000000"), Some(tenant));
 }
 
@@ -183,7 +188,7 @@
     let many = settings(&names("class", 9_000, 0), &names("tenant", 20_000, 0), None);
     let few = || settings_at(0, None);
     let shrunk = many.merge_successor(few(), &many.names, &IdsInUse::default()).settings;
-    assert_eq!(shrunk.config.tenants.len(), 20_000, "requests that come meanwhile may still be theirs");
+    assert_eq!(shrunk.config.tenants.len(), 20_000, "requests that arrive meanwhile may still use these ids");
     let next = shrunk.merge_successor(few(), &shrunk.names, &IdsInUse::default()).settings;
     let sizes = (next.config.classes.len(), next.config.tenants.len(), next.network.deadlines.len());
     assert_eq!(sizes, (2 * CLASSES + 1_024, 2 * TENANTS + 1_024, 2 * CLASSES + 1_024));
--- a/crates/policy/tests/thin.rs
+++ b/crates/policy/tests/thin.rs
@@ -41,7 +41,7 @@
 fn a_kind_that_never_answers_in_time_loses_its_share() {
     let list: Vec<Backend> = (0..60).map(|i| backend(i, 0, i / 20)).collect();
     let shares = unanswered_shares(list, |b| b < 40, 3);
-    assert!(shares[2] < 0.04, "part that went to the overrun kind, by 20 s: {shares:?}");
+    assert!(shares[2] < 0.04, "share that went to the overloaded kind, per 20 s: {shares:?}");
 }
 
 /// Guards against probes of unhealthy backends that are few at each proxy, but together keep the backends from
@@ -50,7 +50,7 @@
 fn probes_of_failing_backends_are_a_small_part_of_a_low_traffic_proxys_requests() {
     let list: Vec<Backend> = (0..60).map(|i| backend(i, 0, 0)).collect();
     let shares = unanswered_shares(list, |b| b % 3 != 0, 3);
-    assert!(shares[2] < 0.06, "part that went to the ill third, by 20 s: {shares:?}");
+    assert!(shares[2] < 0.06, "share that went to the failing third, per 20 s: {shares:?}");
 }
 
 /// Guards against too many proxies on one backend: with twenty, each of which may have one request in flight there,
@@ -87,12 +87,12 @@
             let id = host.submit(0, 990_000);
             host.advance(950_000);
             host.end_attempt(id, 0, Outcome::Success);
-            host.requests[&id].answer == Some("refused")
+            host.requests[&id].answer == Some("rejected")
         };
         (0..20).any(|_| one())
     };
-    assert!(!rejected(110), "5 held on each backend");
-    assert!(rejected(145), "7 held on each backend");
+    assert!(!rejected(110), "5 in flight on each backend");
+    assert!(rejected(145), "7 in flight on each backend");
 }
 
 /// Guards against a proxy with four times the mean traffic that expects the same of all others, and rejects requests
@@ -121,7 +121,7 @@
             }
             if step >= 1_200 {
                 requests += 1;
-                rejected += usize::from(host.requests[&id].answer == Some("refused"));
+                rejected += usize::from(host.requests[&id].answer == Some("rejected"));
             }
         }
         f64::from(rejected as u32) / f64::from(requests)
@@ -129,6 +129,6 @@
     // It has 8 in flight, and 19 like it would have 152, where 60 are one and a half times the target on ten
     // backends.
     let (alone, idle, full) = (rejected(None), rejected(Some(12.0)), rejected(Some(200.0)));
-    println!("refused: {alone:.2} alone, {idle:.2} among idle ones, {full:.2} among full ones");
+    println!("rejected: {alone:.2} without reports, {idle:.2} with idle others, {full:.2} with busy others");
     assert!(alone > 0.3 && idle < 0.02 && full > 0.3);
 }
