--- a/crates/core/src/registry.rs
+++ b/crates/core/src/registry.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns whether the entry reports a backend as ready that was draining when discovery moved and has not been
-    /// restarted since.
+    /// restarted since, so that it has to stay draining.
     fn keeps_draining(&self, entry: &KnownBackend) -> bool {
         let Some(known) = self.backends.get(&entry.notified.id) else { return false };
         entry.state == BackendState::Ready
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -66,7 +66,7 @@
     /// This proxy's attempts in flight to it.
     #[serde(rename = "held")]
     pub in_flight: u32,
-    /// Limit on these attempts.
+    /// Limit on this proxy's attempts in flight to it.
     #[serde(rename = "room")]
     pub in_flight_limit: f64,
     /// Moving average of the fraction of error answers.
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -18,7 +18,7 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Sizes from those of today to those expected in two years.
+/// Numbers of names, from those of today to those expected in two years.
 const SIZES: [usize; 4] = [1_000, 4_000, 16_000, 34_000];
 /// Each figure is the median of this many runs, as others use the machine.
 const RUNS: usize = 7;
--- a/crates/policy/tests/cold_sum.rs
+++ b/crates/policy/tests/cold_sum.rs
@@ -12,7 +12,7 @@
 use lotusdeck_policy::*;
 
 const BACKENDS: u32 = 12;
-/// Number of these that restart together.
+/// Number of backends that restart together.
 const COLD: u32 = 4;
 /// Load before the burst, as a fraction of the warm fleet's capacity.
 const LOAD: f64 = 0.3;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns how many requests per second a backend can serve at a time.
+    /// Returns how many requests per second a backend can serve at the time `at`.
     fn capacity_at(&self, id: u32, at: Time) -> f64 {
         let config = &self.hosts[0].config;
         let Some(restarted_at) = self.restarted_at.filter(|_| id < COLD) else { return self.capacity };
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Advances the time. Timers and time-outs fire when they are due, and every deadline is checked.
+    /// Advances the time, fires timers and time-outs when they are due, and checks every deadline.
     pub(crate) fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -638,8 +638,8 @@
     assert_eq!(run(false), run(true));
 }
 
-/// Guards against uploads that count as work or run out of time before their last byte. Both begin with the last
-/// byte, and there is no second attempt.
+/// Guards against uploads that count as work or run out of time before their last byte. Work and time count from the
+/// last byte on, and there is no second attempt.
 #[test]
 fn an_upload_counts_as_work_and_is_timed_from_its_last_byte() {
     let config = || Config {
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -137,8 +137,8 @@
     assert!(restored.logs.iter().any(|l| l == "backend 2 is back"), "{:?}", restored.logs);
 }
 
-/// Guards against invalid values in a restored file: unknown ids, values that are not positive numbers, times before
-/// the start of the clock, unlimited work.
+/// Guards against invalid values in a restored file: unknown ids, values that are not positive numbers, times too
+/// long ago, infinite work.
 #[test]
 fn an_invalid_snapshot_changes_nothing() {
     let list: Vec<Backend> = (0..4).map(|i| backend(i, 0, 0)).collect();
