--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! What is checked before the first byte of an attempt, and what is left of a request and a backend that are over.
+//! Tests of the checks before the first byte of an attempt, and of the cleanup after requests and backends.
 
 use super::attempts::SendCondition;
 use super::{Answer, Host, OptionalServices};
@@ -56,7 +56,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// The list's only backend changes to this state at this port.
+/// Changes the state and the port of the only backend on the list.
 fn change_backend(host: &Rc<Host>, state: BackendState, port: u16) {
     let address = address(port);
     let backend = Backend { state, ..Backend::default() };
@@ -78,13 +78,14 @@
     host.submit(arrival, Rc::new(NeverAnswered), SideEffects::None, || unreachable!())
 }
 
-/// Whether an attempt of this request may be sent to the backend at the first port.
+/// Returns whether an attempt of this request may be sent to the backend at `PORT`.
 fn may_send(host: &Host, request: RequestId, send_by: Option<Time>) -> bool {
     host.may_send(&SendCondition { request, backend: BackendId(0), address: address(PORT), send_by })
 }
 
-/// Each change that may happen while a connection comes up stops the send: of the list, of the request, and the end
-/// of the idempotency window. Nothing is left of a request and a backend that are over.
+/// Guards against an attempt that is sent although, while its connection was being established, the endpoint list or
+/// the request changed or the idempotency window ended, and against leftovers of a request and a backend that are
+/// gone.
 #[tokio::test]
 async fn attempt_is_sent_only_while_list_request_and_idempotency_window_allow_it() {
     let check = async {
@@ -93,7 +94,7 @@
         let (id, _answer) = submit(&host);
         let now = host.clock.now();
         assert!(may_send(&host, id, None) && may_send(&host, id, Some(now + MINUTE)));
-        assert!(!may_send(&host, id, Some(now)), "the window is over");
+        assert!(!may_send(&host, id, Some(now)), "the idempotency window is over");
         assert!(!may_send(&host, RequestId(99), None), "the request is over");
         change_backend(&host, BackendState::Ready, OTHER_PORT);
         assert!(!may_send(&host, id, None), "the backend moved, and another may listen at its old address");
@@ -102,14 +103,18 @@
         change_backend(&host, BackendState::Draining, PORT);
         assert!(!may_send(&host, id, None), "the backend drains");
         host.client_disconnected(id);
-        assert!(host.state.borrow().attempts.is_empty(), "nothing is in flight for a client that left");
+        assert!(
+            host.state.borrow().attempts.is_empty(),
+            "no attempt stays in flight after the client disconnected"
+        );
         change_backend(&host, BackendState::Removed, PORT);
         assert!(host.state.borrow().registry.is_empty(), "a removed backend is forgotten");
     };
     tokio::task::LocalSet::new().run_until(check).await;
 }
 
-/// Guards against a pause after a failed poll that ends at once, as the balancer wanted one while the poll was silent.
+/// Guards against a pause after a failed poll that ends at once because the balancer requested a watch during the
+/// poll.
 #[tokio::test]
 async fn a_watch_that_was_requested_before_is_not_waited_for_again() {
     let host = host();
@@ -117,7 +122,7 @@
     host.discard_watch_request();
     let mut requested = std::pin::pin!(host.watch_requested());
     let is_ready = std::future::poll_fn(|cx| std::task::Poll::Ready(requested.as_mut().poll(cx).is_ready()));
-    assert!(!is_ready.await, "the request from before counts");
+    assert!(!is_ready.await, "an earlier watch request must not count");
     host.watch_request.notify_one();
     requested.await;
 }
--- a/crates/policy/benches/cost.rs
+++ b/crates/policy/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What the means of `decision` hide: the worst single decision, allocations, and memory for each backend.
-//! `cargo bench -p lotusdeck-policy --bench cost`; results in docs/scale.md.
+//! Measures what the means of `decision` do not show: the worst single decision, allocations, and memory per
+//! backend. `cargo bench -p lotusdeck-policy --bench cost`; results in docs/scale.md.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,11 +18,12 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const TURNS: usize = 90_000;
-/// The worst of a round may be the machine's, which interrupts; what the program does comes again in every round, so
-/// that the least of so many rounds' worst is told.
+/// Number of rounds. Interruptions by the machine differ between rounds, while the program's own worst case recurs
+/// in each, so the least of the rounds' worst times is reported.
 const ROUNDS: usize = 9;
 
-/// Times of so many calls, us: their mean, their 99.9th percentile and the worst, each the least of all rounds.
+/// Measures the times of `TURNS` calls, us: their mean, their 99.9th percentile and the worst, each the least of all
+/// rounds.
 fn times(mut call: impl FnMut() -> Duration) -> [f64; 3] {
     let mut least = [f64::INFINITY; 3];
     for _ in 0..ROUNDS {
@@ -38,9 +39,9 @@
 }
 
 fn timed(call: impl FnOnce()) -> Duration {
-    let began = Instant::now();
+    let started = Instant::now();
     call();
-    began.elapsed()
+    started.elapsed()
 }
 
 fn main() {
@@ -54,14 +55,14 @@
         let held = region.change();
         let bytes = held.bytes_allocated.saturating_sub(held.bytes_deallocated) as f64 / f64::from(size);
         let region = Region::new(ALLOCATOR);
-        (0..TURNS).for_each(|_| bench.turn());
+        (0..TURNS).for_each(|_| bench.serve_and_submit());
         let allocations = region.change().allocations as f64 / TURNS as f64;
-        let turn = times(|| timed(|| bench.turn()));
+        let turn = times(|| timed(|| bench.serve_and_submit()));
         let mut n = 0;
         let line = times(|| {
             n += 1;
             let change = change(n, size);
-            timed(|| bench.tell(change))
+            timed(|| bench.handle(change))
         });
         println!(
             "{size:>9} {bytes:>14.0} {allocations:>18.1} | {:>30.2} {:>7.1} {:>7.1} | {:>18.2} {:>7.1} {:>7.1}",
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -1,5 +1,5 @@
-//! What tens of thousands of classes and tenants cost: reading settings, taking them after others, finding a name in a
-//! request, and the memory held for each. `cargo bench -p lotusdeck-policy --bench names`.
+//! Measures the cost of tens of thousands of classes and tenants: reading settings, merging and applying them,
+//! looking up a name, and the memory for each. `cargo bench -p lotusdeck-policy --bench names`.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,19 +18,19 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// From what is served today to what is expected in two years.
+/// Numbers of names, from those of today to those expected in two years.
 const SIZES: [usize; 4] = [1_000, 4_000, 16_000, 34_000];
-/// Each figure is the median of so many runs: others use the machine.
+/// Each figure is the median of this many runs, as others use the machine.
 const RUNS: usize = 7;
-/// Lookups that are timed together: one is too short for the clock.
+/// Number of lookups that are timed together, as one is too short for the clock.
 const LOOKUPS: usize = 2_000;
 
-/// One name in so many is replaced by a change whose hold of the event loop is timed.
+/// A change of settings whose time on the event loop is measured replaces one name in this many.
 const REPLACED: usize = 20;
-/// Backends that the module knows of meanwhile.
+/// Number of backends that the balancer knows meanwhile.
 const BACKENDS: u32 = 1_000;
 
-/// Settings of so many classes and tenants, whose names are numbered from `first` on.
+/// Builds settings with these numbers of classes and tenants, whose names are numbered from `first`.
 fn settings(classes: usize, tenants: usize, first: usize) -> Value {
     let class = |i| {
         json!({"name": format!("class-{i:05}"), "aim_us": 900_000, "deadline_us": 3_000_000, "effect": "free",
@@ -50,13 +50,13 @@
     })
 }
 
-/// Median time of a call, us.
+/// Measures the median time of a call, us.
 fn median<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             let made = black_box(call());
-            let took = began.elapsed().as_secs_f64() * 1e6;
+            let took = started.elapsed().as_secs_f64() * 1e6;
             drop(made);
             took
         })
@@ -65,63 +65,63 @@
     times[RUNS / 2]
 }
 
-/// How long the module takes over other settings, us, in ascending order; what is left of the old ones is dropped
-/// within that time, as on the event loop.
-fn hold_times(settings_then: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
-    let mut balancer = Balancer::new(settings_then.config.clone(), 1).expect("sound settings");
+/// Measures how long the balancer takes to apply other settings, us, in ascending order. This includes dropping the
+/// old settings, as on the event loop.
+fn apply_times(old: &Settings, classes: usize, tenants: usize) -> Vec<f64> {
+    let mut balancer = Balancer::new(old.config.clone(), 1).expect("valid settings");
     let backend = |id| Backend { id: BackendId(id), state: BackendState::Ready, ..Backend::default() };
     let backends = (0..BACKENDS).map(backend).collect();
     let mut actions = Vec::new();
     balancer.handle(Time(0), Event::EndpointsUpdated { update: ListUpdate::Full, backends }, &mut actions);
-    let mut in_force = settings_then.clone();
+    let mut active = old.clone();
     let mut one = |run: usize| {
         let first = run * classes.max(tenants).div_ceil(REPLACED);
-        let new = Settings::read(&settings(classes, tenants, first)).expect("sound settings");
-        let next = in_force.merge_successor(new, &in_force.names, &IdsInUse::default());
+        let new = Settings::read(&settings(classes, tenants, first)).expect("valid settings");
+        let next = active.merge_successor(new, &active.names, &IdsInUse::default());
         let config = Box::new(next.settings.config.clone());
-        let began = Instant::now();
+        let started = Instant::now();
         balancer.handle(
             Time(run as u64),
             Event::ConfigApplied { config, reassigned: next.reassigned },
             &mut actions,
         );
-        drop(std::mem::replace(&mut in_force, next.settings));
-        began.elapsed().as_secs_f64() * 1e6
+        drop(std::mem::replace(&mut active, next.settings));
+        started.elapsed().as_secs_f64() * 1e6
     };
     let mut times: Vec<f64> = (1..=RUNS).map(&mut one).collect();
     times.sort_unstable_by(f64::total_cmp);
     times
 }
 
-/// One line: `classes` and `tenants` in the settings, of which the last is looked up.
+/// Prints a row for settings with these numbers of classes and tenants, the last of which are looked up.
 fn row(classes: usize, tenants: usize) {
     let value = settings(classes, tenants, 0);
-    let read = || Settings::read(&value).expect("sound settings");
+    let read = || Settings::read(&value).expect("valid settings");
     let region = Region::new(ALLOCATOR);
     let old = read();
     let held = region.change();
     let bytes = held.bytes_allocated.saturating_sub(held.bytes_deallocated);
     let read_us = median(read);
     let mut fresh: Vec<Settings> = (0..RUNS).map(|_| read()).collect();
-    let succeed_us =
+    let merge_us =
         median(|| old.merge_successor(fresh.pop().unwrap_or_else(read), &old.names, &IdsInUse::default()));
     let (class, tenant) = (format!("class-{:05}", classes - 1), format!("tenant-{:05}", tenants - 1));
     let region = Region::new(ALLOCATOR);
-    let find = |find: &dyn Fn() -> bool| {
-        let all = || (0..LOOKUPS).filter(|_| find()).count();
-        median(all) * 1e3 / LOOKUPS as f64
+    let median_lookup_ns = |lookup: &dyn Fn() -> bool| {
+        let lookups = || (0..LOOKUPS).filter(|_| lookup()).count();
+        median(lookups) * 1e3 / LOOKUPS as f64
     };
-    let class_ns = find(&|| old.names.class(black_box(&class)).is_some());
-    let tenant_ns = find(&|| old.names.tenant(black_box(&tenant)).is_some());
-    // The medians' own lists are two.
+    let class_ns = median_lookup_ns(&|| old.names.class(black_box(&class)).is_some());
+    let tenant_ns = median_lookup_ns(&|| old.names.tenant(black_box(&tenant)).is_some());
+    // Minus the list that each of the two calls of `median` allocates.
     let allocations = region.change().allocations - 2;
-    let holds = hold_times(&old, classes, tenants);
+    let apply_us = apply_times(&old, classes, tenants);
     println!(
-        "{classes:>8} {tenants:>8} {read_us:>10.0} {succeed_us:>10.0} {class_ns:>10.0} {tenant_ns:>10.0} \
+        "{classes:>8} {tenants:>8} {read_us:>10.0} {merge_us:>10.0} {class_ns:>10.0} {tenant_ns:>10.0} \
          {allocations:>12} {bytes:>10} {:>10.1} {:>10.0} {:>10.0}",
         bytes as f64 / classes.max(tenants) as f64,
-        holds[RUNS / 2],
-        holds[RUNS - 1]
+        apply_us[RUNS / 2],
+        apply_us[RUNS - 1]
     );
 }
 
