--- a/crates/lotusdeck/src/admin/mod.rs
+++ b/crates/lotusdeck/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! `lotusdeck admin`: operators' calls to a running proxy.
+//! `lotusdeck admin`: calls the operators' interface of a running proxy.
 
 mod table;
 
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Connecting, and each read and write, may take this long.
+/// Timeout of connecting, and of each read and write.
 const IO_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest response that is read, bytes.
+/// The longest part of a response that is read, bytes.
 const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
 
 /// The arguments of `lotusdeck admin`.
@@ -59,15 +59,15 @@
     /// The proxy cannot be reached.
     #[error("no call to {address}: {source}")]
     Io {
-        /// Where it was to listen.
+        /// The address that was called.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The response is no HTTP.
+    /// The response is not HTTP.
     #[error("{0} did not answer as a proxy would")]
     NotHttp(SocketAddr),
-    /// The proxy rejects the call.
+    /// The proxy rejected the call.
     #[error("no: {status} {reason}")]
     Rejected {
         /// The HTTP status.
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The response's body as it is to be printed.
+    /// Formats the response's body for printing.
     fn render(&self, body: String) -> String {
         let is_table = matches!(self, Call::Status { format: Format::Table });
         let document = if is_table { serde_json::from_str(&body).ok() } else { None };
@@ -105,7 +105,8 @@
     }
 }
 
-/// Exit code 0 where the proxy accepts the call, 1 where it rejects it or cannot be reached.
+/// Makes the call and prints the response. The exit code is 0 if the proxy accepts the call, and 1 if it rejects the
+/// call or cannot be reached.
 pub(crate) fn main(args: &Args) -> ExitCode {
     match send(args.addr, &args.call.request()) {
         Ok(body) => {
@@ -119,7 +120,7 @@
     }
 }
 
-/// The body of the response.
+/// Sends the request and returns the body of the response.
 fn send(address: SocketAddr, request: &Request) -> Result<String, CallError> {
     let response = exchange(address, request).map_err(|source| CallError::Io { address, source })?;
     let Some((head, body)) = response.split_once("\r\n\r\n") else {
--- a/crates/lotusdeck/src/admin/table.rs
+++ b/crates/lotusdeck/src/admin/table.rs
@@ -1,18 +1,18 @@
-//! The status document as a table for people.
+//! Formats the status document as text for people.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Columns of the backends: keys of the document.
+/// Columns of the table of backends: keys of the document.
 const BACKEND_COLUMNS: [&str; 11] =
     ["name", "address", "state", "cordoned", "kind", "ready", "share", "held", "room", "errors", "ejected"];
-/// Columns of the kinds of machines.
+/// Columns of the table of kinds of machines.
 const KIND_COLUMNS: [&str; 4] = ["name", "ready", "speed_rps", "share"];
-/// Keys that are shown one a line.
+/// Keys that are shown one per line.
 const SINGLE_KEYS: [&str; 6] =
     ["accepting", "clients", "open_requests", "open_attempts", "timer_lag_us", "settings_generation"];
 
-/// The document as a table.
+/// Formats the document: a table of backends, one of kinds, and a line for each other key.
 pub(super) fn render(document: &Value) -> String {
     let mut out = rows(&document["backends"], &BACKEND_COLUMNS);
     out.push_str(&rows(&document["kinds"], &KIND_COLUMNS));
@@ -36,7 +36,8 @@
     }
 }
 
-/// A header, a line for each entry of the array, and an empty line; nothing where it is no array.
+/// Formats a header, a line for each entry of the array, and an empty line. Returns an empty string if `array` is
+/// not an array.
 fn rows(array: &Value, columns: &[&str]) -> String {
     let Some(entries) = array.as_array() else { return String::new() };
     let mut table: Vec<Vec<String>> = vec![columns.iter().map(|column| (*column).to_string()).collect()];
--- a/crates/lotusdeck/src/configuration/mod.rs
+++ b/crates/lotusdeck/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! Follows a source of configuration (docs/configuration-distribution.md) on a thread of its own: polling, decoding,
-//! verifying and reading megabytes never hold the event loop, which gets settings that were read and checked.
+//! Follows a source of configuration (docs/configuration-distribution.md) on a separate thread: polling, decoding,
+//! verifying and reading megabytes never block the event loop, which receives settings that have been read and checked.
 //!
-//! `worker` is the thread, `poll` one question to the source, and `status` what operators see.
+//! `worker` runs the thread, `poll` is one poll of the source, and `status` is what operators see.
 
 mod poll;
 mod status;
@@ -17,26 +17,26 @@
 use tokio::sync::{mpsc, watch};
 use worker::Worker;
 
-/// Which source to follow, and as which proxy.
+/// The source to follow, and the outline of this proxy's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SourceOrder {
-    /// Where the source is; `None` where none is followed.
+    /// The address of the source; `None` if none is followed.
     pub source: Option<SocketAddr>,
     /// The outline of the settings in the node configuration.
     pub file: SettingsOutline,
 }
 
-/// Settings of a version, read and checked.
+/// The settings of a version, read and checked.
 pub(crate) struct VersionSettings {
-    /// The order under which they were read: under another one they are not applied.
+    /// The order under which they were read. They are not applied if another one has replaced it.
     pub order: SourceOrder,
-    /// The version that they are of.
+    /// The version.
     pub version: Version,
-    /// All of them.
+    /// The settings.
     pub settings: Settings,
 }
 
-/// The event loop's side of the thread, which is started by the first order that names a source.
+/// The event loop's handle of the thread, which is started by the first order that names a source.
 pub(crate) struct ConfigurationSource {
     orders: watch::Sender<SourceOrder>,
     version_sender: mpsc::Sender<VersionSettings>,
@@ -47,13 +47,14 @@
 }
 
 impl ConfigurationSource {
-    /// `seed` spreads the pauses of this proxy from those of others.
+    /// Starts the thread if the order names a source. `seed` makes this proxy's pauses between polls differ from those
+    /// of others.
     ///
     /// # Errors
-    /// There is no thread to be had.
+    /// The thread cannot be started.
     pub(crate) fn new(order: SourceOrder, seed: u64) -> std::io::Result<ConfigurationSource> {
         let is_followed = order.source.is_some();
-        // One at a time: what comes meanwhile is one delta later.
+        // Capacity 1: versions published while the event loop applies one arrive afterwards, as one delta.
         let (version_sender, versions) = mpsc::channel(1);
         let mut source = ConfigurationSource {
             orders: watch::Sender::new(order),
@@ -69,7 +70,7 @@
         Ok(source)
     }
 
-    /// Its descriptors (an event queue, its waker, a connection) are three of the reserve.
+    /// Starts the thread. Its three descriptors (an event queue, its waker, a connection) are part of the reserve.
     fn start_thread(&mut self) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let orders = self.orders.subscribe();
@@ -83,15 +84,15 @@
         Ok(())
     }
 
-    /// Settings of a later version.
+    /// Waits for the settings of the next version.
     pub(crate) async fn next_version(&mut self) -> Option<VersionSettings> {
         self.versions.recv().await
     }
 
-    /// Does whatever an order needs that can fail; setting it cannot fail after this.
+    /// Starts the thread if the order needs it. Setting the order cannot fail after this.
     ///
     /// # Errors
-    /// It names the first source, and there is no thread to be had.
+    /// The order is the first that names a source, and the thread cannot be started.
     pub(crate) fn prepare(&mut self, order: &SourceOrder) -> std::io::Result<()> {
         if order.source.is_some() && !self.has_thread {
             return self.start_thread();
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// Replaces the order.
+    /// Replaces the order, and notifies the thread if it has changed.
     pub(crate) fn set_order(&mut self, order: SourceOrder) {
         self.orders.send_if_modified(|old| {
             let has_changed = *old != order;
@@ -108,12 +109,12 @@
         });
     }
 
-    /// The order that holds.
+    /// Returns the current order.
     pub(crate) fn order(&self) -> SourceOrder {
         self.orders.borrow().clone()
     }
 
-    /// What operators see of the thread.
+    /// Returns the status that operators see.
     pub(crate) fn status(&self) -> Arc<SourceStatus> {
         self.status.clone()
     }
--- a/crates/lotusdeck/src/configuration/poll.rs
+++ b/crates/lotusdeck/src/configuration/poll.rs
@@ -1,25 +1,25 @@
-//! One poll of the source: its request, and how it ended.
+//! One poll of the source: its URI and its outcome.
 
 use lotusdeck_configuration::{decode, Failure, Message, Poll};
 use lotusdeck_proxy::http_client::RequestError;
 
-/// The status of a source that has no room for another poll.
+/// The HTTP status of a source that cannot take another poll at the moment.
 const BUSY: u16 = 503;
 
-/// How a poll ended.
+/// The outcome of a poll.
 pub(super) enum PollOutcome {
-    /// With a message.
+    /// The source answered with a message.
     Answered(Box<Message>),
-    /// Without one.
+    /// No valid message was received.
     Failed(Failure),
-    /// Another order came first.
+    /// The order was replaced first.
     OrderChanged,
-    /// The program ends.
+    /// The program is ending.
     Closed,
 }
 
 impl PollOutcome {
-    /// From what the call gave.
+    /// Returns the outcome of an HTTP exchange with the source.
     pub(super) fn of_call(result: Result<impl AsRef<[u8]>, RequestError>) -> PollOutcome {
         let body = match result {
             Ok(body) => body,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The path and query of a poll.
+/// Returns the path and query of a poll.
 pub(super) fn uri(poll: &Poll) -> String {
     let mut uri = format!("/configuration?wait_ms={}", poll.wait.as_millis());
     if let Some(after) = poll.after {
--- a/crates/lotusdeck/src/configuration/status.rs
+++ b/crates/lotusdeck/src/configuration/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the source of configuration.
+//! The status of the configuration source that operators see.
 
 use lotusdeck_configuration::{SyncState, Version};
 use lotusdeck_proxy::admin::ConfigurationStatus;
@@ -6,30 +6,30 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// The last report of the thread.
+/// The latest report of the thread; `None` if no source is followed.
 #[derive(Default)]
 pub(crate) struct SourceStatus(Mutex<Option<SourceReport>>);
 
-/// A report of the thread.
+/// A report of the thread on the source.
 #[derive(Clone, Copy)]
 pub(super) struct SourceReport {
-    /// Where the source is.
+    /// The address of the source.
     pub source: SocketAddr,
     /// The version in force.
     pub applied_version: Option<Version>,
-    /// How this proxy stands to the source.
+    /// Whether this proxy is in sync with the source.
     pub sync_state: SyncState,
-    /// When the poll was sent whose answer last said that the applied version was the latest.
+    /// When the last poll was sent whose answer confirmed the applied version as the latest.
     pub current_at: Option<Instant>,
 }
 
 impl SourceStatus {
-    /// Replaces the report; `None` where no source is followed.
+    /// Replaces the report; `None` if no source is followed.
     pub(super) fn set(&self, report: Option<SourceReport>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = report;
     }
 
-    /// For operators; `None` where no source is followed.
+    /// Returns the status for operators, or `None` if no source is followed.
     pub(crate) fn current(&self) -> Option<ConfigurationStatus> {
         let report = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let SourceReport { source, applied_version, sync_state, current_at } = report?;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The state's name in `admin status`.
+/// Returns the state's name in `admin status`.
 fn sync_state_name(state: SyncState) -> &'static str {
     match state {
         SyncState::Empty => "empty",
--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -1,4 +1,4 @@
-//! The thread that follows the source: it polls, reads the settings of a version and hands them to the event loop.
+//! The thread that follows the source: polls it, reads the settings of each version, and sends them to the event loop.
 
 use super::poll::{uri, PollOutcome};
 use super::status::{SourceReport, SourceStatus};
@@ -22,24 +22,24 @@
 /// Why a version's settings cannot be applied by this proxy.
 #[derive(Debug, Error)]
 enum RejectedSettings {
-    /// They are no settings.
+    /// The document does not convert to settings.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// They do not fit the node configuration.
+    /// The settings do not fit the node configuration.
     #[error(transparent)]
     Node(#[from] NodeConfigError),
 }
 
-/// Settings that were read and checked, and their outline.
+/// Settings that have been read and checked, and their outline.
 struct ReadSettings {
     settings: Settings,
     outline: SettingsOutline,
 }
 
-/// `Break` where the program ends.
+/// `Break` ends the thread.
 type Flow = ControlFlow<()>;
 
-/// The program ends where a channel to its event loop is closed.
+/// Returns `Break` if a channel to the event loop is closed, which means that the program is ending.
 fn break_if_closed<T, E>(result: &Result<T, E>) -> Flow {
     match result {
         Ok(_) => Flow::Continue(()),
@@ -56,17 +56,17 @@
     seed: u64,
     started_at: Instant,
     follower: Follower,
-    /// Of the settings in force; before the first version, of those in the file.
+    /// The outline of the settings in force; before the first version, of those in the file.
     outline: SettingsOutline,
-    /// The candidate's settings, until it is applied.
+    /// The candidate's settings, until they are applied.
     candidate: Option<ReadSettings>,
     link: Option<IdleConnection>,
-    /// The last problem that was logged: one that lasts is logged once.
+    /// The last problem that was logged; one that persists is logged once.
     logged_problem: Option<String>,
 }
 
 impl Worker {
-    /// Follows the order that holds now and each later one.
+    /// Creates a worker that follows the current order and each later one.
     pub(super) fn new(
         mut orders: watch::Receiver<SourceOrder>, versions: mpsc::Sender<VersionSettings>,
         status: Arc<SourceStatus>, seed: u64,
@@ -105,7 +105,7 @@
         self.started_at.elapsed()
     }
 
-    /// One step of the follower.
+    /// Performs the next step of the follower.
     async fn step(&mut self, source: SocketAddr) -> Flow {
         let now = self.now();
         let step = self.follower.next_step(now);
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Reads the candidate's settings as those of a file are read.
+    /// Reads the candidate's settings in the same way as those of a file, and reports to the follower whether they are
+    /// valid.
     fn validate_candidate(&mut self) {
         let Some(candidate) = self.follower.candidate() else { return };
         let object = candidate.to_settings().map_err(RejectedSettings::from);
@@ -204,7 +205,7 @@
         Ok(ReadSettings { settings, outline })
     }
 
-    /// Hands the candidate's settings to the event loop.
+    /// Sends the candidate's settings to the event loop.
     async fn apply_candidate(&mut self, version: Version) -> Flow {
         let Some(ReadSettings { settings, outline }) = self.candidate.take() else {
             return Flow::Continue(());
@@ -215,8 +216,9 @@
         break_if_closed(&self.versions.send(read).await)
     }
 
-    /// Takes a new order over. The document stays while any source is followed; where the proxy's own keys have changed,
-    /// its settings are read again under them.
+    /// Switches to the latest order. If both it and the previous one name a source, the document is kept, and its
+    /// settings are read again with the proxy's own keys of the new order. Otherwise the follower starts without a
+    /// document.
     async fn apply_order(&mut self) -> Flow {
         let order = self.orders.borrow_and_update().clone();
         let old = std::mem::replace(&mut self.order, order);
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -1,5 +1,5 @@
-//! The ledger as the journal of the core: attempts of requests that must never run twice are recorded before they are
-//! sent.
+//! Implements the journal of the core with the ledger: each attempt of a non-idempotent request is recorded before it
+//! is sent.
 
 use crate::operator::LedgerSection;
 use lotusdeck_core::{Journal, RequestLabels, SendPermit};
@@ -12,40 +12,40 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// `Retry-After` for clients while nothing can be written: a new segment is tried for twice a second.
+/// `Retry-After` for clients while the ledger cannot write: it tries twice a second to create a new segment.
 const RETRY_AFTER: Micros = Micros(1_000_000);
-/// How long the end of the process waits for its last record.
+/// The longest that shutdown waits for the last record.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bits of a generation's number that come from the seed.
+/// Low bits of a generation number that come from the seed.
 const GENERATION_SEED_BITS: u32 = 20;
-/// From MiB to bytes.
+/// Left shift that converts MiB to bytes.
 const MB_SHIFT: u32 = 20;
-/// A day, ms.
+/// Milliseconds in a day.
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
 /// The journal of this process.
 pub(crate) struct LedgerJournal {
     ledger: Ledger,
     wait: Duration,
-    /// Free space below which a line warns, bytes.
+    /// Free space below which a warning is logged, bytes.
     min_free_bytes: u64,
-    /// The correlation ids of requests that are not finished.
+    /// The correlation ids of the requests that have not finished.
     request_ids: RefCell<HashMap<RequestId, String>>,
     has_warned: Cell<bool>,
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the milliseconds since the Unix epoch.
 fn now_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     unix.as_millis() as u64
 }
 
 impl LedgerJournal {
-    /// Starts a generation in the folder that the operators named; `None` where they named none.
+    /// Starts a generation in the folder of the section. Returns `None` if the section has no folder.
     ///
     /// # Errors
-    /// Where the folder cannot be made or no thread started.
+    /// The folder cannot be created or the writer's thread cannot be started.
     pub(crate) fn start(
         section: &LedgerSection, proxy: &str, seed: u64,
     ) -> std::io::Result<Option<Rc<LedgerJournal>>> {
@@ -60,7 +60,7 @@
         options.keep = section.keep_days * DAY_MS;
         options.keep_unresolved = section.keep_unresolved_days * DAY_MS;
         let disk = Folder::open(folder)?;
-        // Starts of one proxy differ in their seeds; the time makes sure where a seed is given twice.
+        // Each start of a proxy has its own seed; the time keeps generations distinct if a seed is reused.
         let generation = now_ms() << GENERATION_SEED_BITS | seed & ((1 << GENERATION_SEED_BITS) - 1);
         let ledger = Ledger::start(disk, options, generation)?;
         let status = ledger.status();
@@ -75,7 +75,8 @@
         Ok(Some(Rc::new(journal)))
     }
 
-    /// Logs what has changed since the last call, every few seconds.
+    /// Logs the segments dropped since the last call, the start or end of a shortage of space, and the counts. Called
+    /// every few seconds.
     pub(crate) fn report(&self) {
         for segment in self.ledger.take_dropped() {
             info!(segment, "ledger segment dropped");
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Ends the generation in order, if that takes no longer than a moment.
+    /// Closes the generation; gives up after `CLOSE_TIMEOUT`.
     pub(crate) async fn close(&self) {
-        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // cut short, it reads as one that crashed
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // after a timeout, readers see a crash
     }
 }
 
--- a/crates/lotusdeck/src/logging.rs
+++ b/crates/lotusdeck/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event on standard error, as text for people or as JSON objects.
+//! Logging: one line per event on standard error, as text or as a JSON object.
 
 use clap::ValueEnum;
 use tracing::Level;
@@ -12,7 +12,7 @@
     Json,
 }
 
-/// Starts the log; events below `level` are dropped.
+/// Installs the logger, which drops events below `level`.
 pub(crate) fn start(format: Format, level: Level) {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(level);
     match format {
--- a/crates/lotusdeck/src/main.rs
+++ b/crates/lotusdeck/src/main.rs
@@ -1,4 +1,4 @@
-//! lotusdeck: a reverse proxy that chooses where each request goes.
+//! lotusdeck: a reverse proxy that chooses the backend of each request.
 
 mod admin;
 mod check;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Writes to standard output. A reader that has closed it is no error.
+/// Writes to standard output. Ignores errors, as the reader may have closed it.
 fn print(text: &str) {
     use std::io::Write;
     let mut out = std::io::stdout().lock();
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -1,4 +1,4 @@
-//! The fronts for PostgreSQL clients that `[[postgres]]` of the operator file asks for.
+//! Fronts for PostgreSQL clients, one for each `[[postgres]]` section of the operator file.
 
 use crate::operator::{ClassSection, PostgresSection, ServerSection};
 use lotusdeck_core::cordon::Cordon;
@@ -20,36 +20,36 @@
 use tokio::task::spawn_local;
 use tracing::{info, info_span};
 
-/// What an answer past its objective is worth, as a share of one in time.
+/// The value of an answer after its latency objective, as a share of the value of one in time.
 const LATE_VALUE_FACTOR: f64 = 0.5;
-/// The priority weight of a class that names none, in hundredths.
+/// The priority weight of a class that sets none, in hundredths.
 const DEFAULT_WEIGHT_PERCENT: u32 = 100;
 
-/// Why a front does not run.
+/// Why a front cannot start.
 #[derive(Debug, Error)]
 pub(crate) enum PostgresError {
-    /// The password cannot be read.
+    /// The password file cannot be read.
     #[error("postgres: password_file {path}: {source}")]
     Password {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The address is taken, or there are no random numbers.
+    /// The address cannot be listened on, or the system provides no random numbers.
     #[error("postgres: {address}: {source}")]
     Start {
-        /// Where clients were to connect.
+        /// The address for clients.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The balancer does not take its settings.
+    /// The balancer rejects the settings of the front.
     #[error("postgres: {0}")]
     Settings(#[from] ConfigError),
 }
 
-/// A front that runs.
+/// A running front.
 pub(crate) struct RunningFront {
     address: SocketAddr,
     front: Rc<Front>,
@@ -58,7 +58,7 @@
 }
 
 impl RunningFront {
-    /// Logs its counts since the last report.
+    /// Logs the counts since the last report, and the clients and server connections that are open.
     pub(crate) fn report(&self) {
         info_span!("postgres", at = %self.address).in_scope(|| {
             self.host.log_counts();
@@ -66,21 +66,21 @@
         });
     }
 
-    /// Drains: idle sessions end now, the others with their transactions.
+    /// Starts draining: idle sessions end now, the others once they have no transaction open.
     pub(crate) fn stop(&self) {
         self.front.stop();
     }
 }
 
-/// Descriptors that a front may take.
+/// Returns how many file descriptors a front may use.
 pub(crate) fn descriptors(section: &PostgresSection) -> usize {
     section.clients + SPARE + section.connections
 }
 
-/// Starts a front next to the others of this node, whose cordon file is at `state`.
+/// Starts the front of a section. `state` is the path from which the node's cordon file is loaded.
 ///
 /// # Errors
-/// Where it cannot run: nothing of it does then.
+/// The front cannot start; none of its tasks has been spawned then.
 pub(crate) fn start(
     section: &PostgresSection, node: &Settings, seed: u64, clock: Clock, state: &Path,
 ) -> Result<RunningFront, PostgresError> {
@@ -108,7 +108,7 @@
     Ok(RunningFront { address, front, host, servers })
 }
 
-/// A front and the socket that it is to serve.
+/// A front, and the listener whose clients it will serve.
 struct Listen {
     listener: TcpListener,
     address: SocketAddr,
@@ -141,7 +141,7 @@
     let (sender, receiver) = watch::channel((address, mode));
     let host = host.clone();
     spawn_local(async move {
-        let _sender = sender; // the client follows its address for as long as this is there
+        let _sender = sender; // keeps the channel open; the address does not change
         discovery::watch(host, receiver, 0, None).await;
     });
 }
@@ -156,7 +156,7 @@
     Ok(Login { user, database, password })
 }
 
-/// The first line of the file.
+/// Returns the first line of the file; an empty password if the file is empty.
 fn read_password(path: &Path) -> Result<String, PostgresError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| PostgresError::Password { path: path.into(), source })?;
@@ -169,7 +169,7 @@
     Endpoint { name: server.name.clone(), address: server.address, state: BackendState::Ready, row }
 }
 
-/// Which statements are of which class.
+/// Returns the rules that assign statements to the section's classes.
 fn class_rules(section: &PostgresSection) -> Vec<Rule> {
     let rule = |(index, class): (usize, &ClassSection)| Rule {
         class: ClassId(index),
@@ -182,7 +182,8 @@
     section.classes.iter().enumerate().map(rule).collect()
 }
 
-/// The balancer's settings: the classes, a last one that must never run twice, and all else as the node has it.
+/// Derives the balancer's settings from the node's. The classes are those of the section and a last, non-idempotent
+/// one for statements that match no rule.
 fn balancer_settings(section: &PostgresSection, node: &Settings) -> Settings {
     let classes = || section.classes.iter().map(Some).chain([None]);
     let mut settings = Settings { names: Names::default(), ..node.clone() };
@@ -190,7 +191,7 @@
     settings.config.tenants = Vec::new();
     settings.config.zone = ZoneId(0);
     settings.config.goal.cross_zone_cost = 0.0;
-    // Two attempts of one transaction would share one client's streams.
+    // A hedged attempt of a transaction would share the client's streams with the first.
     settings.config.attempts.allow_hedging = false;
     if section.discovery.is_none() {
         settings.config.discovery = DiscoveryMode::Push;
@@ -201,7 +202,7 @@
     settings
 }
 
-/// A class of the section, or the one of all that fits none.
+/// Returns the balancer's form of a class; `None` is the class of statements that match no rule.
 fn balancer_class(section: &PostgresSection, class: Option<&ClassSection>) -> Class {
     let objective_ms = class.and_then(|class| class.objective_ms).unwrap_or(section.objective_ms);
     let is_idempotent = class.is_some_and(|class| class.is_idempotent);
--- a/crates/lotusdeck/src/tests.rs
+++ b/crates/lotusdeck/src/tests.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole.
+//! Checks the definition of the command line.
 
 use super::Cli;
 use clap::CommandFactory;
