--- a/crates/lotusdeck/src/fleet/admissions.rs
+++ b/crates/lotusdeck/src/fleet/admissions.rs
@@ -1,4 +1,4 @@
-//! Which limits hold for a request of a class and a tenant, remembered by the pair.
+//! Cache of the limits that apply to requests of a class and a tenant.
 
 use crate::operator::LimitSection;
 use lotusdeck_core::Admission;
@@ -6,31 +6,31 @@
 use lotusdeck_policy::{ClassId, TenantId};
 use std::collections::HashMap;
 
-/// Pairs whose limits are remembered: requests name the pairs, which may be many.
+/// The most pairs that are cached. The pairs come from requests, and there may be many.
 const MAX_PAIRS: usize = 4_096;
 
-/// A class and a tenant.
+/// The class and the tenant of a request.
 type Pair = (ClassId, Option<TenantId>);
 
-/// The limits by pair.
+/// The limits by class and tenant.
 pub(super) struct AdmissionCache {
     limits: Vec<LimitSection>,
     by_pair: HashMap<Pair, Admission>,
-    /// The generation of names that the pairs are of.
+    /// The generation of the names under which the pairs were cached.
     names_generation: u64,
 }
 
 impl AdmissionCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(super) fn new(limits: Vec<LimitSection>) -> AdmissionCache {
         AdmissionCache { limits, by_pair: HashMap::new(), names_generation: 0 }
     }
 
-    /// The limits that hold for a request.
+    /// Returns the indices of the limits that apply to a request.
     pub(super) fn limits_of(
         &mut self, class: ClassId, tenant: Option<TenantId>, names: &Names,
     ) -> &Admission {
-        // A number may have been given to another name since.
+        // An id may since have been reassigned to another name.
         let is_outdated = self.names_generation != names.generation();
         self.names_generation = names.generation();
         if is_outdated || self.by_pair.len() >= MAX_PAIRS {
--- a/crates/lotusdeck/src/fleet/error.rs
+++ b/crates/lotusdeck/src/fleet/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// What a limit is of.
+/// What a limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitScope {
     /// Requests of a class.
@@ -20,25 +20,25 @@
     }
 }
 
-/// Why there are no fleet-wide limits.
+/// Why fleet-wide limits cannot be set up.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(crate) enum FleetError {
-    /// A limit that would hold for nothing.
+    /// A limit names a class or tenant that does not exist.
     #[error("limit {limit:?}: the settings have no {scope} {name:?}")]
     Unknown {
         /// The limit's name.
         limit: String,
-        /// What it is of.
+        /// What the limit applies to.
         scope: LimitScope,
-        /// The name that the settings lack.
+        /// The name that does not exist in the settings.
         name: String,
     },
-    /// A member that the fleet does not have.
+    /// A member's position is not below the size of the fleet.
     #[error("fleet.members: position {position} in a fleet of {size}")]
     Member {
         /// The member's position.
         position: u32,
-        /// Proxies of the fleet.
+        /// The number of proxies in the fleet.
         size: u32,
     },
 }
--- a/crates/lotusdeck/src/fleet/gossip.rs
+++ b/crates/lotusdeck/src/fleet/gossip.rs
@@ -10,19 +10,20 @@
 use tokio::time::{sleep, sleep_until};
 use tracing::{debug, info, warn};
 
-/// An address that another process of this proxy still holds, as during an upgrade, is tried again so often; a socket
-/// that cannot be read waits as long.
+/// The interval between attempts to bind an address that another process of this proxy still holds, as during an
+/// upgrade, and the pause after a failed receive.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Datagrams that are read before other tasks have their turn.
+/// Datagrams that are read at most before other tasks run.
 const MAX_DATAGRAMS_AT_ONCE: usize = 64;
-/// The balancer gets the load of the other proxies this often: as often as they report it.
+/// How often the balancer gets the load of the other proxies, which is as often as they report it.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Of the datagrams that cannot be decoded the first and then one in so many is logged: a stranger must not fill the log.
+/// Of the datagrams that cannot be decoded the first is logged, and then one in this many, so that a foreign sender
+/// cannot flood the log.
 const UNDECODABLE_LOG_INTERVAL: u64 = 1_000;
 
 impl Fleet {
-    /// Exchanges datagrams with the other proxies for as long as the program runs; without an address it keeps its own
-    /// quotas only.
+    /// Exchanges datagrams with the other proxies for as long as the program runs. Without an address it maintains only
+    /// this proxy's own quotas.
     pub(crate) async fn run(self: Rc<Self>, listen: Option<SocketAddr>, host: Rc<Host>) {
         let socket = match listen {
             Some(address) => Some(self.bind(address).await),
@@ -53,7 +54,7 @@
     fn exchange_load(&self, now: Duration, host: &Rc<Host>) {
         let own = host.attempts_in_flight();
         self.node.borrow_mut().set_in_flight(u32::try_from(own).unwrap_or(u32::MAX));
-        // Where no report has come, the others are taken to be like this one, as without any exchange.
+        // Without any report the other proxies are assumed to have this proxy's load, as without an exchange.
         let estimated = own as f64 * f64::from(self.other_proxies);
         let others = self.node.borrow().others_in_flight(now).unwrap_or(estimated);
         host.set_fleet_load(others);
@@ -97,7 +98,7 @@
                 }
                 Err(_) => {}
             }
-            // Quotas are kept meanwhile; what would be sent is dropped.
+            // Quotas are maintained meanwhile, and datagrams to be sent are dropped.
             self.node.borrow_mut().tick(self.now());
             self.send_queued(None);
             sleep(RETRY_INTERVAL).await;
@@ -119,11 +120,11 @@
         }
     }
 
-    /// Sends what the node has queued, or drops it where there is no socket.
+    /// Sends the datagrams that the node has queued, or drops them if there is no socket.
     fn send_queued(&self, socket: Option<&UdpSocket>) {
         while let Some((to, bytes)) = self.next_datagram() {
             if let Some(Err(error)) = socket.map(|socket| socket.try_send_to(&bytes, to)) {
-                debug!(%to, %error, "fleet datagram not sent"); // lost, as any may be
+                debug!(%to, %error, "fleet datagram not sent"); // the protocol tolerates lost datagrams
             }
         }
     }
--- a/crates/lotusdeck/src/fleet/mod.rs
+++ b/crates/lotusdeck/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Limits that hold for the whole fleet, over datagrams between its proxies (docs/fleet-limits.md). What is decided is
-//! `lotusdeck_fleet`'s; here are sockets, clocks and names.
+//! Limits that apply to the whole fleet, coordinated by datagrams between its proxies (docs/fleet-limits.md).
+//! `lotusdeck_fleet` makes the decisions; this module provides its sockets, clocks and names.
 
 mod admissions;
 mod error;
@@ -20,13 +20,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A request may outlast its deadline by the time that its answer takes to be given up.
+/// How long after its deadline a request may still be in flight, until its answer is aborted.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The fleet-wide limits of one proxy, and its part in the fleet.
+/// The fleet-wide limits at one proxy, and its membership in the fleet.
 pub(crate) struct Fleet {
     node: RefCell<Node>,
-    /// Proxies of the fleet but this one.
+    /// The number of other proxies in the fleet.
     other_proxies: u32,
     admissions: RefCell<AdmissionCache>,
     started_at: Instant,
@@ -34,10 +34,10 @@
 }
 
 impl Fleet {
-    /// `None` where the operator file asks for no limit and no exchange with other proxies.
+    /// Creates the limits; returns `None` if the operator file sets neither a limit nor an exchange with other proxies.
     ///
     /// # Errors
-    /// A limit of a class or tenant that there is not, or a member past the fleet's size.
+    /// A limit names an unknown class or tenant, or a member's position is not below the size of the fleet.
     pub(crate) fn new(
         section: &FleetSection, limits: &[LimitSection], settings: &Settings, seed: u64,
     ) -> Result<Option<Rc<Fleet>>, FleetError> {
@@ -71,13 +71,13 @@
         })))
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 }
 
-/// The class and the tenant that the limit is of are there.
+/// Checks that the settings have the class and the tenant that the limit names.
 fn check_names(limit: &LimitSection, names: &Names) -> Result<(), FleetError> {
     let unknown =
         |scope, name: &str| FleetError::Unknown { limit: limit.name.clone(), scope, name: name.into() };
@@ -95,7 +95,7 @@
     let no_address = SocketAddr::from(([127, 0, 0, 1], 0));
     Identity {
         proxy_index,
-        // Later than that of the process before: it lived for more than a microsecond.
+        // Higher than that of the previous process, which ran for more than a microsecond.
         generation: u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX),
         address: section.advertise.or(section.listen).unwrap_or(no_address),
     }
--- a/crates/lotusdeck/src/serve/descriptors.rs
+++ b/crates/lotusdeck/src/serve/descriptors.rs
@@ -1,5 +1,5 @@
-//! File descriptors: what fronts, clients and upstream connections may hold, alone or next to another process of the
-//! same proxy that counts against the same limit.
+//! Limits on the file descriptors of fronts, clients and upstream connections. A second process of the same proxy
+//! counts against the same limit.
 
 use super::error::ServeError;
 use crate::operator::PostgresSection;
@@ -11,18 +11,18 @@
 use lotusdeck_proxy::server::Server;
 use std::rc::Rc;
 
-/// Descriptors that are kept for all but clients and upstreams, operators' connections among them.
+/// Descriptors reserved for everything except clients and upstreams; includes operators' connections.
 const RESERVED: usize = 52 + MAX_CONCURRENT_CALLS;
-/// Client connections over their limit, out of the reserve: each is closed after its response.
+/// Client connections beyond their limit, taken from the reserve. Each is closed after its answer.
 const EXCESS_CLIENTS: usize = 24;
-/// Upstream connections may take this share of the descriptors, as a numerator and a denominator.
+/// The share of the descriptors that upstream connections may use, as a numerator and a denominator.
 const UPSTREAM_NUMERATOR: usize = 2;
 const UPSTREAM_DENOMINATOR: usize = 5;
 
-/// Descriptors that are left for HTTP, of `limit`, once the PostgreSQL fronts have theirs.
+/// Returns how many descriptors of `limit` are left for HTTP after those of the PostgreSQL fronts.
 ///
 /// # Errors
-/// Too few are left.
+/// The fronts leave less than twice the reserve.
 pub(super) fn left_for_http(limit: usize, fronts: &[PostgresSection]) -> Result<usize, ServeError> {
     let postgres: usize = fronts.iter().map(postgres::descriptors).sum();
     let required = 2 * RESERVED;
@@ -41,7 +41,7 @@
 }
 
 impl DescriptorLimits {
-    /// Sets the limits for one process, or for one of two.
+    /// Sets the limits of this process; another process of the proxy gets half of the descriptors.
     pub(super) fn apply(&self, has_other_process: bool) {
         let processes = 1 + usize::from(has_other_process);
         let available = (self.descriptors.saturating_sub(RESERVED) / processes).max(2);
@@ -50,7 +50,7 @@
         self.server.set_client_limits(available - upstream, EXCESS_CLIENTS / processes);
     }
 
-    /// Follows whether another process of this proxy serves, and divides the limits with it.
+    /// Checks periodically whether another process of this proxy runs, and adjusts the limits when that changes.
     pub(super) async fn follow_other_process(
         self, slot: ProcessSlot, mut has_other_process: bool, host: Rc<Host>,
     ) {
--- a/crates/lotusdeck/src/serve/error.rs
+++ b/crates/lotusdeck/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why a proxy does not start, or does not apply a new configuration.
+//! Errors of starting a proxy and of applying a new configuration.
 
 use crate::fleet::FleetError;
 use crate::operator::OperatorError;
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why it does not serve, or does not apply a new configuration.
+/// Why the proxy does not start, or does not apply a new configuration.
 #[derive(Debug, Error)]
 pub(super) enum ServeError {
     /// The node configuration is wrong.
@@ -25,7 +25,7 @@
     /// Signal handlers cannot be installed.
     #[error("no signals: {0}")]
     Signals(#[source] io::Error),
-    /// The thread that read the files ended early.
+    /// The thread that read the files or prepared the settings ended early.
     #[error("reading was interrupted: {0}")]
     Interrupted(#[source] tokio::task::JoinError),
     /// The event loop cannot be started.
@@ -37,7 +37,7 @@
     /// The ledger cannot be opened.
     #[error("ledger: {0}")]
     Ledger(#[source] io::Error),
-    /// The state files cannot be locked or their thread not started.
+    /// The state files cannot be locked, or their thread cannot be started.
     #[error("state: {0}")]
     State(#[source] io::Error),
     /// A PostgreSQL front cannot run.
@@ -49,36 +49,36 @@
          {required} at least have to be left"
     )]
     Descriptors {
-        /// What the fronts may take.
+        /// Descriptors that the fronts may use.
         postgres: usize,
-        /// What the process may hold.
+        /// Descriptors that the process may use.
         limit: usize,
-        /// What has to be left for HTTP.
+        /// Descriptors that must be left for HTTP.
         required: usize,
     },
-    /// A limit or the fleet is configured against the node configuration.
+    /// A limit or the fleet's members do not fit the node configuration.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// Sections of the operator file changed that are read at start-up only.
+    /// Sections of the operator file have changed that are only read at start-up.
     #[error("{sections} has changed: that needs a new start")]
     NeedsRestart {
-        /// As they are written in the file.
+        /// Their names, as written in the file.
         sections: &'static str,
     },
     /// An address cannot be listened on.
     #[error("cannot listen {purpose} on {address}: {source}")]
     Listen {
-        /// For whom.
+        /// Who connects to it.
         purpose: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl ServeError {
-    /// The exit code: refused input, or a failure.
+    /// Returns the exit code, which distinguishes invalid input from other failures.
     pub(super) fn exit_code(&self) -> ExitCode {
         match self {
             ServeError::NodeConfig(_) | ServeError::Operator(_) | ServeError::Fleet(_) => {
--- a/crates/lotusdeck/src/serve/mod.rs
+++ b/crates/lotusdeck/src/serve/mod.rs
@@ -1,7 +1,8 @@
 //! `lotusdeck serve`: one proxy in the foreground, from start-up to graceful shutdown.
 //!
-//! `startup` makes the parts of the proxy, this module runs them, `reload` changes them while they run, and `shutdown`
-//! ends them. `signals` says which signals ask for which; `descriptors` divides the descriptors of the process.
+//! `startup` creates the parts of the proxy, this module runs them, `reload` changes them while they run, and
+//! `shutdown` ends them. `signals` installs the signal handlers, and `descriptors` divides the file descriptors of the
+//! process.
 
 mod descriptors;
 mod error;
@@ -36,7 +37,7 @@
 use tokio::task::spawn_local;
 use tracing::info;
 
-/// Lines of counts are logged this often.
+/// How often counts are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The arguments of `lotusdeck serve`.
@@ -59,7 +60,7 @@
     log: tracing::Level,
 }
 
-/// Serves until it is asked to stop.
+/// Runs the proxy until it is asked to stop.
 pub(crate) fn main(args: Args) -> ExitCode {
     logging::start(args.log_format, args.log);
     match run_event_loop(args) {
@@ -103,7 +104,7 @@
     let server = start_server(parts, listeners.operators, source_status);
 
     let stop_requested = shutdown::requested(stop, fronts);
-    // The event loop comes round to these two before each batch of other tasks: changes of the endpoint list go before
+    // The event loop polls these two futures before each batch of other tasks, and changes of the endpoint list before
     // new clients.
     tokio::select! {
         biased;
@@ -120,7 +121,8 @@
     info!(name = parts.node.name, %address, known, "listening");
 }
 
-/// Starts what persists estimates, and returns what persists endpoint lists.
+/// Starts the task that persists estimates, and returns the sink that persists endpoint lists. Returns `None` if no
+/// state is persisted.
 fn start_state_writer(parts: &mut Parts) -> Option<discovery::EndpointListSink> {
     let writer = parts.state_writer.take()?;
     spawn_local(writer.clone().save_estimates_periodically(parts.host.clone()));
@@ -156,7 +158,7 @@
     Ok(status)
 }
 
-/// Starts everything that goes on next to the server, which is yet to be run.
+/// Creates the server, and starts all tasks that accompany it. The caller runs the server.
 fn start_server(
     parts: Parts, operators: Option<TcpListener>, source_status: Arc<SourceStatus>,
 ) -> Rc<Server> {
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -1,5 +1,5 @@
-//! Reload: changes of the files on SIGHUP and versions of the configuration source, applied one after the other while
-//! requests are served.
+//! Reload: applies changed files on SIGHUP and new versions of the configuration source, one at a time, while requests
+//! are served.
 
 use super::error::ServeError;
 use crate::configuration::{ConfigurationSource, SourceOrder, VersionSettings};
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tracing::{debug, info, warn};
 
-/// The sections of the operator file that are read at start-up only.
+/// The sections of the operator file that are only read at start-up.
 pub(super) struct StartupSections {
     /// `[ledger]`.
     pub ledger: LedgerSection,
@@ -34,8 +34,10 @@
 }
 
 impl StartupSections {
+    /// Checks that the sections are the same in `operator`.
+    ///
     /// # Errors
-    /// One of the sections differs in `operator`.
+    /// One of the sections differs.
     fn check_unchanged(&self, operator: &OperatorFile) -> Result<(), ServeError> {
         let changed = |sections| Err(ServeError::NeedsRestart { sections });
         if operator.ledger != self.ledger {
@@ -60,36 +62,36 @@
     node: ConfigChange,
 }
 
-/// Runs work that takes long on another thread, so that the event loop goes on.
+/// Runs long work on another thread, so that it does not block the event loop.
 async fn off_event_loop<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, ServeError> {
     tokio::task::spawn_blocking(work).await.map_err(ServeError::Interrupted)
 }
 
-/// What SIGHUP and versions of a configuration source may change.
+/// Applies what SIGHUP and versions of a configuration source may change.
 pub(super) struct Reloader {
-    /// Where settings are applied.
+    /// The host that applies settings.
     pub host: Rc<Host>,
     /// The node configuration in force.
     pub node_file: ActiveConfigFile,
     /// The operator file, if there is one.
     pub operator_path: Option<PathBuf>,
-    /// What may not change while the program runs.
+    /// Sections that may not change while the program runs.
     pub startup_sections: Arc<StartupSections>,
-    /// `[http]` as it is in force.
+    /// The timeouts of `[http]` in force.
     pub stall_timeouts: SharedStallTimeouts,
-    /// Tells the discovery client where and how to ask.
+    /// Sends the address and mode of discovery to its client.
     pub discovery: watch::Sender<(SocketAddr, DiscoveryMode)>,
     /// The source of configuration.
     pub source: ConfigurationSource,
-    /// The settings in force came from the source.
+    /// Whether the settings in force came from the source.
     pub has_source_settings: bool,
 }
 
 impl Reloader {
-    /// Applies one change after the other, of files or of a version, in the order in which signals and versions come.
-    /// A signal during a change is handled after it, with the files as they are then.
+    /// Applies changes of the files and new versions one at a time, as signals and versions arrive. A signal that
+    /// arrives during a change is handled after it, with the files as they are then.
     pub(super) async fn run(mut self, mut hangup: Signal) {
         loop {
             tokio::select! {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Applies both files whole, or nothing of either, and says what changed.
+    /// Applies both files completely, or nothing of either, and returns a description of what changed.
     async fn try_reload_files(&mut self) -> Result<String, ServeError> {
         let Files { operator, node } = self.read_files().await?;
         let order = SourceOrder { source: operator.configuration.source, file: node.file.outline() };
@@ -144,7 +146,7 @@
         off_event_loop(read).await?
     }
 
-    /// Puts settings in force and says what changed. The event loop is held for the last step only.
+    /// Applies settings and returns a description of what changed. Only the last step runs on the event loop.
     async fn apply_settings(&self, discovery: SocketAddr, settings: Settings) -> Result<String, ServeError> {
         let mode = settings.config.discovery;
         let settings = Arc::new(settings);
@@ -162,12 +164,12 @@
         Ok(changed)
     }
 
-    /// Changes the address of discovery; how it is asked stays.
+    /// Changes the address of discovery and keeps its mode.
     fn set_discovery_address(&self, address: SocketAddr) {
         self.discovery.send_if_modified(|old| std::mem::replace(&mut old.0, address) != address);
     }
 
-    /// Applies the settings of a version, unless another order has come since they were read.
+    /// Applies the settings of a version, unless the order has been replaced since they were read.
     async fn apply_version(&mut self, read: VersionSettings) {
         if read.order != self.source.order() {
             return;
--- a/crates/lotusdeck/src/serve/signals.rs
+++ b/crates/lotusdeck/src/serve/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: which the process handles, and when it stops.
+//! The signals that the process handles.
 
 use super::error::ServeError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -6,16 +6,16 @@
 /// signal(7): a file-size limit was exceeded.
 const SIGXFSZ: i32 = 25;
 
-/// The signals that end the process.
+/// The handlers of SIGTERM and SIGINT, which stop the process, and of SIGXFSZ.
 pub(super) struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
-    /// A file that grows past its limit is an error of the write, not the end of the program.
+    /// Prevents the default action of SIGXFSZ: a write beyond the file-size limit fails, and the process goes on.
     _file_size: Signal,
 }
 
 impl StopSignals {
-    /// Waits for the first of them.
+    /// Waits for SIGTERM or SIGINT.
     pub(super) async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -24,16 +24,16 @@
     }
 }
 
-/// The signals of one process.
+/// The signal handlers of the process.
 pub(super) struct Signals {
-    /// SIGHUP: read the files again.
+    /// SIGHUP: reloads the files.
     pub reload: Signal,
-    /// Stop.
+    /// SIGTERM and SIGINT: stop the process.
     pub stop: StopSignals,
 }
 
 impl Signals {
-    /// Installs the handlers. To be called before all else: until its handler stands, a signal ends the program at once.
+    /// Installs the handlers. Must be called first: until its handler is installed, a signal kills the process.
     ///
     /// # Errors
     /// A handler cannot be installed.
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -1,5 +1,5 @@
-//! Start-up: everything that exists before the first client is served, made in an order in which each part can fail
-//! before the next one is begun.
+//! Start-up: creates everything that exists before the first client is served. A part that cannot be created ends the
+//! start before the next one is begun.
 
 use super::descriptors::left_for_http;
 use super::error::ServeError;
@@ -23,56 +23,56 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// Buffered bodies may take the memory divided by this, for two processes at a time.
+/// Buffered bodies may use the memory limit divided by this, in each of up to two processes at a time.
 const BODY_MEMORY_DIVISOR: usize = 8;
 
-/// What is still needed of the node configuration once its settings are in force.
+/// The part of the node configuration that is needed besides its settings.
 pub(super) struct NodeIdentity {
     /// The proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address for operators, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where the endpoint list comes from.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// How it is asked for.
+    /// How discovery is queried.
     pub discovery_mode: DiscoveryMode,
-    /// Spreads this proxy's random choices from those of others.
+    /// Makes this proxy's random choices differ from those of others.
     pub seed: u64,
     /// The file in force.
     pub file: ActiveConfigFile,
 }
 
-/// What the proxy starts with in place of a list from discovery.
+/// The version and size of the endpoint list that the proxy uses until the first one from discovery.
 pub(super) struct InitialList {
     /// Its version.
     pub version: u64,
-    /// How many endpoints are in it.
+    /// The number of endpoints in it.
     pub endpoints: usize,
 }
 
 /// The parts of a proxy, ready to be run.
 pub(super) struct Parts {
-    /// Who this proxy is.
+    /// The name, addresses and other identity of this proxy.
     pub node: NodeIdentity,
-    /// The balancer and its clock.
+    /// The host of the balancer.
     pub host: Rc<Host>,
     /// Connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// Memory for buffered bodies.
     pub body_budget: BodyBudget,
-    /// `[http]` as it is in force.
+    /// The timeouts of `[http]` in force.
     pub stall_timeouts: SharedStallTimeouts,
-    /// Another process of this proxy.
+    /// The slot of this process, which shows whether another process of this proxy runs.
     pub slot: ProcessSlot,
-    /// The journal, where operators ask for one.
+    /// The ledger, if the operator file names a folder for it.
     pub ledger: Option<Rc<LedgerJournal>>,
-    /// The PostgreSQL fronts, which run already.
+    /// The PostgreSQL fronts, which are already running.
     pub fronts: Rc<Vec<RunningFront>>,
-    /// Fleet-wide limits, where operators ask for any.
+    /// Fleet-wide limits and the exchange with other proxies, if the operator file sets any.
     pub fleet: Option<Rc<Fleet>>,
-    /// Writes the state files, where operators name a folder.
+    /// Writes the state files, if the operator file names a folder for them.
     pub state_writer: Option<StateWriter>,
     /// The endpoint list that the proxy starts with.
     pub initial_list: InitialList,
@@ -80,7 +80,7 @@
     pub descriptors: usize,
 }
 
-/// The state to start with, and the writer of the state files where the operator file names a folder.
+/// The state to start with, and the writer of the state files if the operator file names a folder.
 struct OpenedState {
     initial: InitialState,
     writer: Option<StateWriter>,
@@ -119,10 +119,10 @@
 }
 
 impl Parts {
-    /// Makes the parts.
+    /// Creates the parts.
     ///
     /// # Errors
-    /// A part cannot be made: the process does not serve.
+    /// A part cannot be created; the process does not serve then.
     pub(super) async fn new(operator: &OperatorFile, mut node: NodeConfig) -> Result<Parts, ServeError> {
         let OpenedState { initial, writer } = open_state(&operator.state, &mut node)?;
         let cordon = load_cordon(&node);
@@ -165,7 +165,7 @@
     }
 }
 
-/// The settings, which the host takes, and the rest.
+/// Splits the node configuration into the settings, which the host takes, and the rest.
 fn split_node(node: NodeConfig) -> (NodeIdentity, Settings) {
     let identity = NodeIdentity {
         name: node.name,
@@ -179,7 +179,7 @@
     (identity, node.settings)
 }
 
-/// Puts the list from before the restart in place, before anything is served, and the estimates.
+/// Applies the initial endpoint list and the estimates from before the restart, before any request is served.
 fn restore(host: &Rc<Host>, initial: &InitialState) -> InitialList {
     host.update_endpoints(ListUpdate::Cached, initial.endpoints.to_update());
     if let Some(estimates) = &initial.estimates {
@@ -192,14 +192,14 @@
 pub(super) struct Listeners {
     /// For clients.
     pub clients: TcpListener,
-    /// The clients' listener was handed over by another process.
+    /// Whether the clients' listener was handed over by another process.
     pub is_inherited: bool,
-    /// For operators, where they have an address.
+    /// For operators, if they have an address.
     pub operators: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Opens them, or takes over the one that was inherited.
+    /// Opens the listeners. An inherited one becomes the clients' listener.
     ///
     /// # Errors
     /// An address cannot be listened on.
