--- a/crates/lotusdeck/src/check/location.rs
+++ b/crates/lotusdeck/src/check/location.rs
@@ -1,13 +1,13 @@
-//! Where a key of a JSON text stands (RFC 8259), as serde_json keeps no places.
+//! Finds the position of a key in a JSON text (RFC 8259), which serde_json does not record.
 
-/// A place in a text, from 1; columns count characters. 0 where there is no place.
+/// A position in a text. Lines and columns count from 1, columns in characters; both are 0 if there is no position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Position {
     pub line: usize,
     pub column: usize,
 }
 
-/// The place of an offset.
+/// Returns the position of a byte offset.
 pub(super) fn position(text: &str, offset: usize) -> Position {
     let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
@@ -24,7 +24,7 @@
     Index(usize),
 }
 
-/// `a.b[2].c` as steps.
+/// Splits a path such as `a.b[2].c` into steps.
 fn steps(path: &str) -> Vec<Step> {
     let mut steps = Vec::new();
     for part in path.split('.').filter(|part| !part.is_empty()) {
@@ -36,7 +36,8 @@
     steps
 }
 
-/// The offset of the value at `path`, or of the nearest that would hold it where it is absent. `text` has to be JSON.
+/// Returns the offset of the value at `path`; if it is absent, that of the innermost value on the path that exists.
+/// `text` must be valid JSON.
 pub(super) fn locate(text: &str, path: &str) -> usize {
     let mut scanner = Scanner { text: text.as_bytes(), offset: 0 };
     scanner.skip_whitespace();
@@ -50,14 +51,14 @@
     found
 }
 
-/// Goes through a JSON text.
+/// A cursor in a JSON text.
 struct Scanner<'a> {
     text: &'a [u8],
     offset: usize,
 }
 
 impl Scanner<'_> {
-    /// The byte here, 0 at the end.
+    /// Returns the byte at the cursor, 0 at the end.
     fn peek(&self) -> u8 {
         self.text.get(self.offset).copied().unwrap_or(0)
     }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// From the beginning of a value to the beginning of a part of it; false where there is no such part.
+    /// Moves from the beginning of a value to the beginning of the member or element of `step`. Returns false, without
+    /// moving, if there is none.
     fn enter(&mut self, step: &Step) -> bool {
         let start = self.offset;
         let fits = matches!((self.peek(), step), (b'{', Step::Key(_)) | (b'[', Step::Index(_)));
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Past a key and its colon.
+    /// Reads a key and moves past its colon.
     fn read_key(&mut self) -> Option<String> {
         let start = self.offset;
         self.skip_value();
@@ -108,7 +110,7 @@
         key
     }
 
-    /// Past the value that begins here.
+    /// Moves past the value at the cursor.
     fn skip_value(&mut self) {
         let mut depth = 0;
         loop {
@@ -145,7 +147,7 @@
         self.offset += 1;
     }
 
-    /// Past a number, `true`, `false` or `null`.
+    /// Moves past a number, `true`, `false` or `null`.
     fn skip_literal(&mut self) {
         while !matches!(self.peek(), b'}' | b']' | 0) && !is_separator(self.peek()) {
             self.offset += 1;
--- a/crates/lotusdeck/src/check/mod.rs
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! `lotusdeck check`: all that is wrong with files, at once.
+//! `lotusdeck check`: reports all faults in configuration files at once.
 
 mod location;
 mod node;
@@ -22,14 +22,14 @@
     keys: bool,
 }
 
-/// One thing that is wrong with a file; findings are sorted by their place.
+/// A fault in a file. Findings are ordered by position.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Finding {
     position: Position,
     message: String,
 }
 
-/// Prints one line for each fault, or for a sound file.
+/// Checks the files; prints one line for each fault, and one for each file without faults.
 pub(crate) fn main(args: &Args) -> ExitCode {
     if args.keys {
         print_keys();
@@ -64,7 +64,7 @@
     }
 }
 
-/// The kind of a sound file.
+/// Checks a file, and returns which kind of file it is if it has no fault.
 fn check(file: &Path) -> Result<&'static str, Vec<Finding>> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         let message = format!("cannot be read: {error}");
--- a/crates/lotusdeck/src/check/node.rs
+++ b/crates/lotusdeck/src/check/node.rs
@@ -1,4 +1,4 @@
-//! All that is wrong with a node configuration.
+//! Finds the faults in a node configuration.
 
 use super::location::{locate, position, Position};
 use super::Finding;
@@ -6,13 +6,13 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// One key that is wrong.
+/// A key that is missing or has a wrong value.
 struct KeyFault {
     key: String,
     message: String,
 }
 
-/// What a key of the top level or of an object in it has to be.
+/// What is required of a key at the top level or in an object there.
 struct Rule {
     /// The path of the key, joined by dots.
     key: &'static str,
@@ -22,7 +22,7 @@
     fits: fn(&Value) -> bool,
 }
 
-/// All keys but the settings.
+/// The rules of all keys outside of the settings.
 const RULES: [Rule; 8] = [
     Rule { key: "name", is_required: true, expected: "text", fits: is_text },
     Rule { key: "listen", is_required: true, expected: "address:port", fits: is_address },
@@ -46,7 +46,7 @@
     value.is_u64() || value.as_str().is_some_and(|text| u64::from_str_radix(text, 16).is_ok())
 }
 
-/// What is wrong with the text, sorted by place.
+/// Returns the faults in the text, sorted by position.
 pub(super) fn check(text: &str) -> Vec<Finding> {
     let document: Value = match serde_json::from_str(text) {
         Ok(document) => document,
--- a/crates/lotusdeck/src/check/tests.rs
+++ b/crates/lotusdeck/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Places of keys in a JSON text.
+//! Tests of the positions of keys in a JSON text.
 
 use super::location::{locate, position, Position};
 
--- a/crates/lotusdeck/src/ledger/format.rs
+++ b/crates/lotusdeck/src/ledger/format.rs
@@ -1,9 +1,9 @@
-//! Requests of a ledger as a table, as JSON lines and as comma-separated values.
+//! Formats the requests of a ledger as a table, as JSON lines and as comma-separated values.
 
 use lotusdeck_ledger::{Attempt, Fate, Request, Verdict};
 use std::fmt::Write;
 
-/// The first line of comma-separated values.
+/// The header line of comma-separated values.
 pub(super) const CSV_HEADER: &str =
     "proxy,taken_ms,id,class,key,state,attempt,backend,address,sent_ms,fate\n";
 
@@ -24,17 +24,17 @@
     }
 }
 
-/// The state for programs, without spaces.
+/// Returns the state's name for programs, with hyphens in place of spaces.
 fn state_slug(request: &Request) -> String {
     state_name(request).replace(' ', "-")
 }
 
-/// Seconds with three decimals, of milliseconds.
+/// Formats milliseconds as seconds with three decimals.
 fn seconds(ms: u64) -> String {
     format!("{}.{:03}", ms / 1000, ms % 1000)
 }
 
-/// A line for the request and one for each attempt.
+/// Formats a line for the request and one for each attempt, and a note if records of attempts may be missing.
 pub(super) fn table(request: &Request) -> String {
     let id = if request.id.is_empty() { "(id lost)" } else { &request.id };
     let taken = request.taken_at.map_or("(time lost)".into(), seconds);
@@ -53,7 +53,7 @@
     out
 }
 
-/// One JSON object and a newline.
+/// Formats one JSON object and a newline.
 pub(super) fn json(request: &Request) -> String {
     let mut value = serde_json::to_value(request).unwrap_or_default();
     if let Some(object) = value.as_object_mut() {
@@ -62,7 +62,7 @@
     format!("{value}\n")
 }
 
-/// A field of comma-separated values (RFC 4180).
+/// Formats a field of comma-separated values, with quotes if it needs them (RFC 4180).
 fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", text.replace('"', "\"\""))
@@ -71,7 +71,7 @@
     }
 }
 
-/// A line for each attempt, or one for a request without any.
+/// Formats a line for each attempt, or one line if the request has none.
 pub(super) fn csv(request: &Request) -> String {
     let taken_ms = request.taken_at.map_or(String::new(), |taken| taken.to_string());
     let request_fields = [
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! `lotusdeck ledger`: what was sent where, read from the folders of one or more proxies, running or crashed.
+//! `lotusdeck ledger`: reads from the ledger folders of one or more proxies, running or crashed, what was sent where.
 
 mod format;
 
@@ -100,7 +100,8 @@
             && self.state.is_none_or(|state| state == State::of(request))
     }
 
-    /// Clocks may be apart; a request whose time is lost may lie anywhere.
+    /// Returns whether the request was received in the range of time, which the clock skew widens. A request whose time
+    /// is lost always matches.
     fn matches_time(&self, request: &Request) -> bool {
         let Some(taken_ms) = request.taken_at else { return true };
         let taken_s = taken_ms as f64 / 1e3;
@@ -113,7 +114,8 @@
     request.attempts.iter().any(|attempt| attempt.backend == backend && attempt.fate != Fate::NeverSent)
 }
 
-/// Exit codes: 0 read, 1 damage found by `verify`, 2 a folder that cannot be read.
+/// Reads the folders and runs the command. Exit codes: 0 for success, 1 if `verify` finds damage, 2 if a folder
+/// cannot be read.
 pub(crate) fn main(args: &Args) -> ExitCode {
     let (folders, id) = match &args.command {
         Command::Query { folders, filter, .. } => (folders, filter.id.as_deref()),
--- a/crates/lotusdeck/src/operator/configuration.rs
+++ b/crates/lotusdeck/src/operator/configuration.rs
@@ -1,10 +1,10 @@
-//! `[configuration]`: where settings are followed from.
+//! `[configuration]`: the source of settings.
 
 use std::net::SocketAddr;
 
-/// `[configuration]`.
+/// The section `[configuration]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConfigurationSection {
-    /// Where the source is; `None` where none is followed.
+    /// The address of the source; `None` if none is followed.
     pub source: Option<SocketAddr>,
 }
--- a/crates/lotusdeck/src/operator/fleet.rs
+++ b/crates/lotusdeck/src/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! `[fleet]`: how this proxy reaches the others of its fleet.
+//! `[fleet]`: how this proxy reaches the other proxies of its fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 pub(crate) struct FleetMember {
     /// Its position in the fleet, from 0.
     pub position: u32,
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// `[fleet]`.
+/// The section `[fleet]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FleetSection {
-    /// Where this proxy takes datagrams; `None` where it exchanges none.
+    /// The address at which this proxy receives datagrams; `None` if it exchanges none.
     pub listen: Option<SocketAddr>,
-    /// Where the others reach it, if that is another address.
+    /// The address at which other proxies reach it, if that is a different one.
     pub advertise: Option<SocketAddr>,
-    /// Some of the others.
+    /// Some of the other proxies.
     pub members: Vec<FleetMember>,
-    /// The site's name; another site's datagrams are not read.
+    /// The site's name; datagrams of other sites are not read.
     pub site: String,
-    /// How long a quota is lent.
+    /// How long a part of a quota is leased to another proxy.
     pub term: Duration,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Members from `0@10.0.0.1:7400 1@10.0.0.2:7400`; `None` where it is no such text.
+/// Parses members such as `0@10.0.0.1:7400 1@10.0.0.2:7400`; returns `None` if the text has another form.
 pub(super) fn parse_members(text: &str) -> Option<Vec<FleetMember>> {
     let member = |word: &str| {
         let (position, address) = word.split_once('@')?;
--- a/crates/lotusdeck/src/operator/keys.rs
+++ b/crates/lotusdeck/src/operator/keys.rs
@@ -1,5 +1,5 @@
-//! The table of keys: name, type, range, default and meaning of each. docs/configuration.md says the same of every key,
-//! and a test compares the two.
+//! The table of keys: name, type, range, default and meaning of each. A test compares it with docs/configuration.md,
+//! which lists every key in the same terms.
 
 /// The type of a key's value, with its limits and its default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
         least: i64,
         /// The largest value that is accepted.
         most: i64,
-        /// The value where the key is absent.
+        /// The value if the key is absent.
         default: i64,
     },
     /// One of these words; the first is the default.
@@ -26,7 +26,7 @@
 }
 
 impl ValueType {
-    /// What is expected, in words, as messages and docs/configuration.md give it.
+    /// Describes the expected value, as messages and docs/configuration.md do.
     pub(crate) fn expected(&self) -> String {
         match self {
             ValueType::Number { unit, least, most, .. } => {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The value where the key is absent, as it would be written in the file.
+    /// Returns the value if the key is absent, as it would be written in the file.
     pub(crate) fn default(&self) -> String {
         match self {
             ValueType::Number { default, .. } => default.to_string(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// One key, with all that docs/configuration.md says of it.
+/// A key, as docs/configuration.md describes it.
 pub(crate) struct Key {
     /// Table and name, joined by a dot.
     pub path: &'static str,
@@ -61,7 +61,7 @@
     pub about: &'static str,
 }
 
-/// A key of a whole number; `range` is the smallest and the largest value that is accepted.
+/// Creates the key of a whole number; `range` is the smallest and the largest value that is accepted.
 const fn number(
     path: &'static str, unit: &'static str, range: (i64, i64), default: i64, about: &'static str,
 ) -> Key {
@@ -69,8 +69,7 @@
     Key { path, value_type: ValueType::Number { unit, least, most, default }, about }
 }
 
-/// Every key of the plain tables. The keys of `[[postgres]]` and `[[limit]]` are the fields of
-/// their types.
+/// Every key of the plain tables. The keys of `[[postgres]]` and `[[limit]]` are the fields of their types.
 pub(crate) const KEYS: [Key; 23] = [
     number(
         "http.answer_gap_ms",
@@ -185,7 +184,7 @@
     ),
 ];
 
-/// The names of the tables that keys stand in; each as often as it has keys.
+/// Returns the name of the table of each key; a table with several keys is repeated.
 pub(super) fn tables() -> impl Iterator<Item = &'static str> {
     KEYS.iter().filter_map(|key| key.path.split_once('.').map(|(table, _)| table))
 }
--- a/crates/lotusdeck/src/operator/ledger.rs
+++ b/crates/lotusdeck/src/operator/ledger.rs
@@ -3,26 +3,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// `[ledger]`.
+/// The section `[ledger]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LedgerSection {
-    /// Where it lies; `None` where there is none.
+    /// The folder of the journal; `None` if none is kept.
     pub folder: Option<PathBuf>,
-    /// Records survive the loss of power.
+    /// Whether records are synced to the disk and survive the loss of power.
     pub survives_power_loss: bool,
-    /// Requests are sent while nothing can be written.
+    /// Whether requests are sent while nothing can be written.
     pub sends_without_record: bool,
-    /// An attempt waits so long at most for its record.
+    /// The longest that an attempt waits for its record.
     pub wait: Duration,
-    /// Room of a segment, MiB.
+    /// Size of a segment, MiB.
     pub segment_mb: u64,
-    /// Space of all segments, MiB.
+    /// Size of all segments beyond which the oldest resolved ones are dropped, MiB.
     pub keep_mb: u64,
     /// Age at which resolved segments are dropped, days.
     pub keep_days: u64,
     /// Age at which the others are dropped, days.
     pub keep_unresolved_days: u64,
-    /// Free space below which a line warns, MiB.
+    /// Free space below which a warning is logged, MiB.
     pub warn_free_mb: u64,
 }
 
--- a/crates/lotusdeck/src/operator/limit.rs
+++ b/crates/lotusdeck/src/operator/limit.rs
@@ -1,37 +1,37 @@
-//! `[[limit]]`: limits that hold for the whole fleet.
+//! `[[limit]]`: limits that apply to the whole fleet.
 
 use super::arrays::{parse_array, Expectation};
 use super::Fault;
 use serde::Deserialize;
 use std::collections::HashSet;
 
-/// Limits at most: each is a quota to keep and a row to show, and all are gone through ten times in a term, which takes
-/// 0.4 ms of the event loop at this many.
+/// The most limits. Each has a quota and a row in the status, and ten times per lease duration the event loop goes
+/// through all of them, which takes 0.4 ms at this number.
 pub(super) const MAX_LIMITS: usize = 4_096;
-/// Requests a second at most, over the whole fleet.
+/// The highest rate, in requests per second over the whole fleet.
 const MAX_RATE_PER_S: f64 = 1e9;
-/// The longest burst, ms of the rate.
+/// The largest burst, in ms of the rate.
 const MAX_BURST_MS: u64 = 60_000;
 
-/// `[[limit]]`.
+/// A section `[[limit]]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LimitSection {
-    /// What it is called in the log and the status.
+    /// The limit's name in the log and the status.
     pub name: String,
-    /// The class that it is of; all where absent.
+    /// The class that it applies to; all classes if absent.
     #[serde(default)]
     pub class: Option<String>,
-    /// The tenant that it is of; all, and requests of none, where absent.
+    /// The tenant that it applies to; all tenants, and requests without a tenant, if absent.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// Requests a second, over the whole fleet.
+    /// Requests per second, over the whole fleet.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
     /// Requests in flight, over the whole fleet.
     #[serde(default)]
     pub in_flight: Option<u32>,
-    /// What a quota may gather while it is not used, ms of its rate.
+    /// The burst that a quota may accumulate while it is not used, in ms of its rate.
     #[serde(default = "default_burst_ms")]
     pub burst_ms: u64,
 }
@@ -41,7 +41,7 @@
 }
 
 impl LimitSection {
-    /// The first thing that is wrong with it.
+    /// Returns the message of the first fault in the section.
     fn fault(&self) -> Option<&'static str> {
         let is_rate_valid = self.rate_per_s.is_none_or(|rate| rate > 0.0 && rate <= MAX_RATE_PER_S);
         let limits_something = self.rate_per_s.is_some() || self.in_flight.is_some();
@@ -58,10 +58,10 @@
     }
 }
 
-/// All limits, from the text of an operator file.
+/// Parses all limits in the text of an operator file.
 ///
 /// # Errors
-/// The first thing that is wrong, and where.
+/// The first fault, and its offset.
 pub(super) fn parse(text: &str) -> Result<Vec<LimitSection>, Fault> {
     #[derive(Deserialize)]
     struct File {
--- a/crates/lotusdeck/src/operator/mod.rs
+++ b/crates/lotusdeck/src/operator/mod.rs
@@ -1,10 +1,10 @@
-//! The operator file: what an installation sets for itself, as TOML. Every key is optional; without one, or without
-//! the file, all is as the defaults say.
+//! The operator file: the settings of one installation, as TOML. The file, its sections and the keys of its plain
+//! tables are optional; the defaults apply where one is absent.
 //!
-//! `keys` is the table of keys of the plain tables, and `values` checks values against it and puts them where they
-//! belong; `arrays` reads the arrays of tables. Each section has a module with its type, its defaults and, for an array
-//! of tables, its checks; `faults` says what can be wrong. Nothing here uses the parts of the program that the
-//! sections are for.
+//! `keys` is the table of keys of the plain tables, and `values` checks values against it and stores them in the
+//! sections; `arrays` reads the arrays of tables. Each section has a module with its type, its defaults and, for an
+//! array of tables, its checks; `faults` defines the faults. Nothing here uses the modules of this crate that the
+//! sections configure.
 
 mod arrays;
 mod configuration;
@@ -35,30 +35,30 @@
 use toml::de::{DeString, DeTable, DeValue};
 use toml::Spanned;
 
-/// What the file says, defaults filled in.
+/// The content of the file, with defaults for what is absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct OperatorFile {
-    /// `[http]`.
+    /// The section `[http]`.
     pub http: StallTimeouts,
-    /// `[ledger]`.
+    /// The section `[ledger]`.
     pub ledger: LedgerSection,
-    /// `[[postgres]]`, one for each front.
+    /// The sections `[[postgres]]`, one for each front.
     pub postgres: Vec<PostgresSection>,
-    /// `[state]`.
+    /// The section `[state]`.
     pub state: StateSection,
-    /// `[fleet]`.
+    /// The section `[fleet]`.
     pub fleet: FleetSection,
-    /// `[[limit]]`.
+    /// The sections `[[limit]]`.
     pub limits: Vec<LimitSection>,
-    /// `[configuration]`.
+    /// The section `[configuration]`.
     pub configuration: ConfigurationSection,
 }
 
 impl OperatorFile {
-    /// Reads a file; none given means the defaults.
+    /// Reads a file; without one, returns the defaults.
     ///
     /// # Errors
-    /// Where anything is wrong nothing of it is taken.
+    /// The file cannot be read, or has a fault.
     pub(crate) fn load(path: Option<&Path>) -> Result<OperatorFile, OperatorError> {
         let Some(path) = path else { return Ok(OperatorFile::default()) };
         let unreadable = |source| OperatorError::Unreadable { path: path.into(), source };
@@ -69,10 +69,10 @@
         })
     }
 
-    /// Reads a text.
+    /// Parses the text of an operator file.
     ///
     /// # Errors
-    /// All faults at once, in their order.
+    /// All faults, in the order of their offsets.
     pub(crate) fn parse(text: &str) -> Result<OperatorFile, Vec<Fault>> {
         let (root, syntax_errors) = DeTable::parse_recoverable(text);
         let is_toml = syntax_errors.is_empty();
@@ -80,7 +80,7 @@
         let mut operator = OperatorFile::default();
         for (name, entry) in root.get_ref() {
             match name.get_ref().as_ref() {
-                // These are read from the whole text, of which nothing can be said where it is no TOML.
+                // These are parsed from the whole text, which is not possible if it is not TOML.
                 "postgres" | "limit" if !is_toml => {}
                 "postgres" => match postgres::parse(text) {
                     Ok(sections) => operator.postgres = sections,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes the keys of a plain table, and adds what is wrong with any to `faults`.
+    /// Reads the keys of a plain table, and adds the faults in it to `faults`.
     fn read_table(&mut self, name: &Spanned<DeString>, entry: &Spanned<DeValue>, faults: &mut Vec<Fault>) {
         let table = name.get_ref();
         let offset = name.span().start;
--- a/crates/lotusdeck/src/operator/postgres.rs
+++ b/crates/lotusdeck/src/operator/postgres.rs
@@ -7,26 +7,27 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A day, ms.
+/// The longest deadline, a day, ms.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// Clients of a front at most, and its connections to servers at most.
+/// The most clients of a front, and the most connections to its servers.
 const MAX_CONNECTIONS: usize = 100_000;
 
-/// One front.
+/// A section `[[postgres]]`: one front.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PostgresSection {
-    /// Where clients connect: a loopback address.
+    /// The address for clients; must be a loopback address.
     pub listen: SocketAddr,
-    /// Where the list of servers comes from, in the same form as for HTTP; or else `servers`.
+    /// The address of discovery for the list of servers, which has the same form as for HTTP. Either this or `servers`
+    /// is set.
     #[serde(default)]
     pub discovery: Option<SocketAddr>,
-    /// The servers.
+    /// The servers, if there is no discovery.
     #[serde(default, rename = "server")]
     pub servers: Vec<ServerSection>,
-    /// Databases that clients may ask for.
+    /// Databases that clients may connect to.
     pub databases: Vec<String>,
-    /// Who may connect.
+    /// The users who may connect.
     #[serde(rename = "user")]
     pub users: Vec<UserSection>,
     /// How this proxy logs in to servers.
@@ -37,13 +38,14 @@
     /// Clients connected at once.
     #[serde(default = "default_clients")]
     pub clients: usize,
-    /// Classes by rule, the first that fits; what none fits must never run twice.
+    /// Classes and their rules; the first that matches a statement applies. Statements that match none are
+    /// non-idempotent.
     #[serde(default, rename = "class")]
     pub classes: Vec<ClassSection>,
     /// The latency objective of a transaction, ms.
     #[serde(default = "default_objective_ms", rename = "aim_ms")]
     pub objective_ms: u64,
-    /// A transaction is ended after this time, ms.
+    /// The time after which a transaction is ended, ms.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
@@ -54,37 +56,38 @@
 pub(crate) struct ServerSection {
     /// Its id, which `cordon` takes.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// What kind of machine it is.
+    /// Its kind of machine.
     #[serde(default)]
     pub kind: String,
 }
 
-/// Who may connect.
+/// A user who may connect.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct UserSection {
     /// The role.
     pub name: String,
-    /// What PostgreSQL stores of its password (`pg_authid.rolpassword`).
+    /// The verifier of its password, as PostgreSQL stores it (`pg_authid.rolpassword`).
     pub verifier: StoredVerifier,
 }
 
-/// A class, and which statements are of it: all that is named has to fit.
+/// A class, and the rule for its statements: everything that is set must match.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ClassSection {
-    /// A single statement outside a transaction may be retried while nothing of its answer went to the client.
+    /// Whether a single statement outside a transaction may be retried while nothing of its answer has been sent to the
+    /// client.
     #[serde(default, rename = "repeatable")]
     pub is_idempotent: bool,
-    /// As for the front, where another holds.
+    /// The latency objective, if it differs from that of the front, ms.
     #[serde(default, rename = "aim_ms")]
     pub objective_ms: Option<u64>,
-    /// As for the front, where another holds.
+    /// The deadline, if it differs from that of the front, ms.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Priority weight against the others, in hundredths: 100 where absent.
+    /// Priority weight relative to the other classes, in hundredths; 100 if absent.
     #[serde(default, rename = "worth_percent")]
     pub weight_percent: Option<u32>,
     /// The role.
@@ -96,10 +99,10 @@
     /// `application_name` of the start-up packet.
     #[serde(default)]
     pub application_name: Option<String>,
-    /// The text of a comment that the statement begins with.
+    /// The text of a comment at the start of the statement.
     #[serde(default)]
     pub comment: Option<String>,
-    /// What the statement begins with.
+    /// The beginning of the statement.
     #[serde(default)]
     pub prefix: Option<String>,
 }
@@ -145,10 +148,10 @@
     30_000
 }
 
-/// All fronts, from the text of an operator file.
+/// Parses all fronts in the text of an operator file.
 ///
 /// # Errors
-/// The first thing that is wrong, and where.
+/// The first fault, and its offset.
 pub(super) fn parse(text: &str) -> Result<Vec<PostgresSection>, Fault> {
     #[derive(Deserialize)]
     struct File {
@@ -169,7 +172,7 @@
 }
 
 impl PostgresSection {
-    /// The first thing that is wrong with it.
+    /// Returns the message of the first fault in the section.
     fn fault(&self) -> Option<&'static str> {
         let connections = 1..=MAX_CONNECTIONS;
         Expectation::first_failed(&[
--- a/crates/lotusdeck/src/operator/state.rs
+++ b/crates/lotusdeck/src/operator/state.rs
@@ -1,18 +1,18 @@
-//! `[state]`: what outlives the process (docs/recovery.md).
+//! `[state]`: the state that outlives the process (docs/recovery.md).
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// `[state]`.
+/// The section `[state]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StateSection {
-    /// Where the files lie; `None` where nothing is persisted.
+    /// The folder of the state files; `None` if nothing is persisted.
     pub folder: Option<PathBuf>,
     /// The site's name, written into the files and checked.
     pub site: String,
-    /// The age at which a saved list has half the confidence.
+    /// The age at which the confidence in saved state is half.
     pub half_life: Duration,
-    /// A changed list is written at most this often.
+    /// The shortest interval between two writes.
     pub every: Duration,
 }
 
--- a/crates/lotusdeck/src/operator/tests.rs
+++ b/crates/lotusdeck/src/operator/tests.rs
@@ -1,5 +1,5 @@
-//! Each key of the plain tables is read, its default holds without it, and the documents say the same of it; arrays of
-//! tables are read, and their faults have a place.
+//! Tests that each key of the plain tables is read, that its default applies if it is absent, and that the documents
+//! describe it in the same way; that arrays of tables are read, and that their faults have an offset.
 
 use super::fleet::parse_members;
 use super::keys::{tables, ValueType, KEYS};
@@ -26,7 +26,7 @@
     assert_eq!(OperatorFile::parse(""), Ok(OperatorFile::default()));
 }
 
-/// All faults are told, in their order, each with its place.
+/// Checks that all faults are reported at once, in the order of the text, with their offsets.
 #[test]
 fn all_faults_are_told_at_once() {
     let text = "[http]\nanswer_gap = 5\nupload_stall_ms = \"x\"\nanswer_silence_ms = 1\n[htpp]\nx = 1\n";
@@ -45,7 +45,7 @@
     assert!(!OperatorFile::parse("[http\n").unwrap_err().is_empty());
 }
 
-/// The operators' page and the code say the same of every key.
+/// Checks that docs/configuration.md lists every key with the range, default and meaning of the table of keys.
 #[test]
 fn the_page_lists_every_key_as_it_is() {
     let page = include_str!("../../../../docs/configuration.md");
@@ -63,7 +63,7 @@
     assert_eq!(rows, KEYS.len());
 }
 
-/// The file under deploy/ changes nothing as it stands, and names every key.
+/// Checks that deploy/operator.toml names every key with its default, and reads as the defaults.
 #[test]
 fn the_deployed_file_holds_the_defaults() {
     let text = include_str!("../../../../deploy/operator.toml");
--- a/crates/lotusdeck/src/operator/values.rs
+++ b/crates/lotusdeck/src/operator/values.rs
@@ -1,4 +1,4 @@
-//! Values of the plain tables: which value fits a key, and which field of which section it sets.
+//! Values of the plain tables: checks whether they fit their keys, and stores them in the fields of the sections.
 
 use super::configuration::ConfigurationSection;
 use super::faults::{type_name, unknown_name, Fault};
@@ -43,7 +43,7 @@
     })
 }
 
-/// What was found instead of a fitting value, in words.
+/// Describes a value that does not fit its key.
 fn describe(value: &DeValue) -> String {
     match value {
         DeValue::Integer(number) => number.as_str().to_string(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The value, where it is of that type and within its limits.
+/// Returns the value if it has the type and is within its limits.
 fn fit(value_type: &ValueType, value: &DeValue) -> Option<Value> {
     match (value_type, value) {
         (ValueType::Number { least, most, .. }, DeValue::Integer(number)) => {
@@ -72,14 +72,14 @@
     }
 }
 
-/// A TOML integer of any base; `None` where it does not fit 64 bits.
+/// Parses a TOML integer of any base; returns `None` if it does not fit into 64 bits.
 fn parse_integer(number: &DeInteger) -> Option<i64> {
     let digits: String = number.as_str().chars().filter(|c| *c != '_').collect();
     i64::from_str_radix(&digits, number.radix()).ok()
 }
 
 impl OperatorFile {
-    /// Sets a checked value; `path` is a key of the table.
+    /// Stores a checked value in its section; `path` is in [`KEYS`].
     pub(super) fn set(&mut self, path: &str, value: Value) {
         match path.split_once('.') {
             Some(("http", key)) => set_http(&mut self.http, key, value),
@@ -92,7 +92,7 @@
     }
 }
 
-/// `[http]`.
+/// Sets a key of `[http]`.
 fn set_http(timeouts: &mut StallTimeouts, key: &str, value: Value) {
     match (key, value) {
         ("answer_gap_ms", Value::Number(ms)) => timeouts.answer_stall = Duration::from_millis(ms),
@@ -103,7 +103,7 @@
     }
 }
 
-/// `[ledger]`.
+/// Sets a key of `[ledger]`.
 fn set_ledger(ledger: &mut LedgerSection, key: &str, value: Value) {
     match (key, value) {
         ("folder", Value::Text(text)) => ledger.folder = folder(text),
@@ -119,7 +119,7 @@
     }
 }
 
-/// `[state]`.
+/// Sets a key of `[state]`.
 fn set_state(state: &mut StateSection, key: &str, value: Value) {
     match (key, value) {
         ("folder", Value::Text(text)) => state.folder = folder(text),
@@ -130,7 +130,7 @@
     }
 }
 
-/// `[configuration]`.
+/// Sets a key of `[configuration]`.
 fn set_configuration(configuration: &mut ConfigurationSection, key: &str, value: Value) {
     match (key, value) {
         ("source", Value::Address(address)) => configuration.source = address,
@@ -138,7 +138,7 @@
     }
 }
 
-/// `[fleet]`.
+/// Sets a key of `[fleet]`.
 fn set_fleet(fleet: &mut FleetSection, key: &str, value: Value) {
     match (key, value) {
         ("listen", Value::Address(address)) => fleet.listen = address,
@@ -150,12 +150,13 @@
     }
 }
 
-/// A folder; empty text names none.
+/// Returns the path of a folder; `None` if the text is empty.
 fn folder(text: String) -> Option<PathBuf> {
     Some(PathBuf::from(text)).filter(|path| !path.as_os_str().is_empty())
 }
 
-/// A key of the table that no section reads: a mistake in this program, which the test of every key finds.
+/// Panics for a key that is in [`KEYS`] but not stored in any section: a programming error that the test of every key
+/// detects.
 fn unset_key(key: &str) -> ! {
     unreachable!("a key of the list that nobody reads: {key}")
 }
--- a/crates/lotusdeck/src/state/files.rs
+++ b/crates/lotusdeck/src/state/files.rs
@@ -1,4 +1,4 @@
-//! The two state files of one proxy: where they lie, and how they are read and written.
+//! The two state files of one proxy: their paths, and how they are read and written.
 
 use super::now_ms;
 use crate::operator::StateSection;
@@ -9,24 +9,24 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The file name's extension for the endpoint list.
+/// File extension of the endpoint list.
 pub(super) const ENDPOINTS: &str = "state";
-/// The file name's extension for the estimates.
+/// File extension of the estimates.
 pub(super) const ESTIMATES: &str = "learned";
 
 /// Why a state file is not used.
 #[derive(Debug, Error)]
 pub(super) enum StateFileError {
-    /// There is none.
+    /// The file does not exist.
     #[error("none kept yet")]
     Missing,
-    /// The system does not give it.
+    /// The file cannot be read.
     #[error("cannot read: {0}")]
     Io(#[source] std::io::Error),
-    /// It is damaged or of another format.
+    /// The file is damaged or has another format.
     #[error(transparent)]
     Format(#[from] ReadError),
-    /// Another site wrote it.
+    /// The file was written at another site.
     #[error("kept for site {written:?}, this is {own:?}")]
     Site {
         /// The site in the file.
@@ -34,28 +34,28 @@
         /// The site of the operator file.
         own: String,
     },
-    /// Another proxy wrote it.
+    /// The file was written by another proxy.
     #[error("kept by proxy {0:?}")]
     Proxy(String),
-    /// The endpoint list in it is not of the expected form.
+    /// The endpoint list in the file does not have the expected form.
     #[error("the list in it: {0}")]
     List(#[source] serde_json::Error),
 }
 
-/// A file name of the proxy's name: a name may hold what a path must not.
+/// Returns a file name for the proxy's name: replaces characters that are unsafe in a path, and removes leading dots.
 pub(super) fn file_name(proxy: &str) -> String {
     let is_safe = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let name: String = proxy.chars().map(|c| if is_safe(c) { c } else { '_' }).collect();
     name.trim_start_matches('.').to_string()
 }
 
-/// An endpoint list that was read, and what the file says of it.
+/// An endpoint list, and the content of the file that it was read from.
 pub(super) struct ReadEndpoints {
     pub saved: SavedEndpoints,
     pub list: EndpointList,
 }
 
-/// Where the state of one proxy lies.
+/// The location of one proxy's state files.
 #[derive(Clone)]
 pub(crate) struct StateLocation {
     pub(super) folder: PathBuf,
@@ -64,17 +64,17 @@
 }
 
 impl StateLocation {
-    /// `proxy` is the name of this proxy.
+    /// Creates the location of the state of the proxy named `proxy`.
     pub(crate) fn new(section: &StateSection, folder: &Path, proxy: &str) -> StateLocation {
         StateLocation { folder: folder.into(), site: section.site.clone(), proxy: proxy.into() }
     }
 
-    /// The file with that extension.
+    /// Returns the path of the file with the given extension.
     pub(super) fn path(&self, extension: &str) -> PathBuf {
         self.folder.join(format!("{}.{extension}", file_name(&self.proxy)))
     }
 
-    /// What a file holds, checked whole.
+    /// Reads a file, and verifies its format, its site and its proxy.
     pub(super) fn read<T: Persisted>(&self, extension: &str) -> Result<T, StateFileError> {
         let bytes = std::fs::read(self.path(extension)).map_err(|error| match error.kind() {
             ErrorKind::NotFound => StateFileError::Missing,
@@ -91,14 +91,14 @@
         Ok(saved)
     }
 
-    /// The endpoint list.
+    /// Reads the endpoint list.
     pub(super) fn read_endpoints(&self) -> Result<ReadEndpoints, StateFileError> {
         let saved: SavedEndpoints = self.read(ENDPOINTS)?;
         let list = serde_json::from_slice(&saved.list).map_err(StateFileError::List)?;
         Ok(ReadEndpoints { saved, list })
     }
 
-    /// Writes whole or not at all: a temporary file, synced, is put in place of the old one.
+    /// Writes a file atomically: a temporary file is written, synced, and renamed over the old one.
     fn write<T: Persisted>(&self, extension: &str, saved: &T) -> std::io::Result<()> {
         let path = self.path(extension);
         let temporary = self.path(&format!("{extension}.new"));
@@ -106,11 +106,11 @@
         file.write_all(&encode(saved))?;
         file.sync_all()?;
         std::fs::rename(&temporary, &path)?;
-        // The rename is durable only once the folder is.
+        // The rename is durable only after the folder is synced.
         File::open(&self.folder).and_then(|folder| folder.sync_all())
     }
 
-    /// Writes an endpoint list.
+    /// Writes the file of the endpoint list.
     pub(super) fn write_endpoints(&self, list: &EndpointList) -> std::io::Result<()> {
         let body = serde_json::to_vec(list).map_err(std::io::Error::other)?;
         let saved = SavedEndpoints {
@@ -123,7 +123,7 @@
         self.write(ENDPOINTS, &saved)
     }
 
-    /// Writes estimates.
+    /// Writes the file of the estimates.
     pub(super) fn write_estimates(&self, estimates: Estimates) -> std::io::Result<()> {
         let estimates = Estimates { site: self.site.clone(), proxy: self.proxy.clone(), ..estimates };
         self.write(ESTIMATES, &estimates)
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -1,6 +1,6 @@
-//! What a proxy starts with: the platform's endpoint list or its own, whichever is newer and trusted, and the estimates
-//! that still deserve confidence. Every reason to pass over a file is one line of the log; the proxy then starts as it
-//! would without the file.
+//! Restores the state that a proxy starts with: the platform's endpoint list or its own saved one, whichever is newer
+//! and trusted, and the estimates if the confidence in them is sufficient. A file that is not used is logged in one
+//! line with the reason, and the proxy starts as it would without the file.
 
 use super::files::{ReadEndpoints, StateFileError, StateLocation, ENDPOINTS, ESTIMATES};
 use super::{now_ms, to_millis};
@@ -11,15 +11,15 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// What a proxy starts with.
+/// The state that a proxy starts with.
 pub(crate) struct InitialState {
-    /// The platform's list or its own.
+    /// The platform's endpoint list or the saved one.
     pub endpoints: EndpointList,
-    /// What is left of the estimates at their age; `None` where nothing is.
+    /// The saved estimates, discounted by their age; `None` if nothing remains of them.
     pub estimates: Option<Estimates>,
 }
 
-/// Reads the files. `known` is the platform's list; `window` is the time over which overload is measured.
+/// Reads the state files. `known` is the platform's list; `window` is the time over which overload is measured.
 pub(crate) fn restore(
     section: &StateSection, location: &StateLocation, known: EndpointList, window: Duration,
 ) -> InitialState {
@@ -63,17 +63,18 @@
     Some(estimates)
 }
 
-/// The name of a list's entry and when its backend started, 0 where the list does not say: long ago.
+/// Returns the name of an entry of the list, and when its backend started in ms since the Unix epoch; 0, which is long
+/// ago, if the list does not say.
 fn backend_start(entry: &serde_json::Value) -> Option<(&str, u64)> {
     let name = entry.get("name")?.as_str()?;
     let started_ms = entry.get("since_ms").and_then(serde_json::Value::as_f64).unwrap_or(0.0);
     Some((name, started_ms as u64))
 }
 
-/// The list to start with.
+/// The endpoint list to start with.
 struct ChosenEndpoints {
     list: EndpointList,
-    /// It is the saved one.
+    /// Whether it is the saved one.
     is_saved: bool,
 }
 
@@ -115,9 +116,9 @@
     }
 }
 
-/// The saved list with every backend taken as started now. It is used where the platform hands over nothing newer, as
-/// after a loss of power of the platform, when the backends are likely to have restarted as well: each has a slow start
-/// until discovery says when it really started (docs/recovery.md).
+/// Returns the saved list with the start of every backend set to now. The saved list is used if the platform provides
+/// nothing newer, as after a power loss of the platform, when the backends are likely to have restarted as well. Each
+/// backend has a slow start until discovery reports when it really started (docs/recovery.md).
 pub(super) fn with_cold_backends(mut list: EndpointList, now_ms: u64) -> EndpointList {
     for entry in list.endpoints.iter_mut().filter_map(|entry| entry.as_object_mut()) {
         entry.insert("since_ms".into(), now_ms.into());
--- a/crates/lotusdeck/src/state/tests.rs
+++ b/crates/lotusdeck/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Saved lists and file names.
+//! Tests of restored endpoint lists and of file names.
 
 use super::files::file_name;
 use super::restore::with_cold_backends;
--- a/crates/lotusdeck/src/state/writer.rs
+++ b/crates/lotusdeck/src/state/writer.rs
@@ -13,23 +13,23 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The lock file's extension.
+/// File extension of the lock.
 const LOCK: &str = "lock";
 
-/// What is to be written next.
+/// Updates that the thread has yet to write.
 struct Pending {
-    /// The whole list, merged from the updates of discovery.
+    /// The complete list, merged from the updates of discovery.
     endpoints: CachedEndpointList,
     estimates: Option<Estimates>,
 }
 
-/// What changed since the last write.
+/// The changes since the last write.
 struct Changes {
     endpoints: Option<EndpointList>,
     estimates: Option<Estimates>,
 }
 
-/// Hands what is to be written from the event loop to the thread.
+/// Passes updates from the event loop to the thread.
 struct Handoff {
     pending: Mutex<Pending>,
     has_changed: Condvar,
@@ -45,7 +45,7 @@
         self.has_changed.notify_one();
     }
 
-    /// Blocks until something has changed.
+    /// Blocks until something has changed, and takes the changes.
     fn wait(&self) -> Changes {
         let mut pending = self.lock();
         loop {
@@ -59,8 +59,8 @@
     }
 }
 
-/// The event loop's side of the thread, which writes what has changed, at most once in an interval. The event loop only
-/// merges updates and hands over estimates; copying the whole list and writing are the thread's.
+/// The event loop's handle of the thread, which writes changes at most once per interval. The event loop only merges
+/// updates and passes estimates on; the thread copies the complete list and writes the files.
 #[derive(Clone)]
 pub(crate) struct StateWriter {
     handoff: Arc<Handoff>,
@@ -68,11 +68,11 @@
 }
 
 impl StateWriter {
-    /// Starts the thread from the list that the proxy starts with. While another process holds the same state, as the
-    /// old one does during an upgrade, this one writes nothing and waits for its end.
+    /// Starts the thread with the list that the proxy starts with. While another process holds the lock of the state,
+    /// as the old one does during an upgrade, this process writes nothing and waits until the other one ends.
     ///
     /// # Errors
-    /// The folder or the lock file cannot be made or locked, or there is no thread to be had.
+    /// The folder or the lock file cannot be created, the lock cannot be tried, or the thread cannot be started.
     pub(crate) fn start(
         location: StateLocation, interval: Duration, initial: &EndpointList,
     ) -> std::io::Result<StateWriter> {
@@ -82,19 +82,19 @@
         let handoff = Arc::new(Handoff { pending: Mutex::new(pending), has_changed: Condvar::new() });
         let thread_handoff = handoff.clone();
         std::thread::Builder::new().name("state".into()).spawn(move || {
-            // Held for as long as the process lives.
+            // Held for as long as the process runs.
             let Some(_lock) = lock.wait() else { return };
             write_changes(&location, &thread_handoff, interval);
         })?;
         Ok(StateWriter { handoff, interval })
     }
 
-    /// Merges an update of the endpoint list; the thread is woken to write it.
+    /// Merges an update of the endpoint list, and wakes the thread to write it.
     pub(crate) fn save_endpoints(&self, update: EndpointList) {
         self.handoff.update(|pending| pending.endpoints.apply(update));
     }
 
-    /// Hands over the estimates, once in an interval, for as long as the program runs.
+    /// Passes the estimates to the thread once per interval, for as long as the program runs.
     pub(crate) async fn save_estimates_periodically(self, host: Rc<Host>) {
         loop {
             tokio::time::sleep(self.interval).await;
@@ -128,7 +128,7 @@
         Ok(StateLock { file, path, is_locked })
     }
 
-    /// Blocks until the lock is held; `None` where it cannot be had.
+    /// Blocks until the lock is held; returns `None` if locking fails.
     fn wait(self) -> Option<StateLock> {
         if self.is_locked {
             return Some(self);
@@ -161,7 +161,7 @@
     }
 }
 
-/// Logs the first write of one file, and after it each change between success and failure.
+/// Logs the first write of a file, and then each change between success and failure.
 struct WriteLog {
     path: PathBuf,
     is_failing: bool,
@@ -181,7 +181,7 @@
                 self.is_failing = false;
                 self.has_written = true;
             }
-            // The file in place stays as it was: whole, only older.
+            // The previous file remains in place: complete, but older.
             Err(error) if !self.is_failing => {
                 warn!(%error, %path, "state write failed; the last one stays");
                 self.is_failing = true;
