--- a/crates/lotusdeck/src/admin/mod.rs
+++ b/crates/lotusdeck/src/admin/mod.rs
@@ -12,8 +12,8 @@
 
 /// Timeout of connecting, and of each read and write.
 const IO_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest part of a response that is read, bytes.
-const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
+/// The longest part of a response that is read.
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// The arguments of `lotusdeck admin`.
 #[derive(clap::Args)]
@@ -145,6 +145,6 @@
     );
     connection.write_all(text.as_bytes())?;
     let mut response = String::new();
-    connection.take(MAX_RESPONSE).read_to_string(&mut response)?;
+    connection.take(MAX_RESPONSE_BYTES).read_to_string(&mut response)?;
     Ok(response)
 }
--- a/crates/lotusdeck/src/check/mod.rs
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -34,20 +34,20 @@
     if args.keys {
         print_keys();
     }
-    let mut all_sound = true;
+    let mut all_valid = true;
     for file in &args.files {
         let name = file.display();
         match check(file) {
             Ok(kind) => print(&format!("{name}: a sound {kind}\n")),
             Err(findings) => {
-                all_sound = false;
+                all_valid = false;
                 for Finding { position, message } in findings {
                     print(&format!("{name}:{}:{}: {message}\n", position.line, position.column));
                 }
             }
         }
     }
-    if all_sound {
+    if all_valid {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(crate::EXIT_INVALID_INPUT)
@@ -59,8 +59,8 @@
         let path = key.path;
         let expected = key.value_type.expected();
         let default = key.value_type.default();
-        let about = key.about;
-        print(&format!("{path}: {expected}, default {default}: {about}\n"));
+        let description = key.description;
+        print(&format!("{path}: {expected}, default {default}: {description}\n"));
     }
 }
 
--- a/crates/lotusdeck/src/check/node.rs
+++ b/crates/lotusdeck/src/check/node.rs
@@ -19,19 +19,19 @@
     is_required: bool,
     /// The expected value, in words.
     expected: &'static str,
-    fits: fn(&Value) -> bool,
+    accepts: fn(&Value) -> bool,
 }
 
 /// The rules of all keys outside of the settings.
 const RULES: [Rule; 8] = [
-    Rule { key: "name", is_required: true, expected: "text", fits: is_text },
-    Rule { key: "listen", is_required: true, expected: "address:port", fits: is_address },
-    Rule { key: "discovery", is_required: true, expected: "address:port", fits: is_address },
-    Rule { key: "admin_addr", is_required: false, expected: "address:port", fits: is_address },
-    Rule { key: "seed", is_required: true, expected: "a number or up to 16 hex digits", fits: is_seed },
-    Rule { key: "limits.sockets", is_required: false, expected: "a whole number", fits: Value::is_u64 },
-    Rule { key: "limits.memory_mb", is_required: false, expected: "a whole number", fits: Value::is_u64 },
-    Rule { key: "known.endpoints", is_required: false, expected: "an array", fits: Value::is_array },
+    Rule { key: "name", is_required: true, expected: "text", accepts: is_text },
+    Rule { key: "listen", is_required: true, expected: "address:port", accepts: is_address },
+    Rule { key: "discovery", is_required: true, expected: "address:port", accepts: is_address },
+    Rule { key: "admin_addr", is_required: false, expected: "address:port", accepts: is_address },
+    Rule { key: "seed", is_required: true, expected: "a number or up to 16 hex digits", accepts: is_seed },
+    Rule { key: "limits.sockets", is_required: false, expected: "a whole number", accepts: Value::is_u64 },
+    Rule { key: "limits.memory_mb", is_required: false, expected: "a whole number", accepts: Value::is_u64 },
+    Rule { key: "known.endpoints", is_required: false, expected: "an array", accepts: Value::is_array },
 ];
 
 fn is_text(value: &Value) -> bool {
@@ -71,7 +71,7 @@
         let expected = self.expected;
         let message = match self.key.split('.').try_fold(document, |value, part| value.get(part)) {
             None if self.is_required => format!("missing, expected {expected}"),
-            Some(value) if !(self.fits)(value) => format!("expected {expected}, got {value:.60}"),
+            Some(value) if !(self.accepts)(value) => format!("expected {expected}, got {value:.60}"),
             _ => return None,
         };
         Some(KeyFault { key: self.key.into(), message })
--- a/crates/lotusdeck/src/configuration/mod.rs
+++ b/crates/lotusdeck/src/configuration/mod.rs
@@ -19,26 +19,26 @@
 
 /// The source to follow, and the outline of this proxy's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct SourceOrder {
+pub(crate) struct FollowTarget {
     /// The address of the source; `None` if none is followed.
     pub source: Option<SocketAddr>,
     /// The outline of the settings in the node configuration.
-    pub file: SettingsOutline,
+    pub file_outline: SettingsOutline,
 }
 
 /// The settings of a version, read and checked.
 pub(crate) struct VersionSettings {
-    /// The order under which they were read. They are not applied if another one has replaced it.
-    pub order: SourceOrder,
+    /// The target under which they were read. They are not applied if another one has replaced it.
+    pub target: FollowTarget,
     /// The version.
     pub version: Version,
     /// The settings.
     pub settings: Settings,
 }
 
-/// The event loop's handle of the thread, which is started by the first order that names a source.
+/// The event loop's handle of the thread, which is started by the first target that names a source.
 pub(crate) struct ConfigurationSource {
-    orders: watch::Sender<SourceOrder>,
+    targets: watch::Sender<FollowTarget>,
     version_sender: mpsc::Sender<VersionSettings>,
     versions: mpsc::Receiver<VersionSettings>,
     status: Arc<SourceStatus>,
@@ -47,17 +47,17 @@
 }
 
 impl ConfigurationSource {
-    /// Starts the thread if the order names a source. `seed` makes this proxy's pauses between polls differ from those
+    /// Starts the thread if the target names a source. `seed` makes this proxy's pauses between polls differ from those
     /// of others.
     ///
     /// # Errors
     /// The thread cannot be started.
-    pub(crate) fn new(order: SourceOrder, seed: u64) -> std::io::Result<ConfigurationSource> {
-        let is_followed = order.source.is_some();
+    pub(crate) fn new(target: FollowTarget, seed: u64) -> std::io::Result<ConfigurationSource> {
+        let is_followed = target.source.is_some();
         // Capacity 1: versions published while the event loop applies one arrive afterwards, as one delta.
         let (version_sender, versions) = mpsc::channel(1);
         let mut source = ConfigurationSource {
-            orders: watch::Sender::new(order),
+            targets: watch::Sender::new(target),
             version_sender,
             versions,
             status: Arc::new(SourceStatus::default()),
@@ -73,13 +73,13 @@
     /// Starts the thread. Its three descriptors (an event queue, its waker, a connection) are part of the reserve.
     fn start_thread(&mut self) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let orders = self.orders.subscribe();
+        let targets = self.targets.subscribe();
         let versions = self.version_sender.clone();
         let status = self.status.clone();
         let seed = self.seed;
         std::thread::Builder::new()
             .name("configuration".into())
-            .spawn(move || runtime.block_on(Worker::new(orders, versions, status, seed).run()))?;
+            .spawn(move || runtime.block_on(Worker::new(targets, versions, status, seed).run()))?;
         self.has_thread = true;
         Ok(())
     }
@@ -89,29 +89,29 @@
         self.versions.recv().await
     }
 
-    /// Starts the thread if the order needs it. Setting the order cannot fail after this.
+    /// Starts the thread if the target needs it. Setting the target cannot fail after this.
     ///
     /// # Errors
-    /// The order is the first that names a source, and the thread cannot be started.
-    pub(crate) fn prepare(&mut self, order: &SourceOrder) -> std::io::Result<()> {
-        if order.source.is_some() && !self.has_thread {
+    /// The target is the first that names a source, and the thread cannot be started.
+    pub(crate) fn prepare(&mut self, target: &FollowTarget) -> std::io::Result<()> {
+        if target.source.is_some() && !self.has_thread {
             return self.start_thread();
         }
         Ok(())
     }
 
-    /// Replaces the order, and notifies the thread if it has changed.
-    pub(crate) fn set_order(&mut self, order: SourceOrder) {
-        self.orders.send_if_modified(|old| {
-            let has_changed = *old != order;
-            *old = order;
+    /// Replaces the target, and notifies the thread if it has changed.
+    pub(crate) fn set_target(&mut self, target: FollowTarget) {
+        self.targets.send_if_modified(|old| {
+            let has_changed = *old != target;
+            *old = target;
             has_changed
         });
     }
 
-    /// Returns the current order.
-    pub(crate) fn order(&self) -> SourceOrder {
-        self.orders.borrow().clone()
+    /// Returns the current target.
+    pub(crate) fn target(&self) -> FollowTarget {
+        self.targets.borrow().clone()
     }
 
     /// Returns the status that operators see.
--- a/crates/lotusdeck/src/configuration/poll.rs
+++ b/crates/lotusdeck/src/configuration/poll.rs
@@ -12,15 +12,15 @@
     Answered(Box<Message>),
     /// No valid message was received.
     Failed(Failure),
-    /// The order was replaced first.
-    OrderChanged,
+    /// The target was replaced first.
+    TargetChanged,
     /// The program is ending.
     Closed,
 }
 
 impl PollOutcome {
     /// Returns the outcome of an HTTP exchange with the source.
-    pub(super) fn of_call(result: Result<impl AsRef<[u8]>, RequestError>) -> PollOutcome {
+    pub(super) fn from_result(result: Result<impl AsRef<[u8]>, RequestError>) -> PollOutcome {
         let body = match result {
             Ok(body) => body,
             Err(RequestError::Status(BUSY)) => return PollOutcome::Failed(Failure::Busy),
--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -2,7 +2,7 @@
 
 use super::poll::{uri, PollOutcome};
 use super::status::{SourceReport, SourceStatus};
-use super::{SourceOrder, VersionSettings};
+use super::{FollowTarget, VersionSettings};
 use lotusdeck_configuration::message::MAX_MESSAGE_BYTES;
 use lotusdeck_configuration::{
     document, DocumentError, Follower, FollowerSettings, InvalidSettings, NextStep, Poll, SyncState, Version,
@@ -31,7 +31,7 @@
 }
 
 /// Settings that have been read and checked, and their outline.
-struct ReadSettings {
+struct CheckedSettings {
     settings: Settings,
     outline: SettingsOutline,
 }
@@ -49,8 +49,8 @@
 
 /// The thread's state.
 pub(super) struct Worker {
-    orders: watch::Receiver<SourceOrder>,
-    order: SourceOrder,
+    targets: watch::Receiver<FollowTarget>,
+    target: FollowTarget,
     versions: mpsc::Sender<VersionSettings>,
     status: Arc<SourceStatus>,
     seed: u64,
@@ -59,23 +59,23 @@
     /// The outline of the settings in force; before the first version, of those in the file.
     outline: SettingsOutline,
     /// The candidate's settings, until they are applied.
-    candidate: Option<ReadSettings>,
-    link: Option<IdleConnection>,
+    candidate: Option<CheckedSettings>,
+    connection: Option<IdleConnection>,
     /// The last problem that was logged; one that persists is logged once.
     logged_problem: Option<String>,
 }
 
 impl Worker {
-    /// Creates a worker that follows the current order and each later one.
+    /// Creates a worker that follows the current target and each later one.
     pub(super) fn new(
-        mut orders: watch::Receiver<SourceOrder>, versions: mpsc::Sender<VersionSettings>,
+        mut targets: watch::Receiver<FollowTarget>, versions: mpsc::Sender<VersionSettings>,
         status: Arc<SourceStatus>, seed: u64,
     ) -> Worker {
-        let order = orders.borrow_and_update().clone();
-        let outline = order.file.clone();
+        let target = targets.borrow_and_update().clone();
+        let outline = target.file_outline.clone();
         Worker {
-            orders,
-            order,
+            targets,
+            target,
             versions,
             status,
             seed,
@@ -83,7 +83,7 @@
             follower: Follower::new(FollowerSettings::default(), seed),
             outline,
             candidate: None,
-            link: None,
+            connection: None,
             logged_problem: None,
         }
     }
@@ -91,9 +91,9 @@
     /// Runs until the program ends.
     pub(super) async fn run(mut self) {
         loop {
-            let flow = match self.order.source {
+            let flow = match self.target.source {
                 Some(source) => self.step(source).await,
-                None => self.wait_for_order().await,
+                None => self.wait_for_target().await,
             };
             if flow.is_break() {
                 return;
@@ -136,28 +136,28 @@
         }));
     }
 
-    async fn wait_for_order(&mut self) -> Flow {
-        let changed = self.orders.changed().await;
+    async fn wait_for_target(&mut self) -> Flow {
+        let changed = self.targets.changed().await;
         break_if_closed(&changed)?;
-        self.apply_order().await
+        self.apply_target().await
     }
 
     async fn wait(&mut self, span: Duration) -> Flow {
         let changed = tokio::select! {
             () = tokio::time::sleep(span) => return Flow::Continue(()),
-            changed = self.orders.changed() => changed,
+            changed = self.targets.changed() => changed,
         };
         break_if_closed(&changed)?;
-        self.apply_order().await
+        self.apply_target().await
     }
 
     async fn poll(&mut self, source: SocketAddr, poll: Poll) -> Flow {
         let timeout = poll.wait + FollowerSettings::default().poll_timeout;
         let uri = uri(&poll);
         let outcome = tokio::select! {
-            answer = http_client::get(&mut self.link, source, &uri, MAX_MESSAGE_BYTES, timeout) => PollOutcome::of_call(answer),
-            changed = self.orders.changed() => match changed {
-                Ok(()) => PollOutcome::OrderChanged,
+            answer = http_client::get(&mut self.connection, source, &uri, MAX_MESSAGE_BYTES, timeout) => PollOutcome::from_result(answer),
+            changed = self.targets.changed() => match changed {
+                Ok(()) => PollOutcome::TargetChanged,
                 Err(_) => PollOutcome::Closed,
             },
         };
@@ -168,13 +168,13 @@
                 self.log_recovery(source, now);
             }
             PollOutcome::Failed(failure) => {
-                self.link = None;
+                self.connection = None;
                 self.follower.poll_failed(now, failure);
             }
-            PollOutcome::OrderChanged => {
-                self.link = None;
+            PollOutcome::TargetChanged => {
+                self.connection = None;
                 self.follower.poll_abandoned(now);
-                return self.apply_order().await;
+                return self.apply_target().await;
             }
             PollOutcome::Closed => return Flow::Break(()),
         }
@@ -200,35 +200,35 @@
         self.follower.candidate_validated(self.now(), verdict);
     }
 
-    fn read_settings(&self, object: Value) -> Result<ReadSettings, RejectedSettings> {
+    fn read_settings(&self, object: Value) -> Result<CheckedSettings, RejectedSettings> {
         let (settings, outline) = self.outline.read_successor(object)?;
-        Ok(ReadSettings { settings, outline })
+        Ok(CheckedSettings { settings, outline })
     }
 
     /// Sends the candidate's settings to the event loop.
     async fn apply_candidate(&mut self, version: Version) -> Flow {
-        let Some(ReadSettings { settings, outline }) = self.candidate.take() else {
+        let Some(CheckedSettings { settings, outline }) = self.candidate.take() else {
             return Flow::Continue(());
         };
         self.logged_problem = None;
         self.outline = outline;
-        let read = VersionSettings { order: self.order.clone(), version, settings };
+        let read = VersionSettings { target: self.target.clone(), version, settings };
         break_if_closed(&self.versions.send(read).await)
     }
 
-    /// Switches to the latest order. If both it and the previous one name a source, the document is kept, and its
-    /// settings are read again with the proxy's own keys of the new order. Otherwise the follower starts without a
+    /// Switches to the latest target. If both it and the previous one name a source, the document is kept, and its
+    /// settings are read again with the proxy's own keys of the new target. Otherwise the follower starts without a
     /// document.
-    async fn apply_order(&mut self) -> Flow {
-        let order = self.orders.borrow_and_update().clone();
-        let old = std::mem::replace(&mut self.order, order);
-        if self.order.source.is_none() || old.source.is_none() {
+    async fn apply_target(&mut self) -> Flow {
+        let target = self.targets.borrow_and_update().clone();
+        let old = std::mem::replace(&mut self.target, target);
+        if self.target.source.is_none() || old.source.is_none() {
             self.follower = Follower::new(FollowerSettings::default(), self.seed);
-            self.outline = self.order.file.clone();
+            self.outline = self.target.file_outline.clone();
             self.status.set(None);
             return Flow::Continue(());
         }
-        self.outline = self.outline.with_own_keys(&self.order.file);
+        self.outline = self.outline.with_own_keys(&self.target.file_outline);
         let Some(version) = self.follower.applied_version() else { return Flow::Continue(()) };
         let object = document::to_settings(self.follower.document().iter()).map_err(RejectedSettings::from);
         match object.and_then(|object| self.read_settings(object)) {
--- a/crates/lotusdeck/src/fleet/mod.rs
+++ b/crates/lotusdeck/src/fleet/mod.rs
@@ -58,7 +58,7 @@
             fleet_size: size,
             seeds: section.members.iter().map(to_seed).collect(),
             limits: limits.iter().map(to_limit).collect(),
-            lease_duration: section.term,
+            lease_duration: section.lease_duration,
             max_request_duration: to_duration(longest_deadline) + DEADLINE_MARGIN,
             rng_seed: seed,
         };
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -27,18 +27,18 @@
 /// The journal of this process.
 pub(crate) struct LedgerJournal {
     ledger: Ledger,
-    wait: Duration,
+    record_timeout: Duration,
     /// Free space below which a warning is logged, bytes.
     min_free_bytes: u64,
     /// The correlation ids of the requests that have not finished.
     request_ids: RefCell<HashMap<RequestId, String>>,
-    has_warned: Cell<bool>,
+    was_short: Cell<bool>,
 }
 
 /// Returns the milliseconds since the Unix epoch.
 fn now_ms() -> u64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    unix.as_millis() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
 
 impl LedgerJournal {
@@ -67,10 +67,10 @@
         info!(folder = %folder.display(), generation, free_bytes = status.free_bytes, failing = status.is_failing, "ledger started");
         let journal = LedgerJournal {
             ledger,
-            wait: section.wait,
+            record_timeout: section.record_timeout,
             min_free_bytes: section.warn_free_mb << MB_SHIFT,
             request_ids: RefCell::default(),
-            has_warned: Cell::new(false),
+            was_short: Cell::new(false),
         };
         Ok(Some(Rc::new(journal)))
     }
@@ -83,7 +83,7 @@
         }
         let status = self.ledger.status();
         let is_short = status.is_failing || status.free_bytes < self.min_free_bytes;
-        if is_short != self.has_warned.replace(is_short) {
+        if is_short != self.was_short.replace(is_short) {
             warn!(
                 failing = status.is_failing,
                 free_bytes = status.free_bytes,
@@ -132,9 +132,11 @@
         let record =
             Record::Intent { request: request.0, attempt: attempt.0, at: now_ms(), id, backend, address };
         let written = self.ledger.record_durably(record);
-        let wait = self.wait;
+        let record_timeout = self.record_timeout;
         let sends_anyway = self.ledger.sends_unrecorded();
-        Box::pin(async move { tokio::time::timeout(wait, written).await.unwrap_or(false) || sends_anyway })
+        Box::pin(async move {
+            tokio::time::timeout(record_timeout, written).await.unwrap_or(false) || sends_anyway
+        })
     }
 
     fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
--- a/crates/lotusdeck/src/operator/fleet.rs
+++ b/crates/lotusdeck/src/operator/fleet.rs
@@ -24,7 +24,7 @@
     /// The site's name; datagrams of other sites are not read.
     pub site: String,
     /// How long a part of a quota is leased to another proxy.
-    pub term: Duration,
+    pub lease_duration: Duration,
 }
 
 impl Default for FleetSection {
@@ -34,7 +34,7 @@
             advertise: None,
             members: Vec::new(),
             site: String::new(),
-            term: Duration::from_secs(1),
+            lease_duration: Duration::from_secs(1),
         }
     }
 }
--- a/crates/lotusdeck/src/operator/keys.rs
+++ b/crates/lotusdeck/src/operator/keys.rs
@@ -9,9 +9,9 @@
         /// The unit that it counts.
         unit: &'static str,
         /// The smallest value that is accepted.
-        least: i64,
+        min: i64,
         /// The largest value that is accepted.
-        most: i64,
+        max: i64,
         /// The value if the key is absent.
         default: i64,
     },
@@ -29,8 +29,8 @@
     /// Describes the expected value, as messages and docs/configuration.md do.
     pub(crate) fn expected(&self) -> String {
         match self {
-            ValueType::Number { unit, least, most, .. } => {
-                format!("a whole number of {unit} from {least} to {most}")
+            ValueType::Number { unit, min, max, .. } => {
+                format!("a whole number of {unit} from {min} to {max}")
             }
             ValueType::Choice(words) => words.join(" or "),
             ValueType::Text => "text".into(),
@@ -58,15 +58,15 @@
     /// The type of its value.
     pub value_type: ValueType,
     /// What it does.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// Creates the key of a whole number; `range` is the smallest and the largest value that is accepted.
 const fn number(
-    path: &'static str, unit: &'static str, range: (i64, i64), default: i64, about: &'static str,
+    path: &'static str, unit: &'static str, range: (i64, i64), default: i64, description: &'static str,
 ) -> Key {
-    let (least, most) = range;
-    Key { path, value_type: ValueType::Number { unit, least, most, default }, about }
+    let (min, max) = range;
+    Key { path, value_type: ValueType::Number { unit, min, max, default }, description }
 }
 
 /// Every key of the plain tables. The keys of `[[postgres]]` and `[[limit]]` are the fields of their types.
@@ -102,17 +102,19 @@
     Key {
         path: "ledger.folder",
         value_type: ValueType::Text,
-        about: "where the journal of requests that must never run twice lies; empty: there is none",
+        description: "where the journal of requests that must never run twice lies; empty: there is none",
     },
     Key {
         path: "ledger.mode",
         value_type: ValueType::Choice(&["process", "power"]),
-        about: "what a record survives before its request is sent: the process's death, or the loss of power",
+        description:
+            "what a record survives before its request is sent: the process's death, or the loss of power",
     },
     Key {
         path: "ledger.on_failure",
         value_type: ValueType::Choice(&["refuse", "go-on"]),
-        about: "while nothing can be written such requests get 503, or are sent and read as uncertain later",
+        description:
+            "while nothing can be written such requests get 503, or are sent and read as uncertain later",
     },
     number("ledger.wait_ms", "ms", (1, 60_000), 200, "an attempt waits so long at most for its record"),
     number("ledger.segment_mb", "MB", (1, 1024), 16, "room of a segment, reserved when it is made"),
@@ -129,12 +131,12 @@
     Key {
         path: "state.folder",
         value_type: ValueType::Text,
-        about: "where this proxy keeps its last list across restarts; empty: nowhere",
+        description: "where this proxy keeps its last list across restarts; empty: nowhere",
     },
     Key {
         path: "state.site",
         value_type: ValueType::Text,
-        about: "names the site in what is kept; what another site kept is not taken",
+        description: "names the site in what is kept; what another site kept is not taken",
     },
     number(
         "state.half_life_s",
@@ -153,27 +155,27 @@
     Key {
         path: "configuration.source",
         value_type: ValueType::Address,
-        about: "where settings are followed from; empty: they come from the node configuration alone",
+        description: "where settings are followed from; empty: they come from the node configuration alone",
     },
     Key {
         path: "fleet.listen",
         value_type: ValueType::Address,
-        about: "where datagrams of other proxies come in; empty: this proxy talks to none",
+        description: "where datagrams of other proxies come in; empty: this proxy talks to none",
     },
     Key {
         path: "fleet.advertise",
         value_type: ValueType::Address,
-        about: "where the others reach it; empty: where it listens",
+        description: "where the others reach it; empty: where it listens",
     },
     Key {
         path: "fleet.members",
         value_type: ValueType::Members,
-        about: "some of the others, to call at: the rest is learned from them",
+        description: "some of the others, to call at: the rest is learned from them",
     },
     Key {
         path: "fleet.site",
         value_type: ValueType::Text,
-        about: "names the site; datagrams of another one are not read",
+        description: "names the site; datagrams of another one are not read",
     },
     number(
         "fleet.term_ms",
--- a/crates/lotusdeck/src/operator/ledger.rs
+++ b/crates/lotusdeck/src/operator/ledger.rs
@@ -13,7 +13,7 @@
     /// Whether requests are sent while nothing can be written.
     pub sends_without_record: bool,
     /// The longest that an attempt waits for its record.
-    pub wait: Duration,
+    pub record_timeout: Duration,
     /// Size of a segment, MiB.
     pub segment_mb: u64,
     /// Size of all segments beyond which the oldest resolved ones are dropped, MiB.
@@ -32,7 +32,7 @@
             folder: None,
             survives_power_loss: false,
             sends_without_record: false,
-            wait: Duration::from_millis(200),
+            record_timeout: Duration::from_millis(200),
             segment_mb: 16,
             keep_mb: 1024,
             keep_days: 90,
--- a/crates/lotusdeck/src/operator/limit.rs
+++ b/crates/lotusdeck/src/operator/limit.rs
@@ -44,10 +44,10 @@
     /// Returns the message of the first fault in the section.
     fn fault(&self) -> Option<&'static str> {
         let is_rate_valid = self.rate_per_s.is_none_or(|rate| rate > 0.0 && rate <= MAX_RATE_PER_S);
-        let limits_something = self.rate_per_s.is_some() || self.in_flight.is_some();
+        let has_limit = self.rate_per_s.is_some() || self.in_flight.is_some();
         Expectation::first_failed(&[
             Expectation { is_met: !self.name.is_empty(), message: "name: expected some text" },
-            Expectation { is_met: limits_something, message: "expected rate_per_s, in_flight or both" },
+            Expectation { is_met: has_limit, message: "expected rate_per_s, in_flight or both" },
             Expectation {
                 is_met: is_rate_valid,
                 message: "rate_per_s: expected a number above 0, 1e9 at most",
--- a/crates/lotusdeck/src/operator/state.rs
+++ b/crates/lotusdeck/src/operator/state.rs
@@ -13,7 +13,7 @@
     /// The age at which the confidence in saved state is half.
     pub half_life: Duration,
     /// The shortest interval between two writes.
-    pub every: Duration,
+    pub write_interval: Duration,
 }
 
 impl Default for StateSection {
@@ -22,7 +22,7 @@
             folder: None,
             site: String::new(),
             half_life: Duration::from_secs(600),
-            every: Duration::from_millis(1_000),
+            write_interval: Duration::from_millis(1_000),
         }
     }
 }
--- a/crates/lotusdeck/src/operator/tests.rs
+++ b/crates/lotusdeck/src/operator/tests.rs
@@ -13,7 +13,7 @@
         let with = |value: &str| OperatorFile::parse(&format!("[{table}]\n{name} = {value}\n"));
         assert_eq!(with(&key.value_type.default()), Ok(OperatorFile::default()), "{}", key.path);
         let (other, wrong) = match key.value_type {
-            ValueType::Number { least, most, .. } => (most.to_string(), vec![least - 1, most + 1]),
+            ValueType::Number { min, max, .. } => (max.to_string(), vec![min - 1, max + 1]),
             ValueType::Choice(words) => (format!("{:?}", words[1]), vec![1]),
             ValueType::Text => ("\"x\"".into(), vec![1]),
             ValueType::Address => ("\"127.0.0.1:7400\"".into(), vec![1]),
@@ -21,14 +21,14 @@
         };
         let read = with(&other);
         assert!(read.is_ok() && read != Ok(OperatorFile::default()), "{}", key.path);
-        assert!(wrong.iter().all(|w| with(&w.to_string()).is_err()), "{}", key.path);
+        assert!(wrong.iter().all(|value| with(&value.to_string()).is_err()), "{}", key.path);
     }
     assert_eq!(OperatorFile::parse(""), Ok(OperatorFile::default()));
 }
 
 /// Checks that all faults are reported at once, in the order of the text, with their offsets.
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let text = "[http]\nanswer_gap = 5\nupload_stall_ms = \"x\"\nanswer_silence_ms = 1\n[htpp]\nx = 1\n";
     let faults = OperatorFile::parse(text).unwrap_err();
     let messages: Vec<&str> = faults.iter().map(|fault| fault.message.as_str()).collect();
@@ -47,19 +47,20 @@
 
 /// Checks that docs/configuration.md lists every key with the range, default and meaning of the table of keys.
 #[test]
-fn the_page_lists_every_key_as_it_is() {
+fn the_page_describes_every_key_as_the_table_does() {
     let page = include_str!("../../../../docs/configuration.md");
-    for k in &KEYS {
+    for key in &KEYS {
         let row = format!(
             "| `{}` | {} | {} | {} |",
-            k.path,
-            k.value_type.expected(),
-            k.value_type.default(),
-            k.about
+            key.path,
+            key.value_type.expected(),
+            key.value_type.default(),
+            key.description
         );
         assert!(page.contains(&row), "docs/configuration.md lacks this row:\n{row}");
     }
-    let rows = page.lines().filter(|l| tables().any(|t| l.starts_with(&format!("| `{t}.")))).count();
+    let rows =
+        page.lines().filter(|line| tables().any(|table| line.starts_with(&format!("| `{table}.")))).count();
     assert_eq!(rows, KEYS.len());
 }
 
@@ -68,9 +69,9 @@
 fn the_deployed_file_holds_the_defaults() {
     let text = include_str!("../../../../deploy/operator.toml");
     assert_eq!(OperatorFile::parse(text), Ok(OperatorFile::default()));
-    for k in &KEYS {
-        let (_, name) = k.path.split_once('.').unwrap();
-        assert!(text.contains(&format!("{name} = {}", k.value_type.default())), "{}", k.path);
+    for key in &KEYS {
+        let (_, name) = key.path.split_once('.').unwrap();
+        assert!(text.contains(&format!("{name} = {}", key.value_type.default())), "{}", key.path);
     }
 }
 
@@ -92,9 +93,9 @@
         assert!(fault.message.contains(expected), "{expected}: {}", fault.message);
     }
     let many = |count| (0..count).map(|n| format!("[[limit]]\nname = \"{n}\"\nrate_per_s = 1\n")).collect();
-    let (most, more): (String, String) = (many(MAX_LIMITS), many(MAX_LIMITS + 1));
-    assert_eq!(limit::parse(&most).map(|limits| limits.len()), Ok(MAX_LIMITS));
-    assert!(limit::parse(&more).unwrap_err().message.contains("4096 limits at most"));
+    let (at_limit, over_limit): (String, String) = (many(MAX_LIMITS), many(MAX_LIMITS + 1));
+    assert_eq!(limit::parse(&at_limit).map(|limits| limits.len()), Ok(MAX_LIMITS));
+    assert!(limit::parse(&over_limit).unwrap_err().message.contains("4096 limits at most"));
     let offset = limit::parse(&text.replace("\"b\"", "\"all\"")).unwrap_err().offset;
     assert!(text[offset..].starts_with("[[limit]]") && offset > 0, "{offset}");
 }
--- a/crates/lotusdeck/src/operator/values.rs
+++ b/crates/lotusdeck/src/operator/values.rs
@@ -36,7 +36,7 @@
         let known = KEYS.iter().map(|key| key.path);
         return Err(Fault { offset, message: unknown_name("key", path, known) });
     };
-    fit(&key.value_type, value.get_ref()).ok_or_else(|| {
+    convert(&key.value_type, value.get_ref()).ok_or_else(|| {
         let expected = key.value_type.expected();
         let got = describe(value.get_ref());
         Fault { offset, message: format!("{path}: expected {expected}, got {got}") }
@@ -53,11 +53,11 @@
 }
 
 /// Returns the value if it has the type and is within its limits.
-fn fit(value_type: &ValueType, value: &DeValue) -> Option<Value> {
+fn convert(value_type: &ValueType, value: &DeValue) -> Option<Value> {
     match (value_type, value) {
-        (ValueType::Number { least, most, .. }, DeValue::Integer(number)) => {
+        (ValueType::Number { min, max, .. }, DeValue::Integer(number)) => {
             let number = parse_integer(number)?;
-            (least..=most).contains(&&number).then_some(Value::Number(number.unsigned_abs()))
+            (min..=max).contains(&&number).then_some(Value::Number(number.unsigned_abs()))
         }
         (ValueType::Choice(words), DeValue::String(text)) => {
             words.contains(&text.as_ref()).then(|| Value::Text(text.to_string()))
@@ -87,7 +87,7 @@
             Some(("state", key)) => set_state(&mut self.state, key, value),
             Some(("configuration", key)) => set_configuration(&mut self.configuration, key, value),
             Some(("fleet", key)) => set_fleet(&mut self.fleet, key, value),
-            _ => unset_key(path),
+            _ => unhandled_key(path),
         }
     }
 }
@@ -99,7 +99,7 @@
         ("answer_silence_ms", Value::Number(ms)) => timeouts.relayed_answer_stall = Duration::from_millis(ms),
         ("upload_stall_ms", Value::Number(ms)) => timeouts.upload_stall = Duration::from_millis(ms),
         ("upload_unread_ms", Value::Number(ms)) => timeouts.backend_stall = Duration::from_millis(ms),
-        _ => unset_key(key),
+        _ => unhandled_key(key),
     }
 }
 
@@ -109,13 +109,13 @@
         ("folder", Value::Text(text)) => ledger.folder = folder(text),
         ("mode", Value::Text(word)) => ledger.survives_power_loss = word == "power",
         ("on_failure", Value::Text(word)) => ledger.sends_without_record = word == "go-on",
-        ("wait_ms", Value::Number(ms)) => ledger.wait = Duration::from_millis(ms),
+        ("wait_ms", Value::Number(ms)) => ledger.record_timeout = Duration::from_millis(ms),
         ("segment_mb", Value::Number(mb)) => ledger.segment_mb = mb,
         ("keep_mb", Value::Number(mb)) => ledger.keep_mb = mb,
         ("keep_days", Value::Number(days)) => ledger.keep_days = days,
         ("keep_unresolved_days", Value::Number(days)) => ledger.keep_unresolved_days = days,
         ("warn_free_mb", Value::Number(mb)) => ledger.warn_free_mb = mb,
-        _ => unset_key(key),
+        _ => unhandled_key(key),
     }
 }
 
@@ -125,8 +125,8 @@
         ("folder", Value::Text(text)) => state.folder = folder(text),
         ("site", Value::Text(text)) => state.site = text,
         ("half_life_s", Value::Number(s)) => state.half_life = Duration::from_secs(s),
-        ("every_ms", Value::Number(ms)) => state.every = Duration::from_millis(ms),
-        _ => unset_key(key),
+        ("every_ms", Value::Number(ms)) => state.write_interval = Duration::from_millis(ms),
+        _ => unhandled_key(key),
     }
 }
 
@@ -134,7 +134,7 @@
 fn set_configuration(configuration: &mut ConfigurationSection, key: &str, value: Value) {
     match (key, value) {
         ("source", Value::Address(address)) => configuration.source = address,
-        _ => unset_key(key),
+        _ => unhandled_key(key),
     }
 }
 
@@ -145,8 +145,8 @@
         ("advertise", Value::Address(address)) => fleet.advertise = address,
         ("members", Value::Members(members)) => fleet.members = members,
         ("site", Value::Text(text)) => fleet.site = text,
-        ("term_ms", Value::Number(ms)) => fleet.term = Duration::from_millis(ms),
-        _ => unset_key(key),
+        ("term_ms", Value::Number(ms)) => fleet.lease_duration = Duration::from_millis(ms),
+        _ => unhandled_key(key),
     }
 }
 
@@ -157,6 +157,6 @@
 
 /// Panics for a key that is in [`KEYS`] but not stored in any section: a programming error that the test of every key
 /// detects.
-fn unset_key(key: &str) -> ! {
+fn unhandled_key(key: &str) -> ! {
     unreachable!("a key of the list that nobody reads: {key}")
 }
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -77,12 +77,12 @@
     section.clients + SPARE + section.connections
 }
 
-/// Starts the front of a section. `state` is the path from which the node's cordon file is loaded.
+/// Starts the front of a section. The path of the node's cordon file begins with `state_path_prefix`.
 ///
 /// # Errors
 /// The front cannot start; none of its tasks has been spawned then.
 pub(crate) fn start(
-    section: &PostgresSection, node: &Settings, seed: u64, clock: Clock, state: &Path,
+    section: &PostgresSection, node: &Settings, seed: u64, clock: Clock, state_path_prefix: &Path,
 ) -> Result<RunningFront, PostgresError> {
     let login = login(section)?;
     let settings = balancer_settings(section, node);
@@ -90,8 +90,15 @@
     let servers = Servers::new(login, &settings.network, section.connections);
     let balancer = Balancer::new(settings.config.clone(), seed)?;
     let pools: Vec<Rc<dyn ConnectionPools>> = vec![servers.clone()];
-    let host = Host::new(balancer, settings, clock, pools, Cordon::load(state), OptionalServices::default());
-    let listen = Listen::open(section, &host, &servers)?;
+    let host = Host::new(
+        balancer,
+        settings,
+        clock,
+        pools,
+        Cordon::load(state_path_prefix),
+        OptionalServices::default(),
+    );
+    let listening = ListeningFront::open(section, &host, &servers)?;
     spawn_local(host.clone().run_timers());
     spawn_local(host.clone().follow_cordon_file());
     match section.discovery {
@@ -101,7 +108,7 @@
             host.update_endpoints(ListUpdate::Full, endpoints);
         }
     }
-    let Listen { listener, address, front } = listen;
+    let ListeningFront { listener, address, front } = listening;
     spawn_local(front.clone().run(listener));
     let server_count = section.servers.len();
     info!(%address, servers = server_count, users = section.users.len(), "postgres listening");
@@ -109,16 +116,16 @@
 }
 
 /// A front, and the listener whose clients it will serve.
-struct Listen {
+struct ListeningFront {
     listener: TcpListener,
     address: SocketAddr,
     front: Rc<Front>,
 }
 
-impl Listen {
+impl ListeningFront {
     fn open(
         section: &PostgresSection, host: &Rc<Host>, servers: &Rc<Servers>,
-    ) -> Result<Listen, PostgresError> {
+    ) -> Result<ListeningFront, PostgresError> {
         let failed = |source| PostgresError::Start { address: section.listen, source };
         let listener = lotusdeck_proxy::server::listen(section.listen).map_err(failed)?;
         let address = listener.local_addr().unwrap_or(section.listen);
@@ -133,7 +140,7 @@
             rules: class_rules(section),
         };
         let front = Front::new(host.clone(), servers.clone(), settings).map_err(failed)?;
-        Ok(Listen { listener, address, front })
+        Ok(ListeningFront { listener, address, front })
     }
 }
 
--- a/crates/lotusdeck/src/serve/mod.rs
+++ b/crates/lotusdeck/src/serve/mod.rs
@@ -11,7 +11,7 @@
 mod signals;
 mod startup;
 
-use crate::configuration::{ConfigurationSource, SourceOrder, SourceStatus};
+use crate::configuration::{ConfigurationSource, FollowTarget, SourceStatus};
 use crate::logging::{self, Format};
 use crate::operator::OperatorFile;
 use crate::postgres::RunningFront;
@@ -134,8 +134,8 @@
     discovery: watch::Sender<(SocketAddr, DiscoveryMode)>, hangup: Signal,
 ) -> Result<Arc<SourceStatus>, ServeError> {
     let node_file = parts.node.file.clone();
-    let order = SourceOrder { source: operator.configuration.source, file: node_file.outline() };
-    let source = ConfigurationSource::new(order, parts.node.seed).map_err(ServeError::Configuration)?;
+    let target = FollowTarget { source: operator.configuration.source, file_outline: node_file.outline() };
+    let source = ConfigurationSource::new(target, parts.node.seed).map_err(ServeError::Configuration)?;
     let status = source.status();
     let startup_sections = Arc::new(StartupSections {
         ledger: operator.ledger,
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -2,7 +2,7 @@
 //! are served.
 
 use super::error::ServeError;
-use crate::configuration::{ConfigurationSource, SourceOrder, VersionSettings};
+use crate::configuration::{ConfigurationSource, FollowTarget, VersionSettings};
 use crate::operator::{
     FleetSection, LedgerSection, LimitSection, OperatorFile, PostgresSection, StateSection,
 };
@@ -117,9 +117,10 @@
     /// Applies both files completely, or nothing of either, and returns a description of what changed.
     async fn try_reload_files(&mut self) -> Result<String, ServeError> {
         let Files { operator, node } = self.read_files().await?;
-        let order = SourceOrder { source: operator.configuration.source, file: node.file.outline() };
-        self.source.prepare(&order).map_err(ServeError::Configuration)?;
-        let keeps_source_settings = self.has_source_settings && order.source.is_some();
+        let target =
+            FollowTarget { source: operator.configuration.source, file_outline: node.file.outline() };
+        self.source.prepare(&target).map_err(ServeError::Configuration)?;
+        let keeps_source_settings = self.has_source_settings && target.source.is_some();
         let changed = if keeps_source_settings {
             self.set_discovery_address(node.discovery);
             "nothing but what each proxy is told: a source is followed".into()
@@ -127,7 +128,7 @@
             self.apply_settings(node.discovery, node.settings).await?
         };
         self.has_source_settings = keeps_source_settings;
-        self.source.set_order(order);
+        self.source.set_target(target);
         self.stall_timeouts.set(operator.http);
         self.node_file = node.file;
         Ok(changed)
@@ -169,9 +170,9 @@
         self.discovery.send_if_modified(|old| std::mem::replace(&mut old.0, address) != address);
     }
 
-    /// Applies the settings of a version, unless the order has been replaced since they were read.
+    /// Applies the settings of a version, unless the target has been replaced since they were read.
     async fn apply_version(&mut self, read: VersionSettings) {
-        if read.order != self.source.order() {
+        if read.target != self.source.target() {
             return;
         }
         let discovery = self.discovery.borrow().0;
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -87,16 +87,16 @@
 }
 
 fn open_state(section: &StateSection, node: &mut NodeConfig) -> Result<OpenedState, ServeError> {
-    let known = std::mem::take(&mut node.cached_endpoints);
+    let platform_list = std::mem::take(&mut node.cached_endpoints);
     let Some(folder) = &section.folder else {
-        let initial = InitialState { endpoints: known, estimates: None };
+        let initial = InitialState { endpoints: platform_list, estimates: None };
         return Ok(OpenedState { initial, writer: None });
     };
     let location = StateLocation::new(section, folder, &node.name);
     let window = to_duration(node.settings.config.slow_start.overload_window);
-    let initial = state::restore(section, &location, known, window);
-    let writer =
-        StateWriter::start(location, section.every, &initial.endpoints).map_err(ServeError::State)?;
+    let initial = state::restore(section, &location, platform_list, window);
+    let writer = StateWriter::start(location, section.write_interval, &initial.endpoints)
+        .map_err(ServeError::State)?;
     Ok(OpenedState { initial, writer: Some(writer) })
 }
 
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -19,17 +19,17 @@
     pub estimates: Option<Estimates>,
 }
 
-/// Reads the state files. `known` is the platform's list; `window` is the time over which overload is measured.
+/// Reads the state files. `window` is the time over which overload is measured.
 pub(crate) fn restore(
-    section: &StateSection, location: &StateLocation, known: EndpointList, window: Duration,
+    section: &StateSection, location: &StateLocation, platform_list: EndpointList, window: Duration,
 ) -> InitialState {
     let now_ms = now_ms();
-    let chosen = choose_endpoints(section, location, known, now_ms);
+    let chosen = choose_endpoints(section, location, platform_list, now_ms);
     let weighting = AgeWeighting {
         now_ms,
         half_life_ms: to_millis(section.half_life),
         window_ms: to_millis(window),
-        write_interval_ms: to_millis(section.every),
+        write_interval_ms: to_millis(section.write_interval),
     };
     let estimates = restore_estimates(location, &chosen.list, weighting);
     let endpoints = if chosen.is_saved { with_cold_backends(chosen.list, now_ms) } else { chosen.list };
@@ -79,39 +79,43 @@
 }
 
 fn choose_endpoints(
-    section: &StateSection, location: &StateLocation, known: EndpointList, now_ms: u64,
+    section: &StateSection, location: &StateLocation, platform_list: EndpointList, now_ms: u64,
 ) -> ChosenEndpoints {
-    let platforms = |list| ChosenEndpoints { list, is_saved: false };
+    let from_platform = |list| ChosenEndpoints { list, is_saved: false };
     let path = location.path(ENDPOINTS);
     let ReadEndpoints { saved, list } = match location.read_endpoints() {
         Ok(read) => read,
         Err(StateFileError::Missing) => {
             info!(path = %path.display(), "no saved endpoint list");
-            return platforms(known);
+            return from_platform(platform_list);
         }
         Err(error) => {
             warn!(path = %path.display(), %error, "endpoint list not restored; starting without it");
-            return platforms(known);
+            return from_platform(platform_list);
         }
     };
     let age = Age::of(saved.written_ms, now_ms);
     let confidence = Confidence::at_age(age, to_millis(section.half_life));
     let index = saved.index;
     let entries = list.endpoints.len();
-    match choose(index, confidence, known.version, known.endpoints.len()) {
+    match choose(index, confidence, platform_list.version, platform_list.endpoints.len()) {
         EndpointSource::SavedEndpoints => {
             let confidence = confidence.0;
-            info!(index, entries, ?age, confidence, known = known.version, "endpoint list restored");
+            info!(index, entries, ?age, confidence, known = platform_list.version, "endpoint list restored");
             ChosenEndpoints { list, is_saved: true }
         }
         EndpointSource::PlatformEndpoints => {
-            info!(index, known = known.version, "saved endpoint list not used: the platform's is as new");
-            platforms(known)
+            info!(
+                index,
+                known = platform_list.version,
+                "saved endpoint list not used: the platform's is as new"
+            );
+            from_platform(platform_list)
         }
         EndpointSource::Untrusted(confidence) => {
             let confidence = confidence.0;
             warn!(index, ?age, confidence, "endpoint list not restored: too old or of unknown age");
-            platforms(known)
+            from_platform(platform_list)
         }
     }
 }
--- a/crates/lotusdeck/src/state/tests.rs
+++ b/crates/lotusdeck/src/state/tests.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn a_kept_list_is_taken_as_started_now() {
+fn backends_of_a_saved_list_count_as_started_now() {
     let endpoints = vec![json!({"name": "a", "since_ms": 5}), json!({"name": "b"}), json!(3)];
     let list = with_cold_backends(EndpointList { version: 2, snapshot: true, endpoints }, 9_000);
     let started: Vec<Option<u64>> =
