--- a/crates/lotusdeck/src/operator/values.rs
+++ b/crates/lotusdeck/src/operator/values.rs
@@ -158,5 +158,5 @@
 /// Panics for a key that is in [`KEYS`] but not stored in any section: a programming error that the test of every key
 /// detects.
 fn unhandled_key(key: &str) -> ! {
-    unreachable!("a key of the list that nobody reads: {key}")
+    unreachable!("no section has a field for the key {key}")
 }
--- a/crates/lotusdeck/src/serve/error.rs
+++ b/crates/lotusdeck/src/serve/error.rs
@@ -26,7 +26,7 @@
     #[error("no signals: {0}")]
     Signals(#[source] io::Error),
     /// The thread that read the files or prepared the settings ended early.
-    #[error("reading was interrupted: {0}")]
+    #[error("background task ended early: {0}")]
     Interrupted(#[source] tokio::task::JoinError),
     /// The event loop cannot be started.
     #[error("no event loop: {0}")]
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -123,7 +123,7 @@
         let keeps_source_settings = self.has_source_settings && target.source.is_some();
         let changed = if keeps_source_settings {
             self.set_discovery_address(node.discovery);
-            "nothing but what each proxy is told: a source is followed".into()
+            "only the proxy's own keys: a source is followed".into()
         } else {
             self.apply_settings(node.discovery, node.settings).await?
         };
--- a/crates/lotusdeck/src/state/files.rs
+++ b/crates/lotusdeck/src/state/files.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Error)]
 pub(super) enum StateFileError {
     /// The file does not exist.
-    #[error("none kept yet")]
+    #[error("the file does not exist")]
     Missing,
     /// The file cannot be read.
     #[error("cannot read: {0}")]
@@ -38,7 +38,7 @@
     #[error("kept by proxy {0:?}")]
     Proxy(String),
     /// The endpoint list in the file does not have the expected form.
-    #[error("the list in it: {0}")]
+    #[error("invalid endpoint list: {0}")]
     List(#[source] serde_json::Error),
 }
 
--- a/crates/lotusdeck/src/state/tests.rs
+++ b/crates/lotusdeck/src/state/tests.rs
@@ -11,7 +11,7 @@
     let list = with_cold_backends(EndpointList { version: 2, snapshot: true, endpoints }, 9_000);
     let started: Vec<Option<u64>> =
         list.endpoints.iter().map(|entry| entry.get("since_ms")?.as_u64()).collect();
-    assert_eq!(started, [Some(9_000), Some(9_000), None], "what is no entry stays as it was");
+    assert_eq!(started, [Some(9_000), Some(9_000), None], "entries that are not objects are unchanged");
 }
 
 #[test]
