--- a/crates/lotusdeck/src/fleet/gossip.rs
+++ b/crates/lotusdeck/src/fleet/gossip.rs
@@ -13,7 +13,7 @@
 /// The interval between attempts to bind an address that another process of this proxy still holds, as during an
 /// upgrade, and the pause after a failed receive.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Datagrams that are read at most before other tasks run.
+/// The most datagrams that are read before other tasks run.
 const MAX_DATAGRAMS_AT_ONCE: usize = 64;
 /// How often the balancer gets the load of the other proxies, which is as often as they report it.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -1,4 +1,5 @@
-//! `lotusdeck ledger`: reads from the ledger folders of one or more proxies, running or crashed, what was sent where.
+//! `lotusdeck ledger`: reads the ledger folders of one or more proxies, running or crashed, and shows what was sent
+//! where.
 
 mod format;
 
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -24,7 +24,7 @@
 /// Milliseconds in a day.
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
-/// The journal of this process.
+/// The journal of this process, kept in a ledger.
 pub(crate) struct LedgerJournal {
     ledger: Ledger,
     record_timeout: Duration,
--- a/crates/lotusdeck/src/main.rs
+++ b/crates/lotusdeck/src/main.rs
@@ -15,7 +15,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use std::process::ExitCode;
 
-/// The exit code for a wrong command line and for invalid input.
+/// The exit code for wrong usage and for invalid input.
 const EXIT_INVALID_INPUT: u8 = 2;
 
 /// A reverse proxy for fleets of servers. Exit codes: 0 done, 1 failed, 2 wrong usage or refused input.
--- a/crates/lotusdeck/src/operator/arrays.rs
+++ b/crates/lotusdeck/src/operator/arrays.rs
@@ -1,4 +1,4 @@
-//! Reading of the arrays of tables, `[[postgres]]` and `[[limit]]`.
+//! Parses the arrays of tables, `[[postgres]]` and `[[limit]]`.
 
 use super::Fault;
 use serde::de::DeserializeOwned;
--- a/crates/lotusdeck/src/operator/keys.rs
+++ b/crates/lotusdeck/src/operator/keys.rs
@@ -57,7 +57,7 @@
     pub path: &'static str,
     /// The type of its value.
     pub value_type: ValueType,
-    /// What it does.
+    /// What the key does.
     pub description: &'static str,
 }
 
--- a/crates/lotusdeck/src/operator/ledger.rs
+++ b/crates/lotusdeck/src/operator/ledger.rs
@@ -1,4 +1,4 @@
-//! `[ledger]`: the journal of requests that must never run twice.
+//! `[ledger]`: the journal of non-idempotent requests.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     pub keep_mb: u64,
     /// Age at which resolved segments are dropped, days.
     pub keep_days: u64,
-    /// Age at which the others are dropped, days.
+    /// Age at which unresolved segments are dropped, days.
     pub keep_unresolved_days: u64,
     /// Free space below which a warning is logged, MiB.
     pub warn_free_mb: u64,
--- a/crates/lotusdeck/src/operator/postgres.rs
+++ b/crates/lotusdeck/src/operator/postgres.rs
@@ -90,10 +90,10 @@
     /// Priority weight relative to the other classes, in hundredths; 100 if absent.
     #[serde(default, rename = "worth_percent")]
     pub weight_percent: Option<u32>,
-    /// The role.
+    /// The role of the client.
     #[serde(default)]
     pub user: Option<String>,
-    /// The database.
+    /// The database of the client.
     #[serde(default)]
     pub database: Option<String>,
     /// `application_name` of the start-up packet.
@@ -102,7 +102,7 @@
     /// The text of a comment at the start of the statement.
     #[serde(default)]
     pub comment: Option<String>,
-    /// The beginning of the statement.
+    /// The text that the statement begins with.
     #[serde(default)]
     pub prefix: Option<String>,
 }
--- a/crates/lotusdeck/src/operator/values.rs
+++ b/crates/lotusdeck/src/operator/values.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the value if it has the type and is within its limits.
+/// Converts the value if it has the type of the key and is within its limits.
 fn convert(value_type: &ValueType, value: &DeValue) -> Option<Value> {
     match (value_type, value) {
         (ValueType::Number { min, max, .. }, DeValue::Integer(number)) => {
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -21,15 +21,15 @@
 
 /// The sections of the operator file that are only read at start-up.
 pub(super) struct StartupSections {
-    /// `[ledger]`.
+    /// The section `[ledger]`.
     pub ledger: LedgerSection,
-    /// `[[postgres]]`.
+    /// The sections `[[postgres]]`.
     pub postgres: Vec<PostgresSection>,
-    /// `[state]`.
+    /// The section `[state]`.
     pub state: StateSection,
-    /// `[fleet]`.
+    /// The section `[fleet]`.
     pub fleet: FleetSection,
-    /// `[[limit]]`.
+    /// The sections `[[limit]]`.
     pub limits: Vec<LimitSection>,
 }
 
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -40,7 +40,7 @@
     pub discovery_mode: DiscoveryMode,
     /// Makes this proxy's random choices differ from those of others.
     pub seed: u64,
-    /// The file in force.
+    /// The node configuration file in force.
     pub file: ActiveConfigFile,
 }
 
