--- a/crates/lotusdeck/src/check/mod.rs
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! `lotusdeck check`: all that is wrong with files, at once.
+//! `lotusdeck check`: reports all faults in configuration files at once.
 
 mod location;
 mod node;
@@ -22,32 +22,32 @@
     keys: bool,
 }
 
-/// One thing that is wrong with a file; findings are sorted by their place.
+/// A fault in a file. Findings are ordered by position.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Finding {
     position: Position,
     message: String,
 }
 
-/// Prints one line for each fault, or for a sound file.
+/// Checks the files; prints one line for each fault, and one for each file without faults.
 pub(crate) fn main(args: &Args) -> ExitCode {
     if args.keys {
         print_keys();
     }
-    let mut all_sound = true;
+    let mut all_valid = true;
     for file in &args.files {
         let name = file.display();
         match check(file) {
             Ok(kind) => print(&format!("{name}: a sound {kind}\n")),
             Err(findings) => {
-                all_sound = false;
+                all_valid = false;
                 for Finding { position, message } in findings {
                     print(&format!("{name}:{}:{}: {message}\n", position.line, position.column));
                 }
             }
         }
     }
-    if all_sound {
+    if all_valid {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(crate::EXIT_INVALID_INPUT)
@@ -59,12 +59,12 @@
         let path = key.path;
         let expected = key.value_type.expected();
         let default = key.value_type.default();
-        let about = key.about;
-        print(&format!("{path}: {expected}, default {default}: {about}\n"));
+        let description = key.description;
+        print(&format!("{path}: {expected}, default {default}: {description}\n"));
     }
 }
 
-/// The kind of a sound file.
+/// Checks a file, and returns which kind of file it is if it has no fault.
 fn check(file: &Path) -> Result<&'static str, Vec<Finding>> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         let message = format!("cannot be read: {error}");
--- a/crates/lotusdeck/src/configuration/mod.rs
+++ b/crates/lotusdeck/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! Follows a source of configuration (docs/configuration-distribution.md) on a thread of its own: polling, decoding,
-//! verifying and reading megabytes never hold the event loop, which gets settings that were read and checked.
+//! Follows a source of configuration (docs/configuration-distribution.md) on a separate thread: polling, decoding,
+//! verifying and reading megabytes never block the event loop, which receives settings that have been read and checked.
 //!
-//! `worker` is the thread, `poll` one question to the source, and `status` what operators see.
+//! `worker` runs the thread, `poll` is one poll of the source, and `status` is what operators see.
 
 mod poll;
 mod status;
@@ -17,28 +17,28 @@
 use tokio::sync::{mpsc, watch};
 use worker::Worker;
 
-/// Which source to follow, and as which proxy.
+/// The source to follow, and the outline of this proxy's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct SourceOrder {
-    /// Where the source is; `None` where none is followed.
+pub(crate) struct FollowTarget {
+    /// The address of the source; `None` if none is followed.
     pub source: Option<SocketAddr>,
     /// The outline of the settings in the node configuration.
-    pub file: SettingsOutline,
+    pub file_outline: SettingsOutline,
 }
 
-/// Settings of a version, read and checked.
+/// The settings of a version, read and checked.
 pub(crate) struct VersionSettings {
-    /// The order under which they were read: under another one they are not applied.
-    pub order: SourceOrder,
-    /// The version that they are of.
+    /// The target under which they were read. They are not applied if another one has replaced it.
+    pub target: FollowTarget,
+    /// The version.
     pub version: Version,
-    /// All of them.
+    /// The settings.
     pub settings: Settings,
 }
 
-/// The event loop's side of the thread, which is started by the first order that names a source.
+/// The event loop's handle of the thread, which is started by the first target that names a source.
 pub(crate) struct ConfigurationSource {
-    orders: watch::Sender<SourceOrder>,
+    targets: watch::Sender<FollowTarget>,
     version_sender: mpsc::Sender<VersionSettings>,
     versions: mpsc::Receiver<VersionSettings>,
     status: Arc<SourceStatus>,
@@ -47,16 +47,17 @@
 }
 
 impl ConfigurationSource {
-    /// `seed` spreads the pauses of this proxy from those of others.
+    /// Starts the thread if the target names a source. `seed` makes this proxy's pauses between polls differ from those
+    /// of others.
     ///
     /// # Errors
-    /// There is no thread to be had.
-    pub(crate) fn new(order: SourceOrder, seed: u64) -> std::io::Result<ConfigurationSource> {
-        let is_followed = order.source.is_some();
-        // One at a time: what comes meanwhile is one delta later.
+    /// The thread cannot be started.
+    pub(crate) fn new(target: FollowTarget, seed: u64) -> std::io::Result<ConfigurationSource> {
+        let is_followed = target.source.is_some();
+        // Capacity 1: versions published while the event loop applies one arrive afterwards, as one delta.
         let (version_sender, versions) = mpsc::channel(1);
         let mut source = ConfigurationSource {
-            orders: watch::Sender::new(order),
+            targets: watch::Sender::new(target),
             version_sender,
             versions,
             status: Arc::new(SourceStatus::default()),
@@ -69,51 +70,51 @@
         Ok(source)
     }
 
-    /// Its descriptors (an event queue, its waker, a connection) are three of the reserve.
+    /// Starts the thread. Its three descriptors (an event queue, its waker, a connection) are part of the reserve.
     fn start_thread(&mut self) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let orders = self.orders.subscribe();
+        let targets = self.targets.subscribe();
         let versions = self.version_sender.clone();
         let status = self.status.clone();
         let seed = self.seed;
         std::thread::Builder::new()
             .name("configuration".into())
-            .spawn(move || runtime.block_on(Worker::new(orders, versions, status, seed).run()))?;
+            .spawn(move || runtime.block_on(Worker::new(targets, versions, status, seed).run()))?;
         self.has_thread = true;
         Ok(())
     }
 
-    /// Settings of a later version.
+    /// Waits for the settings of the next version.
     pub(crate) async fn next_version(&mut self) -> Option<VersionSettings> {
         self.versions.recv().await
     }
 
-    /// Does whatever an order needs that can fail; setting it cannot fail after this.
+    /// Starts the thread if the target needs it. Setting the target cannot fail after this.
     ///
     /// # Errors
-    /// It names the first source, and there is no thread to be had.
-    pub(crate) fn prepare(&mut self, order: &SourceOrder) -> std::io::Result<()> {
-        if order.source.is_some() && !self.has_thread {
+    /// The target is the first that names a source, and the thread cannot be started.
+    pub(crate) fn prepare(&mut self, target: &FollowTarget) -> std::io::Result<()> {
+        if target.source.is_some() && !self.has_thread {
             return self.start_thread();
         }
         Ok(())
     }
 
-    /// Replaces the order.
-    pub(crate) fn set_order(&mut self, order: SourceOrder) {
-        self.orders.send_if_modified(|old| {
-            let has_changed = *old != order;
-            *old = order;
+    /// Replaces the target, and notifies the thread if it has changed.
+    pub(crate) fn set_target(&mut self, target: FollowTarget) {
+        self.targets.send_if_modified(|old| {
+            let has_changed = *old != target;
+            *old = target;
             has_changed
         });
     }
 
-    /// The order that holds.
-    pub(crate) fn order(&self) -> SourceOrder {
-        self.orders.borrow().clone()
+    /// Returns the current target.
+    pub(crate) fn target(&self) -> FollowTarget {
+        self.targets.borrow().clone()
     }
 
-    /// What operators see of the thread.
+    /// Returns the status that operators see.
     pub(crate) fn status(&self) -> Arc<SourceStatus> {
         self.status.clone()
     }
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -1,5 +1,5 @@
-//! The ledger as the journal of the core: attempts of requests that must never run twice are recorded before they are
-//! sent.
+//! Implements the journal of the core with the ledger: each attempt of a non-idempotent request is recorded before it
+//! is sent.
 
 use crate::operator::LedgerSection;
 use lotusdeck_core::{Journal, RequestLabels, SendPermit};
@@ -12,40 +12,40 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// `Retry-After` for clients while nothing can be written: a new segment is tried for twice a second.
+/// `Retry-After` for clients while the ledger cannot write: it tries twice a second to create a new segment.
 const RETRY_AFTER: Micros = Micros(1_000_000);
-/// How long the end of the process waits for its last record.
+/// The longest that shutdown waits for the last record.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bits of a generation's number that come from the seed.
+/// Low bits of a generation number that come from the seed.
 const GENERATION_SEED_BITS: u32 = 20;
-/// From MiB to bytes.
+/// Left shift that converts MiB to bytes.
 const MB_SHIFT: u32 = 20;
-/// A day, ms.
+/// Milliseconds in a day.
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
-/// The journal of this process.
+/// The journal of this process, kept in a ledger.
 pub(crate) struct LedgerJournal {
     ledger: Ledger,
-    wait: Duration,
-    /// Free space below which a line warns, bytes.
+    record_timeout: Duration,
+    /// Free space below which a warning is logged, bytes.
     min_free_bytes: u64,
-    /// The correlation ids of requests that are not finished.
+    /// The correlation ids of the requests that have not finished.
     request_ids: RefCell<HashMap<RequestId, String>>,
-    has_warned: Cell<bool>,
+    was_short: Cell<bool>,
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the milliseconds since the Unix epoch.
 fn now_ms() -> u64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    unix.as_millis() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
 
 impl LedgerJournal {
-    /// Starts a generation in the folder that the operators named; `None` where they named none.
+    /// Starts a generation in the folder of the section. Returns `None` if the section has no folder.
     ///
     /// # Errors
-    /// Where the folder cannot be made or no thread started.
+    /// The folder cannot be created or the writer's thread cannot be started.
     pub(crate) fn start(
         section: &LedgerSection, proxy: &str, seed: u64,
     ) -> std::io::Result<Option<Rc<LedgerJournal>>> {
@@ -60,29 +60,30 @@
         options.keep = section.keep_days * DAY_MS;
         options.keep_unresolved = section.keep_unresolved_days * DAY_MS;
         let disk = Folder::open(folder)?;
-        // Starts of one proxy differ in their seeds; the time makes sure where a seed is given twice.
+        // Each start of a proxy has its own seed; the time keeps generations distinct if a seed is reused.
         let generation = now_ms() << GENERATION_SEED_BITS | seed & ((1 << GENERATION_SEED_BITS) - 1);
         let ledger = Ledger::start(disk, options, generation)?;
         let status = ledger.status();
         info!(folder = %folder.display(), generation, free_bytes = status.free_bytes, failing = status.is_failing, "ledger started");
         let journal = LedgerJournal {
             ledger,
-            wait: section.wait,
+            record_timeout: section.record_timeout,
             min_free_bytes: section.warn_free_mb << MB_SHIFT,
             request_ids: RefCell::default(),
-            has_warned: Cell::new(false),
+            was_short: Cell::new(false),
         };
         Ok(Some(Rc::new(journal)))
     }
 
-    /// Logs what has changed since the last call, every few seconds.
+    /// Logs the segments dropped since the last call, the start or end of a shortage of space, and the counts. Called
+    /// every few seconds.
     pub(crate) fn report(&self) {
         for segment in self.ledger.take_dropped() {
             info!(segment, "ledger segment dropped");
         }
         let status = self.ledger.status();
         let is_short = status.is_failing || status.free_bytes < self.min_free_bytes;
-        if is_short != self.has_warned.replace(is_short) {
+        if is_short != self.was_short.replace(is_short) {
             warn!(
                 failing = status.is_failing,
                 free_bytes = status.free_bytes,
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Ends the generation in order, if that takes no longer than a moment.
+    /// Closes the generation; gives up after `CLOSE_TIMEOUT`.
     pub(crate) async fn close(&self) {
-        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // cut short, it reads as one that crashed
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // after a timeout, readers see a crash
     }
 }
 
@@ -131,9 +132,11 @@
         let record =
             Record::Intent { request: request.0, attempt: attempt.0, at: now_ms(), id, backend, address };
         let written = self.ledger.record_durably(record);
-        let wait = self.wait;
+        let record_timeout = self.record_timeout;
         let sends_anyway = self.ledger.sends_unrecorded();
-        Box::pin(async move { tokio::time::timeout(wait, written).await.unwrap_or(false) || sends_anyway })
+        Box::pin(async move {
+            tokio::time::timeout(record_timeout, written).await.unwrap_or(false) || sends_anyway
+        })
     }
 
     fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
--- a/crates/lotusdeck/src/main.rs
+++ b/crates/lotusdeck/src/main.rs
@@ -1,4 +1,4 @@
-//! lotusdeck: a reverse proxy that chooses where each request goes.
+//! lotusdeck: a reverse proxy that chooses the backend of each request.
 
 mod admin;
 mod check;
@@ -15,7 +15,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use std::process::ExitCode;
 
-/// The exit code for a wrong command line and for invalid input.
+/// The exit code for wrong usage and for invalid input.
 const EXIT_INVALID_INPUT: u8 = 2;
 
 /// A reverse proxy for fleets of servers. Exit codes: 0 done, 1 failed, 2 wrong usage or refused input.
@@ -58,7 +58,7 @@
     }
 }
 
-/// Writes to standard output. A reader that has closed it is no error.
+/// Writes to standard output. Ignores errors, as the reader may have closed it.
 fn print(text: &str) {
     use std::io::Write;
     let mut out = std::io::stdout().lock();
--- a/crates/lotusdeck/src/operator/state.rs
+++ b/crates/lotusdeck/src/operator/state.rs
@@ -1,19 +1,19 @@
-//! `[state]`: what outlives the process (docs/recovery.md).
+//! `[state]`: the state that outlives the process (docs/recovery.md).
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// `[state]`.
+/// The section `[state]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StateSection {
-    /// Where the files lie; `None` where nothing is persisted.
+    /// The folder of the state files; `None` if nothing is persisted.
     pub folder: Option<PathBuf>,
     /// The site's name, written into the files and checked.
     pub site: String,
-    /// The age at which a saved list has half the confidence.
+    /// The age at which the confidence in saved state is half.
     pub half_life: Duration,
-    /// A changed list is written at most this often.
-    pub every: Duration,
+    /// The shortest interval between two writes.
+    pub write_interval: Duration,
 }
 
 impl Default for StateSection {
@@ -22,7 +22,7 @@
             folder: None,
             site: String::new(),
             half_life: Duration::from_secs(600),
-            every: Duration::from_millis(1_000),
+            write_interval: Duration::from_millis(1_000),
         }
     }
 }
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -1,6 +1,6 @@
-//! What a proxy starts with: the platform's endpoint list or its own, whichever is newer and trusted, and the estimates
-//! that still deserve confidence. Every reason to pass over a file is one line of the log; the proxy then starts as it
-//! would without the file.
+//! Restores the state that a proxy starts with: the platform's endpoint list or its own saved one, whichever is newer
+//! and trusted, and the estimates if the confidence in them is sufficient. A file that is not used is logged in one
+//! line with the reason, and the proxy starts as it would without the file.
 
 use super::files::{ReadEndpoints, StateFileError, StateLocation, ENDPOINTS, ESTIMATES};
 use super::{now_ms, to_millis};
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// What a proxy starts with.
+/// The state that a proxy starts with.
 pub(crate) struct InitialState {
-    /// The platform's list or its own.
+    /// The platform's endpoint list or the saved one.
     pub endpoints: EndpointList,
-    /// What is left of the estimates at their age; `None` where nothing is.
+    /// The saved estimates, discounted by their age; `None` if nothing remains of them.
     pub estimates: Option<Estimates>,
 }
 
-/// Reads the files. `known` is the platform's list; `window` is the time over which overload is measured.
+/// Reads the state files. `window` is the time over which overload is measured.
 pub(crate) fn restore(
-    section: &StateSection, location: &StateLocation, known: EndpointList, window: Duration,
+    section: &StateSection, location: &StateLocation, platform_list: EndpointList, window: Duration,
 ) -> InitialState {
     let now_ms = now_ms();
-    let chosen = choose_endpoints(section, location, known, now_ms);
+    let chosen = choose_endpoints(section, location, platform_list, now_ms);
     let weighting = AgeWeighting {
         now_ms,
         half_life_ms: to_millis(section.half_life),
         window_ms: to_millis(window),
-        write_interval_ms: to_millis(section.every),
+        write_interval_ms: to_millis(section.write_interval),
     };
     let estimates = restore_estimates(location, &chosen.list, weighting);
     let endpoints = if chosen.is_saved { with_cold_backends(chosen.list, now_ms) } else { chosen.list };
@@ -63,61 +63,66 @@
     Some(estimates)
 }
 
-/// The name of a list's entry and when its backend started, 0 where the list does not say: long ago.
+/// Returns the name of an entry of the list, and when its backend started in ms since the Unix epoch; 0, which is long
+/// ago, if the list does not say.
 fn backend_start(entry: &serde_json::Value) -> Option<(&str, u64)> {
     let name = entry.get("name")?.as_str()?;
     let started_ms = entry.get("since_ms").and_then(serde_json::Value::as_f64).unwrap_or(0.0);
     Some((name, started_ms as u64))
 }
 
-/// The list to start with.
+/// The endpoint list to start with.
 struct ChosenEndpoints {
     list: EndpointList,
-    /// It is the saved one.
+    /// Whether it is the saved one.
     is_saved: bool,
 }
 
 fn choose_endpoints(
-    section: &StateSection, location: &StateLocation, known: EndpointList, now_ms: u64,
+    section: &StateSection, location: &StateLocation, platform_list: EndpointList, now_ms: u64,
 ) -> ChosenEndpoints {
-    let platforms = |list| ChosenEndpoints { list, is_saved: false };
+    let from_platform = |list| ChosenEndpoints { list, is_saved: false };
     let path = location.path(ENDPOINTS);
     let ReadEndpoints { saved, list } = match location.read_endpoints() {
         Ok(read) => read,
         Err(StateFileError::Missing) => {
             info!(path = %path.display(), "no saved endpoint list");
-            return platforms(known);
+            return from_platform(platform_list);
         }
         Err(error) => {
             warn!(path = %path.display(), %error, "endpoint list not restored; starting without it");
-            return platforms(known);
+            return from_platform(platform_list);
         }
     };
     let age = Age::of(saved.written_ms, now_ms);
     let confidence = Confidence::at_age(age, to_millis(section.half_life));
     let index = saved.index;
     let entries = list.endpoints.len();
-    match choose_endpoint_source(index, confidence, known.version, known.endpoints.len()) {
+    match choose_endpoint_source(index, confidence, platform_list.version, platform_list.endpoints.len()) {
         EndpointSource::SavedEndpoints => {
             let confidence = confidence.0;
-            info!(index, entries, ?age, confidence, known = known.version, "endpoint list restored");
+            info!(index, entries, ?age, confidence, known = platform_list.version, "endpoint list restored");
             ChosenEndpoints { list, is_saved: true }
         }
         EndpointSource::PlatformEndpoints => {
-            info!(index, known = known.version, "saved endpoint list not used: the platform's is as new");
-            platforms(known)
+            info!(
+                index,
+                known = platform_list.version,
+                "saved endpoint list not used: the platform's is as new"
+            );
+            from_platform(platform_list)
         }
         EndpointSource::Untrusted(confidence) => {
             let confidence = confidence.0;
             warn!(index, ?age, confidence, "endpoint list not restored: too old or of unknown age");
-            platforms(known)
+            from_platform(platform_list)
         }
     }
 }
 
-/// The saved list with every backend taken as started now. It is used where the platform hands over nothing newer, as
-/// after a loss of power of the platform, when the backends are likely to have restarted as well: each has a slow start
-/// until discovery says when it really started (docs/recovery.md).
+/// Returns the saved list with the start of every backend set to now. The saved list is used if the platform provides
+/// nothing newer, as after a power loss of the platform, when the backends are likely to have restarted as well. Each
+/// backend has a slow start until discovery reports when it really started (docs/recovery.md).
 pub(super) fn with_cold_backends(mut list: EndpointList, now_ms: u64) -> EndpointList {
     for entry in list.endpoints.iter_mut().filter_map(|entry| entry.as_object_mut()) {
         entry.insert("since_ms".into(), now_ms.into());
