--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of docs/fleet-limits.md, in virtual time: what partitions do to the limit and to the requests served, and
-//! what gossip costs by the number of proxies.
+//! The figures of docs/fleet-limits.md, in virtual time: what partitions do to the limit and to the requests served,
+//! and what gossip costs by the number of proxies.
 //!
 //! `cargo run --release -p lotusdeck-fleet --example figures`
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a trial stops at what it did not expect")]
@@ -57,7 +57,8 @@
     );
 }
 
-/// Runs for the span; returns when the loaded proxies had only their own quotas: they have nothing to lend to each other.
+/// Runs for the span; returns when the loaded proxies had only their own quotas: they have nothing to lend to each
+/// other.
 fn run_until_fallback(sim: &mut Sim, span: f64) -> Option<f64> {
     let started = sim.now;
     let own_rate = LOADED_PROXIES as f64 * (RATE / SIZE as f64);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the proxies of one fleet exchange, sans-IO.
+//! The protocols between the proxies of one fleet, without I/O (sans-IO).
 //!
-//! - [`membership`]: which proxies are alive (SWIM, by the `foca` crate);
-//! - [`quota`]: how a limit of the whole fleet is divided among them (escrow with leases), in [`Amount`]s;
-//! - [`load_gossip`]: how many attempts each has in flight;
-//! - [`wire`]: their datagrams;
-//! - [`node`]: all of these for one proxy, behind datagrams and a clock that are passed in.
+//! - [`membership`]: which proxies are alive (SWIM, implemented by the `foca` crate);
+//! - [`quota`]: how a fleet-wide limit is divided among the proxies (escrow with leases), in [`Amount`]s;
+//! - [`load_gossip`]: how many attempts each proxy has in flight;
+//! - [`wire`]: the datagrams;
+//! - [`node`]: all of these for one proxy; the caller passes in the datagrams and the time.
 //!
-//! docs/fleet-limits.md holds the bound on admitted requests and the alternatives considered.
+//! docs/fleet-limits.md gives the bound on admitted requests and the alternatives considered.
 //!
-//! Time is a span since the process began, by a clock that never steps back; clocks of different proxies are not
-//! compared, only the rates at which they run.
+//! A time is the duration since the process began, by a monotonic clock. Times of different proxies are not compared;
+//! only the rates of their clocks have to agree, within the margin that leases allow for.
 
 pub mod amount;
 pub mod load_gossip;
--- a/crates/fleet/src/load_gossip.rs
+++ b/crates/fleet/src/load_gossip.rs
@@ -1,39 +1,39 @@
-//! The load of each proxy, known to all: one number a member, of which the newest wins (a last-writer-wins map, the
-//! simplest CRDT). Merging is commutative, associative and idempotent, so that order, loss and duplication only affect
-//! how old a number is.
+//! Gossip of the load of each proxy. A proxy keeps the newest report of each member: a last-writer-wins map, the
+//! simplest CRDT. Merging is commutative, associative and idempotent, so reordering, loss and duplication of
+//! datagrams only affect the age of the reports.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An older report is not counted: some rounds of gossip through a thousand proxies.
+/// Age at which a report stops counting. A report reaches a thousand proxies in several rounds of gossip.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_500);
-/// Reports in one datagram: 14 bytes each at most.
+/// Maximum number of reports in a datagram. Each takes up to 14 bytes at realistic values.
 pub const MAX_REPORTS_PER_DATAGRAM: usize = 80;
 
-/// The load of one member. It is a part of datagrams, so that the order of its fields is fixed.
+/// The load of one member. Datagrams contain it, so the order of its fields is fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The member.
+    /// Index of the member in the fleet.
     pub proxy_index: u32,
-    /// Rises with every report, also across restarts: the member's generation plus the time since its start, us.
+    /// Increases with every report, also across restarts: the member's generation plus the time since its start in us.
     pub reported_at: u64,
-    /// Attempts in flight.
+    /// Attempts in flight at the member.
     pub in_flight: u32,
 }
 
-/// How old the reports of the other members are.
+/// Ages of the reports of the other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportAges {
-    /// Over all known members.
+    /// Mean age of all known reports.
     pub mean: Duration,
-    /// Of the oldest report.
+    /// Age of the oldest report.
     pub max: Duration,
 }
 
 struct ReceivedReport {
     report: LoadReport,
-    /// By this proxy's clock: clocks of different proxies are not compared.
+    /// Time of receipt by this proxy's clock, as clocks of different proxies are not compared.
     received_at: Duration,
 }
 
@@ -42,7 +42,7 @@
         now.saturating_sub(self.received_at)
     }
 
-    /// Whether it is another member's and recent enough to count.
+    /// Returns whether the report is of another member and recent enough to count.
     fn counts(&self, now: Duration, own_index: u32) -> bool {
         self.report.proxy_index != own_index && self.age(now) < MAX_REPORT_AGE
     }
@@ -52,12 +52,12 @@
 #[derive(Default)]
 pub struct LoadGossip {
     reports: BTreeMap<u32, ReceivedReport>,
-    /// The first member of the next datagram, where not all reports fit into one.
+    /// Index at which the next datagram continues if not all reports fit into one.
     next_index: u32,
 }
 
 impl LoadGossip {
-    /// Adds a report; returns whether it is newer than the one known of this member.
+    /// Stores a report if it is newer than the one known of the same member. Returns whether it is newer.
     pub fn merge(&mut self, now: Duration, report: LoadReport) -> bool {
         let known = self.reports.get(&report.proxy_index);
         let is_newer = known.is_none_or(|known| report.reported_at > known.report.reported_at);
@@ -67,7 +67,8 @@
         is_newer
     }
 
-    /// The reports of one datagram: `own`, and as many recent ones of others as fit, in turn.
+    /// Returns the reports for one datagram: `own`, then as many recent reports of other members as fit. The next call
+    /// continues with the members after these.
     pub fn reports_to_send(&mut self, now: Duration, own: LoadReport) -> Vec<LoadReport> {
         let in_turn = self.reports.range(self.next_index..).chain(self.reports.range(..self.next_index));
         let others = in_turn
@@ -80,8 +81,9 @@
         reports
     }
 
-    /// The load of all other proxies of a fleet of `fleet_size` together. Those without a recent report count as the
-    /// mean of those with one, as a proxy behind a broken link goes on working. `None` without any recent report.
+    /// Returns the total load of the other proxies in a fleet of `fleet_size`. Proxies without a recent report count
+    /// as the mean of those with one, because a proxy behind a broken link still serves requests. Returns `None` if
+    /// there is no recent report.
     pub fn others_in_flight(&self, now: Duration, own_index: u32, fleet_size: u32) -> Option<f64> {
         let mut count = 0u32;
         let mut sum = 0.0;
@@ -93,7 +95,7 @@
         (count > 0).then(|| sum * others / f64::from(count))
     }
 
-    /// How old the reports of the other members are, since they were received here.
+    /// Returns the ages of the other members' reports, counted from their receipt by this proxy.
     pub fn report_ages(&self, now: Duration, own_index: u32) -> ReportAges {
         let others = self.reports.values().filter(|known| known.report.proxy_index != own_index);
         let ages: Vec<Duration> = others.map(|known| known.age(now)).collect();
--- a/crates/fleet/src/load_gossip/tests.rs
+++ b/crates/fleet/src/load_gossip/tests.rs
@@ -12,7 +12,7 @@
 fn members_without_a_recent_report_count_as_the_mean() {
     let mut gossip = LoadGossip::default();
     assert_eq!(gossip.others_in_flight(NOW, 0, 10), None);
-    gossip.merge(NOW, report(0, 1, 100)); // its own
+    gossip.merge(NOW, report(0, 1, 100)); // this proxy's own report
     gossip.merge(NOW, report(1, 1, 4));
     gossip.merge(NOW, report(2, 1, 8));
     assert_eq!(gossip.others_in_flight(NOW, 0, 3), Some(12.0));
@@ -41,13 +41,13 @@
     assert_eq!(sent.len(), 201);
 }
 
-/// The load follows from member and time, as one time is one report.
+/// Returns a report whose load is a function of member and time, because a member makes one report per time.
 fn report_at(proxy_index: u32, reported_at: u64) -> LoadReport {
     report(proxy_index, reported_at, proxy_index * 1_000 + reported_at as u32)
 }
 
 proptest! {
-    /// In whatever order and how often reports arrive, the same is known in the end.
+    /// The merged reports depend neither on the order of arrival nor on duplicates.
     #[test]
     fn order_and_duplicates_change_nothing(
         received in proptest::collection::vec((0u32..5, 0u64..20), 1..40), seed in any::<u64>()
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,5 +1,5 @@
-//! The live members of the fleet as this proxy sees them: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnation
-//! numbers, by the `foca` crate.
+//! The live members of the fleet as this proxy sees them. The protocol is SWIM (Das, Gupta, Motivala 2002) with
+//! suspicion and incarnation numbers, implemented by the `foca` crate.
 
 mod codec;
 mod identity;
@@ -16,27 +16,28 @@
 
 pub use identity::{Identity, Seed};
 
-/// Bytes of a packet at most, under an Ethernet frame's 1,500 with headers and this crate's own.
+/// Maximum size of a packet. With this crate's header and the lower layers' headers it stays below the 1,500 bytes of
+/// an Ethernet frame.
 pub const MAX_PACKET_BYTES: usize = 1_400;
-/// How often a proxy announces itself to seeds that it does not see, and to members declared dead: a healed partition is
-/// found within a few of these.
+/// Interval at which a proxy announces itself to seeds that are not among its live members and to members declared
+/// dead. The end of a partition is detected within a few intervals.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Members declared dead to which a proxy announces itself each time.
+/// Number of members declared dead to which a proxy announces itself per interval.
 const ANNOUNCED_DEAD_MEMBERS: usize = 2;
 
-/// Why a packet of the membership protocol is not accepted.
+/// Error returned when a packet of the membership protocol is rejected.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct MembershipError(foca::Error);
 
-/// Orders timers by time, then by their creation.
+/// Orders timers by due time, then by creation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_at: Duration,
     number: u64,
 }
 
-/// The live members, and the protocol that detects failures.
+/// The live members and the protocol that detects failures.
 pub struct Membership {
     foca: Foca<Identity, BoundedCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
@@ -49,8 +50,8 @@
 }
 
 impl Membership {
-    /// The membership of the proxy `own`, which announces itself to `seeds`; its own place among them is skipped.
-    /// `rng_seed` is that of the random choice of members to probe.
+    /// Creates the membership of the proxy `own`, which announces itself to `seeds`, except to itself if it is one of
+    /// them. `rng_seed` seeds the random choice of members to probe.
     pub fn new(own: Identity, fleet_size: NonZeroU32, seeds: Vec<Seed>, rng_seed: u64) -> Membership {
         let seeds = seeds.into_iter().filter(|seed| seed.proxy_index != own.proxy_index).collect();
         let rng = SmallRng::seed_from_u64(rng_seed);
@@ -67,35 +68,36 @@
         }
     }
 
-    /// This proxy, as the others know it.
+    /// Returns the identity of this proxy as the others know it.
     pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// The live members without this proxy, by index.
+    /// Returns the live members other than this proxy, by index.
     pub fn live_members(&self) -> &BTreeMap<u32, Identity> {
         &self.live_members
     }
 
-    /// Rises with each change of the live members.
+    /// Returns a counter that increases with each change of the live members.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Handles a packet of another member.
+    /// Handles a packet from another member.
     ///
     /// # Errors
-    /// The packet is not valid; nothing changed.
+    /// The packet is not valid. Nothing changes if its header or one of its members cannot be decoded.
     pub fn receive(&mut self, now: Duration, packet: &[u8]) -> Result<(), MembershipError> {
         let result = self.foca.handle_data(packet, &mut self.runtime).map_err(MembershipError);
         self.apply_events(now);
         result
     }
 
-    /// Runs the timers that are due; to be called at [`Membership::next_tick_at`].
+    /// Runs the timers that are due. Call this at [`Membership::next_tick_at`].
     pub fn tick(&mut self, now: Duration) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().due_at <= now) {
-            // The error of a probe that was late by more than its cycle, as after a pause: the next one goes on.
+            // A probe fails if it is late by more than its cycle, as after a pause of the process. The next probe
+            // is not affected.
             let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
             self.apply_events(now);
         }
@@ -106,28 +108,29 @@
         }
     }
 
-    /// At the start, and after all members were lost.
+    /// Announces this proxy to the seeds that are not live members, to join the fleet at the start and to rejoin it
+    /// after all members were lost.
     fn announce_to_unseen_seeds(&mut self) {
         for Seed { proxy_index, address } in self.seeds.iter().copied() {
             if !self.live_members.contains_key(&proxy_index) {
                 let seed = Identity { proxy_index, generation: 0, address };
-                // A packet that cannot be made is lost, as any may be; the next announcement follows.
+                // A packet that cannot be encoded is treated like a lost one: the next announcement replaces it.
                 let _ = self.foca.announce(seed, &mut self.runtime);
             }
         }
     }
 
-    /// When to call [`Membership::tick`].
+    /// Returns when [`Membership::tick`] is due.
     pub fn next_tick_at(&self) -> Duration {
         self.timers.first_key_value().map_or(self.announce_at, |(key, _)| key.due_at.min(self.announce_at))
     }
 
-    /// The next packet to be sent.
+    /// Removes and returns the next packet to send, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, bytes::Bytes)> {
         self.runtime.to_send().map(|(to, packet)| (to.address, packet))
     }
 
-    /// Sets the timers and applies the notifications that the protocol has issued.
+    /// Schedules the timers and applies the notifications that the protocol has issued.
     fn apply_events(&mut self, now: Duration) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Returns whether the live members have changed.
+    /// Applies a notification. Returns whether the live members have changed.
     fn apply_notification(&mut self, notification: OwnedNotification<Identity>) -> bool {
         match notification {
             OwnedNotification::MemberUp(member) => {
@@ -156,8 +159,8 @@
     }
 }
 
-/// foca's settings for a LAN (one probe a second, answered within half of it), with announcements to members declared
-/// dead.
+/// Returns foca's settings for a LAN (one probe a second, to be answered within half a second), with announcements to
+/// members declared dead at the interval of this module.
 fn config(fleet_size: NonZeroU32) -> Config {
     let announcements = NonZeroUsize::new(ANNOUNCED_DEAD_MEMBERS)
         .map(|num_members| PeriodicParams { frequency: ANNOUNCE_INTERVAL, num_members });
--- a/crates/fleet/src/membership/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -5,24 +5,24 @@
 use foca::{Codec, Header, Member, PostcardCodec};
 use thiserror::Error;
 
-/// Postcard, which rejects members beyond the fleet's size: there are never more members than that, whatever a third
-/// party sends.
+/// Postcard encoding that rejects members with an index beyond the fleet's size, so that packets of a third party
+/// cannot add more members than the fleet has.
 pub(super) struct BoundedCodec {
     fleet_size: u32,
 }
 
-/// Why a packet cannot be decoded.
+/// Error of encoding or decoding a packet.
 #[derive(Debug, Error)]
 pub(super) enum CodecError {
-    /// Its bytes cannot be read.
+    /// Postcard cannot encode or decode the packet.
     #[error(transparent)]
     Postcard(#[from] postcard::Error),
-    /// It names a member that the fleet does not have.
+    /// The packet names a member with an index beyond the fleet's size.
     #[error("position {proxy_index} in a fleet of {fleet_size}")]
     ProxyIndexOutOfRange {
-        /// Of the packet.
+        /// Index in the packet.
         proxy_index: u32,
-        /// Proxies of this fleet.
+        /// Number of proxies in this fleet.
         fleet_size: u32,
     },
 }
--- a/crates/fleet/src/membership/identity.rs
+++ b/crates/fleet/src/membership/identity.rs
@@ -3,14 +3,14 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A proxy of the fleet. It is a part of datagrams, so that the order of its fields is fixed.
+/// A proxy of the fleet. Datagrams contain it, so the order of its fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its place in the fleet, from 0, as the platform numbers it.
+    /// Index in the fleet, from 0, assigned by the platform.
     pub proxy_index: u32,
-    /// Its incarnation: rises with each start of the process and each return after it was declared dead.
+    /// Incarnation: increases with each start of the process and each return after the proxy was declared dead.
     pub generation: u64,
-    /// Where it receives datagrams.
+    /// Address at which the proxy receives datagrams.
     pub address: SocketAddr,
 }
 
@@ -30,11 +30,11 @@
     }
 }
 
-/// A proxy of the fleet that a new one announces itself to.
+/// A proxy to which new members announce themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seed {
-    /// Its place in the fleet.
+    /// Index in the fleet.
     pub proxy_index: u32,
-    /// Where it receives datagrams.
+    /// Address at which the proxy receives datagrams.
     pub address: SocketAddr,
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,5 +1,5 @@
-//! One proxy's part in the fleet: its membership, its quotas and the exchange of load, behind datagrams and a clock that
-//! are passed in.
+//! One proxy's node in the fleet: its membership, its quotas and its load gossip. The caller passes in the datagrams
+//! and the time.
 
 mod config;
 mod lease_rounds;
@@ -22,27 +22,27 @@
 pub use config::{Limit, NodeConfig};
 pub use status::QuotaStatus;
 
-/// Members that a proxy sends its load reports to at a time: after `k` rounds some `3^k` members have a report, a
-/// thousand after seven.
+/// Number of members to which a proxy sends load reports per round. After `k` rounds about `3^k` members have a report:
+/// a thousand after seven rounds.
 const GOSSIP_FANOUT: usize = 2;
-/// Keeps the node's random numbers apart from those of its membership, which has the same seed.
+/// Makes the node's random numbers differ from those of its membership, which has the same seed.
 const NODE_RNG_SALT: u64 = 0x666c_6565_7421;
 
-/// Why a datagram is not accepted; nothing changed.
+/// Error returned when a datagram is rejected.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
-    /// It is no datagram of this fleet.
+    /// The datagram is not of this fleet, or its message cannot be decoded. Nothing changes.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The membership protocol does not accept it.
+    /// The membership protocol rejects the packet; see [`Membership::receive`].
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// It requests a lease of an unknown limit, or on behalf of an unknown proxy.
+    /// The datagram requests a lease of an unknown limit, or for a proxy that is not another member. Nothing changes.
     #[error("lease request by proxy {from} for limit {limit}: no such proxy or limit")]
     UnknownLeaseRequest {
-        /// The index of the proxy, according to the datagram.
+        /// Index of the proxy, according to the datagram.
         from: u32,
-        /// The limit, by its place among all limits.
+        /// Index of the limit among all limits.
         limit: u16,
     },
 }
@@ -52,13 +52,13 @@
     bytes: Vec<u8>,
 }
 
-/// One proxy's part in the fleet.
+/// One proxy's node in the fleet.
 pub struct Node {
     tag: u32,
     fleet_size: u32,
     membership: Membership,
     limit_names: Vec<String>,
-    /// In the order of the limits.
+    /// One quota per limit, in the order of the limits.
     quotas: Vec<Quota>,
     lease_rounds: LeaseRounds,
     load: LoadExchange,
@@ -67,7 +67,7 @@
 }
 
 impl Node {
-    /// The node of a process that starts at `now`.
+    /// Creates the node of a process that starts at `now`.
     pub fn new(config: NodeConfig, now: Duration) -> Node {
         let tag = config.tag();
         let quotas = config.limits.iter().map(|limit| Quota::new(config.quota_config(limit), now)).collect();
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The live members of the fleet.
+    /// Returns the membership, with the live members of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
@@ -94,15 +94,15 @@
         self.membership.identity().proxy_index
     }
 
-    /// Whether a proxy of this index belongs to the fleet and is not this one.
+    /// Returns whether `proxy_index` is the index of another proxy of the fleet.
     fn is_other_member(&self, proxy_index: u32) -> bool {
         proxy_index != self.own_index() && proxy_index < self.fleet_size
     }
 
-    /// Handles a datagram of another proxy.
+    /// Handles a datagram from another proxy.
     ///
     /// # Errors
-    /// The datagram is not valid; nothing changed.
+    /// The datagram is rejected; [`ReceiveError`] lists the reasons.
     pub fn receive(&mut self, now: Duration, datagram: &[u8]) -> Result<(), ReceiveError> {
         match wire::decode(self.tag, datagram)? {
             Message::Swim(packet) => self.membership.receive(now, &packet)?,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Does what is due; to be called at [`Node::next_tick_at`] or later.
+    /// Runs the timers, the gossip and the lease requests that are due. Call this at [`Node::next_tick_at`] or later.
     pub fn tick(&mut self, now: Duration) {
         self.membership.tick(now);
         self.gossip_load(now);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Sends load reports to members drawn at random, if they are due.
+    /// Sends load reports to randomly drawn members, if reports are due.
     fn gossip_load(&mut self, now: Duration) {
         let Some(own_report) = self.load.due_report(now, self.membership.identity()) else { return };
         let members = self.membership.live_members().values();
@@ -158,23 +158,23 @@
         }
     }
 
-    /// Sets the load that this proxy reports to the others: its attempts in flight.
+    /// Sets the number of attempts in flight, which this proxy reports to the others as its load.
     pub fn set_in_flight(&mut self, in_flight: u32) {
         self.load.set_in_flight(in_flight);
     }
 
-    /// The load of all other proxies together, as far as it is known: those without a recent report count as the mean of
-    /// those with one. `None` without any recent report.
+    /// Returns the total load of the other proxies. Proxies without a recent report count as the mean of those with
+    /// one. Returns `None` if there is no recent report.
     pub fn others_in_flight(&self, now: Duration) -> Option<f64> {
         self.load.gossip.others_in_flight(now, self.own_index(), self.fleet_size)
     }
 
-    /// How old the load reports of the others are.
+    /// Returns the ages of the other members' load reports.
     pub fn report_ages(&self, now: Duration) -> ReportAges {
         self.load.gossip.report_ages(now, self.own_index())
     }
 
-    /// When to call [`Node::tick`].
+    /// Returns when [`Node::tick`] is due.
     pub fn next_tick_at(&self) -> Duration {
         let own = self.lease_rounds.next_round_at().min(self.load.next_at());
         self.membership.next_tick_at().min(own)
@@ -184,7 +184,7 @@
         self.outgoing.push_back(Datagram { to, bytes: wire::encode(self.tag, message) });
     }
 
-    /// The next datagram to be sent, and where to.
+    /// Removes and returns the next datagram to send, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         if let Some(datagram) = self.outgoing.pop_front() {
             return Some((datagram.to, datagram.bytes));
@@ -193,7 +193,7 @@
         Some((to, wire::encode(self.tag, &Message::Swim(packet.to_vec()))))
     }
 
-    /// Admits a request under all of `limits`, given by their places, or under none of them.
+    /// Admits a request under all of `limits`, given by their indexes, or under none of them.
     ///
     /// # Errors
     /// The quota of one of them is exceeded.
@@ -220,14 +220,14 @@
         }
     }
 
-    /// Sets whether another process acts for this proxy as well, each with half of the quotas.
+    /// Sets whether another process acts for this proxy as well; if so, each process uses half of the quotas.
     pub fn set_halved(&mut self, now: Duration, is_halved: bool) {
         for quota in &mut self.quotas {
             quota.set_halved(now, is_halved);
         }
     }
 
-    /// The status of all quotas at `now`.
+    /// Returns the status of each quota at `now`, in the order of the limits.
     pub fn quotas(&self, now: Duration) -> impl Iterator<Item = QuotaStatus> + '_ {
         let quotas = self.limit_names.iter().zip(&self.quotas);
         quotas.map(move |(limit, quota)| QuotaStatus::new(limit, quota, now))
--- a/crates/fleet/src/node/config.rs
+++ b/crates/fleet/src/node/config.rs
@@ -8,49 +8,49 @@
 
 /// A limit that holds for the whole fleet.
 ///
-/// Its debug text is a part of the tag of all datagrams: proxies understand each other only where the names and the order
-/// of these fields are the same.
+/// Its `Debug` text is part of the tag of all datagrams: proxies accept each other's datagrams only if their programs
+/// have the same names and order of these fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// Its name in the log and the status.
+    /// Name in the log and the status.
     pub name: String,
     /// Requests a second.
     pub rate: Option<f64>,
     /// Concurrent requests.
     pub slots: Option<u32>,
-    /// What an unused quota accumulates at most, as a span of its rate.
+    /// Maximum that an unused quota accumulates, as a duration at its rate.
     pub burst: Duration,
 }
 
 /// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's site; datagrams of another site are not read.
+    /// Site of the fleet; datagrams of another site are rejected.
     pub site: String,
-    /// This proxy.
+    /// Identity of this proxy.
     pub identity: Identity,
-    /// Proxies of the fleet.
+    /// Number of proxies in the fleet.
     pub fleet_size: NonZeroU32,
-    /// Some of the proxies, which a new one announces itself to.
+    /// Some of the proxies, to which new members announce themselves.
     pub seeds: Vec<Seed>,
     /// The limits, the same at every proxy.
     pub limits: Vec<Limit>,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease_duration: Duration,
-    /// No request is in flight for longer.
+    /// Maximum time that a request is in flight.
     pub max_request_duration: Duration,
-    /// Of the random choice of members to probe and to ask.
+    /// Seed of the random choice of members to probe, to borrow from and to send load reports to.
     pub rng_seed: u64,
 }
 
 impl NodeConfig {
-    /// The tag of everything that has to be the same at all proxies of the fleet.
+    /// Returns the tag of everything that must be the same at all proxies of the fleet.
     pub(super) fn tag(&self) -> u32 {
         let NodeConfig { site, fleet_size, limits, lease_duration, max_request_duration, .. } = self;
         wire::tag(&format!("{site:?} {fleet_size} {lease_duration:?} {max_request_duration:?} {limits:?}"))
     }
 
-    /// This proxy's quota of a limit.
+    /// Returns the configuration of this proxy's quota of `limit`.
     pub(super) fn quota_config(&self, limit: &Limit) -> QuotaConfig {
         QuotaConfig {
             rate: limit.rate,
--- a/crates/fleet/src/node/lease_rounds.rs
+++ b/crates/fleet/src/node/lease_rounds.rs
@@ -1,4 +1,4 @@
-//! The rounds in which a proxy requests leases of all limits.
+//! Periodic rounds in which a proxy requests leases of all limits.
 
 use crate::membership::Membership;
 use crate::quota::Quota;
@@ -9,9 +9,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rounds in a lease's duration: demand is noticed within one, and a lease is renewed with five tries before it runs out.
+/// Rounds per lease duration. New demand leads to requests within one round, and a lease is due for renewal in the
+/// last five rounds before it expires.
 const ROUNDS_PER_LEASE: u32 = 10;
-/// The lowest bits of a request's number are random, so that a third party cannot guess it; those above count.
+/// Number of low bits of a request's number that are random, so that a third party cannot guess it. The higher bits
+/// are a counter.
 const RANDOM_BITS: u32 = 24;
 
 struct PendingRequest {
@@ -25,18 +27,18 @@
     pub(super) message: Message,
 }
 
-/// When the next round is due, and the requests that wait for an answer.
+/// The time of the next round and the requests that await an answer.
 pub(super) struct LeaseRounds {
     lease_duration: Duration,
     interval: Duration,
     next_round_at: Duration,
     last_number: u64,
-    /// By the request's number.
+    /// Requests that await an answer, by their numbers.
     pending: BTreeMap<u64, PendingRequest>,
 }
 
 impl LeaseRounds {
-    /// The first round is due at `now`.
+    /// Creates a schedule whose first round is due at `now`.
     pub(super) fn new(lease_duration: Duration, now: Duration) -> LeaseRounds {
         LeaseRounds {
             lease_duration,
@@ -47,12 +49,12 @@
         }
     }
 
-    /// When the next round is due.
+    /// Returns when the next round is due.
     pub(super) fn next_round_at(&self) -> Duration {
         self.next_round_at
     }
 
-    /// Runs a round if one is due; returns the requests to be sent.
+    /// Runs a round if one is due. Returns the requests to send.
     pub(super) fn run_due(
         &mut self, now: Duration, membership: &Membership, quotas: &mut [Quota], rng: &mut SmallRng,
     ) -> Vec<OutgoingMessage> {
@@ -89,7 +91,8 @@
         outgoing
     }
 
-    /// Ends the wait for the answer to a request; returns its limit.
+    /// Removes an answered request from those that await an answer. Returns its limit, or `None` if it is not one of
+    /// them.
     pub(super) fn complete(&mut self, number: u64) -> Option<u16> {
         self.pending.remove(&number).map(|pending| pending.limit)
     }
--- a/crates/fleet/src/node/load_exchange.rs
+++ b/crates/fleet/src/node/load_exchange.rs
@@ -1,28 +1,28 @@
-//! When a proxy sends load reports, and its own report.
+//! Schedule of the load reports, and this proxy's own report.
 
 use crate::load_gossip::{LoadGossip, LoadReport};
 use crate::membership::Identity;
 use std::time::Duration;
 
-/// How often a proxy sends the reports that it knows.
+/// Interval at which a proxy sends the reports that it knows.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The reports of all members, and this proxy's own load.
+/// The load reports of all members and this proxy's own load.
 pub(super) struct LoadExchange {
     pub(super) gossip: LoadGossip,
-    /// Attempts in flight at this proxy; `None` where it does not report them.
+    /// Attempts in flight at this proxy; `None` if it does not report them.
     in_flight: Option<u32>,
     started_at: Duration,
     next_at: Duration,
 }
 
 impl LoadExchange {
-    /// The first reports are due at `now`, the start of the process.
+    /// Creates an exchange whose first reports are due at `now`, the start of the process.
     pub(super) fn new(now: Duration) -> LoadExchange {
         LoadExchange { gossip: LoadGossip::default(), in_flight: None, started_at: now, next_at: now }
     }
 
-    /// When the next reports are due.
+    /// Returns when the next reports are due.
     pub(super) fn next_at(&self) -> Duration {
         self.next_at
     }
@@ -31,7 +31,7 @@
         self.in_flight = Some(in_flight);
     }
 
-    /// This proxy's own report, if reports are due and it reports its load.
+    /// Returns this proxy's own report if reports are due and it reports its load, and schedules the next reports.
     pub(super) fn due_report(&mut self, now: Duration, own: &Identity) -> Option<LoadReport> {
         if now < self.next_at {
             return None;
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The status of a quota, as operators see it.
+/// The status of a quota as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct QuotaStatus {
-    /// The limit's name.
+    /// Name of the limit.
     pub limit: String,
-    /// Requests a second that this proxy may admit now.
+    /// Requests a second that this proxy may currently admit.
     pub rate: f64,
-    /// Concurrent requests that this proxy may admit now.
+    /// Concurrent requests that this proxy may currently admit.
     pub slots: u32,
     /// Requests a second of its own part, lent to others.
     pub lent_rate: f64,
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -1,14 +1,15 @@
-//! One proxy's part of a limit that holds for the whole fleet, sans-IO.
+//! One proxy's part of a fleet-wide limit, without I/O (sans-IO).
 //!
-//! Escrow (O'Neil, TODS 11, 1986; the demarcation protocol of Barbará and Garcia-Molina, VLDB Journal 3, 1994): each of
-//! `N` proxies owns an `N`th of the limit and admits by it without asking anybody. What it does not use it lends for a
-//! limited time: the lender stops using it first, the borrower begins afterwards; the borrower counts the lease from its
-//! request, the lender from its answer (leases, Gray and Cheriton, SOSP 1989). So the quotas in use never add up to more
-//! than the limit, whichever links fail, and a disconnected proxy falls back to what it owns and has not lent.
+//! The method is escrow (O'Neil, TODS 11, 1986; the demarcation protocol of Barbará and Garcia-Molina, VLDB Journal
+//! 3, 1994): each of `N` proxies owns an `N`th of the limit and admits requests under it without asking another
+//! proxy. What it does not use it lends for a limited time (leases, Gray and Cheriton, SOSP 1989). The lender stops
+//! using the amount before the borrower begins. The borrower counts the lease from its request and the lender from
+//! its answer, so it ends at the borrower first. Therefore the quotas in use never add up to more than the limit,
+//! whichever links fail, and a disconnected proxy falls back to what it owns and has not lent.
 //!
-//! A process that has just started does not know what the one before it lent, so it reserves everything that may be lent
-//! until that has run out. Slots (concurrent requests) stay with a borrower while its requests last: the lender counts
-//! them for the lease and the longest request.
+//! A process that has just started does not know what the previous process lent, so it reserves everything that may be
+//! lent until such leases have expired. Slots (concurrent requests) stay with a borrower until its requests end: the
+//! lender counts them for the duration of the lease and of the longest request.
 
 mod borrowed;
 mod config;
@@ -27,37 +28,37 @@
 pub use config::QuotaConfig;
 pub use granted::Borrower;
 
-/// The shortest time after which a rejected request may be repeated, s.
+/// Minimum time after which a rejected request may be repeated, in seconds.
 const MIN_RETRY_AFTER_S: f64 = 0.05;
-/// Stands for a rate of zero in a quotient, requests a second.
+/// Divisor in place of a rate of zero, in requests a second.
 const MIN_RATE: f64 = 1e-9;
 
-/// A request is not admitted.
+/// Error returned when a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// When the request may be repeated, from now.
+    /// Time from now after which the request may be repeated.
     pub retry_after: Duration,
 }
 
-/// What a quota amounts to at a moment.
+/// The amounts of a quota at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaAmounts {
-    /// What this proxy may use.
+    /// Amount that this proxy may use.
     pub usable: Amount,
-    /// Of its own, lent to others.
+    /// Amount of its own part that is lent to others.
     pub lent: Amount,
-    /// Borrowed from others.
+    /// Amount borrowed from others.
     pub borrowed: Amount,
 }
 
-/// Requests that a quota has decided on.
+/// Numbers of requests that a quota has decided on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaCounts {
-    /// Admitted and not released.
+    /// Requests admitted and not yet released.
     pub in_flight: u32,
-    /// Admitted since the start.
+    /// Requests admitted since the start.
     pub admitted: u64,
-    /// Rejected since the start.
+    /// Requests rejected since the start.
     pub rejected: u64,
 }
 
@@ -68,11 +69,11 @@
     borrowed: BorrowedLeases,
     bucket: TokenBucket,
     demand: Demand,
-    /// Tokens are counted and leases removed up to this moment, the latest that was passed.
+    /// Time up to which tokens are added and expired leases removed: the latest that a caller has passed.
     advanced_to: Duration,
-    /// Until then it reserves what the process before it may have lent.
+    /// Time until which the quota reserves what the previous process may have lent.
     reserved_until: Duration,
-    /// Another process acts for this proxy as well.
+    /// Whether another process acts for this proxy as well.
     is_halved: bool,
     in_flight: u32,
     admitted: u64,
@@ -80,7 +81,8 @@
 }
 
 impl Quota {
-    /// The quota of a process that starts at `now`. It has no tokens, as the process before may have spent them.
+    /// Creates the quota of a process that starts at `now`, without tokens because the previous process may have spent
+    /// them.
     pub fn new(config: QuotaConfig, now: Duration) -> Quota {
         Quota {
             config,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The part of its own that this proxy may use or lend.
+    /// Returns the amount of its own part that this proxy may use or lend.
     fn own(&self, at: Duration) -> Amount {
         let part = self.config.own_part();
         let mut own = part;
@@ -113,19 +115,19 @@
         own
     }
 
-    /// The part of its own that this proxy may use itself.
+    /// Returns the amount of its own part that this proxy may use itself.
     fn own_unlent(&self, at: Duration) -> Amount {
         let own = self.own(at);
         let lent = self.granted.total();
         Amount { rate: (own.rate - lent.rate).max(0.0), slots: own.slots.saturating_sub(lent.slots) }
     }
 
-    /// What this proxy may use at a moment not before the latest that was passed.
+    /// Returns what this proxy may use at `at`, which must not be before `advanced_to`.
     fn usable(&self, at: Duration) -> Amount {
         self.own_unlent(at).plus(self.borrowed.total(at))
     }
 
-    /// Counts tokens up to `now`, in spans with a constant rate, and removes leases that have run out.
+    /// Adds the tokens up to `now`, in spans of constant rate, and removes expired leases.
     fn advance(&mut self, now: Duration) {
         while self.advanced_to < now {
             let until = self.next_rate_change(now);
@@ -133,13 +135,14 @@
             self.bucket.refill(rate, until - self.advanced_to);
             self.advanced_to = until;
         }
-        // A lender counts its lease for longer than the borrower uses it, and uses it again only afterwards.
+        // Granted leases that expired during the spans still reduced their rates: a lender counts a lease for longer
+        // than the borrower uses it, and uses the amount again only afterwards.
         self.granted.remove_expired(self.advanced_to);
         self.borrowed.remove_expired(self.advanced_to);
         self.update_bucket_rate();
     }
 
-    /// The next moment, `now` at the latest, at which the usable rate changes.
+    /// Returns the next moment at which the usable rate changes, `now` at the latest.
     fn next_rate_change(&self, now: Duration) -> Duration {
         let changes = self.borrowed.expirations().chain([self.reserved_until]);
         changes.filter(|at| *at > self.advanced_to).fold(now, Duration::min)
@@ -150,10 +153,11 @@
         self.bucket.set_rate(rate);
     }
 
-    /// Checks whether a request may be admitted now; nothing is taken yet. The request counts as demand in either case.
+    /// Checks whether a request may be admitted now, without taking a token or a slot. The request counts as demand in
+    /// either case.
     ///
     /// # Errors
-    /// The quota has no token or no slot.
+    /// The quota has no token or no slot left.
     pub fn check_available(&mut self, now: Duration) -> Result<(), QuotaExceeded> {
         self.advance(now);
         self.demand.record_request(now);
@@ -196,15 +200,15 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Sets whether another process acts for this proxy as well, each with half of the quota.
+    /// Sets whether another process acts for this proxy as well; if so, each process uses half of the quota.
     pub fn set_halved(&mut self, now: Duration, is_halved: bool) {
         self.advance(now);
         self.is_halved = is_halved;
         self.update_bucket_rate();
     }
 
-    /// Handles a borrower's request for a lease, in place of the one it has: it has already returned everything beyond
-    /// `requested`. Returns what it is granted.
+    /// Handles a borrower's request for a lease that replaces the one it has. The borrower has already stopped using
+    /// everything beyond `requested`. Returns the granted amount.
     pub fn grant_lease(&mut self, now: Duration, borrower: Borrower, seq: u64, requested: Amount) -> Amount {
         self.advance(now);
         let requested = self.config.without_small_rate(requested);
@@ -213,24 +217,24 @@
         }
         let previous = self.granted.amount(borrower);
         let spare = self.spare(borrower);
-        // The borrower keeps what it has, and gets half of the rest, so that something is left for the next one.
+        // The borrower keeps what it has and gets at most half of the rest, so that some is left for the next borrower.
         let retained = previous.min(spare);
         let granted = self.config.without_small_rate(Amount {
             rate: requested.rate.min(retained.rate + (spare.rate - retained.rate) / 2.0),
             slots: requested.slots.min(retained.slots + (spare.slots - retained.slots).div_ceil(2)),
         });
         if granted.is_zero() {
-            // What the borrower still uses of its last lease runs out by itself.
+            // What the borrower still has of its previous lease counts until that lease expires.
             return granted;
         }
         let expires_at = self.advanced_to + self.config.granted_duration();
-        // Until the answer arrives the borrower uses its last lease: the larger of both counts.
+        // Until the answer arrives the borrower uses its previous lease, so the larger of the two amounts counts.
         self.granted.insert(borrower, seq, granted.max(previous), expires_at);
         self.update_bucket_rate();
         granted
     }
 
-    /// What this proxy can lend to `borrower`, including what that borrower has of it.
+    /// Returns what this proxy can lend to `borrower`, including what that borrower already has.
     fn spare(&self, borrower: Borrower) -> Amount {
         if self.advanced_to < self.reserved_until || self.is_halved {
             return Amount::default();
@@ -248,8 +252,8 @@
         }
     }
 
-    /// The requests of one round, of which there are several in a lease's duration. `pick_lender` draws one of the other
-    /// live members, `next_seq` the number of a request.
+    /// Returns the lease requests of one round; there are several rounds per lease duration. `pick_lender` draws one of
+    /// the other live members, and `next_seq` returns the number of a new request.
     pub fn request_leases(
         &mut self, now: Duration, pick_lender: impl FnMut() -> Option<u32>, next_seq: impl FnMut() -> u64,
     ) -> Vec<LeaseRequest> {
@@ -270,7 +274,7 @@
         self.borrowed.handle_grant(&self.config, self.advanced_to, lender, seq, granted);
     }
 
-    /// What the quota amounts to at a moment not before the latest that was passed.
+    /// Returns the amounts of the quota at `now`, which must not be before the latest time passed to another method.
     pub fn amounts(&self, now: Duration) -> QuotaAmounts {
         QuotaAmounts {
             usable: self.usable(now),
@@ -279,7 +283,7 @@
         }
     }
 
-    /// The requests decided on so far.
+    /// Returns the numbers of requests decided on so far.
     pub fn counts(&self) -> QuotaCounts {
         QuotaCounts { in_flight: self.in_flight, admitted: self.admitted, rejected: self.rejected }
     }
--- a/crates/fleet/src/quota/borrowed.rs
+++ b/crates/fleet/src/quota/borrowed.rs
@@ -1,13 +1,13 @@
-//! The leases that this proxy has been granted by others, and its requests for them.
+//! The leases that other proxies have granted to this one, and its requests for them.
 
 use super::config::QuotaConfig;
 use crate::amount::Amount;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Lenders of a proxy at the same time: each is asked twice in a lease's duration.
+/// Maximum number of lenders of a proxy at the same time. Each is asked twice per lease duration.
 const MAX_LENDERS: usize = 64;
-/// Members that are asked for more in one round: the power of two choices.
+/// Number of randomly drawn members that are asked for a lease in one round (power of two choices).
 const LENDERS_PER_ROUND: u32 = 2;
 
 struct BorrowedLease {
@@ -21,18 +21,18 @@
     requested: Amount,
 }
 
-/// A request for a lease that is to be sent.
+/// A request for a lease, to be sent to a lender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseRequest {
-    /// The member to ask.
+    /// Index of the lender.
     pub lender: u32,
-    /// Repeated by the answer.
+    /// Number of the request; the answer repeats it.
     pub seq: u64,
-    /// The requested part of the limit, in place of what this lender granted before.
+    /// Requested part of the limit, in place of what this lender granted before.
     pub requested: Amount,
 }
 
-/// The leases of all lenders, one each.
+/// The borrowed leases, one per lender, and the requests that await an answer.
 #[derive(Default)]
 pub(super) struct BorrowedLeases {
     by_lender: BTreeMap<u32, BorrowedLease>,
@@ -40,24 +40,24 @@
 }
 
 impl BorrowedLeases {
-    /// Everything borrowed by leases that have not run out.
+    /// Returns the sum of the leases that have not expired at `at`.
     pub(super) fn total(&self, at: Duration) -> Amount {
         let live = self.by_lender.values().filter(|lease| at < lease.expires_at);
         live.fold(Amount::default(), |sum, lease| sum.plus(lease.amount))
     }
 
-    /// When each lease runs out.
+    /// Returns the expiration time of each lease.
     pub(super) fn expirations(&self) -> impl Iterator<Item = Duration> + '_ {
         self.by_lender.values().map(|lease| lease.expires_at)
     }
 
-    /// Removes the leases that have run out.
+    /// Removes expired leases.
     pub(super) fn remove_expired(&mut self, now: Duration) {
         self.by_lender.retain(|_, lease| now < lease.expires_at);
     }
 
-    /// The requests of one round for what is needed beyond this proxy's own part. `pick_lender` draws one of the other
-    /// live members, `next_seq` the number of a request.
+    /// Returns the requests of one round. `needed` is the demand beyond this proxy's own part, `pick_lender` draws
+    /// one of the other live members, and `next_seq` returns the number of a new request.
     pub(super) fn request(
         &mut self, config: &QuotaConfig, now: Duration, needed: Amount,
         mut pick_lender: impl FnMut() -> Option<u32>, mut next_seq: impl FnMut() -> u64,
@@ -67,7 +67,7 @@
         let mut requests = self.renewals(config, now, &mut still_needed, &mut next_seq);
         self.add_new_lenders(config, still_needed, &mut requests, &mut pick_lender, &mut next_seq);
         for request in &requests {
-            // A late answer to an older request would bring back what this one returns.
+            // A late answer to an older request would restore the amount that this request gives back.
             self.pending.retain(|_, pending| pending.lender != request.lender);
             let pending =
                 PendingRequest { lender: request.lender, sent_at: now, requested: request.requested };
@@ -76,7 +76,8 @@
         requests
     }
 
-    /// Renews the leases that are still needed and returns the others; subtracts what is retained from `needed`.
+    /// Returns requests that renew the leases still needed and give back the others. Subtracts the retained amounts
+    /// from `needed`.
     fn renewals(
         &mut self, config: &QuotaConfig, now: Duration, needed: &mut Amount,
         next_seq: &mut impl FnMut() -> u64,
@@ -94,7 +95,8 @@
                 continue;
             }
             let is_renewal_due = lease.expires_at.saturating_sub(now) < config.lease_duration / 2;
-            // Slots that are not needed are returned at once: their lender would count them for the longest request.
+            // Unneeded slots are given back at once: after the lease expires, the lender would still count them for the
+            // duration of the longest request.
             if is_renewal_due || retained.slots < lease.amount.slots {
                 lease.amount = retained;
                 requests.push(LeaseRequest { lender, seq: next_seq(), requested: retained.plus(more) });
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Handles a lender's answer; answers without a request are ignored. The lease counts from its request. A lender is
-    /// not believed more than was requested, nor more than any proxy may lend.
+    /// Handles a lender's answer; an answer without a pending request is ignored. The lease counts from its request.
+    /// Its amount is limited to what was requested and to what any proxy may lend, whatever the lender grants.
     pub(super) fn handle_grant(
         &mut self, config: &QuotaConfig, now: Duration, lender: u32, seq: u64, granted: Amount,
     ) {
@@ -142,7 +144,7 @@
     }
 }
 
-/// What is needed beyond what is borrowed, divided among the members that are asked in one round.
+/// Returns the need beyond what is borrowed, divided by the number of members asked in one round.
 fn per_lender_shortage(needed: Amount, borrowed: Amount) -> Amount {
     let rate = needed.rate - borrowed.rate;
     let slots = needed.slots.saturating_sub(borrowed.slots);
--- a/crates/fleet/src/quota/config.rs
+++ b/crates/fleet/src/quota/config.rs
@@ -3,35 +3,36 @@
 use crate::amount::Amount;
 use std::time::Duration;
 
-/// The fraction of its own part that a proxy lends at most: with the rest it can always serve by itself.
+/// Maximum fraction of its own part that a proxy lends. It can always serve requests with the rest.
 const LENDABLE_FRACTION: f64 = 0.75;
-/// By this factor a lender's clock may run faster than a borrower's: quartz is off by some 100 ppm, a slewed clock by up
-/// to 500 ppm (adjtimex); one percent is far more than both.
+/// Factor by which a lender's clock may run faster than a borrower's. A quartz clock is off by about 100 ppm and a
+/// slewed clock by up to 500 ppm (adjtimex); one percent is far more than both.
 const CLOCK_DRIFT_FACTOR: f64 = 1.01;
-/// The smallest rate that is lent, as a fraction of a proxy's own: bounds the number of leases.
+/// Minimum rate of a lease, as a fraction of a proxy's own rate. Bounds the number of leases.
 const MIN_LEASE_FRACTION: f64 = 1.0 / 64.0;
 
-/// A limit of the whole fleet and how it is divided.
+/// A fleet-wide limit and how it is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaConfig {
     /// Requests a second, over all proxies.
     pub rate: Option<f64>,
     /// Concurrent requests, over all proxies.
     pub slots: Option<u32>,
-    /// What an unused quota accumulates at most, as a span of its rate; one request at least.
+    /// Maximum that an unused quota accumulates, as a duration at its rate; at least one request.
     pub burst: Duration,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease_duration: Duration,
-    /// No request is in flight for longer.
+    /// Maximum time that a request is in flight.
     pub max_request_duration: Duration,
-    /// Proxies of the fleet.
+    /// Number of proxies in the fleet.
     pub fleet_size: u32,
-    /// This proxy's place among them.
+    /// Index of this proxy in the fleet.
     pub proxy_index: u32,
 }
 
 impl QuotaConfig {
-    /// This proxy's own part of the limit. Where slots cannot be divided evenly the first proxies have one more.
+    /// Returns this proxy's own part of the limit. If the slots cannot be divided evenly, the first proxies have one
+    /// more.
     pub(super) fn own_part(&self) -> Amount {
         let size = self.fleet_size.max(1);
         let rate = self.rate.unwrap_or(0.0) / f64::from(size);
@@ -39,7 +40,8 @@
         Amount { rate, slots: slots / size + u32::from(self.proxy_index < slots % size) }
     }
 
-    /// What this proxy lends at most. One slot at least stays, so that a process that has just started can serve.
+    /// Returns the maximum that this proxy lends. It keeps at least one slot, if it has any, so that a process that
+    /// has just started can serve requests.
     pub(super) fn lendable(&self) -> Amount {
         let own = self.own_part();
         Amount {
@@ -48,20 +50,20 @@
         }
     }
 
-    /// What any proxy lends at most: the first one's own part is the largest.
+    /// Returns the maximum that any proxy lends. The own part of the first proxy is the largest.
     pub(super) fn max_lease(&self) -> Amount {
         QuotaConfig { proxy_index: 0, ..*self }.lendable()
     }
 
-    /// The amount without a rate that is too small for a lease. Lender and borrower apply the same rule, so that the
-    /// lender counts what the borrower uses.
+    /// Returns `amount` without its rate if that is too small for a lease. Lender and borrower apply the same rule,
+    /// so that the lender counts what the borrower uses.
     pub(super) fn without_small_rate(&self, amount: Amount) -> Amount {
         let is_enough = amount.rate > 0.0 && amount.rate >= self.own_part().rate * MIN_LEASE_FRACTION;
         Amount { rate: if is_enough { amount.rate } else { 0.0 }, slots: amount.slots }
     }
 
-    /// How long the lender counts a lease as granted: requests that the borrower admitted within the lease keep their
-    /// slots until they end.
+    /// Returns how long a lender counts a lease as granted. Requests that the borrower admitted within the lease keep
+    /// their slots until they end.
     pub(super) fn granted_duration(&self) -> Duration {
         let longest = if self.slots.is_some() { self.max_request_duration } else { Duration::ZERO };
         (self.lease_duration + longest).mul_f64(CLOCK_DRIFT_FACTOR)
--- a/crates/fleet/src/quota/tests.rs
+++ b/crates/fleet/src/quota/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A borrower that returns all but a trifle and requests again under the next name leaves nothing behind.
+/// A borrower that gives back nearly its whole lease and then requests with a new generation leaves no entry behind.
 #[test]
 fn borrowers_under_ever_new_names_do_not_fill_the_memory() {
     let second = Duration::from_secs(1);
@@ -25,7 +25,7 @@
         quota.grant_lease(now, borrower, 2, Amount { rate: 1e-300, slots: 0 });
         assert!(quota.granted.len() <= 1, "{} names remembered", quota.granted.len());
     }
-    // Those that keep their leases: as many as the smallest leases fit into what may be lent.
+    // Borrowers that keep their leases: at most as many as the smallest leases that fit into the lendable amount.
     for name in 0..10_000u64 {
         let borrower = Borrower { proxy_index: 4, generation: name };
         quota.grant_lease(now, borrower, 1, Amount { rate: 1e9, slots: 9 });
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,11 +1,12 @@
-//! Datagrams between proxies: a magic number, a tag of everything that has to be the same on both sides, then one message
-//! in postcard.
+//! Datagrams between proxies: a magic number, a tag of everything that must be the same on both sides, and one
+//! message in postcard.
 //!
-//! The tag is a checksum of the site, the fleet's size and its limits: proxies that are configured with other limits do
-//! not understand each other, and each keeps to its own part meanwhile, as one whose links are down does.
+//! The tag is a checksum of the site, the fleet's size, its limits and the durations of leases and requests. Proxies
+//! that are configured differently reject each other's datagrams; until they agree, each uses only its own part of a
+//! limit, as it does when its links are down.
 //!
-//! Postcard writes fields and variants by their order, so that the order in the types of this module, in [`Amount`] and
-//! in [`LoadReport`] is fixed.
+//! Postcard encodes fields and variants by their order, so the order in the types of this module, in [`Amount`] and in
+//! [`LoadReport`] is fixed.
 
 use crate::amount::Amount;
 use crate::load_gossip::LoadReport;
@@ -15,11 +16,11 @@
 use thiserror::Error;
 
 const MAGIC: [u8; 4] = *b"LDF1";
-/// Magic number and tag.
+/// Length of the magic number and the tag.
 const HEADER_BYTES: usize = 8;
-/// Variant and length in front of the membership's bytes, at most.
+/// Maximum length of the variant and the length prefix in front of a membership packet.
 const MESSAGE_OVERHEAD_BYTES: usize = 8;
-/// The longest datagram that is read: the membership's longest, and this protocol's header around it.
+/// Maximum length of a datagram that is read: the longest membership packet and this protocol's overhead.
 pub const MAX_DATAGRAM_BYTES: usize = MAX_PACKET_BYTES + HEADER_BYTES + MESSAGE_OVERHEAD_BYTES;
 
 /// The content of a datagram.
@@ -27,59 +28,61 @@
 pub enum Message {
     /// A packet of the membership protocol.
     Swim(Vec<u8>),
-    /// The load of members, as far as the sender knows it.
+    /// The load of the members of which the sender knows it.
     LoadReports(Vec<LoadReport>),
     /// Requests a lease of a limit, in place of what the recipient granted of it before.
     LeaseRequest {
-        /// The borrower's index.
+        /// Index of the borrower.
         from: u32,
-        /// The borrower's generation.
+        /// Generation of the borrower's process.
         generation: u64,
-        /// Where the answer goes.
+        /// Address to which the answer is sent.
         reply_to: SocketAddr,
-        /// The limit, by its place among all limits.
+        /// Index of the limit among all limits.
         limit: u16,
-        /// Repeated by the answer. It has random bits, so that a third party cannot forge an answer.
+        /// Number of the request; the answer repeats it. It has random bits, so that a third party cannot forge an
+        /// answer.
         nonce: u64,
-        /// The requested part of the limit.
+        /// Requested part of the limit.
         requested: Amount,
     },
-    /// Grants a lease, which ends one lease duration after it was requested; zero, where there is nothing to spare.
+    /// Grants a lease, which ends one lease duration after it was requested. The amount is zero if the lender has
+    /// nothing to spare.
     LeaseGrant {
-        /// The lender's index.
+        /// Index of the lender.
         from: u32,
-        /// Of the request.
+        /// Nonce of the request.
         nonce: u64,
-        /// At most what was requested.
+        /// Granted part of the limit, at most what was requested.
         granted: Amount,
     },
 }
 
-/// Why a datagram is not accepted.
+/// Error returned when a datagram is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// It is not of this protocol.
+    /// The datagram is not of this protocol.
     #[error("not a proxy's datagram")]
     ForeignProtocol,
-    /// It is of another site, a fleet of another size, or other limits.
+    /// The datagram is of another site, a fleet of another size, or other limits or durations.
     #[error("another site, fleet or set of limits: tag {received:08x}, this proxy's is {own:08x}")]
     TagMismatch {
-        /// Of the datagram.
+        /// Tag of the datagram.
         received: u32,
-        /// Of this proxy.
+        /// Tag of this proxy.
         own: u32,
     },
-    /// Its message cannot be read.
+    /// The message cannot be decoded.
     #[error("message: {0}")]
     Malformed(#[source] postcard::Error),
 }
 
-/// The tag of a text that holds everything that has to be the same on both sides.
+/// Returns the tag of a text that contains everything that must be the same on both sides.
 pub fn tag(text: &str) -> u32 {
     crc32c::crc32c(text.as_bytes())
 }
 
-/// The bytes of a datagram.
+/// Encodes a datagram.
 pub fn encode(tag: u32, message: &Message) -> Vec<u8> {
     let mut datagram = Vec::with_capacity(64);
     datagram.extend_from_slice(&MAGIC);
@@ -89,10 +92,10 @@
     datagram
 }
 
-/// The message of a datagram.
+/// Decodes a datagram and returns its message.
 ///
 /// # Errors
-/// The datagram is not of this fleet, or its message cannot be read.
+/// The datagram is not of this fleet, or its message cannot be decoded.
 pub fn decode(own_tag: u32, datagram: &[u8]) -> Result<Message, WireError> {
     let (magic, rest) = datagram.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
     let (tag, body) = rest.split_first_chunk::<4>().ok_or(WireError::ForeignProtocol)?;
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -11,7 +11,7 @@
 }
 
 proptest! {
-    /// Whatever arrives is read or rejected, and never panics.
+    /// Decoding arbitrary bytes returns a message or an error and never panics.
     #[test]
     fn any_bytes_are_read_or_rejected(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut bytes = encode(7, &Message::Swim(Vec::new()));
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -1,5 +1,5 @@
-//! The bound of docs/fleet-limits.md in virtual time: under any faults of links and processes all proxies together admit no
-//! more than the limit, and what one proxy does not use serves the others.
+//! The bound of docs/fleet-limits.md in virtual time: under any faults of links and processes all proxies together
+//! admit no more than the limit, and what one proxy does not use serves the others.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 mod sim;
@@ -33,7 +33,8 @@
     }
 }
 
-/// One of six proxies has five times its part of the load, the others little: by leases the fleet admits nearly all of it.
+/// One of six proxies has five times its part of the load, the others little: by leases the fleet admits nearly all
+/// of it.
 #[test]
 fn unused_quota_is_lent_to_a_loaded_proxy() {
     let mut sim = Sim::new(1, 6, Some(300.0), None);
@@ -59,8 +60,8 @@
     }
 }
 
-/// Faults drawn from a seed: loss, delay beyond the lease, duplication, partitions, kills, quick restarts, pauses and load
-/// that moves. In no span is more admitted than the limit and the quotas' bursts.
+/// Faults drawn from a seed: loss, delay beyond the lease, duplication, partitions, kills, quick restarts, pauses and
+/// load that moves. In no span is more admitted than the limit and the quotas' bursts.
 #[test]
 fn fleet_stays_within_its_rate_under_any_faults() {
     let mut worst = 0.0f64;
@@ -121,7 +122,8 @@
     assert!(most > 20, "the limit was approached: {most}");
 }
 
-/// A disconnected proxy falls back to its own quota; after the heal it is seen, and gets leases again within five seconds.
+/// A disconnected proxy falls back to its own quota; after the heal it is seen, and gets leases again within five
+/// seconds.
 #[test]
 fn disconnected_proxy_falls_back_to_its_own_quota_and_recovers_after_the_heal() {
     for disconnected_s in [0.5, 2.0, 10.0] {
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: nodes with clocks of their own, links that lose, delay, duplicate and partition, processes that
-//! die and restart, and clients. All requests that the nodes admit together are counted.
+//! A fleet in virtual time: nodes with clocks of their own, links that lose, delay, duplicate and partition,
+//! processes that die and restart, and clients. All requests that the nodes admit together are counted.
 #![allow(dead_code)]
 
 mod network;
