--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of docs/fleet-limits.md, in virtual time: what partitions do to the limit and to the requests served,
-//! and what gossip costs by the number of proxies.
+//! Prints the figures of docs/fleet-limits.md from simulations in virtual time: the effect of partitions on the limit
+//! and on the requests served, and the cost of gossip by the number of proxies.
 //!
 //! `cargo run --release -p lotusdeck-fleet --example figures`
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a trial stops at what it did not expect")]
@@ -10,9 +10,9 @@
 use sim::{Sim, LEASE_DURATION};
 use std::time::{Duration, Instant};
 
-/// Proxies of the fleet that is partitioned; a third of them has most of the load.
+/// Number of proxies in the fleet that is partitioned. A third of them has most of the load.
 const SIZE: usize = 9;
-/// Requests a second of the fleet's limit.
+/// The fleet's limit in requests a second.
 const RATE: f64 = 450.0;
 const LOADED_PROXIES: usize = SIZE / 3;
 /// Requests a second at a loaded proxy.
@@ -24,7 +24,7 @@
     index < LOADED_PROXIES
 }
 
-/// The rate that the loaded proxies may use together.
+/// Returns the total rate that the loaded proxies may use.
 fn loaded_rate(sim: &Sim) -> f64 {
     (0..LOADED_PROXIES).map(|index| sim.quota_status(index).map_or(0.0, |status| status.rate)).sum()
 }
@@ -33,7 +33,7 @@
     span.map_or("-".to_string(), |span| format!("{span:.2}"))
 }
 
-/// The loaded proxies are disconnected from the others for this span.
+/// Disconnects the loaded proxies from the others for `disconnected_s` seconds and prints the effect.
 fn print_partition(seed: u64, disconnected_s: f64) {
     let mut sim = Sim::new(seed, SIZE, Some(RATE), None);
     sim.network.loss = 0.01;
@@ -57,8 +57,8 @@
     );
 }
 
-/// Runs for the span; returns when the loaded proxies had only their own quotas: they have nothing to lend to each
-/// other.
+/// Runs for `span` seconds. Returns after what time the loaded proxies had only their own quotas: they have nothing
+/// to lend to each other.
 fn run_until_fallback(sim: &mut Sim, span: f64) -> Option<f64> {
     let started = sim.now;
     let own_rate = LOADED_PROXIES as f64 * (RATE / SIZE as f64);
@@ -72,7 +72,8 @@
     fell_back
 }
 
-/// Runs until all proxies see each other and the loaded ones may admit nine tenths of their load, for 15 s at most.
+/// Runs until all proxies see each other and the loaded ones may admit nine tenths of their load, but for at most 15 s.
+/// Returns how long that took.
 fn run_until_recovery(sim: &mut Sim) -> Option<f64> {
     let healed = sim.now;
     while sim.now < healed + 15.0 {
@@ -85,7 +86,7 @@
     None
 }
 
-/// What was sent and computed since the start of a simulation.
+/// Datagrams, bytes and processor time since the start of a simulation.
 #[derive(Clone, Copy)]
 struct Totals {
     bytes: u64,
@@ -98,7 +99,7 @@
         Totals { bytes: sim.network.bytes, datagrams: sim.network.datagrams, processor_time: sim.spent }
     }
 
-    /// The columns of a table: datagrams, bytes and processor time in us, each a second for one proxy.
+    /// Returns the columns of a table: datagrams, bytes and processor time in us, each per second and proxy.
     fn columns_since(self, earlier: Totals, proxies: usize, seconds: f64) -> String {
         let each = |total: u64| total as f64 / seconds / proxies as f64;
         let processor_s = (self.processor_time - earlier.processor_time).as_secs_f64();
@@ -111,7 +112,7 @@
     }
 }
 
-/// Ten seconds of a fleet in which one proxy in ten has four times its part of the limit as load.
+/// Prints the cost of ten seconds in a fleet where one proxy in ten has four times its part of the limit as load.
 fn print_cost(size: usize) {
     const OWN_RATE: f64 = 50.0;
     const LOADED: f64 = 200.0;
@@ -134,7 +135,8 @@
     );
 }
 
-/// How old the load is that proxies know of the others: all report the time in hundredths of a second.
+/// Prints how old the load reports are that proxies have of the others. Each proxy reports the current time, in
+/// hundredths of a second, as its load.
 fn print_staleness(size: usize) {
     let mut sim = Sim::new(4, size, None, None);
     sim.reported_load = Some(|now| (now * 100.0) as u32);
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -1,5 +1,5 @@
-//! The bound of docs/fleet-limits.md in virtual time: under any faults of links and processes all proxies together
-//! admit no more than the limit, and what one proxy does not use serves the others.
+//! Checks the bound of docs/fleet-limits.md in virtual time: under any faults of links and processes, all proxies
+//! together admit no more than the limit, and what one proxy does not use is available to the others.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 mod sim;
@@ -8,13 +8,13 @@
 use rand::{RngExt, SeedableRng};
 use sim::Sim;
 
-/// Splits the fleet in two at a random place.
+/// Partitions the fleet in two at a random index.
 fn partition(sim: &mut Sim, rng: &mut SmallRng) {
     let split = rng.random_range(0..sim.proxies.len());
     sim.network.is_link_down = Box::new(move |from, to| (from <= split) != (to <= split));
 }
 
-/// A partition, a link that is down in one direction, a heal, a restart, a pause, or nothing.
+/// Injects a random fault: a partition, a proxy whose datagrams are lost, a heal, a restart, a pause, or none.
 fn inject_fault(sim: &mut Sim, rng: &mut SmallRng) {
     let size = sim.proxies.len();
     match rng.random_range(0..6) {
@@ -33,8 +33,8 @@
     }
 }
 
-/// One of six proxies has five times its part of the load, the others little: by leases the fleet admits nearly all
-/// of it.
+/// One of six proxies has more than three times its part of the limit as load, the others little. With leases the fleet
+/// admits nearly all of it.
 #[test]
 fn unused_quota_is_lent_to_a_loaded_proxy() {
     let mut sim = Sim::new(1, 6, Some(300.0), None);
@@ -46,7 +46,7 @@
     assert!(sim.excess() <= sim.allowed_excess(), "{} over, {} allowed", sim.excess(), sim.allowed_excess());
 }
 
-/// Every proxy has more load than its part: each keeps its own, and the fleet admits the limit.
+/// Each proxy has more load than its part of the limit. Each keeps its own part, and the fleet admits the limit.
 #[test]
 fn overloaded_proxies_keep_their_own_quotas() {
     let mut sim = Sim::new(2, 5, Some(200.0), None);
@@ -60,8 +60,8 @@
     }
 }
 
-/// Faults drawn from a seed: loss, delay beyond the lease, duplication, partitions, kills, quick restarts, pauses and
-/// load that moves. In no span is more admitted than the limit and the quotas' bursts.
+/// Random faults: loss, delay beyond the lease, duplication, partitions, quick restarts, pauses, and load that moves
+/// between proxies. In no span does the fleet admit more than the limit and the bursts of the quotas.
 #[test]
 fn fleet_stays_within_its_rate_under_any_faults() {
     let mut worst = 0.0f64;
@@ -75,7 +75,7 @@
         sim.network.max_delay = [0.002, 0.3, 2.5][rng.random_range(0..3)];
         for _ in 0..30 {
             inject_fault(&mut sim, &mut rng);
-            // Most of the load moves from one to another.
+            // Most of the load moves to another proxy.
             let loaded = rng.random_range(0..size);
             for (index, proxy) in sim.proxies.iter_mut().enumerate() {
                 proxy.load = rate * if index == loaded { 2.0 } else { rng.random_range(0.0..0.3) };
@@ -92,7 +92,7 @@
     println!("the worst of 40 seeds: {worst:.2} of what is allowed");
 }
 
-/// The same for concurrent requests: never more than the limit, though requests outlast leases and links break.
+/// There are never more concurrent requests than the limit, although requests outlast leases and links fail.
 #[test]
 fn fleet_stays_within_its_slots_under_any_faults() {
     let mut most = 0;
@@ -122,8 +122,8 @@
     assert!(most > 20, "the limit was approached: {most}");
 }
 
-/// A disconnected proxy falls back to its own quota; after the heal it is seen, and gets leases again within five
-/// seconds.
+/// A disconnected proxy falls back to its own quota. Within five seconds after the heal all proxies see each other
+/// and it has leases again.
 #[test]
 fn disconnected_proxy_falls_back_to_its_own_quota_and_recovers_after_the_heal() {
     for disconnected_s in [0.5, 2.0, 10.0] {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Processes that restart again and again, each requesting all it can get, admit no more than one that goes on.
+/// A proxy that restarts repeatedly and requests leases in each process does not exceed the allowed excess.
 #[test]
 fn restarted_processes_do_not_multiply_leases() {
     let mut sim = Sim::new(6, 4, Some(200.0), None);
@@ -162,7 +162,7 @@
         sim.start(3);
     }
     assert!(sim.excess() <= sim.allowed_excess(), "{} over, {} allowed", sim.excess(), sim.allowed_excess());
-    // All of them, ten times a second: a bucket that began full would be emptied each time.
+    // All proxies restart ten times a second: buckets that started full would admit a burst each time.
     let mut sim = Sim::new(7, 4, Some(20.0), None);
     sim.set_loads(|_| 50.0);
     for _ in 0..100 {
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: nodes with clocks of their own, links that lose, delay, duplicate and partition,
-//! processes that die and restart, and clients. All requests that the nodes admit together are counted.
+//! Simulates a fleet in virtual time: nodes with separate clocks, links that lose, delay and duplicate datagrams or
+//! fail, processes that are killed and restarted, and clients. All requests that the nodes admit are counted.
 #![allow(dead_code)]
 
 mod network;
@@ -16,50 +16,50 @@
 pub(crate) const LEASE_DURATION: Duration = Duration::from_secs(1);
 pub(crate) const MAX_REQUEST_DURATION: Duration = Duration::from_millis(1_500);
 pub(crate) const BURST: Duration = Duration::from_millis(200);
-/// Ports stand for proxies; no socket is opened.
+/// Port of the first proxy. Ports identify proxies; no socket is opened.
 const FIRST_PORT: u16 = 7_000;
-/// Virtual time moves on by this, s.
+/// Step of the virtual time in seconds.
 pub(crate) const STEP_S: f64 = 0.005;
 
 pub(crate) struct SimulatedProxy {
     pub node: Option<Node>,
     incarnation: u64,
-    /// Its clock runs by this factor faster than the true time.
+    /// Rate of its clock relative to the true time.
     clock_rate: f64,
-    /// Its clock at true time 0, s.
+    /// Its clock at true time 0, in seconds.
     clock_offset: f64,
-    /// Requests a second of its clients.
+    /// Load from its clients in requests a second.
     pub load: f64,
-    /// When each request in flight ends.
+    /// True time at which each request in flight ends.
     request_ends: Vec<f64>,
-    /// It does nothing until then, like a stopped process.
+    /// True time until which it does nothing, like a stopped process.
     pub paused_until: f64,
 }
 
 pub(crate) struct Sim {
     pub seed: u64,
-    /// True time, s.
+    /// True time in seconds.
     pub now: f64,
     pub proxies: Vec<SimulatedProxy>,
     pub limit: Limit,
     rng: SmallRng,
     pub network: Network,
     pub admitted: Vec<AdmittedRequest>,
-    /// The most requests in flight at the same time.
+    /// Maximum number of requests in flight at the same time.
     pub max_in_flight: usize,
-    /// The longest duration of an admitted request, s.
+    /// Maximum duration of an admitted request in seconds.
     pub max_duration: f64,
-    /// The largest sum of all quotas, requests a second.
+    /// Maximum sum of all quotas in requests a second.
     pub max_quota_sum: f64,
     /// Real time spent in the nodes.
     pub spent: Duration,
-    /// The load that all proxies report, by the time.
+    /// The load that all proxies report, as a function of the true time.
     pub reported_load: Option<fn(f64) -> u32>,
 }
 
 /// A request that a proxy admitted.
 pub(crate) struct AdmittedRequest {
-    /// True time, s.
+    /// True time in seconds.
     pub at: f64,
     pub proxy: usize,
 }
@@ -102,7 +102,7 @@
         Duration::from_secs_f64(self.proxies[index].clock_offset + self.now * self.proxies[index].clock_rate)
     }
 
-    /// Starts a process, in place of the one before, if there was one.
+    /// Starts a process in place of the previous one, if any.
     pub(crate) fn start(&mut self, index: usize) {
         self.kill(index);
         self.proxies[index].incarnation += 1;
@@ -124,7 +124,7 @@
         self.proxies[index].node = Some(Node::new(config, now));
     }
 
-    /// Ends a process, and its requests with it.
+    /// Ends a process and its requests.
     pub(crate) fn kill(&mut self, index: usize) {
         self.proxies[index].node = None;
         self.proxies[index].request_ends.clear();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Sends bytes as a third party would.
+    /// Delivers bytes to a proxy as if a third party had sent them.
     pub(crate) fn inject(&mut self, to: usize, bytes: Vec<u8>) {
         self.network.put_in_transit(self.now, to, bytes);
     }
@@ -217,7 +217,7 @@
         self.send_requests(index);
     }
 
-    /// At every moment all quotas together, with the slots still in use beyond them, are within the limit.
+    /// Checks that all quotas together, with the slots still in use beyond them, are within the limit.
     fn check_quotas(&mut self) {
         let (mut rate, mut slots) = (0.0, 0);
         for (index, proxy) in self.proxies.iter().enumerate() {
@@ -233,7 +233,7 @@
         assert!(self.limit.slots.is_none() || slots <= most_slots, "{at}: {slots} slots of {most_slots}");
     }
 
-    /// By how many requests the admissions in any span exceeded the rate of the limit in that span.
+    /// Returns the maximum number of requests by which the admissions in any span exceeded the rate of the limit.
     pub(crate) fn excess(&self) -> f64 {
         let rate = self.limit.rate.unwrap() * 1.004; // the fastest clock
         let (mut worst, mut least) = (0.0f64, f64::INFINITY);
@@ -245,39 +245,39 @@
         worst
     }
 
-    /// The allowed excess: what all quotas accumulate, one request each at least.
+    /// Returns the allowed excess: what all quotas can accumulate, at least one request each.
     pub(crate) fn allowed_excess(&self) -> f64 {
         let own_rate = self.limit.rate.unwrap() / self.proxies.len() as f64;
         let burst = (own_rate * BURST.as_secs_f64()).max(1.0);
-        // Quotas differ once some are lent; no sum of their bursts is over this.
+        // Quotas differ once parts are lent. The sum of their bursts never exceeds this.
         (burst * self.proxies.len() as f64)
             .max(self.limit.rate.unwrap() * BURST.as_secs_f64() + self.proxies.len() as f64)
     }
 
-    /// Sets the load of each proxy by its index, requests a second.
+    /// Sets the load of each proxy, in requests a second, as a function of its index.
     pub(crate) fn set_loads(&mut self, load: impl Fn(usize) -> f64) {
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
             proxy.load = load(index);
         }
     }
 
-    /// Requests that one proxy has admitted since a moment of true time.
+    /// Counts the requests that one proxy has admitted since a moment of true time.
     pub(crate) fn admitted_by(&self, proxy: usize, since: f64) -> f64 {
         let is_counted = |request: &&AdmittedRequest| request.proxy == proxy && request.at > since;
         self.admitted.iter().filter(is_counted).count() as f64
     }
 
-    /// Requests admitted a second in a span of true time.
+    /// Returns the requests admitted per second in a span of true time.
     pub(crate) fn served(&self, from: f64, to: f64) -> f64 {
         self.admitted.iter().filter(|request| (from..to).contains(&request.at)).count() as f64 / (to - from)
     }
 
-    /// The status of a proxy's quota.
+    /// Returns the status of a proxy's quota.
     pub(crate) fn quota_status(&self, index: usize) -> Option<QuotaStatus> {
         self.proxies[index].node.as_ref().and_then(|n| n.quotas(self.clock(index)).next())
     }
 
-    /// The load of the others as a proxy knows it.
+    /// Returns the total load of the other proxies as a proxy knows it.
     pub(crate) fn others_in_flight(&self, index: usize) -> Option<f64> {
         self.proxies[index].node.as_ref()?.others_in_flight(self.clock(index))
     }
--- a/crates/fleet/tests/sim/network.rs
+++ b/crates/fleet/tests/sim/network.rs
@@ -1,14 +1,14 @@
-//! Links that lose, delay, duplicate and partition.
+//! Links that lose, delay and duplicate datagrams, or fail.
 
 use rand::rngs::SmallRng;
 use rand::RngExt;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The shortest delay of a datagram, s.
+/// Minimum delay of a datagram in seconds.
 const MIN_DELAY_S: f64 = 0.000_2;
 
-/// Ordered by arrival, the earliest greatest.
+/// A datagram in transit. A datagram that arrives earlier is greater.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DatagramInTransit {
     arrives_at_us: Reverse<u64>,
@@ -19,20 +19,20 @@
 
 /// All links of the fleet.
 pub(crate) struct Network {
-    /// Datagrams in transit, the next to arrive first.
+    /// Datagrams in transit, with the next arrival on top.
     in_transit: BinaryHeap<DatagramInTransit>,
     last_number: u64,
     /// Probability that a datagram is lost.
     pub loss: f64,
     /// Probability that a datagram arrives twice.
     pub duplication: f64,
-    /// The longest delay of a datagram, s.
+    /// Maximum delay of a datagram in seconds.
     pub max_delay: f64,
     /// Whether the link from one proxy to another is down.
     pub is_link_down: Box<dyn Fn(usize, usize) -> bool>,
-    /// Bytes of all datagrams sent.
+    /// Total bytes of all datagrams sent.
     pub bytes: u64,
-    /// All datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
 }
 
@@ -55,7 +55,7 @@
         self.is_link_down = Box::new(|_, _| false);
     }
 
-    /// Sends a datagram; `to` is `None` where there is no such proxy.
+    /// Sends a datagram. `to` is `None` if there is no such proxy.
     pub(crate) fn send(
         &mut self, rng: &mut SmallRng, now: f64, from: usize, to: Option<usize>, bytes: &[u8],
     ) {
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Adds a datagram that no proxy has sent.
+    /// Adds a datagram that arrives at `arrives_at`.
     pub(crate) fn put_in_transit(&mut self, arrives_at: f64, to: usize, bytes: Vec<u8>) {
         self.last_number += 1;
         let arrives_at_us = Reverse((arrives_at * 1e6) as u64);
         self.in_transit.push(DatagramInTransit { arrives_at_us, number: self.last_number, to, bytes });
     }
 
-    /// The next datagram that has arrived.
+    /// Removes and returns the next datagram that has arrived.
     pub(crate) fn next_arrived(&mut self, now: f64) -> Option<DatagramInTransit> {
         let next = self.in_transit.peek()?;
         if next.arrives_at_us.0 as f64 / 1e6 > now {
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of datagram: proxies of different versions run in one fleet during an upgrade. Postcard goes
-//! by the order of fields and variants, so that a reordering shows here.
+//! Pins the bytes of each kind of datagram, because proxies of different versions run in one fleet during an upgrade.
+//! Postcard encodes fields and variants by their order, so a reordering fails here.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 use lotusdeck_fleet::load_gossip::LoadReport;
@@ -68,7 +68,7 @@
     assert_eq!(tag("shop 3 1s 30s []"), 0xa191_a17c);
 }
 
-/// The first datagram holds the tag of the fleet's limits and the announcement of the membership protocol.
+/// The first datagram contains the tag of the configuration and an announcement of the membership protocol.
 #[test]
 fn first_announcement_of_a_node_has_its_fixed_bytes() {
     let start = Duration::from_secs(1);
