--- a/crates/state/src/estimates.rs
+++ b/crates/state/src/estimates.rs
@@ -1,15 +1,16 @@
-//! A proxy's estimates of classes, kinds and backends, as they are persisted, and what remains of them at an age.
+//! A proxy's persisted estimates of classes, kinds and backends, and their discount by age.
 //!
-//! - Latencies and rates are means. A mean of `n` samples and age `a` counts as `n * 2^(-a / h)` samples: the power prior
-//!   (Ibrahim and Chen, Statistical Science 15, 2000), the old likelihood raised to the [`Confidence`] in it. New
-//!   samples soon outweigh an old mean, and a mean of age 0 is restored as it was.
-//! - Ejected backends are restored, on probation, while the confidence is sufficient: it is more likely that they are
-//!   still unhealthy than that they have recovered, and a few good answers prove otherwise.
+//! - Latencies and rates are means. A mean of `n` samples and age `a` counts as `n * 2^(-a / h)` samples, with the
+//!   half-life `h`. This is the power prior (Ibrahim and Chen, Statistical Science 15, 2000): the old likelihood raised
+//!   to the [`Confidence`] in it. New samples soon outweigh an old mean, and a mean of age 0 is restored unchanged.
+//! - Ejected backends are restored, on probation, while the confidence is sufficient: they are more likely to be still
+//!   unhealthy than to have recovered, and a few successful answers end the probation.
 //! - Work sent to backends that warm up counts until the warm-up window has passed. What was sent after the last write
-//!   is not in the file: it is assumed to have continued at the window's rate, for at most the time between two writes.
-//!   So a process that is killed and restarted sends such a backend at most what it would have sent without the
-//!   restart, plus the difference between that rate and what it really sent after the last write. With writes every `e`
-//!   and a window `w` that is the whole budget once more in the worst case, and `e / w` of it if it was sent evenly.
+//!   is not in the file, so sending is assumed to have continued at the window's mean rate, for at most the time between
+//!   two writes. A process that is killed and restarted therefore sends such a backend at most what it would have sent
+//!   without the restart, plus the difference between that rate and what it really sent after the last write. With
+//!   writes every `e` and a window `w`, that is the whole budget once more in the worst case, and `e / w` of it if the
+//!   work was sent evenly.
 
 #[cfg(test)]
 mod tests;
@@ -18,73 +19,74 @@
 use crate::frame::Persisted;
 use serde::{Deserialize, Serialize};
 
-/// A mean and the number of samples that it counts as.
+/// A mean and its weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightedMean {
-    /// The mean.
+    /// Value of the mean.
     pub value: f64,
-    /// The samples that it counts as.
+    /// Number of samples that the mean counts as.
     pub samples: f64,
 }
 
 /// The latency of a class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassLatency {
-    /// The name of the class.
+    /// Name of the class.
     pub class: String,
-    /// Seconds from dispatch to answer.
+    /// Mean time from dispatch to answer, in seconds.
     pub latency: WeightedMean,
 }
 
 /// The estimates of a kind of machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindEstimates {
-    /// The name of the kind.
+    /// Name of the kind.
     pub kind: String,
-    /// Seconds from dispatch to answer, with the effect of the class mix removed.
+    /// Mean time from dispatch to answer, in seconds, with the effect of the class mix removed.
     pub latency: WeightedMean,
-    /// Requests per second that one backend received.
+    /// Mean rate that one backend received, in requests per second.
     pub flow: WeightedMean,
 }
 
 /// A backend that is ejected or on probation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EjectedBackend {
-    /// Its name.
+    /// Name of the backend.
     pub backend: String,
-    /// How often in a row it was ejected.
+    /// Number of consecutive ejections.
     pub consecutive_ejections: u32,
 }
 
 /// Work sent to a backend that warms up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmupSpend {
-    /// Its name.
+    /// Name of the backend.
     pub backend: String,
-    /// How long before the time of writing it was sent, ms.
+    /// Time in ms from the sending to the writing of the file.
     pub ago_ms: u64,
-    /// The amount, in requests of mean work.
+    /// Amount of work, in requests of mean work.
     pub work: f64,
 }
 
-/// A proxy's estimates, by names. The order of the fields, here and in the parts, is the order of the bytes in the file.
+/// A proxy's estimates, by the names of classes, kinds and backends. The order of the fields, here and in the types
+/// of the fields, is the order of the bytes in the file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimates {
-    /// The site, as the operator file names it.
+    /// Site as named in the operator file.
     pub site: String,
-    /// The proxy that wrote the file.
+    /// Proxy that wrote the file.
     pub proxy: String,
-    /// When the file was written: milliseconds since 1970 by the writer's wall clock.
+    /// Time of writing in milliseconds since 1970, by the writer's wall clock.
     pub written_ms: u64,
-    /// Seconds from dispatch to answer, over all classes.
+    /// Mean time from dispatch to answer over all classes, in seconds.
     pub overall_latency: WeightedMean,
-    /// The same for each class.
+    /// Mean time from dispatch to answer of each class.
     pub class_latency: Vec<ClassLatency>,
-    /// The estimates of each kind of machine.
+    /// Estimates of each kind of machine.
     pub kinds: Vec<KindEstimates>,
-    /// The backends that are ejected or on probation.
+    /// Backends that are ejected or on probation.
     pub ejected: Vec<EjectedBackend>,
-    /// Warm-up work sent within the warm-up window; one backend's entries are adjacent.
+    /// Work sent to backends that warm up, within the warm-up window. The entries of one backend are adjacent.
     pub warmup_spend: Vec<WarmupSpend>,
 }
 
@@ -95,25 +97,26 @@
     }
 }
 
-/// How estimates are discounted by their age.
+/// Parameters of the discount of estimates by age.
 #[derive(Clone, Copy, Debug)]
 pub struct AgeWeighting {
-    /// The reader's wall clock, ms since 1970.
+    /// The reader's wall clock in ms since 1970.
     pub now_ms: u64,
-    /// The age at which the confidence in them is one half, ms.
+    /// Age in ms at which the confidence in the estimates is one half.
     pub half_life_ms: u64,
-    /// The window in which work sent to a backend that warms up counts, ms.
+    /// Window in ms in which work sent to a backend that warms up counts.
     pub window_ms: u64,
-    /// The greatest time between two writes, ms.
+    /// Maximum time between two writes in ms.
     pub write_interval_ms: u64,
 }
 
 impl Estimates {
-    /// What remains of the estimates: means with fewer samples, ejections while the confidence is sufficient, warm-up
-    /// work as long ago as it is now.
+    /// Discounts the estimates by their age: reduces the samples of means, keeps ejections, and ages the warm-up
+    /// work. If the confidence is insufficient, only the origin and the time of writing remain.
     ///
-    /// `started_at_ms` returns when a backend of the restored endpoint list started (ms since 1970; `None` if it is not
-    /// listed): what was persisted under the name of one that started after the writing concerns another backend.
+    /// `started_at_ms` returns when a backend of the restored endpoint list started, in ms since 1970, or `None` if it is
+    /// not listed. Entries of backends that are not listed are dropped, as are those of backends that started after the
+    /// writing, because they concern an earlier backend of the same name.
     pub fn discounted(
         mut self, weighting: AgeWeighting, started_at_ms: impl Fn(&str) -> Option<u64>,
     ) -> Estimates {
@@ -133,7 +136,7 @@
         self
     }
 
-    /// The origin and time of writing alone.
+    /// Returns the origin and the time of writing without estimates.
     fn without_estimates(self) -> Estimates {
         Estimates { site: self.site, proxy: self.proxy, written_ms: self.written_ms, ..Estimates::default() }
     }
@@ -144,7 +147,7 @@
         classes.chain(kinds).chain([&mut self.overall_latency])
     }
 
-    /// Ages the warm-up work, and adds what is assumed to have been sent after the writing.
+    /// Ages the warm-up work and adds the work assumed to have been sent after the writing.
     fn continue_spending(&mut self, age_ms: u64, weighting: AgeWeighting) {
         let unrecorded_ms = age_ms.min(weighting.write_interval_ms);
         let unrecorded_fraction = unrecorded_ms as f64 / weighting.window_ms.max(1) as f64;
--- a/crates/state/src/estimates/tests.rs
+++ b/crates/state/src/estimates/tests.rs
@@ -13,7 +13,7 @@
     WarmupSpend { backend: backend.into(), ago_ms, work }
 }
 
-/// Estimates written `age_ms` ago.
+/// Returns estimates written `age_ms` ago.
 fn estimates(age_ms: u64) -> Estimates {
     let mean = WeightedMean { value: 0.02, samples: 100.0 };
     let flow = WeightedMean { value: 30.0, samples: 40.0 };
@@ -33,7 +33,7 @@
     }
 }
 
-/// `restarted` started after the writing, `removed` is not on the list.
+/// Returns when a backend started: `restarted` after the writing; `removed` is not listed.
 fn started_at_ms(backend: &str) -> Option<u64> {
     match backend {
         "unhealthy" => Some(0),
@@ -60,7 +60,7 @@
     assert_eq!(at(0).written_ms, WEIGHTING.now_ms);
 }
 
-/// After the clock was stepped back the file appears to come from the future.
+/// If the clock is stepped back, the time of writing is in the future.
 #[test]
 fn estimates_from_the_future_are_discarded() {
     let early = AgeWeighting { now_ms: WEIGHTING.now_ms - 5_000, ..WEIGHTING };
@@ -69,7 +69,8 @@
     assert_eq!(left.overall_latency, WeightedMean::default());
 }
 
-/// Work of 6 in a window of 2 s, written 0.6 s ago: what is still inside the window, and 0.6 / 2 of it more.
+/// A file written 0.6 s ago with work of 6 in a window of 2 s yields the work still inside the window and 0.6 / 2 of
+/// the 6.
 #[test]
 fn warmup_work_is_assumed_to_continue_for_at_most_one_write_interval() {
     let left = estimates(600).discounted(WEIGHTING, started_at_ms);
--- a/crates/state/src/frame.rs
+++ b/crates/state/src/frame.rs
@@ -1,15 +1,15 @@
 //! The format of a persisted file: a fixed header with a format version and a checksum, then the body.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
-//! | 8 | the type of the file: `LDSTATE` or `LDLEARN`, and a zero byte |
+//! | 8 | type of the file: `LDSTATE` or `LDLEARN`, and a zero byte |
 //! | 2 | format version, little-endian; this is 1 |
 //! | 4 | length of the body in bytes, little-endian |
 //! | 4 | CRC-32C of the body (RFC 3720's polynomial), little-endian |
 //! | length | the body, [`SavedEndpoints`] or [`Estimates`](crate::Estimates) in postcard |
 //!
-//! A truncated write, a flipped bit and a file of another version give different errors, so that the log can name the
-//! fault; no file is ever decoded in part.
+//! A truncated write, a flipped bit and a file of another version cause different errors, so that the log can name the
+//! fault. A file is never decoded in part.
 
 #[cfg(test)]
 mod tests;
@@ -18,17 +18,17 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What is persisted in a file of its own.
+/// A type that is persisted in a separate file.
 pub trait Persisted: Serialize + DeserializeOwned {
-    /// The file's first bytes.
+    /// First bytes of the file.
     const MAGIC: &'static [u8; 8];
-    /// The site and the proxy that wrote the file.
+    /// Returns the site and the proxy that wrote the file.
     fn origin(&self) -> (&str, &str);
 }
 
-/// The format version, raised whenever the form of a body changes; files of other versions are not read.
+/// Format version, incremented whenever the encoding of a body changes. Files of other versions are rejected.
 pub const VERSION: u16 = 1;
-/// The greatest length of a body, bytes: a list of at most 16 MiB, as discovery sends it, and some small fields.
+/// Maximum length of a body in bytes: an endpoint list of at most 16 MiB, as discovery sends it, and some small fields.
 pub const MAX_BODY: usize = 17 * 1024 * 1024;
 
 const VERSION_OFFSET: usize = 8;
@@ -36,18 +36,18 @@
 const CHECKSUM_OFFSET: usize = 14;
 const HEADER_LENGTH: usize = 18;
 
-/// The last endpoint list of a proxy.
+/// The last endpoint list that a proxy received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedEndpoints {
-    /// The site, as the operator file names it; a list of another site is not used.
+    /// Site as named in the operator file; a list of another site is not used.
     pub site: String,
-    /// The proxy that wrote the file.
+    /// Proxy that wrote the file.
     pub proxy: String,
-    /// When the file was written: milliseconds since 1970 by the writer's wall clock.
+    /// Time of writing in milliseconds since 1970, by the writer's wall clock.
     pub written_ms: u64,
-    /// Discovery's version of the list.
+    /// Version of the list, assigned by discovery.
     pub index: u64,
-    /// The full list in discovery's JSON, which is opaque here.
+    /// The full list in discovery's JSON, which this crate does not parse.
     pub list: Vec<u8>,
 }
 
@@ -58,38 +58,38 @@
     }
 }
 
-/// Why a file cannot be decoded.
+/// Error returned when a file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// Shorter than the header says: a truncated write, or an empty file.
+    /// The file is shorter than the header, or than the header says: a truncated write, or an empty file.
     #[error("truncated: {found} bytes, {expected} expected")]
     Truncated {
-        /// Bytes in the file.
+        /// Length of the file in bytes.
         found: usize,
-        /// Bytes of the header, or of header and body.
+        /// Length of the header, or of header and body, in bytes.
         expected: usize,
     },
     /// The first bytes are not the magic of this type of file.
     #[error("not a state file: the first bytes are not {0}")]
     Foreign(&'static str),
-    /// Written in another format version.
+    /// The file has another format version.
     #[error("format version {0}, this program reads {VERSION}")]
     Version(u16),
     /// The length in the header exceeds [`MAX_BODY`].
     #[error("a body of {0} bytes, {MAX_BODY} at most")]
     TooLong(usize),
-    /// The body is not what was written.
+    /// The body has changed since it was written.
     #[error("checksum: {found:08x} read, {computed:08x} computed")]
     Checksum {
-        /// The checksum in the header.
+        /// Checksum in the header.
         found: u32,
-        /// The checksum of the body.
+        /// Checksum computed from the body.
         computed: u32,
     },
-    /// There are bytes after the body: two writes were mixed.
+    /// There are bytes after the body, as after two mixed writes.
     #[error("{0} bytes after the body")]
     Trailing(usize),
-    /// The checksum is right, but the body is not of this type: another program wrote it.
+    /// The checksum is right, but the body cannot be decoded as this type: another program wrote it.
     #[error("body: {0}")]
     Body(#[source] postcard::Error),
 }
@@ -107,7 +107,7 @@
     bytes
 }
 
-/// The `N` bytes at `offset`, which lie inside `bytes`.
+/// Returns the `N` bytes at `offset`, which must lie inside `bytes`.
 fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut array = [0; N];
     array.copy_from_slice(&bytes[offset..offset + N]);
@@ -117,7 +117,7 @@
 /// Decodes a file.
 ///
 /// # Errors
-/// The first fault found in the bytes.
+/// Returns the first fault found in the bytes.
 pub fn decode<T: Persisted>(bytes: &[u8]) -> Result<T, ReadError> {
     let truncated = |expected| ReadError::Truncated { found: bytes.len(), expected };
     let magic_length = bytes.len().min(T::MAGIC.len());
--- a/crates/state/src/frame/tests.rs
+++ b/crates/state/src/frame/tests.rs
@@ -12,7 +12,7 @@
     assert!(matches!(decode::<crate::Estimates>(&encode(&saved())), Err(ReadError::Foreign("LDLEARN"))));
 }
 
-/// A truncated write is never decoded as a shorter file.
+/// Truncated writes must not be decoded as shorter files.
 #[test]
 fn file_cut_anywhere_is_reported_as_truncated() {
     let bytes = encode(&saved());
@@ -40,7 +40,7 @@
 }
 
 proptest! {
-    /// Anywhere after the magic.
+    /// The flipped bit is anywhere after the magic.
     #[test]
     fn file_with_a_flipped_bit_is_never_decoded(at in 8usize..200, bit in 0u8..8) {
         let mut bytes = encode(&saved());
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a proxy persists beyond the life of its process, without I/O: the format of the files ([`frame`]), the
-//! estimates and what remains of them at an age ([`estimates`]), and how far a saved list can be trusted at its age
-//! ([`confidence`]). Where and when the files are written is the program's part; nothing here uses a disk or a clock.
+//! The state that a proxy persists across restarts: the format of the files ([`frame`]), the estimates and their
+//! discount by age ([`estimates`]), and the confidence in a saved endpoint list by its age ([`confidence`]). The
+//! crate accesses neither the disk nor the clock; the program decides where and when the files are written.
 
 pub mod confidence;
 pub mod estimates;
--- a/crates/state/tests/format.rs
+++ b/crates/state/tests/format.rs
@@ -1,13 +1,13 @@
-//! The bytes of the persisted files are a format: a program of another version reads them.
+//! Pins the bytes of the persisted files, because programs of other versions read them.
 
 use lotusdeck_state::estimates::{ClassLatency, EjectedBackend, KindEstimates, WarmupSpend, WeightedMean};
 use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
 
-/// The file of [`saved_endpoints`], in hexadecimal.
+/// Encoding of [`saved_endpoints`] in hexadecimal.
 const SAVED_ENDPOINTS: &str = "\
      4c44535441544500010038000000d256e04e017303702d3180d095ffbc31072a7b22696e646578223a372c22736e6170\
      73686f74223a747275652c22656e64706f696e7473223a5b5d7d";
-/// The file of [`estimates`], in hexadecimal.
+/// Encoding of [`estimates`] in hexadecimal.
 const ESTIMATES: &str = "\
      4c444c4541524e000100ae000000512a5dc6017303702d3180d095ffbc317b14ae47e17a943f00000000000059400204\
      70616765000000000000e03f0000000000000840057072696e74000000000000d03f0000000000001c4002036269677b\
