--- a/crates/state/src/estimates.rs
+++ b/crates/state/src/estimates.rs
@@ -114,9 +114,9 @@
     /// Discounts the estimates by their age: reduces the samples of means, keeps ejections, and ages the warm-up
     /// work. If the confidence is insufficient, only the origin and the time of writing remain.
     ///
-    /// `started_at_ms` returns when a backend of the restored endpoint list started, in ms since 1970, or `None` if it is
-    /// not listed. Entries of backends that are not listed are dropped, as are those of backends that started after the
-    /// writing, because they concern an earlier backend of the same name.
+    /// `started_at_ms` returns when a backend of the restored endpoint list started, in ms since 1970, or `None` if it
+    /// is not listed. Entries of backends that are not listed are dropped, as are those of backends that started after
+    /// the writing, because they concern an earlier backend of the same name.
     pub fn discounted(
         mut self, weighting: AgeWeighting, started_at_ms: impl Fn(&str) -> Option<u64>,
     ) -> Estimates {
