--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -43,14 +43,14 @@
     let before = sim.served(sim.now - 2.0, sim.now);
     sim.network.is_link_down = Box::new(move |from, to| is_loaded(from) != is_loaded(to));
     let disconnected = sim.now;
-    let fell_back = run_until_fallback(&mut sim, disconnected_s);
+    let fallback_after = run_until_fallback(&mut sim, disconnected_s);
     let during = sim.served(disconnected, sim.now);
     sim.network.heal();
-    let recovered = run_until_recovery(&mut sim);
+    let recovery_after = run_until_recovery(&mut sim);
     println!(
         "{disconnected_s:>5}  {seed:>4}  {before:>6.0} of {requested:.0}  {during:>6.0}  {:>9}  {:>9}  {:>6.1} of {:.0}  {:.4}",
-        seconds_or_dash(fell_back),
-        seconds_or_dash(recovered),
+        seconds_or_dash(fallback_after),
+        seconds_or_dash(recovery_after),
         sim.excess(),
         sim.allowed_excess(),
         sim.max_quota_sum / RATE,
@@ -62,14 +62,14 @@
 fn run_until_fallback(sim: &mut Sim, span: f64) -> Option<f64> {
     let started = sim.now;
     let own_rate = LOADED_PROXIES as f64 * (RATE / SIZE as f64);
-    let mut fell_back = None;
+    let mut fallback_after = None;
     while sim.now < started + span {
         sim.run(0.01);
-        if fell_back.is_none() && loaded_rate(sim) <= own_rate + 1e-6 {
-            fell_back = Some(sim.now - started);
+        if fallback_after.is_none() && loaded_rate(sim) <= own_rate + 1e-6 {
+            fallback_after = Some(sim.now - started);
         }
     }
-    fell_back
+    fallback_after
 }
 
 /// Runs until all proxies see each other and the loaded ones may admit nine tenths of their load, but for at most 15 s.
@@ -96,17 +96,21 @@
 
 impl Totals {
     fn of(sim: &Sim) -> Totals {
-        Totals { bytes: sim.network.bytes, datagrams: sim.network.datagrams, processor_time: sim.spent }
+        Totals {
+            bytes: sim.network.bytes,
+            datagrams: sim.network.datagrams,
+            processor_time: sim.processing_time,
+        }
     }
 
     /// Returns the columns of a table: datagrams, bytes and processor time in us, each per second and proxy.
     fn columns_since(self, earlier: Totals, proxies: usize, seconds: f64) -> String {
-        let each = |total: u64| total as f64 / seconds / proxies as f64;
+        let per_proxy_second = |total: u64| total as f64 / seconds / proxies as f64;
         let processor_s = (self.processor_time - earlier.processor_time).as_secs_f64();
         format!(
             "{proxies:>7}  {:>8.1}  {:>8.0}  {:>7.0}",
-            each(self.datagrams - earlier.datagrams),
-            each(self.bytes - earlier.bytes),
+            per_proxy_second(self.datagrams - earlier.datagrams),
+            per_proxy_second(self.bytes - earlier.bytes),
             processor_s / seconds / proxies as f64 * 1e6
         )
     }
@@ -115,10 +119,10 @@
 /// Prints the cost of ten seconds in a fleet where one proxy in ten has four times its part of the limit as load.
 fn print_cost(size: usize) {
     const OWN_RATE: f64 = 50.0;
-    const LOADED: f64 = 200.0;
-    const OTHERS: f64 = 15.0;
+    const LOADED_PROXY_LOAD: f64 = 200.0;
+    const OTHER_PROXY_LOAD: f64 = 15.0;
     let mut sim = Sim::new(3, size, Some(OWN_RATE * size as f64), None);
-    sim.set_loads(|index| if index % 10 == 0 { LOADED } else { OTHERS });
+    sim.set_loads(|index| if index % 10 == 0 { LOADED_PROXY_LOAD } else { OTHER_PROXY_LOAD });
     sim.run(15.0);
     let before = Totals::of(&sim);
     sim.run(10.0);
@@ -126,8 +130,8 @@
     let served = sim.served(sim.now - 5.0, sim.now);
     let loaded = size.div_ceil(10) as f64;
     let others = size as f64 - loaded;
-    let requested = loaded * LOADED + others * OTHERS;
-    let served_by_fixed_quotas = loaded * OWN_RATE + others * OTHERS;
+    let requested = loaded * LOADED_PROXY_LOAD + others * OTHER_PROXY_LOAD;
+    let served_by_fixed_quotas = loaded * OWN_RATE + others * OTHER_PROXY_LOAD;
     println!(
         "{columns}  {:.3} of what is requested, {:.3} with fixed quotas",
         served / requested,
@@ -154,7 +158,7 @@
         }
     }
     ages.sort_by(f64::total_cmp);
-    let quantile = |part: f64| ages[((ages.len() - 1) as f64 * part) as usize];
+    let quantile = |fraction: f64| ages[((ages.len() - 1) as f64 * fraction) as usize];
     let columns = Totals::of(&sim).columns_since(before, size, 2.0);
     println!("{columns}  {:.2}  {:.2}  {unknown}", quantile(0.5), quantile(0.99));
 }
--- a/crates/fleet/src/load_gossip.rs
+++ b/crates/fleet/src/load_gossip.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether the report is of another member and recent enough to count.
-    fn counts(&self, now: Duration, own_index: u32) -> bool {
+    fn is_counted(&self, now: Duration, own_index: u32) -> bool {
         self.report.proxy_index != own_index && self.age(now) < MAX_REPORT_AGE
     }
 }
@@ -70,10 +70,10 @@
     /// Returns the reports for one datagram: `own`, then as many recent reports of other members as fit. The next call
     /// continues with the members after these.
     pub fn reports_to_send(&mut self, now: Duration, own: LoadReport) -> Vec<LoadReport> {
-        let in_turn = self.reports.range(self.next_index..).chain(self.reports.range(..self.next_index));
-        let others = in_turn
+        let rotated = self.reports.range(self.next_index..).chain(self.reports.range(..self.next_index));
+        let others = rotated
             .map(|(_, known)| known)
-            .filter(|known| known.counts(now, own.proxy_index))
+            .filter(|known| known.is_counted(now, own.proxy_index))
             .map(|known| known.report)
             .take(MAX_REPORTS_PER_DATAGRAM - 1);
         let reports: Vec<LoadReport> = std::iter::once(own).chain(others).collect();
@@ -87,7 +87,7 @@
     pub fn others_in_flight(&self, now: Duration, own_index: u32, fleet_size: u32) -> Option<f64> {
         let mut count = 0u32;
         let mut sum = 0.0;
-        for known in self.reports.values().filter(|known| known.counts(now, own_index)) {
+        for known in self.reports.values().filter(|known| known.is_counted(now, own_index)) {
             count += 1;
             sum += f64::from(known.report.in_flight);
         }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -42,9 +42,9 @@
     foca: Foca<Identity, BoundedCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
     timers: BTreeMap<TimerKey, Timer<Identity>>,
-    last_timer: u64,
+    last_timer_number: u64,
     seeds: Vec<Seed>,
-    announce_at: Duration,
+    next_announcement_at: Duration,
     live_members: BTreeMap<u32, Identity>,
     generation: u64,
 }
@@ -60,9 +60,9 @@
             foca: Foca::new(own, config(fleet_size), rng, codec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_timer_number: 0,
             seeds,
-            announce_at: Duration::ZERO,
+            next_announcement_at: Duration::ZERO,
             live_members: BTreeMap::new(),
             generation: 0,
         }
@@ -101,16 +101,16 @@
             let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
             self.apply_events(now);
         }
-        if now >= self.announce_at {
-            self.announce_at = now + ANNOUNCE_INTERVAL;
-            self.announce_to_unseen_seeds();
+        if now >= self.next_announcement_at {
+            self.next_announcement_at = now + ANNOUNCE_INTERVAL;
+            self.announce_to_missing_seeds();
             self.apply_events(now);
         }
     }
 
     /// Announces this proxy to the seeds that are not live members, to join the fleet at the start and to rejoin it
     /// after all members were lost.
-    fn announce_to_unseen_seeds(&mut self) {
+    fn announce_to_missing_seeds(&mut self) {
         for Seed { proxy_index, address } in self.seeds.iter().copied() {
             if !self.live_members.contains_key(&proxy_index) {
                 let seed = Identity { proxy_index, generation: 0, address };
@@ -122,7 +122,9 @@
 
     /// Returns when [`Membership::tick`] is due.
     pub fn next_tick_at(&self) -> Duration {
-        self.timers.first_key_value().map_or(self.announce_at, |(key, _)| key.due_at.min(self.announce_at))
+        self.timers
+            .first_key_value()
+            .map_or(self.next_announcement_at, |(key, _)| key.due_at.min(self.next_announcement_at))
     }
 
     /// Removes and returns the next packet to send, with its destination.
@@ -133,8 +135,8 @@
     /// Schedules the timers and applies the notifications that the protocol has issued.
     fn apply_events(&mut self, now: Duration) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.last_timer += 1;
-            self.timers.insert(TimerKey { due_at: now + after, number: self.last_timer }, timer);
+            self.last_timer_number += 1;
+            self.timers.insert(TimerKey { due_at: now + after, number: self.last_timer_number }, timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
             let is_change = self.apply_notification(notification);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -121,7 +121,7 @@
                 let limit = self.lease_rounds.complete(nonce);
                 let quota = limit.and_then(|limit| self.quotas.get_mut(usize::from(limit)));
                 if let Some(quota) = quota {
-                    quota.lease_granted(now, from, nonce, granted);
+                    quota.handle_grant(now, from, nonce, granted);
                 }
             }
         }
@@ -176,7 +176,7 @@
 
     /// Returns when [`Node::tick`] is due.
     pub fn next_tick_at(&self) -> Duration {
-        let own = self.lease_rounds.next_round_at().min(self.load.next_at());
+        let own = self.lease_rounds.next_round_at().min(self.load.next_report_at());
         self.membership.next_tick_at().min(own)
     }
 
--- a/crates/fleet/src/node/lease_rounds.rs
+++ b/crates/fleet/src/node/lease_rounds.rs
@@ -32,7 +32,7 @@
     lease_duration: Duration,
     interval: Duration,
     next_round_at: Duration,
-    last_number: u64,
+    request_count: u64,
     /// Requests that await an answer, by their numbers.
     pending: BTreeMap<u64, PendingRequest>,
 }
@@ -44,7 +44,7 @@
             lease_duration,
             interval: lease_duration / ROUNDS_PER_LEASE,
             next_round_at: now,
-            last_number: 0,
+            request_count: 0,
             pending: BTreeMap::new(),
         }
     }
@@ -66,13 +66,13 @@
         self.pending.retain(|_, pending| now < pending.expires_at);
         let members: Vec<u32> = membership.live_members().keys().copied().collect();
         for (limit, quota) in (0u16..).zip(quotas) {
-            let mut number_rng = SmallRng::seed_from_u64(rng.next_u64());
+            let mut seq_rng = SmallRng::seed_from_u64(rng.next_u64());
             let pick_lender = || (!members.is_empty()).then(|| members[rng.random_range(0..members.len())]);
-            let next_number = || {
-                self.last_number += 1;
-                self.last_number << RANDOM_BITS | number_rng.next_u64() >> (u64::BITS - RANDOM_BITS)
+            let next_seq = || {
+                self.request_count += 1;
+                self.request_count << RANDOM_BITS | seq_rng.next_u64() >> (u64::BITS - RANDOM_BITS)
             };
-            for request in quota.request_leases(now, pick_lender, next_number) {
+            for request in quota.request_leases(now, pick_lender, next_seq) {
                 let Some(lender) = membership.live_members().get(&request.lender) else { continue };
                 let expires_at = now + self.lease_duration;
                 self.pending.insert(request.seq, PendingRequest { limit, expires_at });
@@ -93,7 +93,7 @@
 
     /// Removes an answered request from those that await an answer. Returns its limit, or `None` if it is not one of
     /// them.
-    pub(super) fn complete(&mut self, number: u64) -> Option<u16> {
-        self.pending.remove(&number).map(|pending| pending.limit)
+    pub(super) fn complete(&mut self, seq: u64) -> Option<u16> {
+        self.pending.remove(&seq).map(|pending| pending.limit)
     }
 }
--- a/crates/fleet/src/node/load_exchange.rs
+++ b/crates/fleet/src/node/load_exchange.rs
@@ -13,18 +13,18 @@
     /// Attempts in flight at this proxy; `None` if it does not report them.
     in_flight: Option<u32>,
     started_at: Duration,
-    next_at: Duration,
+    next_report_at: Duration,
 }
 
 impl LoadExchange {
     /// Creates an exchange whose first reports are due at `now`, the start of the process.
     pub(super) fn new(now: Duration) -> LoadExchange {
-        LoadExchange { gossip: LoadGossip::default(), in_flight: None, started_at: now, next_at: now }
+        LoadExchange { gossip: LoadGossip::default(), in_flight: None, started_at: now, next_report_at: now }
     }
 
     /// Returns when the next reports are due.
-    pub(super) fn next_at(&self) -> Duration {
-        self.next_at
+    pub(super) fn next_report_at(&self) -> Duration {
+        self.next_report_at
     }
 
     pub(super) fn set_in_flight(&mut self, in_flight: u32) {
@@ -33,10 +33,10 @@
 
     /// Returns this proxy's own report if reports are due and it reports its load, and schedules the next reports.
     pub(super) fn due_report(&mut self, now: Duration, own: &Identity) -> Option<LoadReport> {
-        if now < self.next_at {
+        if now < self.next_report_at {
             return None;
         }
-        self.next_at = now + GOSSIP_INTERVAL;
+        self.next_report_at = now + GOSSIP_INTERVAL;
         let in_flight = self.in_flight?;
         let since_start = now.saturating_sub(self.started_at).as_micros();
         let since_start = u64::try_from(since_start).unwrap_or(u64::MAX);
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the amount of its own part that this proxy may use or lend.
-    fn own(&self, at: Duration) -> Amount {
+    fn own_available(&self, at: Duration) -> Amount {
         let part = self.config.own_part();
         let mut own = part;
         if at < self.reserved_until {
@@ -117,7 +117,7 @@
 
     /// Returns the amount of its own part that this proxy may use itself.
     fn own_unlent(&self, at: Duration) -> Amount {
-        let own = self.own(at);
+        let own = self.own_available(at);
         let lent = self.granted.total();
         Amount { rate: (own.rate - lent.rate).max(0.0), slots: own.slots.saturating_sub(lent.slots) }
     }
@@ -269,7 +269,7 @@
     }
 
     /// Handles a lender's answer to a request.
-    pub fn lease_granted(&mut self, now: Duration, lender: u32, seq: u64, granted: Amount) {
+    pub fn handle_grant(&mut self, now: Duration, lender: u32, seq: u64, granted: Amount) {
         self.advance(now);
         self.borrowed.handle_grant(&self.config, self.advanced_to, lender, seq, granted);
     }
--- a/crates/fleet/src/quota/borrowed.rs
+++ b/crates/fleet/src/quota/borrowed.rs
@@ -82,7 +82,7 @@
         &mut self, config: &QuotaConfig, now: Duration, needed: &mut Amount,
         next_seq: &mut impl FnMut() -> u64,
     ) -> Vec<LeaseRequest> {
-        let more = per_lender_shortage(*needed, self.total(now));
+        let shortage = per_lender_shortage(*needed, self.total(now));
         let mut requests = Vec::new();
         for (&lender, lease) in &mut self.by_lender {
             let retained = config.without_small_rate(lease.amount.min(*needed));
@@ -99,7 +99,7 @@
             // duration of the longest request.
             if is_renewal_due || retained.slots < lease.amount.slots {
                 lease.amount = retained;
-                requests.push(LeaseRequest { lender, seq: next_seq(), requested: retained.plus(more) });
+                requests.push(LeaseRequest { lender, seq: next_seq(), requested: retained.plus(shortage) });
             }
         }
         requests
@@ -115,8 +115,10 @@
             slots: needed.slots.div_ceil(LENDERS_PER_ROUND),
         });
         for _ in 0..LENDERS_PER_ROUND {
-            let is_full = self.by_lender.len() + requests.len() >= MAX_LENDERS;
-            let Some(lender) = pick_lender().filter(|_| !is_full && !requested.is_zero()) else { break };
+            let has_max_lenders = self.by_lender.len() + requests.len() >= MAX_LENDERS;
+            let Some(lender) = pick_lender().filter(|_| !has_max_lenders && !requested.is_zero()) else {
+                break;
+            };
             let is_lender = self.by_lender.contains_key(&lender)
                 || self.pending.values().any(|pending| pending.lender == lender)
                 || requests.iter().any(|request| request.lender == lender);
--- a/crates/fleet/src/quota/config.rs
+++ b/crates/fleet/src/quota/config.rs
@@ -65,7 +65,7 @@
     /// Returns how long a lender counts a lease as granted. Requests that the borrower admitted within the lease keep
     /// their slots until they end.
     pub(super) fn granted_duration(&self) -> Duration {
-        let longest = if self.slots.is_some() { self.max_request_duration } else { Duration::ZERO };
-        (self.lease_duration + longest).mul_f64(CLOCK_DRIFT_FACTOR)
+        let request_duration = if self.slots.is_some() { self.max_request_duration } else { Duration::ZERO };
+        (self.lease_duration + request_duration).mul_f64(CLOCK_DRIFT_FACTOR)
     }
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -20,8 +20,8 @@
     match rng.random_range(0..6) {
         0 => partition(sim, rng),
         1 => {
-            let unheard = rng.random_range(0..size);
-            sim.network.is_link_down = Box::new(move |from, _| from == unheard);
+            let sender = rng.random_range(0..size);
+            sim.network.is_link_down = Box::new(move |from, _| from == sender);
         }
         2 => sim.network.heal(),
         3 => sim.start(rng.random_range(0..size)),
@@ -40,8 +40,8 @@
     let mut sim = Sim::new(1, 6, Some(300.0), None);
     sim.set_loads(|index| if index == 0 { 180.0 } else { 12.0 });
     sim.run(12.0);
-    let (alone, served) = (300.0 / 6.0 + 5.0 * 12.0, sim.served(6.0, 12.0));
-    println!("served {served:.0}/s of 240 requested; with fixed quotas {alone:.0}");
+    let (with_fixed_quotas, served) = (300.0 / 6.0 + 5.0 * 12.0, sim.served(6.0, 12.0));
+    println!("served {served:.0}/s of 240 requested; with fixed quotas {with_fixed_quotas:.0}");
     assert!(served > 0.93 * 240.0, "{served}");
     assert!(sim.excess() <= sim.allowed_excess(), "{} over, {} allowed", sim.excess(), sim.allowed_excess());
 }
@@ -64,7 +64,7 @@
 /// between proxies. In no span does the fleet admit more than the limit and the bursts of the quotas.
 #[test]
 fn fleet_stays_within_its_rate_under_any_faults() {
-    let mut worst = 0.0f64;
+    let mut max_ratio = 0.0f64;
     for seed in 0..40u64 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let size = rng.random_range(3..9);
@@ -82,20 +82,20 @@
             }
             sim.run(rng.random_range(0.2..1.2));
         }
-        let (over, allowed) = (sim.excess(), sim.allowed_excess());
-        worst = worst.max(over / allowed);
+        let (excess, allowed) = (sim.excess(), sim.allowed_excess());
+        max_ratio = max_ratio.max(excess / allowed);
         assert!(
-            over <= allowed,
-            "seed {seed}: {size} proxies, {rate}/s: {over:.1} over, {allowed:.1} allowed"
+            excess <= allowed,
+            "seed {seed}: {size} proxies, {rate}/s: {excess:.1} over, {allowed:.1} allowed"
         );
     }
-    println!("the worst of 40 seeds: {worst:.2} of what is allowed");
+    println!("the worst of 40 seeds: {max_ratio:.2} of what is allowed");
 }
 
 /// There are never more concurrent requests than the limit, although requests outlast leases and links fail.
 #[test]
 fn fleet_stays_within_its_slots_under_any_faults() {
-    let mut most = 0;
+    let mut max_in_flight = 0;
     for seed in 100..130u64 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let size = rng.random_range(3..7);
@@ -116,10 +116,10 @@
             }
             sim.run(rng.random_range(0.2..1.5));
         }
-        most = most.max(sim.max_in_flight);
+        max_in_flight = max_in_flight.max(sim.max_in_flight);
         assert!(sim.max_in_flight <= 40, "seed {seed}: {} in flight of 40", sim.max_in_flight);
     }
-    assert!(most > 20, "the limit was approached: {most}");
+    assert!(max_in_flight > 20, "the limit was approached: {max_in_flight}");
 }
 
 /// A disconnected proxy falls back to its own quota. Within five seconds after the heal all proxies see each other
@@ -142,9 +142,9 @@
         let mut recovery = None;
         while recovery.is_none() && sim.now < healed + 10.0 {
             sim.run(0.25);
-            let all = sim.live_members().values().all(|n| *n == 4);
-            let flows = sim.admitted_by(0, sim.now - 0.5) / 0.5;
-            recovery = (all && flows > 0.9 * 150.0).then_some(sim.now - healed);
+            let sees_all = sim.live_members().values().all(|n| *n == 4);
+            let admitted_rate = sim.admitted_by(0, sim.now - 0.5) / 0.5;
+            recovery = (sees_all && admitted_rate > 0.9 * 150.0).then_some(sim.now - healed);
         }
         println!("disconnected for {disconnected_s} s: recovered after {recovery:?} s");
         assert!(recovery.is_some_and(|s| s <= 5.0), "disconnected for {disconnected_s} s: {recovery:?}");
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -52,7 +52,7 @@
     /// Maximum sum of all quotas in requests a second.
     pub max_quota_sum: f64,
     /// Real time spent in the nodes.
-    pub spent: Duration,
+    pub processing_time: Duration,
     /// The load that all proxies report, as a function of the true time.
     pub reported_load: Option<fn(f64) -> u32>,
 }
@@ -91,7 +91,7 @@
             max_in_flight: 0,
             max_duration: 0.0,
             max_quota_sum: 0.0,
-            spent: Duration::ZERO,
+            processing_time: Duration::ZERO,
             reported_load: None,
         };
         (0..size).for_each(|index| sim.start(index));
@@ -194,7 +194,7 @@
             if let Some(node) = self.proxies[to].node.as_mut().filter(|_| !is_paused) {
                 let started = Instant::now();
                 let _ = node.receive(clock, &bytes);
-                self.spent += started.elapsed();
+                self.processing_time += started.elapsed();
                 self.send_datagrams(to);
             }
         }
@@ -211,7 +211,7 @@
             load.into_iter().for_each(|load| node.set_in_flight(load));
             let started = Instant::now();
             node.tick(clock);
-            self.spent += started.elapsed();
+            self.processing_time += started.elapsed();
             self.send_datagrams(index);
         }
         self.send_requests(index);
@@ -227,22 +227,22 @@
             (rate, slots) = (rate + status.rate, slots + status.slots.max(status.in_flight));
         }
         self.max_quota_sum = self.max_quota_sum.max(rate);
-        let (most_rate, most_slots) = (self.limit.rate.unwrap_or(0.0), self.limit.slots.unwrap_or(0));
-        let at = format!("seed {} at {:.3} s", self.seed, self.now);
-        assert!(rate <= most_rate * (1.0 + 1e-9), "{at}: quotas of {rate} in a limit of {most_rate}");
-        assert!(self.limit.slots.is_none() || slots <= most_slots, "{at}: {slots} slots of {most_slots}");
+        let (max_rate, max_slots) = (self.limit.rate.unwrap_or(0.0), self.limit.slots.unwrap_or(0));
+        let context = format!("seed {} at {:.3} s", self.seed, self.now);
+        assert!(rate <= max_rate * (1.0 + 1e-9), "{context}: quotas of {rate} in a limit of {max_rate}");
+        assert!(self.limit.slots.is_none() || slots <= max_slots, "{context}: {slots} slots of {max_slots}");
     }
 
     /// Returns the maximum number of requests by which the admissions in any span exceeded the rate of the limit.
     pub(crate) fn excess(&self) -> f64 {
         let rate = self.limit.rate.unwrap() * 1.004; // the fastest clock
-        let (mut worst, mut least) = (0.0f64, f64::INFINITY);
+        let (mut max_excess, mut min_surplus) = (0.0f64, f64::INFINITY);
         for (count, request) in self.admitted.iter().enumerate() {
-            let ahead = count as f64 - rate * request.at;
-            least = least.min(ahead);
-            worst = worst.max(ahead - least + 1.0);
+            let surplus = count as f64 - rate * request.at;
+            min_surplus = min_surplus.min(surplus);
+            max_excess = max_excess.max(surplus - min_surplus + 1.0);
         }
-        worst
+        max_excess
     }
 
     /// Returns the allowed excess: what all quotas can accumulate, at least one request each.
--- a/crates/state/src/confidence/tests.rs
+++ b/crates/state/src/confidence/tests.rs
@@ -18,11 +18,11 @@
 
 #[test]
 fn newer_list_is_chosen_and_a_saved_one_never_without_confidence() {
-    let full = Confidence(1.0);
-    assert_eq!(choose_endpoint_source(9, full, 4, 10), EndpointSource::SavedEndpoints);
-    assert_eq!(choose_endpoint_source(4, full, 9, 10), EndpointSource::PlatformEndpoints);
+    let full_confidence = Confidence(1.0);
+    assert_eq!(choose_endpoint_source(9, full_confidence, 4, 10), EndpointSource::SavedEndpoints);
+    assert_eq!(choose_endpoint_source(4, full_confidence, 9, 10), EndpointSource::PlatformEndpoints);
     assert_eq!(
-        choose_endpoint_source(4, full, 9, 0),
+        choose_endpoint_source(4, full_confidence, 9, 0),
         EndpointSource::SavedEndpoints,
         "the platform's list is empty"
     );
--- a/crates/state/src/estimates.rs
+++ b/crates/state/src/estimates.rs
@@ -131,7 +131,7 @@
         let is_same_backend = |name: &str| started_at_ms(name).is_some_and(|at| at <= written_ms);
         self.ejected.retain(|ejected| is_same_backend(&ejected.backend));
         self.warmup_spend.retain(|spend| is_same_backend(&spend.backend));
-        self.continue_spending(age_ms, weighting);
+        self.age_warmup_spend(age_ms, weighting);
         self.warmup_spend.retain(|spend| spend.ago_ms < weighting.window_ms);
         self
     }
@@ -148,7 +148,7 @@
     }
 
     /// Ages the warm-up work and adds the work assumed to have been sent after the writing.
-    fn continue_spending(&mut self, age_ms: u64, weighting: AgeWeighting) {
+    fn age_warmup_spend(&mut self, age_ms: u64, weighting: AgeWeighting) {
         let unrecorded_ms = age_ms.min(weighting.write_interval_ms);
         let unrecorded_fraction = unrecorded_ms as f64 / weighting.window_ms.max(1) as f64;
         let mut assumed: Vec<WarmupSpend> = Vec::new();
--- a/crates/state/src/estimates/tests.rs
+++ b/crates/state/src/estimates/tests.rs
@@ -64,19 +64,21 @@
 #[test]
 fn estimates_from_the_future_are_discarded() {
     let early = AgeWeighting { now_ms: WEIGHTING.now_ms - 5_000, ..WEIGHTING };
-    let left = estimates(0).discounted(early, started_at_ms);
-    assert!(left.kinds.is_empty() && left.warmup_spend.is_empty() && left.ejected.is_empty());
-    assert_eq!(left.overall_latency, WeightedMean::default());
+    let discounted = estimates(0).discounted(early, started_at_ms);
+    assert!(
+        discounted.kinds.is_empty() && discounted.warmup_spend.is_empty() && discounted.ejected.is_empty()
+    );
+    assert_eq!(discounted.overall_latency, WeightedMean::default());
 }
 
 /// A file written 0.6 s ago with work of 6 in a window of 2 s yields the work still inside the window and 0.6 / 2 of
 /// the 6.
 #[test]
 fn warmup_work_is_assumed_to_continue_for_at_most_one_write_interval() {
-    let left = estimates(600).discounted(WEIGHTING, started_at_ms);
-    let sent: Vec<(&str, u64)> = left.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
+    let discounted = estimates(600).discounted(WEIGHTING, started_at_ms);
+    let sent: Vec<(&str, u64)> = discounted.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
     assert_eq!(sent, [("unhealthy", 700), ("unhealthy", 0)], "the older entry has left the window");
-    assert!((left.warmup_spend[1].work - 1.8).abs() < 1e-9);
+    assert!((discounted.warmup_spend[1].work - 1.8).abs() < 1e-9);
     let late = estimates(1_800).discounted(WEIGHTING, started_at_ms);
     assert_eq!(
         late.warmup_spend.iter().map(|s| s.ago_ms).collect::<Vec<_>>(),
--- a/crates/state/src/frame/tests.rs
+++ b/crates/state/src/frame/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn other_files_versions_and_lengths_give_errors_of_their_own() {
+fn foreign_files_other_versions_and_wrong_lengths_have_distinct_errors() {
     let mut bytes = encode(&saved());
     let read = decode::<SavedEndpoints>;
     assert_eq!(read(b"{\"index\": 3}"), Err(ReadError::Foreign("LDSTATE")));
