--- a/crates/fleet/src/load_gossip/tests.rs
+++ b/crates/fleet/src/load_gossip/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(
         gossip.others_in_flight(NOW + MAX_REPORT_AGE, 0, 3),
         Some(12.0),
-        "one is old, and counts as the other"
+        "the member with the old report counts as the mean"
     );
     assert_eq!(gossip.others_in_flight(NOW + MAX_REPORT_AGE * 2, 0, 3), None);
 }
--- a/crates/fleet/src/quota/tests.rs
+++ b/crates/fleet/src/quota/tests.rs
@@ -20,10 +20,10 @@
         let borrower = Borrower { proxy_index: 3, generation };
         let granted = quota.grant_lease(now, borrower, 1, requested[generation as usize % 2]);
         if generation < 2 {
-            assert_eq!(granted, requested[generation as usize], "it is granted at all");
+            assert_eq!(granted, requested[generation as usize], "the first two requests are granted");
         }
         quota.grant_lease(now, borrower, 2, Amount { rate: 1e-300, slots: 0 });
-        assert!(quota.granted.len() <= 1, "{} names remembered", quota.granted.len());
+        assert!(quota.granted.len() <= 1, "{} borrowers stored", quota.granted.len());
     }
     // Borrowers that keep their leases: at most as many as the smallest leases that fit into the lendable amount.
     for generation in 0..10_000u64 {
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
     /// The datagram is not of this protocol.
-    #[error("not a proxy's datagram")]
+    #[error("not a datagram of the fleet protocol")]
     ForeignProtocol,
     /// The datagram is of another site, a fleet of another size, or other limits or durations.
     #[error("another site, fleet or set of limits: tag {received:08x}, this proxy's is {own:08x}")]
@@ -73,7 +73,7 @@
         own: u32,
     },
     /// The message cannot be decoded.
-    #[error("message: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[source] postcard::Error),
 }
 
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -89,7 +89,7 @@
             "seed {seed}: {size} proxies, {rate}/s: {excess:.1} over, {allowed:.1} allowed"
         );
     }
-    println!("the worst of 40 seeds: {max_ratio:.2} of what is allowed");
+    println!("maximum over 40 seeds: {max_ratio:.2} of the allowed excess");
 }
 
 /// There are never more concurrent requests than the limit, although requests outlast leases and links fail.
@@ -119,7 +119,7 @@
         max_in_flight = max_in_flight.max(sim.max_in_flight);
         assert!(sim.max_in_flight <= 40, "seed {seed}: {} in flight of 40", sim.max_in_flight);
     }
-    assert!(max_in_flight > 20, "the limit was approached: {max_in_flight}");
+    assert!(max_in_flight > 20, "too few requests to test the limit: {max_in_flight} in flight");
 }
 
 /// A disconnected proxy falls back to its own quota. Within five seconds after the heal all proxies see each other
@@ -135,7 +135,7 @@
         sim.run(disconnected_s);
         let own = sim.admitted_by(0, sim.now - (disconnected_s - 1.2).max(0.1));
         if disconnected_s > 2.0 {
-            assert!(own / (disconnected_s - 1.2) < 1.1 * 50.0, "disconnected it admits its own: {own}");
+            assert!(own / (disconnected_s - 1.2) < 1.1 * 50.0, "admitted while disconnected: {own}");
         }
         sim.network.heal();
         let healed = sim.now;
--- a/crates/state/src/estimates/tests.rs
+++ b/crates/state/src/estimates/tests.rs
@@ -49,7 +49,7 @@
     let half = at(60_000);
     let kind = &half.kinds[0];
     assert!((kind.latency.samples - 50.0).abs() < 1e-9 && (kind.flow.samples - 20.0).abs() < 1e-9);
-    assert_eq!(kind.latency.value, 0.02, "the mean itself stays");
+    assert_eq!(kind.latency.value, 0.02, "the mean is not discounted");
     assert_eq!(half.ejected, [ejected("unhealthy", 2)]);
     let nothing = Estimates { ejected: vec![], ..Estimates::default() };
     let old = at(120_001);
--- a/crates/state/src/frame.rs
+++ b/crates/state/src/frame.rs
@@ -79,7 +79,7 @@
     #[error("a body of {0} bytes, {MAX_BODY} at most")]
     TooLong(usize),
     /// The body has changed since it was written.
-    #[error("checksum: {found:08x} read, {computed:08x} computed")]
+    #[error("checksum mismatch: {found:08x} in the header, {computed:08x} computed")]
     Checksum {
         /// Checksum in the header.
         found: u32,
@@ -90,7 +90,7 @@
     #[error("{0} bytes after the body")]
     Trailing(usize),
     /// The checksum is right, but the body cannot be decoded as this type: another program wrote it.
-    #[error("body: {0}")]
+    #[error("malformed body: {0}")]
     Body(#[source] postcard::Error),
 }
 
