--- a/crates/fleet/src/load_gossip/tests.rs
+++ b/crates/fleet/src/load_gossip/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(sent.len(), 201);
 }
 
-/// Returns a report whose load is a function of member and time, because a member makes one report per time.
+/// Returns a report whose load is determined by member and time, as a member never reports two loads for one time.
 fn report_at(proxy_index: u32, reported_at: u64) -> LoadReport {
     report(proxy_index, reported_at, proxy_index * 1_000 + reported_at as u32)
 }
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -30,7 +30,7 @@
 
 /// Minimum time after which a rejected request may be repeated, in seconds.
 const MIN_RETRY_AFTER_S: f64 = 0.05;
-/// Divisor in place of a rate of zero, in requests a second.
+/// Lower bound of a rate used as a divisor, in requests a second.
 const MIN_RATE: f64 = 1e-9;
 
 /// Error returned when a request is not admitted.
@@ -45,13 +45,13 @@
 pub struct QuotaAmounts {
     /// Amount that this proxy may use.
     pub usable: Amount,
-    /// Amount of its own part that is lent to others.
+    /// Amount of this proxy's own part that is lent to others.
     pub lent: Amount,
     /// Amount borrowed from others.
     pub borrowed: Amount,
 }
 
-/// Numbers of requests that a quota has decided on.
+/// Counts of requests by the decision of a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaCounts {
     /// Requests admitted and not yet released.
@@ -69,7 +69,7 @@
     borrowed: BorrowedLeases,
     bucket: TokenBucket,
     demand: Demand,
-    /// Time up to which tokens are added and expired leases removed: the latest that a caller has passed.
+    /// Time up to which tokens have been added and expired leases removed: the latest time that a caller has passed.
     advanced_to: Duration,
     /// Time until which the quota reserves what the previous process may have lent.
     reserved_until: Duration,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the amount of its own part that this proxy may use or lend.
+    /// Returns the amount of this proxy's own part that it may use or lend at `at`.
     fn own_available(&self, at: Duration) -> Amount {
         let part = self.config.own_part();
         let mut own = part;
@@ -115,7 +115,7 @@
         own
     }
 
-    /// Returns the amount of its own part that this proxy may use itself.
+    /// Returns the amount of this proxy's own part that it has not lent and may use itself at `at`.
     fn own_unlent(&self, at: Duration) -> Amount {
         let own = self.own_available(at);
         let lent = self.granted.total();
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Returns the numbers of requests decided on so far.
+    /// Returns the counts of requests decided on so far.
     pub fn counts(&self) -> QuotaCounts {
         QuotaCounts { in_flight: self.in_flight, admitted: self.admitted, rejected: self.rejected }
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -28,7 +28,7 @@
 pub enum Message {
     /// A packet of the membership protocol.
     Swim(Vec<u8>),
-    /// The load of the members of which the sender knows it.
+    /// Load reports of the sender and of other members.
     LoadReports(Vec<LoadReport>),
     /// Requests a lease of a limit, in place of what the recipient granted of it before.
     LeaseRequest {
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -152,7 +152,8 @@
     }
 }
 
-/// A proxy that restarts repeatedly and requests leases in each process does not exceed the allowed excess.
+/// Repeated restarts, after each of which the new process requests leases, do not make the fleet admit more than
+/// allowed.
 #[test]
 fn restarted_processes_do_not_multiply_leases() {
     let mut sim = Sim::new(6, 4, Some(200.0), None);
--- a/crates/fleet/tests/sim/mod.rs
+++ b/crates/fleet/tests/sim/mod.rs
@@ -26,7 +26,7 @@
     incarnation: u64,
     /// Rate of its clock relative to the true time.
     clock_rate: f64,
-    /// Its clock at true time 0, in seconds.
+    /// Time of its clock at true time 0, in seconds.
     clock_offset: f64,
     /// Load from its clients in requests a second.
     pub load: f64,
@@ -49,7 +49,7 @@
     pub max_in_flight: usize,
     /// Maximum duration of an admitted request in seconds.
     pub max_duration: f64,
-    /// Maximum sum of all quotas in requests a second.
+    /// Maximum over time of the sum of all quotas, in requests a second.
     pub max_quota_sum: f64,
     /// Real time spent in the nodes.
     pub processing_time: Duration,
