--- a/crates/state/src/estimates/tests.rs
+++ b/crates/state/src/estimates/tests.rs
@@ -13,7 +13,7 @@
     WarmupSpend { backend: backend.into(), ago_ms, work }
 }
 
-/// Estimates written `age_ms` ago.
+/// Returns estimates written `age_ms` ago.
 fn estimates(age_ms: u64) -> Estimates {
     let mean = WeightedMean { value: 0.02, samples: 100.0 };
     let flow = WeightedMean { value: 30.0, samples: 40.0 };
@@ -33,7 +33,7 @@
     }
 }
 
-/// `restarted` started after the writing, `removed` is not on the list.
+/// Returns when a backend started: `restarted` after the writing; `removed` is not listed.
 fn started_at_ms(backend: &str) -> Option<u64> {
     match backend {
         "unhealthy" => Some(0),
@@ -49,7 +49,7 @@
     let half = at(60_000);
     let kind = &half.kinds[0];
     assert!((kind.latency.samples - 50.0).abs() < 1e-9 && (kind.flow.samples - 20.0).abs() < 1e-9);
-    assert_eq!(kind.latency.value, 0.02, "the mean itself stays");
+    assert_eq!(kind.latency.value, 0.02, "the mean is not discounted");
     assert_eq!(half.ejected, [ejected("unhealthy", 2)]);
     let nothing = Estimates { ejected: vec![], ..Estimates::default() };
     let old = at(120_001);
@@ -60,22 +60,25 @@
     assert_eq!(at(0).written_ms, WEIGHTING.now_ms);
 }
 
-/// After the clock was stepped back the file appears to come from the future.
+/// If the clock is stepped back, the time of writing is in the future.
 #[test]
 fn estimates_from_the_future_are_discarded() {
     let early = AgeWeighting { now_ms: WEIGHTING.now_ms - 5_000, ..WEIGHTING };
-    let left = estimates(0).discounted(early, started_at_ms);
-    assert!(left.kinds.is_empty() && left.warmup_spend.is_empty() && left.ejected.is_empty());
-    assert_eq!(left.overall_latency, WeightedMean::default());
+    let discounted = estimates(0).discounted(early, started_at_ms);
+    assert!(
+        discounted.kinds.is_empty() && discounted.warmup_spend.is_empty() && discounted.ejected.is_empty()
+    );
+    assert_eq!(discounted.overall_latency, WeightedMean::default());
 }
 
-/// Work of 6 in a window of 2 s, written 0.6 s ago: what is still inside the window, and 0.6 / 2 of it more.
+/// A file written 0.6 s ago with work of 6 in a window of 2 s yields the work still inside the window and 0.6 / 2 of
+/// the 6.
 #[test]
 fn warmup_work_is_assumed_to_continue_for_at_most_one_write_interval() {
-    let left = estimates(600).discounted(WEIGHTING, started_at_ms);
-    let sent: Vec<(&str, u64)> = left.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
+    let discounted = estimates(600).discounted(WEIGHTING, started_at_ms);
+    let sent: Vec<(&str, u64)> = discounted.warmup_spend.iter().map(|s| (&*s.backend, s.ago_ms)).collect();
     assert_eq!(sent, [("unhealthy", 700), ("unhealthy", 0)], "the older entry has left the window");
-    assert!((left.warmup_spend[1].work - 1.8).abs() < 1e-9);
+    assert!((discounted.warmup_spend[1].work - 1.8).abs() < 1e-9);
     let late = estimates(1_800).discounted(WEIGHTING, started_at_ms);
     assert_eq!(
         late.warmup_spend.iter().map(|s| s.ago_ms).collect::<Vec<_>>(),
