--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -105,7 +105,7 @@
     }
 
     /// The requests of a correlation id, which may have been used more than once. If there is none, that proves that
-    /// it was never sent only if the history is [`History::certain`].
+    /// it was never sent only if the history is [`History::is_complete`].
     pub fn find(&self, id: &str) -> Vec<Request> {
         let mut found = self.requests();
         found.retain(|request| request.id == id);
@@ -113,7 +113,7 @@
     }
 
     /// Whether no record is missing anywhere: what is not found was never sent by these proxies.
-    pub fn certain(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         // An empty folder proves nothing: it may be the wrong one.
         !self.generations.is_empty()
             && self.faults.is_empty()
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -93,12 +93,12 @@
     }
 
     /// The names of the segments deleted for their age or the total size since the last call.
-    pub fn take_dropped(&self) -> Vec<String> {
+    pub fn take_deleted(&self) -> Vec<String> {
         self.gauges.take_deleted()
     }
 
     /// A text as records contain it: a very long one is truncated.
-    pub fn text(text: &str) -> String {
+    pub fn truncate_text(text: &str) -> String {
         text::truncate(text)
     }
 }
--- a/crates/ledger/src/worker.rs
+++ b/crates/ledger/src/worker.rs
@@ -119,6 +119,6 @@
         self.gauges.set_write_counts(self.writer.write_counts());
         self.gauges.is_failing.store(self.writer.is_failing(), Relaxed);
         self.gauges.has_segment.store(self.writer.has_segment(), Relaxed);
-        self.gauges.add_deleted(self.writer.take_dropped());
+        self.gauges.add_deleted(self.writer.take_deleted());
     }
 }
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -273,7 +273,7 @@
     }
 
     /// The names of the segments deleted since the last call, for the log.
-    pub fn take_dropped(&mut self) -> Vec<String> {
+    pub fn take_deleted(&mut self) -> Vec<String> {
         self.retention.take_deleted()
     }
 
--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -26,7 +26,7 @@
         }
     }
     assert!(
-        writer.take_dropped().is_empty(),
+        writer.take_deleted().is_empty(),
         "the oldest holds an unresolved request, and the newer ones stay"
     );
     writer.append(300, &[record(Step::Settle(0), 300)]).unwrap();
@@ -35,7 +35,7 @@
             .append(request, &[record(Step::Take(request), request), record(Step::Settle(request), request)])
             .unwrap();
     }
-    assert!(writer.take_dropped().len() > 10);
+    assert!(writer.take_deleted().len() > 10);
     // The next process knows what the last one left unresolved, and keeps that until it is too old.
     let kept = disk.list().unwrap().len();
     writer.append(300, &[record(Step::Take(999), 300), record(Step::Send(999, 0), 300)]).unwrap();
@@ -46,6 +46,6 @@
         next.append(500 + request, &[record(Step::Take(request), 500), record(Step::Settle(request), 500)])
             .unwrap();
     }
-    let dropped = next.take_dropped();
+    let dropped = next.take_deleted();
     assert!(!dropped.is_empty() && dropped.len() < kept, "{dropped:?}");
 }
--- a/crates/ledger/tests/crash/play.rs
+++ b/crates/ledger/tests/crash/play.rs
@@ -147,10 +147,10 @@
             .collect();
         let found = shown.find(id);
         let Some(request) = found.first() else {
-            if shown.certain() && !sent.is_empty() {
+            if shown.is_complete() && !sent.is_empty() {
                 return Err(format!("{id}: certainly not there, but it was sent: {sent:?}"));
             }
-            uncertain += usize::from(!shown.certain());
+            uncertain += usize::from(!shown.is_complete());
             continue;
         };
         uncertain += usize::from(request.verdict() == Verdict::PossiblySent);
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -168,7 +168,7 @@
 }
 
 fn print_none_found(history: &History) {
-    print(if history.certain() {
+    print(if history.is_complete() {
         "none: no record of such a request, and none is missing: it was never sent\n"
     } else {
         "none: no record of such a request, but records may be missing: nothing is proved\n"
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -78,7 +78,7 @@
     /// Logs the segments dropped since the last call, the start or end of a shortage of space, and the counts. Called
     /// every few seconds.
     pub(crate) fn report(&self) {
-        for segment in self.ledger.take_dropped() {
+        for segment in self.ledger.take_deleted() {
             info!(segment, "ledger segment dropped");
         }
         let status = self.ledger.status();
@@ -116,10 +116,10 @@
     }
 
     fn request_taken(&self, request: RequestId, labels: RequestLabels) {
-        let id = Ledger::text(&labels.id);
+        let id = Ledger::truncate_text(&labels.id);
         self.request_ids.borrow_mut().insert(request, id.clone());
-        let class = Ledger::text(&labels.class);
-        let key = Ledger::text(&labels.key);
+        let class = Ledger::truncate_text(&labels.class);
+        let key = Ledger::truncate_text(&labels.key);
         self.ledger.record(Record::Taken { request: request.0, at: now_ms(), id, class, key });
     }
 
@@ -127,7 +127,7 @@
         &self, request: RequestId, attempt: AttemptNo, backend: &str, address: SocketAddr,
     ) -> SendPermit {
         let id = self.request_ids.borrow().get(&request).cloned().unwrap_or_default();
-        let backend = Ledger::text(backend);
+        let backend = Ledger::truncate_text(backend);
         let address = address.to_string();
         let record =
             Record::Intent { request: request.0, attempt: attempt.0, at: now_ms(), id, backend, address };
