--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -9,7 +9,7 @@
     SideEffects, ZoneId,
 };
 use lotusdeck_postgres::classes::Rule;
-use lotusdeck_postgres::{Front, FrontSettings, Login, Servers, User, SPARE};
+use lotusdeck_postgres::{Front, FrontSettings, Login, Servers, User, MAX_EXCESS_CLIENTS};
 use lotusdeck_proxy::discovery;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -62,7 +62,7 @@
     pub(crate) fn report(&self) {
         info_span!("postgres", at = %self.address).in_scope(|| {
             self.host.log_counts();
-            info!(clients = self.front.clients(), servers = self.servers.open(), "sessions");
+            info!(clients = self.front.clients(), servers = self.servers.open_connections(), "sessions");
         });
     }
 
@@ -74,7 +74,7 @@
 
 /// Descriptors that a front may take.
 pub(crate) fn descriptors(section: &PostgresSection) -> usize {
-    section.clients + SPARE + section.connections
+    section.clients + MAX_EXCESS_CLIENTS + section.connections
 }
 
 /// Starts a front next to the others of this node, whose cordon file is at `state`.
@@ -129,7 +129,7 @@
         let settings = FrontSettings {
             databases: section.databases.clone(),
             users: users.collect(),
-            clients: section.clients,
+            max_clients: section.clients,
             rules: class_rules(section),
         };
         let front = Front::new(host.clone(), servers.clone(), settings).map_err(failed)?;
--- a/crates/postgres/src/front.rs
+++ b/crates/postgres/src/front.rs
@@ -23,7 +23,7 @@
 /// A client that has not logged in by then is disconnected.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Clients beyond the bound that get an error before they are disconnected.
-pub const SPARE: usize = 16;
+pub const MAX_EXCESS_CLIENTS: usize = 16;
 /// Time for the last messages to a client, and for a CancelRequest to a server.
 const FAREWELL_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -44,7 +44,7 @@
     /// Roles that may log in.
     pub users: Vec<User>,
     /// Clients at the same time.
-    pub clients: usize,
+    pub max_clients: usize,
     /// The class of a transaction; the last class of the settings where none matches.
     pub rules: Vec<Rule>,
 }
@@ -111,7 +111,7 @@
                     continue;
                 }
             };
-            if self.count.get() >= self.settings.clients + SPARE {
+            if self.count.get() >= self.settings.max_clients + MAX_EXCESS_CLIENTS {
                 continue; // not even the error can be sent
             }
             let front = self.clone();
@@ -146,7 +146,7 @@
     /// Logs a client in; returns the key of its session, and `None` where it does not begin one.
     async fn log_in(&self, new: &NewConnection) -> Result<Option<(CancelKey, ClientIdentity)>, LoginError> {
         let Some(start) = self.receive_start(new).await? else { return Ok(None) };
-        if self.count.get() > self.settings.clients {
+        if self.count.get() > self.settings.max_clients {
             return Err(ClientError::fatal("53300", "too many clients already").into());
         }
         new.negotiate_version(&start).await?;
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -27,5 +27,5 @@
 mod upstream;
 pub mod wire;
 
-pub use front::{Front, FrontSettings, User, SPARE};
+pub use front::{Front, FrontSettings, User, MAX_EXCESS_CLIENTS};
 pub use upstream::{Login, Servers};
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -112,7 +112,7 @@
     }
 
     /// How many are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.count.get()
     }
 
@@ -128,7 +128,7 @@
             if let Some(kept) = self.kept(id, to) {
                 return Ok(kept);
             }
-            if self.open() < self.most || self.close_oldest() {
+            if self.open_connections() < self.most || self.close_oldest() {
                 return self.connect(to).await;
             }
             self.open.freed.notified().await;
@@ -163,7 +163,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<Upstream, Outcome> {
-        self.open.count.set(self.open() + 1);
+        self.open.count.set(self.open_connections() + 1);
         let slot = Slot(self.open.clone());
         let login = tokio::time::timeout(self.connect_timeout.get(), self.log_in(to)).await;
         match login {
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -270,7 +270,7 @@
         tokio::task::spawn_local(host.clone().run_timers());
         let user = User { name: "ann".into(), verifier: Verifier::of_password(b"do re mi", b"salt", 64) };
         let settings =
-            FrontSettings { databases: vec!["scores".into()], users: vec![user], clients: 100, rules };
+            FrontSettings { databases: vec!["scores".into()], users: vec![user], max_clients: 100, rules };
         let front = Front::new(host.clone(), servers.clone(), settings).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
--- a/crates/postgres/tests/transactions.rs
+++ b/crates/postgres/tests/transactions.rs
@@ -39,7 +39,7 @@
         assert_eq!(rows[0].get::<_, String>(0), "select 3");
         let order = ["select 1", "begin", "insert", "commit", "select 2", "select 3"];
         assert_eq!(*seen.statements.borrow(), order);
-        assert_eq!((*seen.logins.borrow(), rig.servers.open()), (1, 1));
+        assert_eq!((*seen.logins.borrow(), rig.servers.open_connections()), (1, 1));
         // What the server says of itself is what later clients are told.
         let late = rig.driver("do re mi").await.unwrap();
         assert_eq!(value(&late.simple_query("select 4").await.unwrap()), "select 4");
