--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::driver::run::play;
 use crate::experiment::{Effect, Experiment};
-use crate::oracle::{story, Broken};
+use crate::oracle::{timeline, Broken};
 use crate::record::{How, What as Saw};
 use crate::report::figures::Figures;
 use crate::session::{program, say, SessionError};
@@ -111,7 +111,7 @@
         return Ok(Verdict { broken: None, met });
     }
     let first = broken.iter().find_map(|b| b.id);
-    let told = first.map_or(String::new(), |id| story(&plan, &outcome.records, id));
+    let told = first.map_or(String::new(), |id| timeline(&plan, &outcome.records, id));
     Ok(Verdict { broken: Some((broken, told)), met })
 }
 
--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -190,9 +190,9 @@
         loop {
             let kept = self.fronts.borrow_mut()[proxy].idle.pop();
             let Some((since, mut link, last)) = kept else { break };
-            match link.stirred() {
+            match link.poll_read() {
                 None if self.clock.now() - since < FRESH => return Some((link, true)),
-                Some(super::wire::Stir::Bytes) => self.log.add(What::Extra { id: last }),
+                Some(super::wire::ReadEvent::Bytes) => self.log.add(What::Extra { id: last }),
                 _ => {}
             }
         }
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery on sockets: a listener for each proxy, whole lists and watches, calls handled in turn.
 
-use super::wire::{listen, Link, Stir};
+use super::wire::{listen, Link, ReadEvent};
 use super::{Clock, Log};
 use crate::record::What;
 use crate::world::discovery::{Discovery, Line, Status};
@@ -126,9 +126,9 @@
             let wait = Duration::from_millis(query("wait_ms").unwrap_or(0)).min(MAX_WAIT);
             let answered = tokio::select! {
                 answered = self.answer(proxy, after, wait) => answered,
-                stir = link.stir() => match stir {
-                    Stir::End => return,
-                    Stir::Bytes => None, // no call is sent ahead: what came is no call
+                event = link.wait_read() => match event {
+                    ReadEvent::End => return,
+                    ReadEvent::Bytes => None, // no call is sent ahead: what came is no call
                 },
             };
             let (status, body, told) = answered.unwrap_or((503, String::new(), Vec::new()));
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet on sockets: every backend listens, reads requests and answers when its station is through with them.
 
-use super::wire::{listen, Link, Request, Reserved, Stir};
+use super::wire::{listen, Link, ReadEvent, Request, Reserved};
 use super::{Clock, Log};
 use crate::experiment::Effect;
 use crate::record::{body, How, TryId, What};
@@ -283,7 +283,7 @@
 }
 
 async fn closed(link: &mut Link) {
-    if link.stir().await == Stir::Bytes {
+    if link.wait_read().await == ReadEvent::Bytes {
         std::future::pending().await // the next request, sent ahead: it waits its turn
     }
 }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// It may not.
-pub fn allow(need: usize) -> Result<(), RunError> {
+pub fn raise_descriptor_limit(need: usize) -> Result<(), RunError> {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
     let have = limit.maximum.map_or(usize::MAX, |n| n as usize);
@@ -200,7 +200,7 @@
 }
 
 /// What happens, for people.
-pub fn told(plan: &Plan, act: &Act) -> String {
+pub fn describe_act(plan: &Plan, act: &Act) -> String {
     let some = |which: &Vec<usize>| {
         let names: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
         let more = if which.len() > 4 { format!(" and {} more", which.len() - 4) } else { String::new() };
@@ -242,7 +242,7 @@
 
 impl Stage {
     async fn act(&mut self, act: &Act) -> Result<(), RunError> {
-        self.log.add(What::Act { text: told(&self.plan, act) });
+        self.log.add(What::Act { text: describe_act(&self.plan, act) });
         match act {
             Act::KillProxy(p) => {
                 self.log.add(What::Proxy { proxy: *p, turn: Turn::Killed });
@@ -308,7 +308,7 @@
 pub async fn play(
     plan: Arc<Plan>, program: &Path, folder: &Path, progress: Progress<'_>,
 ) -> Result<Outcome, RunError> {
-    allow(descriptors(&plan))?;
+    raise_descriptor_limit(descriptors(&plan))?;
     let clock = Clock::default();
     let (ready, standing) = oneshot::channel();
     let (orders, from_here) = mpsc::unbounded_channel();
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -47,7 +47,7 @@
 
 /// What came first of the next message, or instead of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stir {
+pub enum ReadEvent {
     /// Bytes.
     Bytes,
     /// The end of the connection.
@@ -109,26 +109,26 @@
     }
 
     /// Something came, or the connection ended, without waiting for either.
-    pub fn stirred(&mut self) -> Option<Stir> {
+    pub fn poll_read(&mut self) -> Option<ReadEvent> {
         if self.ahead() {
-            return Some(Stir::Bytes);
+            return Some(ReadEvent::Bytes);
         }
         match self.tcp.try_read_buf(&mut self.ahead) {
-            Ok(0) => Some(Stir::End),
-            Ok(_) => Some(Stir::Bytes),
+            Ok(0) => Some(ReadEvent::End),
+            Ok(_) => Some(ReadEvent::Bytes),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => None,
-            Err(_) => Some(Stir::End),
+            Err(_) => Some(ReadEvent::End),
         }
     }
 
     /// Waits until something comes or the connection ends.
-    pub async fn stir(&mut self) -> Stir {
+    pub async fn wait_read(&mut self) -> ReadEvent {
         if self.ahead() {
-            return Stir::Bytes;
+            return ReadEvent::Bytes;
         }
         match self.tcp.read_buf(&mut self.ahead).await {
-            Ok(n) if n > 0 => Stir::Bytes,
-            _ => Stir::End,
+            Ok(n) if n > 0 => ReadEvent::Bytes,
+            _ => ReadEvent::End,
         }
     }
 
@@ -149,7 +149,7 @@
 
     /// The next request; `None` where the connection ended between two.
     pub async fn request(&mut self) -> Result<Option<Request>, Fault> {
-        if !self.ahead() && self.stir().await == Stir::End {
+        if !self.ahead() && self.wait_read().await == ReadEvent::End {
             return Ok(None);
         }
         loop {
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -3,7 +3,7 @@
 
 use super::run::Relay;
 use super::script::{Framing, Route, Script};
-use crate::driver::run::{allow, thread, RunError};
+use crate::driver::run::{raise_descriptor_limit, thread, RunError};
 use crate::driver::usage::Usage;
 use crate::driver::wire::listen;
 use crate::overhead::{measure, median, Point, Seen};
@@ -70,7 +70,7 @@
 /// Sockets or threads cannot be had.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
-    allow(4 * args.idle + 64)?; // with some for all else
+    raise_descriptor_limit(4 * args.idle + 64)?; // with some for all else
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     tokio::task::LocalSet::new().block_on(&runtime, rounds(args))
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, What as Happens};
-use crate::oracle::{judge, story};
+use crate::oracle::{judge, timeline};
 use crate::record::{seconds, How, TryId, What};
 use crate::report::figures::Spread;
 use crate::session::{program, say, SessionError};
@@ -241,8 +241,8 @@
     compared.wrong.iter().take(20).for_each(|w| say(&format!("WRONG: {w}\n")));
     history.faults.iter().take(20).for_each(|f| say(&format!("fault: {f}\n")));
     for b in broken.iter().take(10) {
-        let story = b.id.map(|id| story(&plan, &outcome.records, id)).unwrap_or_default();
-        say(&format!("oracle \"{}\": {}\n{story}", b.oracle, b.text));
+        let timeline = b.id.map(|id| timeline(&plan, &outcome.records, id)).unwrap_or_default();
+        say(&format!("oracle \"{}\": {}\n{timeline}", b.oracle, b.text));
     }
     Ok(compared.wrong.is_empty() && broken.is_empty())
 }
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// How many broken rules of one oracle are told one by one.
-pub const MOST_TOLD: usize = 20;
+pub const MAX_LISTED: usize = 20;
 
 /// How a try was sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -95,7 +95,7 @@
 }
 
 /// Everything that was seen of an arrival, line by line.
-pub fn story(plan: &Plan, records: &[Record], id: TryId) -> String {
+pub fn timeline(plan: &Plan, records: &[Record], id: TryId) -> String {
     let Some(arrival) = plan.arrivals.get(id.arrival as usize) else { return String::new() };
     let class = &plan.experiment.class[arrival.class].name;
     let mut out = format!("  {id} is {class}, due at {}\n", seconds(arrival.at));
--- a/crates/testbed/src/oracle/tests.rs
+++ b/crates/testbed/src/oracle/tests.rs
@@ -47,5 +47,5 @@
 fn a_sound_run_breaks_nothing() {
     let all: Vec<Record> = [served(READ, 10), served(ORDER, 200)].concat();
     assert!(broken(&all).is_empty());
-    assert!(story(&plan(), &all, ORDER).lines().count() == 5);
+    assert!(timeline(&plan(), &all, ORDER).lines().count() == 5);
 }
--- a/crates/testbed/src/paper.rs
+++ b/crates/testbed/src/paper.rs
@@ -81,7 +81,7 @@
             .iter()
             .for_each(|(end, job)| took[*job as usize] = end.0 as f64 / unit / 1e6 - came[*job as usize]);
         came.push(now);
-        stations[server].bring(at, job as u64, rng.exponential(unit));
+        stations[server].submit(at, job as u64, rng.exponential(unit));
     }
     ended.clear();
     stations.iter_mut().for_each(|s| s.due(Time(u64::MAX / 2), &mut ended));
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -3,7 +3,7 @@
 use super::figures::{Figures, Tally};
 use super::plot::COLORS;
 use super::table::table;
-use crate::driver::run::{told, Sample};
+use crate::driver::run::{describe_act, Sample};
 use crate::world::plan::Plan;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -118,7 +118,11 @@
         .acts
         .iter()
         .map(|(at, act)| {
-            format!("<tr><td>{:.2} s</td><td>{}</td></tr>", at.0 as f64 / 1e6, escape(&told(plan, act)))
+            format!(
+                "<tr><td>{:.2} s</td><td>{}</td></tr>",
+                at.0 as f64 / 1e6,
+                escape(&describe_act(plan, act))
+            )
         })
         .collect();
     let stories = stories.iter().map(|s| format!("<pre>{}</pre>", escape(s))).collect::<String>();
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -3,7 +3,7 @@
 
 use super::document;
 use super::experiment::Capacity;
-use crate::driver::wire::{listen, Link, Stir};
+use crate::driver::wire::{listen, Link, ReadEvent};
 use crate::world::discovery::Status;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -234,7 +234,7 @@
                 let mut news = self.news.subscribe();
                 tokio::select! {
                     _ = tokio::time::timeout(wait, news.wait_for(|version| *version > after)) => {}
-                    stir = link.stir() => if stir == Stir::End { return },
+                    event = link.wait_read() => if event == ReadEvent::End { return },
                 }
             }
             let answer = self.answer(after);
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -37,7 +37,7 @@
 
 /// The backends of a group that goes at once; as many as there are, where it is larger.
 pub fn group(count: usize, backends: usize, seed: u64) -> Vec<usize> {
-    Rng::new(seed, "scale group").some(backends, count)
+    Rng::new(seed, "scale group").sample(backends, count)
 }
 
 /// The same change for all of them.
--- a/crates/testbed/src/scale/proxies.rs
+++ b/crates/testbed/src/scale/proxies.rs
@@ -7,7 +7,7 @@
 use super::record::{quantile, Gathered, Metric};
 use super::stand_ins::{Hollow, StandIns};
 use super::{Rig, ScaleRunError};
-use crate::driver::run::allow;
+use crate::driver::run::raise_descriptor_limit;
 use crate::world::discovery::Status;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
 /// Sockets or threads that cannot be had, or followers that are too late.
 pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
     let most = axis.steps.iter().copied().max().unwrap_or(0);
-    allow(2 * most + OTHER_DESCRIPTORS)?;
+    raise_descriptor_limit(2 * most + OTHER_DESCRIPTORS)?;
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
             rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -3,7 +3,7 @@
 use crate::driver::run::{self, RunError};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::fault_proxy::script::ScriptError;
-use crate::oracle::{story, MOST_TOLD};
+use crate::oracle::{timeline, MAX_LISTED};
 use crate::report::figures::Figures;
 use crate::report::{page, table};
 use crate::virtual_time::policy_choice::PolicyChoice;
@@ -146,7 +146,7 @@
         let progress = |at: lotusdeck_policy::Time| {
             bar.set_position(at.0 / 1000);
             if let Some((_, act)) = plan.acts.iter().rev().find(|a| a.0 <= at) {
-                bar.set_message(run::told(&plan, act));
+                bar.set_message(run::describe_act(&plan, act));
             }
         };
         let outcome = match options.virtual_time {
@@ -158,10 +158,10 @@
         say(&table::table(&figures, &stretches(&plan)));
         let stories: Vec<String> = broken
             .iter()
-            .take(MOST_TOLD)
+            .take(MAX_LISTED)
             .map(|b| {
-                let story = b.id.map(|id| story(&plan, &outcome.records, id)).unwrap_or_default();
-                format!("{}: {}\n{story}", b.oracle, b.text)
+                let timeline = b.id.map(|id| timeline(&plan, &outcome.records, id)).unwrap_or_default();
+                format!("{}: {}\n{timeline}", b.oracle, b.text)
             })
             .collect();
         stories.iter().for_each(|s| say(s));
@@ -200,7 +200,7 @@
             out.push((std::mem::take(&mut name), from, at.min(end)));
             from = at;
         }
-        name = run::told(plan, act).split(':').next().unwrap_or_default().to_string();
+        name = run::describe_act(plan, act).split(':').next().unwrap_or_default().to_string();
     }
     out.push((name, from, end));
     out.retain(|s| s.2 > s.1);
@@ -223,7 +223,7 @@
         experiment.proxies
     );
     for (at, act) in &plan.acts {
-        out.push_str(&format!("{:>8.2} s  {}\n", at.0 as f64 / 1e6, run::told(&plan, act)));
+        out.push_str(&format!("{:>8.2} s  {}\n", at.0 as f64 / 1e6, run::describe_act(&plan, act)));
     }
     out
 }
--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::proxy::Proxy;
 use super::{Simulation, VirtualError, ONE_WAY};
-use crate::driver::run::told;
+use crate::driver::run::describe_act;
 use crate::record::{Turn, What};
 use crate::world::backend::Health;
 use crate::world::discovery::Status;
@@ -18,7 +18,7 @@
     pub(super) fn act(&mut self, number: usize) -> Result<(), VirtualError> {
         let plan = self.plan;
         let act = &plan.acts[number].1;
-        self.record(What::Act { text: told(plan, act) });
+        self.record(What::Act { text: describe_act(plan, act) });
         match act {
             Act::Kill(which) => self.kill(which, false),
             Act::Remove(which) => self.kill(which, true),
--- a/crates/testbed/src/world/backend.rs
+++ b/crates/testbed/src/world/backend.rs
@@ -126,7 +126,7 @@
     /// A connection came up. It costs work at once, as a TLS handshake would; that work is nobody's.
     pub fn opened(&mut self, now: Time, ticket: Ticket) {
         self.connections += 1;
-        let _ = self.station.bring(now, ticket, self.spec.handshake);
+        let _ = self.station.submit(now, ticket, self.spec.handshake);
     }
 
     /// A connection ended.
@@ -144,7 +144,7 @@
         if self.connections > self.spec.connections {
             return Err(Why::Connections);
         }
-        self.station.bring(now, ticket, work).then_some(()).ok_or(Why::Full)
+        self.station.submit(now, ticket, work).then_some(()).ok_or(Why::Full)
     }
 
     /// The caller has gone.
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -218,7 +218,7 @@
     };
     let may: Vec<usize> = (0..fleet.len()).filter(meant).collect();
     let count = t.part.map_or(may.len(), |part| (part * may.len() as f64).round() as usize);
-    rng.some(may.len(), count).into_iter().map(|i| may[i]).collect()
+    rng.sample(may.len(), count).into_iter().map(|i| may[i]).collect()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/world/rng.rs
+++ b/crates/testbed/src/world/rng.rs
@@ -40,7 +40,7 @@
     }
 
     /// So many different indices below `n`, in rising order.
-    pub fn some(&mut self, n: usize, count: usize) -> Vec<usize> {
+    pub fn sample(&mut self, n: usize, count: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..n).collect();
         let count = count.min(n);
         for at in 0..count {
--- a/crates/testbed/src/world/rng/tests.rs
+++ b/crates/testbed/src/world/rng/tests.rs
@@ -9,6 +9,6 @@
         let due = 1.0 / (rank + 1) as f64 / (25.0 / 12.0);
         assert!((got - due).abs() < 0.02, "rank {rank}: {got} instead of {due}");
     }
-    let some = rng.some(10, 4);
+    let some = rng.sample(10, 4);
     assert!(some.len() == 4 && some.windows(2).all(|w| w[0] < w[1]), "{some:?}");
 }
--- a/crates/testbed/src/world/station.rs
+++ b/crates/testbed/src/world/station.rs
@@ -99,7 +99,7 @@
     }
 
     /// Brings work of so many core-seconds; false when there is no place for it. Call [`Station::due`] before.
-    pub fn bring(&mut self, now: Time, ticket: Ticket, work: f64) -> bool {
+    pub fn submit(&mut self, now: Time, ticket: Ticket, work: f64) -> bool {
         self.pass(now);
         if self.running.len() < self.build.slots {
             self.run(ticket, work);
--- a/crates/testbed/src/world/station/tests.rs
+++ b/crates/testbed/src/world/station/tests.rs
@@ -15,8 +15,8 @@
 #[test]
 fn cores_are_shared_evenly_and_the_bounds_hold() {
     let mut s = Station::new(build(), None, Time(0));
-    assert!(s.bring(Time(0), 1, 0.1) && s.bring(Time(0), 2, 0.1) && s.bring(Time(0), 3, 0.1));
-    assert!(!s.bring(Time(0), 4, 0.1) && s.held() == 3 && s.waiting() == 1);
+    assert!(s.submit(Time(0), 1, 0.1) && s.submit(Time(0), 2, 0.1) && s.submit(Time(0), 3, 0.1));
+    assert!(!s.submit(Time(0), 4, 0.1) && s.held() == 3 && s.waiting() == 1);
     let ended = ends(&mut s, 1_000_000);
     let near = |at: u64, aim: u64| at.abs_diff(aim) <= 2;
     assert!(near(ended[0].0, 100_000) && near(ended[1].0, 100_000), "{ended:?}");
@@ -28,7 +28,7 @@
 #[test]
 fn withdrawn_work_frees_its_share_and_a_hang_ends_nothing() {
     let mut s = Station::new(build(), None, Time(0));
-    assert!(s.bring(Time(0), 1, 0.1) && s.bring(Time(0), 2, 0.1));
+    assert!(s.submit(Time(0), 1, 0.1) && s.submit(Time(0), 2, 0.1));
     assert!(s.withdraw(Time(50_000), 1) && !s.withdraw(Time(50_000), 1));
     s.slow(Time(60_000), 0.0);
     assert!(ends(&mut s, 900_000).is_empty() && s.next().is_none());
@@ -41,7 +41,7 @@
 #[test]
 fn a_cold_one_gains_speed() {
     let mut s = Station::new(Build { speed: 1.0, ..build() }, Some(Time(0)), Time(0));
-    assert!(s.bring(Time(0), 1, 0.75) && s.capacity(Time(500_000)) == 0.75);
+    assert!(s.submit(Time(0), 1, 0.75) && s.capacity(Time(500_000)) == 0.75);
     let ended = ends(&mut s, 2_000_000);
     assert!(ended[0].0.abs_diff(1_000_000) < 1_000, "{ended:?}");
 }
