--- a/crates/configuration/examples/size/costs.rs
+++ b/crates/configuration/examples/size/costs.rs
@@ -1,4 +1,4 @@
-//! Processor time of one change at the source and at a follower.
+//! Measures the processor time of a change at the source and at a follower.
 
 use crate::workload::{answer, quota_entry};
 use lotusdeck_configuration::{decode, Candidate, Follower, FollowerSettings, Message, NextStep, Source};
@@ -7,20 +7,20 @@
 
 const ROUNDS: usize = 9;
 
-/// Times of the parts of one change at a follower.
+/// Processor times of the steps in which a follower applies an answer.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Cost {
     decode: Duration,
     verify: Duration,
     settings_object: Duration,
-    /// Reading the settings object as the proxy does.
+    /// Time of reading the settings object as a proxy does.
     pub(crate) read_settings: Duration,
     commit: Duration,
-    /// The longest slice of verifying or committing.
+    /// Time of the longest slice of verifying or committing.
     longest_slice: Duration,
 }
 
-/// Applies the text of an answer as a proxy does, without reading the settings.
+/// Decodes and applies the text of an answer as a proxy does, without reading the settings.
 fn apply_text(follower: &mut Follower, text: &str) -> Cost {
     let started = Instant::now();
     let message = decode(text.as_bytes()).expect("a message");
@@ -92,7 +92,7 @@
     );
 }
 
-/// A delta with so many changed entries.
+/// Measures a delta with `changed` entries.
 pub(crate) fn delta(source: &mut Source, changed: usize) {
     let mut follower = Follower::new(FollowerSettings::default(), 1);
     apply_text(&mut follower, &answer(source, None));
@@ -113,7 +113,7 @@
     print_costs(&format!("{changed} changed"), bytes, milliseconds(source_times[ROUNDS / 2]), &costs);
 }
 
-/// A full document at a new follower.
+/// Measures a full document at a new follower.
 pub(crate) fn full_document(source: &mut Source) {
     let started = Instant::now();
     let text = answer(source, None);
--- a/crates/configuration/examples/size/distribution.rs
+++ b/crates/configuration/examples/size/distribution.rs
@@ -1,4 +1,4 @@
-//! 1,200 followers in virtual time; a full document counts with the bytes of the real one.
+//! Simulates 1,200 followers in virtual time; sending a full document takes as many bytes as the real one has.
 
 use crate::rollout::{Conditions, Rollout};
 use crate::workload::{quota_entry, settings, PROXIES};
@@ -8,13 +8,13 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Changes that are published one after the other.
+/// Number of changes, published one after the other.
 const CHANGES: usize = 40;
-/// 1,600 changes a day.
+/// 1,600 changes a day, one every 54 s.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(54);
-/// Profiles and customers of the small document that the followers really have.
+/// Number of profiles and of customers in the small document that the simulated followers have.
 const SMALL_SECTION: usize = 20;
-/// Bytes that make this document's text a large answer, as that of the real one.
+/// Padding that makes the text of the small document a large answer, like that of the real one, bytes.
 const PADDING_BYTES: usize = 70_000;
 
 fn small_source() -> Source {
@@ -26,7 +26,7 @@
     Source::new(1, &settings, HistoryBounds::default(), |_| Ok(())).expect("a source")
 }
 
-/// Starts of all proxies within a minute and at once, and single changes afterwards.
+/// Measures starts of all proxies within a minute, followed by single changes, and starts of all proxies at once.
 pub(crate) fn measure(full_document_bytes: u64, read_time: Duration) {
     let conditions = Conditions {
         source_bandwidth: 125_000_000,
--- a/crates/configuration/examples/size/main.rs
+++ b/crates/configuration/examples/size/main.rs
@@ -1,5 +1,5 @@
-//! What a change costs at 16,000 classes and 34,000 tenants: bytes, processor time, memory, and the time until the last
-//! of 1,200 followers has it.
+//! Measures the cost of a change with 16,000 classes and 34,000 tenants: bytes, processor time, memory, and the time
+//! until the last of 1,200 followers has applied it.
 //!
 //! `cargo run --release -p lotusdeck-configuration --example size`
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a trial stops at what it did not expect")]
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use workload::{answer, CUSTOMERS, PROFILES};
 
-/// The time in which a proxy reads the settings of a full document in the virtual rollout.
+/// The time that a proxy takes in the simulated rollout to read the settings of a full document.
 const READ_TIME: Duration = Duration::from_millis(500);
 
 fn main() {
--- a/crates/configuration/examples/size/memory.rs
+++ b/crates/configuration/examples/size/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a proxy that follows, in a process of its own, and of the settings in this one.
+//! Measures the memory of a follower in a separate process, and of the settings in this process.
 
 use crate::costs::apply_message;
 use crate::workload::{answer, quota_entry};
@@ -13,7 +13,7 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The argument that makes this program the process of a proxy that only follows.
+/// The command-line argument with which this program runs as a follower process.
 pub(crate) const FOLLOWER_ARGUMENT: &str = "proxy";
 
 const BYTES_PER_MB: f64 = 1_048_576.0;
@@ -22,7 +22,7 @@
 /// Resident memory of this process, MB.
 struct ResidentMemory {
     present: f64,
-    /// Since the last reset.
+    /// The maximum since the last reset.
     peak: f64,
 }
 
@@ -41,7 +41,7 @@
     (change.bytes_allocated as f64 - change.bytes_deallocated as f64) / BYTES_PER_MB
 }
 
-/// The memory of a full document and of one change.
+/// Measures the memory of a full document, of one change, and of the settings.
 pub(crate) fn measure(source: &mut Source) {
     let full_document = answer(source, None);
     let base = source.version();
@@ -57,7 +57,7 @@
     drop(settings);
 }
 
-/// Starts the process and sends it these two answers, one a line.
+/// Starts the follower process and sends it the two answers, one per line.
 fn run_follower_process(full_document: &str, delta: &str) {
     let program = std::env::current_exe().expect("this program");
     let mut command = Command::new(program);
@@ -68,18 +68,19 @@
     assert!(child.wait().expect("its end").success());
 }
 
-/// The follower's process: applies both answers as a proxy does, and prints its memory after each.
+/// Runs the follower process: reads both answers from standard input, applies them as a proxy does, and prints the
+/// memory after each.
 pub(crate) fn follow_standard_input() {
     let region = Region::new(ALLOCATOR);
     let mut follower = Follower::new(FollowerSettings::default(), 1);
     println!("a process of its own: {:.1} MB resident at its start", resident_memory().present);
     for name in ["full document", "one change"] {
-        // proc(5): resets the peak of the resident memory to the present value.
+        // Resets the peak of the resident memory to the current value (proc(5)).
         let is_reset = std::fs::write("/proc/self/clear_refs", "5").is_ok();
         let mut text = String::new();
         std::io::stdin().read_line(&mut text).expect("an answer");
         let message = decode(text.as_bytes()).expect("a message");
-        drop(text); // as the program does
+        drop(text); // as the proxy does
         let cost = apply_message(&mut follower, message, true);
         let memory = resident_memory();
         println!(
--- a/crates/configuration/examples/size/workload.rs
+++ b/crates/configuration/examples/size/workload.rs
@@ -1,4 +1,4 @@
-//! Settings of a site at the planned size.
+//! Settings of a site of the planned size.
 
 use lotusdeck_configuration::source::SourceAnswer;
 use lotusdeck_configuration::{Entry, Key, Poll, Section, Source, Version};
@@ -20,7 +20,7 @@
     json!({"name": format!("tenant-{index:05}"), "quota_rps": 50.5 + index as f64, "share": 1.0})
 }
 
-/// Settings in the platform's format.
+/// Returns settings in the platform's format.
 pub(crate) fn settings() -> Value {
     json!({
         "profiles": (0..PROFILES).map(profile).collect::<Vec<Value>>(),
@@ -35,13 +35,13 @@
     })
 }
 
-/// One customer with another quota.
+/// Returns the entry of a customer with the given quota.
 pub(crate) fn quota_entry(customer: usize, quota: f64) -> Entry {
     let key = Key::new(Section::Customers, &format!("tenant-{customer:05}"));
     Entry { key, value: json!({"quota_rps": quota, "share": 1.0}).to_string().into() }
 }
 
-/// The source's answer to a follower at the version `after`.
+/// Returns the source's answer to a follower at the version `after`.
 pub(crate) fn answer(source: &mut Source, after: Option<Version>) -> Arc<str> {
     match source.answer_poll(&Poll { after, rejected_version: None, wait: Duration::ZERO }) {
         SourceAnswer::Now(text) => text,
--- a/crates/configuration/src/backoff.rs
+++ b/crates/configuration/src/backoff.rs
@@ -1,12 +1,12 @@
-//! Pauses between attempts after failures.
+//! Delays between polls after failures.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Exponential backoff with jitter.
 ///
-/// Each pause is drawn between half of its nominal length and the full length. Every proxy has a seed of its own, so
-/// that proxies that lost their source at the same moment do not return at the same moment.
+/// Each delay is drawn at random between half and all of its nominal length. Every proxy uses a different seed, so that
+/// proxies that lose the source at the same time do not all reconnect at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     initial: Duration,
@@ -16,16 +16,16 @@
     draws: u64,
 }
 
-/// Keeps the shift from overflowing; the longest pause is reached earlier.
+/// Prevents an overflow of the shift; with the default settings the maximum delay is reached after five doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    /// Pauses from `initial`, doubled after each failure, up to `max`.
+    /// Creates a backoff whose nominal delay starts at `initial` and doubles with each failure, up to `max`.
     pub fn new(initial: Duration, max: Duration, seed: u64) -> Backoff {
         Backoff { initial, max, seed, failures: 0, draws: 0 }
     }
 
-    /// The pause after one more consecutive failure.
+    /// Counts a failure and returns the delay that follows it.
     pub fn next_pause(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
@@ -33,7 +33,7 @@
         self.jitter(nominal.min(self.max))
     }
 
-    /// A pause between half of `length` and the full length.
+    /// Draws a delay between half of `length` and all of it.
     pub fn jitter(&mut self, length: Duration) -> Duration {
         self.draws += 1;
         let draw = xxh3_64_with_seed(&self.draws.to_le_bytes(), self.seed);
@@ -41,12 +41,12 @@
         length.mul_f64(0.5 + 0.5 * fraction)
     }
 
-    /// Starts again at the initial pause, after a success.
+    /// Resets the nominal delay to the initial one, after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Consecutive failures.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/configuration/src/checksum.rs
+++ b/crates/configuration/src/checksum.rs
@@ -1,4 +1,4 @@
-//! A checksum over all entries of a document, updated by each change without reading the other entries.
+//! A checksum over all entries of a document, updated incrementally without reading the unchanged entries.
 
 use crate::entry::Key;
 use crate::version::Version;
@@ -7,14 +7,14 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hexadecimal digits of a checksum's text: four bits each.
+/// Number of hexadecimal digits in the text of a checksum: 128 bits of four bits per digit.
 const HEX_DIGITS: usize = 32;
 
 /// The sum, modulo 2^128, of a 128-bit hash (xxh3) of every entry.
 ///
-/// A sum does not depend on the order of its summands, so that an entry is added or removed by its own hash alone; the
-/// order itself needs no protection, as a document has one canonical order. The checksum detects faults of transport,
-/// storage and programs. It does not authenticate the source, as anyone can compute it.
+/// A sum does not depend on the order of its terms, so an entry is added or removed using its own hash alone. The order
+/// needs no protection, as a document has a single canonical order. The checksum detects faults of transport, storage
+/// and programs. It does not authenticate the source, as anyone can compute it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checksum(u128);
 
@@ -29,8 +29,8 @@
         self.0 = self.0.wrapping_sub(entry_hash(key, value));
     }
 
-    /// The checksum as messages carry it, with the version included: a document under a wrong version would make its
-    /// follower treat later versions as already known.
+    /// Returns the checksum sent in messages, which includes the version: with a wrong version, a follower would treat
+    /// later versions as already known.
     pub fn of_version(self, version: Version) -> Checksum {
         let mut hasher = Xxh3::new();
         hasher.update(&version.epoch.to_le_bytes());
@@ -39,7 +39,7 @@
     }
 }
 
-/// The name is preceded by its length, so that no part of the name can be mistaken for a part of the value.
+/// Hashes an entry. The length of the name comes before the name, which keeps name and value distinct.
 fn entry_hash(key: &Key, value: &str) -> u128 {
     let mut hasher = Xxh3::new();
     hasher.update(&[key.section as u8]);
@@ -55,7 +55,7 @@
     }
 }
 
-/// A text that is no checksum.
+/// The error for a text that is not a checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("expected a checksum of {HEX_DIGITS} hex digits")]
 pub struct ChecksumError;
@@ -64,7 +64,7 @@
     type Err = ChecksumError;
 
     fn from_str(text: &str) -> Result<Checksum, ChecksumError> {
-        // `from_str_radix` alone would accept a sign.
+        // `from_str_radix` alone accepts a leading sign.
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != HEX_DIGITS || !is_hex {
             return Err(ChecksumError);
--- a/crates/configuration/src/decoding.rs
+++ b/crates/configuration/src/decoding.rs
@@ -1,5 +1,5 @@
-//! Reads messages. A text that does not have exactly the form of its kind is rejected: for an unknown key, for a key that
-//! its kind does not have, and for an entry that occurs more than once.
+//! Decodes messages. Decoding is strict: unknown keys, keys that do not belong to the kind of message and duplicate
+//! entries are errors.
 
 use crate::delta::{Delta, FullDocument};
 use crate::document::MAX_ENTRIES;
@@ -7,13 +7,13 @@
 use crate::message::{Message, MessageError, MAX_MESSAGE_BYTES};
 use crate::message_fields::{MessageFields, NamedValues, Names, Sections, Text};
 
-/// Characters of an unknown kind that an error quotes.
+/// Maximum characters of an unknown kind in an error message.
 const MAX_QUOTED_CHARS: usize = 24;
 
-/// The message of a text.
+/// Decodes a message from JSON text.
 ///
 /// # Errors
-/// The first fault of the text; nothing of it may be used then.
+/// Returns the first error found in the text.
 pub fn decode(text: &[u8]) -> Result<Message, MessageError> {
     if text.len() > MAX_MESSAGE_BYTES {
         return Err(MessageError::TooLong(text.len()));
@@ -27,7 +27,7 @@
     }
 }
 
-/// A key of a message and whether the message has it.
+/// A key and whether the message has it.
 struct KeyPresence {
     key: &'static str,
     is_present: bool,
@@ -103,7 +103,7 @@
     Ok(value)
 }
 
-/// The entries ordered by key, each once.
+/// Collects the entries of all sections ordered by key, and rejects duplicates.
 fn sorted_entries(sections: Sections<NamedValues>) -> Result<Vec<Entry>, MessageError> {
     let mut entries = Vec::new();
     for (section, values) in sections.into_items() {
@@ -119,7 +119,7 @@
     Ok(entries)
 }
 
-/// The keys in their order, each once.
+/// Collects the keys of all sections in order, and rejects duplicates.
 fn sorted_keys(sections: Sections<Names>) -> Result<Vec<Key>, MessageError> {
     let mut keys = Vec::new();
     for (section, names) in sections.into_items() {
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,21 +1,21 @@
-//! The two forms in which a source publishes a version: a change of an earlier version, or the full document.
+//! The two forms in which a source sends a version: the changes since an earlier version, or the full document.
 
 use crate::checksum::Checksum;
 use crate::entry::{Entry, Key};
 use crate::version::Version;
 
-/// The change from one version of the document to a later one; it may span several versions.
+/// The changes from one version of the document to a later one, possibly across several versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
-    /// The only version that the delta applies to.
+    /// The version to which the delta applies; it applies to no other.
     pub from: Version,
-    /// The version that results.
+    /// The resulting version.
     pub to: Version,
-    /// Entries that are new or have another value, ordered by key, each once.
+    /// Entries that are new or have a different value, ordered by key and without duplicates.
     pub changed: Vec<Entry>,
-    /// Keys of removed entries, ordered, each once and none of those changed.
+    /// Keys of removed entries, ordered and without duplicates; none of them is in `changed`.
     pub removed: Vec<Key>,
-    /// Over the full document at `to`, and over `to` itself.
+    /// Checksum over the full document at `to` and over `to` itself.
     pub checksum: Checksum,
 }
 
@@ -24,8 +24,8 @@
 pub struct FullDocument {
     /// The version of the document.
     pub version: Version,
-    /// Ordered by key, each once.
+    /// The entries, ordered by key and without duplicates.
     pub entries: Vec<Entry>,
-    /// Over all entries and the version.
+    /// Checksum over all entries and the version.
     pub checksum: Checksum,
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,8 +1,8 @@
 //! The document: named entries in sections, as compact JSON texts.
 //!
-//! Entries are identified by section and name, never by position. The order in which a settings object lists profiles or
-//! customers has no meaning (rules refer to them by name) and is not kept: the canonical order is that of section and
-//! name. Arrays inside an entry keep their order.
+//! Entries are identified by section and name, never by position. The order in which a settings object lists profiles
+//! or customers has no meaning, as rules refer to them by name, and is not preserved: the canonical order is by section
+//! and then by name. Arrays inside an entry keep their order.
 
 use crate::checksum::Checksum;
 use crate::entry::{Entry, Key, Section};
@@ -10,40 +10,42 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The longest name of an entry, bytes; the longest in use are under 64.
+/// The maximum length of an entry's name, bytes; names in use are under 64 bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The longest value of an entry, bytes: lists of zones or kinds are the longest in use, some 20 KB at 1,000 zones.
+/// The maximum length of an entry's value, bytes. The longest values in use are lists of zones or kinds, about 20 KB
+/// for 1,000 zones.
 pub const MAX_VALUE_BYTES: usize = 256 * 1024;
-/// The longest document, bytes of all names and values. 16,000 profiles and 34,000 customers have under 6 MB; a proxy's
-/// memory for its configuration (64 MB) holds a document of this size, its successor and the settings read from it.
+/// The maximum size of a document, bytes of all names and values. 16,000 profiles and 34,000 customers take under 6 MB.
+/// A proxy's memory for its configuration (64 MB) holds a document of this size, its successor and the settings read
+/// from it.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
-/// Entries of a document: four times the 50,000 that are planned for.
+/// The maximum number of entries of a document: four times the planned 50,000.
 pub const MAX_ENTRIES: usize = 200_000;
 
-/// The key that names an object inside an array of the settings.
+/// The key that holds the name of an object in a named section of the settings.
 const NAME_KEY: &str = "name";
 
-/// Why settings and a document do not correspond to each other.
+/// An error in converting settings to a document or a document to settings, or in an entry of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
-    /// Settings are an object.
+    /// The settings are not an object.
     #[error("expected an object as the settings")]
     NotAnObject,
-    /// A section of named objects is an array.
+    /// A section of named objects is not an array.
     #[error("{section}: expected an array")]
     NotAnArray {
         /// The section's label.
         section: &'static str,
     },
-    /// The items of a section are objects with a name each.
+    /// An item of a named section is not an object, or has no name.
     #[error("{section}[{index}]: expected an object with a name")]
     MissingName {
         /// The section's label.
         section: &'static str,
-        /// The item's place in the array.
+        /// The item's index in the array.
         index: usize,
     },
-    /// Rules refer to an entry by its name, so that no two may share one.
+    /// Two entries of a section have the same name. Rules refer to an entry by its name, so names have to be unique.
     #[error("{0}: named twice")]
     DuplicateEntry(Key),
     /// The name is empty or too long.
@@ -60,12 +62,12 @@
         /// The value's length, bytes.
         bytes: usize,
     },
-    /// A value cannot be parsed, or is no object where one is expected.
+    /// A value is not valid JSON or not an object of the expected form, or the entry has the name of a section.
     #[error("{key}: expected {expected}")]
     InvalidValue {
         /// The entry.
         key: Key,
-        /// What its value has to be.
+        /// What was expected instead.
         expected: &'static str,
     },
     /// The document has too many entries or bytes.
@@ -73,14 +75,14 @@
         "expected at most {MAX_ENTRIES} entries of {MAX_DOCUMENT_BYTES} bytes, got {entries} of {bytes}"
     )]
     TooLarge {
-        /// Entries.
+        /// Number of entries.
         entries: usize,
         /// Bytes of all names and values.
         bytes: usize,
     },
 }
 
-/// One state of the settings.
+/// The entries of one state of the settings, with their total size and checksum.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Document {
     entries: BTreeMap<Key, Box<str>>,
@@ -89,10 +91,10 @@
 }
 
 impl Document {
-    /// The document of a settings object.
+    /// Creates the document of a settings object.
     ///
     /// # Errors
-    /// The first part of the settings that no document can hold.
+    /// Returns the first part of the settings that a document cannot hold, or an error if the document is too large.
     pub fn from_settings(settings: &Value) -> Result<Document, DocumentError> {
         let settings = settings.as_object().ok_or(DocumentError::NotAnObject)?;
         let mut document = Document::default();
@@ -127,37 +129,37 @@
         Ok(())
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Returns whether the document has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of all names and values.
+    /// Returns the total size of all names and values, bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Checksum over all entries.
+    /// Returns the checksum over all entries.
     pub fn checksum(&self) -> Checksum {
         self.checksum
     }
 
-    /// The value of an entry.
+    /// Returns the value of an entry.
     pub fn get(&self, key: &Key) -> Option<&str> {
         self.entries.get(key).map(|value| &**value)
     }
 
-    /// All entries in their canonical order.
+    /// Iterates over all entries in canonical order.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &str)> {
         self.entries.iter().map(|(key, value)| (key, &**value))
     }
 
-    /// Sets an entry; returns its previous value.
+    /// Sets an entry and returns its previous value.
     pub(crate) fn set(&mut self, key: Key, value: Box<str>) -> Option<Box<str>> {
         let previous = self.remove(&key);
         self.bytes += key.name.len() + value.len();
@@ -166,7 +168,7 @@
         previous
     }
 
-    /// Removes an entry; returns its value.
+    /// Removes an entry and returns its value.
     pub(crate) fn remove(&mut self, key: &Key) -> Option<Box<str>> {
         let value = self.entries.remove(key)?;
         self.bytes -= key.name.len() + value.len();
@@ -174,18 +176,18 @@
         Some(value)
     }
 
-    /// Copies of all entries in their canonical order.
+    /// Returns copies of all entries in canonical order.
     pub(crate) fn entries(&self) -> Vec<Entry> {
         self.iter().map(|(key, value)| Entry { key: key.clone(), value: value.into() }).collect()
     }
 }
 
-/// The section of named objects that a key of the settings stands for.
+/// Returns the section of named objects with this key in the settings.
 fn named_section(key: &str) -> Option<Section> {
     Section::NAMED.into_iter().find(|section| section.label() == key)
 }
 
-/// Checks that a document may hold an entry.
+/// Checks the key and the length of the value of an entry.
 pub(crate) fn check_entry(key: &Key, value: &str) -> Result<(), DocumentError> {
     check_key(key)?;
     if value.len() > MAX_VALUE_BYTES {
@@ -194,7 +196,7 @@
     Ok(())
 }
 
-/// Checks that an entry may have this key.
+/// Checks the length of an entry's name, and that no base entry has the name of a section.
 pub(crate) fn check_key(key: &Key) -> Result<(), DocumentError> {
     if key.name.is_empty() || key.name.len() > MAX_NAME_BYTES {
         return Err(DocumentError::NameLength { section: key.section.label() });
@@ -206,7 +208,7 @@
     Ok(())
 }
 
-/// Checks that a document may have so many entries and bytes.
+/// Checks that a document with this many entries and bytes is not too large.
 pub(crate) fn check_size(entries: usize, bytes: usize) -> Result<(), DocumentError> {
     if entries > MAX_ENTRIES || bytes > MAX_DOCUMENT_BYTES {
         return Err(DocumentError::TooLarge { entries, bytes });
@@ -214,10 +216,11 @@
     Ok(())
 }
 
-/// The settings object of entries that are given in their canonical order.
+/// Builds the settings object from entries given in canonical order.
 ///
 /// # Errors
-/// The first entry whose value is no JSON, or no object in a section of named objects.
+/// Returns the first entry whose value is not valid JSON or, in a section of named objects, is not an object or
+/// contains a key `name`.
 pub fn to_settings<'a>(entries: impl Iterator<Item = (&'a Key, &'a str)>) -> Result<Value, DocumentError> {
     let mut settings = Map::new();
     let mut sections: BTreeMap<Section, Vec<Value>> = BTreeMap::new();
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -1,9 +1,9 @@
-//! Writes messages.
+//! Encodes messages as JSON text.
 
 use crate::entry::{Entry, Key, Section};
 use crate::message::Message;
 
-/// The text of a message. Entries are written in the order in which the message holds them.
+/// Encodes a message as JSON text. Within a section, entries are written in the order in which the message holds them.
 pub fn encode(message: &Message) -> String {
     let mut text = String::new();
     match message {
@@ -27,7 +27,7 @@
     text
 }
 
-/// What encloses the items of one section.
+/// The brackets around the items of a section.
 #[derive(Clone, Copy)]
 struct Brackets {
     open: char,
@@ -50,7 +50,7 @@
     write_sections(text, keys, ARRAY, |key| key.section, |text, key| push_quoted(text, &key.name));
 }
 
-/// Writes one object of all sections that have any items.
+/// Writes an object with a key for each section that has items.
 fn write_sections<T>(
     text: &mut String, items: &[T], brackets: Brackets, section_of: impl Fn(&T) -> Section,
     write_item: impl Fn(&mut String, &T),
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -4,13 +4,13 @@
 
 /// A part of the settings object whose entries have names.
 ///
-/// The discriminants go into the checksum, which is the same at the source and at every follower.
+/// The discriminants are hashed into the checksum, so the source and all followers have to use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Section {
-    /// Every key of the settings that is no section of its own, by that key.
+    /// Top-level keys of the settings that do not form a section of their own, by key.
     Base = 0,
-    /// Classes of requests, by name.
+    /// Request classes, by name.
     Profiles = 1,
     /// Tenants, by name.
     Customers = 2,
@@ -22,7 +22,7 @@
     /// The sections that are arrays of named objects in the settings.
     pub(crate) const NAMED: [Section; 2] = [Section::Profiles, Section::Customers];
 
-    /// The section's name in messages, and in the settings where it is an array.
+    /// Returns the section's name in messages, which is also the key of the array in the settings for named sections.
     pub fn label(self) -> &'static str {
         match self {
             Section::Base => "base",
@@ -42,7 +42,7 @@
 }
 
 impl Key {
-    /// The key of an entry with this name.
+    /// Creates the key of the entry `name` in `section`.
     pub fn new(section: Section, name: &str) -> Key {
         Key { section, name: name.into() }
     }
@@ -57,8 +57,8 @@
 /// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Section and name.
+    /// The section and name of the entry.
     pub key: Key,
-    /// JSON text without a line break; without the key `name` in sections of named objects.
+    /// The value as JSON text without line breaks. In sections of named objects it does not contain the key `name`.
     pub value: Box<str>,
 }
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -1,8 +1,9 @@
-//! A proxy that follows a source: when it polls, and what it does with each answer.
+//! The state machine of a proxy that follows a source: it decides when to poll, and verifies and applies the answers.
 //!
-//! The driver calls [`Follower::next_step`] and does what it returns. One poll is open at a time, and an answer without a
-//! poll is dropped. The version in force never goes back: an answer that is not based on it, whose checksum does not
-//! match, or whose settings are not valid is rejected with its reason, and the last valid version stays in force.
+//! The driver calls [`Follower::next_step`] and performs the returned step. At most one poll is open at a time, and an
+//! answer without an open poll is dropped. The version in force never decreases: an answer that offers an earlier
+//! version, does not apply to the version in force, has a wrong checksum or has invalid settings is rejected with the
+//! reason, and the last valid version stays in force.
 
 mod known_versions;
 mod settings;
@@ -31,7 +32,7 @@
     Committing(StagedUpdate),
 }
 
-/// The state machine of a follower; times are spans since the process began.
+/// The state machine of a follower; times are durations since the start of the process.
 #[derive(Debug)]
 pub struct Follower {
     settings: FollowerSettings,
@@ -39,18 +40,19 @@
     phase: Phase,
     versions: KnownVersions,
     document: Document,
-    /// The next poll requests the full document.
+    /// Whether the next poll requests the full document.
     needs_full_document: bool,
-    /// When the last poll was sent.
+    /// The time at which the last poll was sent.
     polled_at: Duration,
-    /// When the last poll was sent whose answer said that the version in force is the latest.
+    /// The time at which the last poll was sent whose answer confirmed the version in force as the source's latest.
     current_at: Option<Duration>,
-    /// Returned by the next call of [`Follower::next_step`].
+    /// A step that the next call of [`Follower::next_step`] returns.
     pending_step: Option<NextStep>,
 }
 
 impl Follower {
-    /// A follower without a version; it polls at once. `seed` is that of its pauses, and no other proxy's.
+    /// Creates a follower without a version, which polls immediately. `seed` determines its random delays and has to
+    /// differ between proxies.
     pub fn new(settings: FollowerSettings, seed: u64) -> Follower {
         Follower {
             settings,
@@ -65,17 +67,17 @@
         }
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn applied_version(&self) -> Option<Version> {
         self.versions.applied
     }
 
-    /// The state at `now`.
+    /// Returns the follower's status at `now`.
     pub fn status(&self, now: Duration) -> FollowerStatus {
         FollowerStatus {
             applied_version: self.versions.applied,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Does one bounded piece of work; returns what the driver does next.
+    /// Does a bounded amount of work and returns what the driver has to do next.
     pub fn next_step(&mut self, now: Duration) -> NextStep {
         if let Some(step) = self.pending_step.take() {
             return step;
@@ -138,7 +140,7 @@
         NextStep::PollFailed(Failure::TimedOut)
     }
 
-    /// Handles the answer to the open poll; without one it is dropped.
+    /// Handles the answer to the open poll; drops it if no poll is open.
     pub fn handle_message(&mut self, now: Duration, message: Message) {
         if !matches!(self.phase, Phase::Polling { .. }) {
             return;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// The open poll has failed.
+    /// Records that the open poll failed, and delays the next one; does nothing if no poll is open.
     pub fn poll_failed(&mut self, now: Duration, failure: Failure) {
         if matches!(self.phase, Phase::Polling { .. }) {
             self.back_off(now);
@@ -159,7 +161,7 @@
         }
     }
 
-    /// The driver has given up the open poll; the next one follows at once.
+    /// Records that the driver abandoned the open poll; the next one follows immediately.
     pub fn poll_abandoned(&mut self, now: Duration) {
         if matches!(self.phase, Phase::Polling { .. }) {
             self.phase = Phase::Idle { until: now };
@@ -177,7 +179,7 @@
                     self.current_at = Some(self.polled_at);
                 }
             }
-            // The source has a later version without sending it: the full document is needed.
+            // The source has a later version but did not send it: request the full document.
             _ => {
                 self.needs_full_document = true;
                 self.back_off(now);
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Compares the source's document of the version in force with this proxy's.
+    /// Compares the checksum of the source's document of the version in force with this proxy's.
     fn confirm_full_document(&mut self, now: Duration, full: &FullDocument) {
         if full.checksum == self.document.checksum().of_version(full.version) {
             self.needs_full_document = false;
@@ -253,7 +255,7 @@
         NextStep::Continue
     }
 
-    /// The version whose settings are to be checked.
+    /// Returns the version whose settings the driver has to check, if there is one.
     pub fn candidate(&self) -> Option<Candidate<'_>> {
         match &self.phase {
             Phase::Validating(staged) => Some(staged.candidate(&self.document)),
@@ -261,14 +263,14 @@
         }
     }
 
-    /// Reports whether the candidate's settings are valid; without a candidate nothing is done.
+    /// Records whether the candidate's settings are valid; does nothing if there is no candidate.
     pub fn candidate_validated(&mut self, now: Duration, verdict: Result<(), InvalidSettings>) {
         match (std::mem::replace(&mut self.phase, Phase::Idle { until: now }), verdict) {
             (Phase::Validating(staged), Ok(())) => self.phase = Phase::Committing(staged),
             (Phase::Validating(staged), Err(error)) => {
                 let version = staged.target();
                 self.versions.rejected = Some(version);
-                // The source itself works, so that its next answer is polled for without a pause.
+                // The source itself works, so the next poll follows without a delay.
                 self.backoff.reset();
                 self.pending_step = Some(NextStep::Rejected(Rejection::InvalidSettings { version, error }));
             }
--- a/crates/configuration/src/follower/known_versions.rs
+++ b/crates/configuration/src/follower/known_versions.rs
@@ -1,35 +1,36 @@
-//! The versions that a follower has decided on, and the deltas that fit them.
+//! The versions that a follower has applied or rejected, and the check of a delta against them.
 
 use super::step::Rejection;
 use crate::delta::Delta;
 use crate::version::Version;
 
-/// The versions that a follower has decided on.
+/// The latest versions that a follower has applied and rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownVersions {
     /// The version in force.
     pub(super) applied: Option<Version>,
-    /// The latest version whose settings were not valid.
+    /// The last version that was rejected for invalid settings.
     pub(super) rejected: Option<Version>,
 }
 
 impl KnownVersions {
-    /// The latest of them.
+    /// Returns the later of the applied and the rejected version.
     pub(super) fn latest(&self) -> Option<Version> {
         self.applied.max(self.rejected)
     }
 
-    /// The rejected version, where it is later than the one in force.
+    /// Returns the rejected version if it is later than the one in force.
     pub(super) fn newer_rejected(&self) -> Option<Version> {
         self.rejected.filter(|rejected| self.applied.is_none_or(|applied| *rejected > applied))
     }
 
-    /// Whether this version, or a later one, was rejected.
+    /// Returns whether `version` or a later one was rejected.
     pub(super) fn is_rejected(&self, version: Version) -> bool {
         self.rejected.is_some_and(|rejected| version <= rejected)
     }
 
-    /// Checks that a delta leads from the version in force to a later one that was not rejected.
+    /// Checks that a delta applies to the version in force and results in a later version of the same epoch that was
+    /// not rejected.
     pub(super) fn check_delta(&self, delta: &Delta) -> Result<(), Rejection> {
         let Some(applied) = self.applied else {
             return Err(Rejection::NoBase(delta.from));
--- a/crates/configuration/src/follower/settings.rs
+++ b/crates/configuration/src/follower/settings.rs
@@ -1,27 +1,27 @@
-//! How a follower polls, and how much work it does at a time.
+//! Settings of a follower: the timing of its polls and the size of its slices.
 
 use std::time::Duration;
 
-/// How a follower polls, and how much work it does at a time.
+/// Settings of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerSettings {
-    /// How long the source may defer its answer while it has nothing later.
+    /// How long the source may hold a poll while it has no later version.
     pub poll_wait: Duration,
-    /// How long an answer may take beyond that wait before the poll fails.
+    /// How long after that wait the poll fails if the answer has not arrived.
     pub poll_timeout: Duration,
-    /// The first pause after a failure.
+    /// The nominal delay after the first failure.
     pub initial_backoff: Duration,
-    /// The longest pause after consecutive failures.
+    /// The maximum nominal delay after consecutive failures.
     pub max_backoff: Duration,
-    /// The pause before a full document is requested again after one was rejected: it is megabytes each time.
+    /// The nominal delay before the full document is requested again after one was rejected; it may have megabytes.
     pub full_refetch_after: Duration,
-    /// Entries that are verified or committed in one step: at some 1 us each, a step takes a quarter of a millisecond.
+    /// Entries verified or committed per step. At about 1 us per entry, 256 entries take a quarter of a millisecond.
     pub entries_per_slice: usize,
 }
 
 impl Default for FollowerSettings {
-    /// A broken connection is noticed after 12 s at most. This leaves 8 s of the 20 s in which a change has to be in
-    /// force for a pause, the answer and its verification (docs/configuration-distribution.md).
+    /// Returns settings that detect a broken connection within 12 s. Of the 20 s within which a change has to be in
+    /// force, this leaves 8 s for a delay, the answer and its verification (docs/configuration-distribution.md).
     fn default() -> FollowerSettings {
         FollowerSettings {
             poll_wait: Duration::from_secs(10),
--- a/crates/configuration/src/follower/step.rs
+++ b/crates/configuration/src/follower/step.rs
@@ -1,4 +1,5 @@
-//! What a follower tells its driver: the next step, its state, and why a poll failed or an answer was rejected.
+//! The types that a follower returns to its driver: the next step, the status, and the reasons of failed polls and
+//! rejected answers.
 
 use crate::invalid_settings::InvalidSettings;
 use crate::poll::Poll;
@@ -7,43 +8,44 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a poll got no answer.
+/// The reason why a poll failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     /// The connection failed.
     #[error("no answer: {0}")]
     ConnectionFailed(String),
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     #[error("timed out")]
     TimedOut,
     /// The source has no capacity for the poll.
     #[error("the source is busy")]
     Busy,
-    /// The answer is no message.
+    /// The answer is not a valid message.
     #[error("answer not understood: {0}")]
     Malformed(String),
 }
 
-/// Why an answer was rejected.
+/// The reason why an answer was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// A delta for another version than the one in force.
+    /// The delta applies to a different version than the one in force.
     #[error("a delta from version {from}, while {applied} is in force")]
     BaseMismatch {
         /// The version in force.
         applied: Version,
-        /// The version that the delta changes.
+        /// The version to which the delta applies.
         from: Version,
     },
-    /// A delta while no version is in force.
+    /// A delta was received while no version is in force.
     #[error("a delta from version {0}, while none is in force")]
     NoBase(Version),
-    /// The source offers an earlier version.
+    /// The source offers an earlier version than this proxy knows, or a delta that does not result in a later version
+    /// of the same epoch.
     #[error("the source is at version {offered}, which is before {known}")]
     VersionRollback {
-        /// The latest version that this proxy knows: in force, or rejected.
+        /// The version in force, or a later one that this proxy rejected.
         known: Version,
-        /// The source's version.
+        /// The version that the source offers.
         offered: Version,
     },
     /// The source's document of the version in force differs from this proxy's.
@@ -52,9 +54,9 @@
     /// The version cannot be built, or its checksum does not match.
     #[error("version {version}: {error}")]
     Staging {
-        /// The version that was to be built.
+        /// The rejected version.
         version: Version,
-        /// Why it cannot be built.
+        /// The reason why it cannot be built.
         #[source]
         error: StagingError,
     },
@@ -63,33 +65,34 @@
     InvalidSettings {
         /// The rejected version.
         version: Version,
-        /// What is wrong with its settings.
+        /// The reason why its settings are not valid.
         #[source]
         error: InvalidSettings,
     },
-    /// The source repeats a version that was rejected before.
+    /// The source sent a version that was rejected before, or an earlier one.
     #[error("version {0} was rejected already")]
     AlreadyRejected(Version),
 }
 
-/// What the driver does next.
+/// What the driver has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send this poll, and report its end by [`handle_message`](super::Follower::handle_message) or
-    /// [`poll_failed`](super::Follower::poll_failed).
+    /// Send this poll, and report its result with [`handle_message`](super::Follower::handle_message),
+    /// [`poll_failed`](super::Follower::poll_failed) or [`poll_abandoned`](super::Follower::poll_abandoned).
     Poll(Poll),
-    /// There is nothing to do before this time, or before an answer.
+    /// Wait until this time, or until the answer arrives.
     Wait(Duration),
-    /// Call again, at once or after other work: a slice is done, and more are left.
+    /// Call [`next_step`](super::Follower::next_step) again, immediately or after other work: a slice is done, and work
+    /// remains.
     Continue,
-    /// Check the settings of [`candidate`](super::Follower::candidate) and report the verdict by
+    /// Check the settings of [`candidate`](super::Follower::candidate) and report the result with
     /// [`candidate_validated`](super::Follower::candidate_validated).
     Validate,
-    /// Put the settings of this version in force.
+    /// Apply the settings of this version, which is now in force.
     Applied(Version),
-    /// An answer was rejected; report it to the operators.
+    /// Report to the operators that an answer was rejected.
     Rejected(Rejection),
-    /// The poll has failed; report it to the operators.
+    /// Report to the operators that the poll failed.
     PollFailed(Failure),
 }
 
@@ -100,19 +103,20 @@
     Empty,
     /// The version in force is the source's latest, according to the last answer.
     Current,
-    /// The source has a later version, which was rejected here.
+    /// The source has a later version, which this proxy rejected for invalid settings.
     Rejecting(Version),
-    /// The source does not answer, or its answers are rejected.
+    /// The last poll failed, or its answer was not usable for a reason other than invalid settings.
     Disconnected,
 }
 
-/// The state of a follower.
+/// The status of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerStatus {
     /// The version in force.
     pub applied_version: Option<Version>,
-    /// How it relates to the source's.
+    /// How the document in force relates to the source's.
     pub sync_state: SyncState,
-    /// Upper bound of the time since the version in force was the source's latest: since the poll whose answer said so.
+    /// Time since the last poll was sent whose answer confirmed the version in force as the source's latest: an upper
+    /// bound on how long ago the source last had this version as its latest.
     pub age: Option<Duration>,
 }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -1,7 +1,7 @@
-//! The values that the last versions of a source replaced, bounded in number and bytes.
+//! The values that the latest versions of a source replaced, bounded in number of versions and in bytes.
 //!
-//! The values that a version *set* are not kept: a delta that spans several versions takes each entry's present value, or
-//! its absence, so that it contains an entry once, however often the entry was changed.
+//! The values that a version *set* are not stored: a delta across several versions takes the current value of each
+//! entry, or its removal, so it contains an entry at most once, however often the entry changed.
 
 use crate::entry::Key;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,20 +9,20 @@
 /// Bounds of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryBounds {
-    /// Versions.
+    /// Maximum number of versions.
     pub versions: usize,
-    /// Bytes of all names and values, and of the entries' overhead in memory.
+    /// Maximum bytes of all names and values, including the memory overhead of the entries.
     pub bytes: usize,
 }
 
 impl Default for HistoryBounds {
-    /// Two and a half days at 1,600 changes a day, and the bytes of a few full documents.
+    /// Returns bounds for two and a half days at 1,600 changes a day, and for the bytes of several full documents.
     fn default() -> HistoryBounds {
         HistoryBounds { versions: 4_096, bytes: 32 * 1024 * 1024 }
     }
 }
 
-/// Entries and their values before a change; `None` where the entry did not exist.
+/// Entries and their values before a change; `None` for an entry that did not exist.
 pub type PreviousValues = BTreeMap<Key, Option<Box<str>>>;
 
 /// The values that one version replaced.
@@ -32,7 +32,7 @@
     bytes: usize,
 }
 
-/// The values that the last versions replaced, the latest version last.
+/// The values that the latest versions replaced, oldest version first.
 #[derive(Debug)]
 pub struct History {
     bounds: HistoryBounds,
@@ -40,7 +40,7 @@
     bytes: usize,
 }
 
-/// Memory of an entry besides its texts, bytes: key, value and their places in the map.
+/// Memory overhead of an entry besides its texts, bytes: the key, the value and their slots in the map.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 fn entry_bytes((key, value): (&Key, &Option<Box<str>>)) -> usize {
@@ -48,12 +48,12 @@
 }
 
 impl History {
-    /// An empty history.
+    /// Creates an empty history.
     pub fn new(bounds: HistoryBounds) -> History {
         History { bounds, versions: VecDeque::new(), bytes: 0 }
     }
 
-    /// Adds the values that one more version replaced, and drops the oldest versions beyond the bounds.
+    /// Adds the values that a new version replaced, and drops the oldest versions beyond the bounds.
     pub fn push(&mut self, values: PreviousValues) {
         let bytes = values.iter().map(entry_bytes).sum();
         self.bytes += bytes;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// All entries that the last `versions` versions changed, with their values before these versions; `None` where the
-    /// history does not reach back so far.
+    /// Returns all entries that the last `versions` versions changed, with their values before those versions; `None`
+    /// if the history has fewer versions.
     pub fn previous_values(&self, versions: u64) -> Option<PreviousValues> {
         let versions = usize::try_from(versions).ok()?;
         let first = self.versions.len().checked_sub(versions)?;
@@ -80,17 +80,17 @@
         Some(earliest)
     }
 
-    /// Number of versions kept.
+    /// Returns the number of versions in the history.
     pub fn len(&self) -> usize {
         self.versions.len()
     }
 
-    /// Whether no version is kept.
+    /// Returns whether the history is empty.
     pub fn is_empty(&self) -> bool {
         self.versions.is_empty()
     }
 
-    /// Bytes kept.
+    /// Returns the size of the history, bytes, including the memory overhead of the entries.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,20 +1,20 @@
 //! Distribution of settings to all proxies, sans-IO: one source publishes versions of a document of named entries, and
-//! each proxy follows it by deltas. A version is applied completely or not at all: the checksum over the document has to
-//! match, and its settings have to pass the proxy's own checks, before anything of it is in force.
-//! docs/configuration-distribution.md holds the bounds, the messages and the alternatives considered.
+//! each proxy follows the source by applying deltas. A version is applied completely or not at all: before any of its
+//! entries takes effect, the checksum over the document has to match and the settings have to pass the proxy's own
+//! checks. docs/configuration-distribution.md describes the bounds, the messages and the alternatives.
 //!
 //! - [`entry`]: sections, keys and entries;
-//! - [`document`]: all entries in their canonical order, and the settings object that they represent;
+//! - [`document`]: all entries in their canonical order, and the settings object they represent;
 //! - [`checksum`]: an incremental checksum over all entries;
-//! - [`version`]: the source's epoch and a number that only rises;
-//! - [`delta`]: the change from one version to another, and a full document;
-//! - [`message`]: the source's answers; [`encode`] and [`decode`] are their texts;
-//! - [`poll`]: a follower's request; [`invalid_settings`]: the verdict of its own checks;
-//! - [`staging`]: building a version in bounded slices without touching the one in force;
-//! - [`follower`]: the proxy's side; [`backoff`]: its pauses after failures;
-//! - [`history`] and [`source`]: the publishing side; [`long_poll`]: its bounded queue of open polls.
+//! - [`version`]: the source's epoch and a number that increases with each version;
+//! - [`delta`]: the changes between two versions, and the full document of a version;
+//! - [`message`]: the source's answers; [`encode`] and [`decode`] convert them to and from JSON text;
+//! - [`poll`]: a follower's request; [`invalid_settings`]: the error of a proxy's own checks;
+//! - [`staging`]: building a version in bounded slices without modifying the one in force;
+//! - [`follower`]: the proxy's side; [`backoff`]: its delays after failures;
+//! - [`history`] and [`source`]: the publishing side; [`long_poll`]: the bounded queue of open polls.
 //!
-//! Time is a span since the process began, by a clock that never steps back; clocks of different processes are not
+//! Times are durations since the start of the process on a monotonic clock; times of different processes are never
 //! compared.
 
 pub mod backoff;
--- a/crates/configuration/src/long_poll.rs
+++ b/crates/configuration/src/long_poll.rs
@@ -1,8 +1,8 @@
-//! The followers of a source that have a poll open: those that wait for a later version, and those that receive an
-//! answer.
+//! The bounded queue of open polls of a source: polls that wait for a later version, and polls whose answer is being
+//! sent.
 //!
-//! A follower has one poll at a time. Its answer is shared with all followers that get the same one, so that a slow
-//! follower costs the source a pointer and a place until its time is over, and delays no other.
+//! Each follower has at most one poll. All followers that get the same answer share its text, so a slow follower costs
+//! the source a pointer and a queue entry until its timeout, and does not delay other followers.
 
 use crate::poll::Poll;
 use crate::source::{Source, SourceAnswer};
@@ -10,20 +10,20 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// Bounds of a queue.
+/// Bounds of a queue of long polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueBounds {
-    /// Followers with a poll at a time: three times the 1,200 planned for.
+    /// Maximum followers with an open poll: more than three times the planned 1,200.
     pub max_followers: usize,
-    /// An answer that the follower has not received completely by then is given up.
+    /// Time within which a follower has to receive its answer completely; after that its connection is closed.
     pub answer_timeout: Duration,
-    /// Bytes of all answers being sent; one that several followers receive counts once.
+    /// Maximum bytes of all answers being sent; an answer to several followers counts once.
     pub max_buffered_bytes: usize,
-    /// Followers that receive an answer of over [`LARGE_ANSWER_BYTES`] at a time; others get [`PollReply::Busy`].
-    /// Without this bound, when all followers request the full document at once, each would get so little of the source's
-    /// bandwidth that none would have received it before the timeout.
+    /// Maximum followers that receive an answer of more than [`LARGE_ANSWER_BYTES`] at a time; others get
+    /// [`PollReply::Busy`]. Without this bound, if all followers request the full document at once, each gets such a
+    /// small share of the source's bandwidth that none receives the document before the timeout.
     pub max_large_answers: usize,
-    /// The longest wait of a poll, whatever it requests.
+    /// Maximum wait of a poll; longer requested waits are shortened to it.
     pub max_wait: Duration,
 }
 
@@ -39,35 +39,35 @@
     }
 }
 
-/// An answer of more bytes counts as large: a delta of hundreds of entries is smaller.
+/// Answers of more bytes count as large; a delta of hundreds of entries is smaller.
 pub const LARGE_ANSWER_BYTES: usize = 64 * 1024;
 
-/// A connection of a follower, as the driver numbers it.
+/// Identifies a follower's connection; assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FollowerId(pub u64);
 
 /// The reply to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollReply {
-    /// Write this answer, and report the progress by [`LongPollQueue::bytes_written`].
+    /// Write this answer, and report the progress with [`LongPollQueue::bytes_written`].
     Write(Arc<str>),
-    /// The poll waits; there is nothing to write yet.
+    /// The poll waits for a later version; there is nothing to write yet.
     Parked,
     /// There is no capacity: report that the source is busy, and close the connection.
     Busy,
 }
 
-/// What happens to a follower whose time is over.
+/// What the driver has to do for a follower whose wait or answer timeout has expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// The wait of its poll is over: write this answer.
+    /// The wait of the poll has ended: write this answer.
     Write {
         /// The follower.
         follower: FollowerId,
-        /// That nothing has changed.
+        /// The message that there is no later version.
         answer: Arc<str>,
     },
-    /// It has not received its answer in time, or there is no capacity for one: close its connection.
+    /// The follower has not received its answer in time, or there is no capacity for an answer: close its connection.
     Close {
         /// The follower.
         follower: FollowerId,
@@ -97,34 +97,34 @@
 pub struct LongPollQueue {
     bounds: QueueBounds,
     polls: BTreeMap<FollowerId, PollState>,
-    /// Answers that may still be being sent, each once.
+    /// Answers that may still be in transmission, without duplicates.
     answers: Vec<Weak<str>>,
 }
 
 impl LongPollQueue {
-    /// A queue without polls.
+    /// Creates an empty queue.
     pub fn new(bounds: QueueBounds) -> LongPollQueue {
         LongPollQueue { bounds, polls: BTreeMap::new(), answers: Vec::new() }
     }
 
-    /// Number of followers with a poll.
+    /// Returns the number of followers with an open poll.
     pub fn len(&self) -> usize {
         self.polls.len()
     }
 
-    /// Whether no follower has a poll.
+    /// Returns whether no follower has an open poll.
     pub fn is_empty(&self) -> bool {
         self.polls.is_empty()
     }
 
-    /// Bytes of all answers being sent.
+    /// Returns the bytes of all answers that are being sent, or that were sent and are still cached by the source.
     pub fn buffered_bytes(&mut self) -> usize {
         self.answers.retain(|answer| answer.strong_count() > 0);
         self.answers.iter().filter_map(Weak::upgrade).map(|answer| answer.len()).sum()
     }
 
-    /// Handles a follower's poll. A poll while the answer to the previous one is being sent violates the protocol and
-    /// gets [`PollReply::Busy`].
+    /// Handles a follower's poll. A poll while the previous one is still open violates the protocol and gets
+    /// [`PollReply::Busy`].
     pub fn poll(&mut self, source: &mut Source, now: Duration, id: FollowerId, poll: Poll) -> PollReply {
         if self.polls.len() >= self.bounds.max_followers || self.polls.contains_key(&id) {
             return PollReply::Busy;
@@ -149,7 +149,7 @@
         PollReply::Write(answer)
     }
 
-    /// Whether one more follower may receive this answer, which then counts as being sent.
+    /// Returns whether one more follower may receive this answer, and if so counts the answer as being sent.
     fn reserve_capacity(&mut self, answer: &Arc<str>) -> bool {
         let is_large = answer.len() > LARGE_ANSWER_BYTES;
         if is_large && self.large_answers() >= self.bounds.max_large_answers {
@@ -169,7 +169,7 @@
         self.polls.values().filter(|state| state.is_large_answer()).count()
     }
 
-    /// After the source has published: the replies to the polls that waited for it.
+    /// Returns the replies to waiting polls after the source has published a version.
     pub fn publish(&mut self, source: &mut Source, now: Duration) -> Vec<(FollowerId, PollReply)> {
         let parked = |(id, state): (&FollowerId, &PollState)| match state {
             PollState::Parked { poll, .. } => Some((*id, *poll)),
@@ -185,7 +185,7 @@
         replies
     }
 
-    /// Records that a follower has received so many more bytes; after the last one it may poll again.
+    /// Records that `bytes` more bytes of the answer were written; after the last one the follower may poll again.
     pub fn bytes_written(&mut self, id: FollowerId, bytes: usize) {
         if let Some(PollState::Writing { answer, written_bytes, .. }) = self.polls.get_mut(&id) {
             *written_bytes += bytes;
@@ -195,12 +195,12 @@
         }
     }
 
-    /// Removes a follower whose connection has ended.
+    /// Removes the poll of a follower whose connection was closed.
     pub fn disconnect(&mut self, id: FollowerId) {
         self.polls.remove(&id);
     }
 
-    /// Ends the waits and the answers whose time is over.
+    /// Ends the waits and answers whose time has expired, and returns what the driver has to do for each follower.
     pub fn expire(&mut self, source: &Source, now: Duration) -> Vec<Eviction> {
         let expired = self.polls.iter().filter(|(_, state)| state.expires_at() <= now);
         let expired: Vec<FollowerId> = expired.map(|(id, _)| *id).collect();
--- a/crates/configuration/src/message_fields.rs
+++ b/crates/configuration/src/message_fields.rs
@@ -1,4 +1,4 @@
-//! The keys of a message's JSON text, before it is known whether they fit its kind.
+//! The keys of a message's JSON text, before they are checked against the kind of message.
 
 use crate::checksum::Checksum;
 use crate::document::MAX_ENTRIES;
@@ -24,7 +24,7 @@
     pub(crate) removed: Option<Sections<Names>>,
 }
 
-/// One item for each section.
+/// One value for each section.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, bound(deserialize = "T: Default + Deserialize<'de>"))]
 pub(crate) struct Sections<T> {
@@ -34,13 +34,13 @@
 }
 
 impl<T> Sections<T> {
-    /// The items in the canonical order of their sections.
+    /// Returns the values with their sections, in canonical order.
     pub(crate) fn into_items(self) -> [(Section, T); 3] {
         [(Section::Base, self.base), (Section::Profiles, self.profiles), (Section::Customers, self.customers)]
     }
 }
 
-/// A value that is written as its text.
+/// A value that is parsed from a JSON string.
 pub(crate) struct Text<T>(pub(crate) T);
 
 impl<'de, T: FromStr<Err: fmt::Display>> Deserialize<'de> for Text<T> {
@@ -114,7 +114,8 @@
     }
 }
 
-/// Stops reading where there are too many entries: small ones take several times the bytes of their text in memory.
+/// Rejects a section with too many entries while it is read, as small entries take several times the bytes of their
+/// text in memory.
 fn check_count<E: serde::de::Error>(entries: usize) -> Result<(), E> {
     if entries > MAX_ENTRIES {
         return Err(E::custom(format_args!("more than {MAX_ENTRIES} entries in a section")));
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,4 +1,4 @@
-//! The publishing side: the one owner of the document, its versions, and the answers to followers.
+//! The publishing side: the source owns the document, publishes its versions and answers the polls of followers.
 
 use crate::delta::{Delta, FullDocument};
 use crate::document::{to_settings, Document, DocumentError};
@@ -15,33 +15,33 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A version that was published.
+/// A published version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Publication {
     /// The version.
     pub version: Version,
-    /// Number of entries that are new or have another value.
+    /// Number of entries that are new or have a different value.
     pub changed: usize,
-    /// Number of entries removed.
+    /// Number of removed entries.
     pub removed: usize,
 }
 
-/// Why nothing was published; the latest version stays the same.
+/// The reason why a version was not published; the latest version stays the same.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// No document can hold the settings.
+    /// A document cannot hold the settings.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// The changes do not fit the document.
+    /// The changes cannot be applied to the document.
     #[error(transparent)]
     Staging(#[from] StagingError),
     /// The check rejects the settings.
     #[error("invalid settings: {0}")]
     InvalidSettings(#[from] InvalidSettings),
-    /// Nothing differs from the latest version.
+    /// There is no difference from the latest version.
     #[error("nothing changes")]
     NoChange,
-    /// The history does not reach back to the version that is to be restored.
+    /// The history does not reach back to the version to be restored.
     #[error("version {0} is not kept")]
     VersionNotRetained(Version),
 }
@@ -49,32 +49,33 @@
 /// The source's answer to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceAnswer {
-    /// The text of a message.
+    /// Send this text of a message now.
     Now(Arc<str>),
-    /// The poll waits until there is something later, or for [`Source::unchanged_message`] when its wait is over.
+    /// Hold the poll until a later version is published; when the wait ends, answer with
+    /// [`Source::unchanged_message`].
     Later,
 }
 
-/// The document's owner.
+/// The owner of the document and its versions.
 #[derive(Debug)]
 pub struct Source {
     version: Version,
     document: Document,
     history: History,
-    /// Texts of answers at the latest version, by the version that the followers have.
+    /// Texts of answers that lead to the latest version, by the version of the follower.
     cached_answers: BTreeMap<Option<Version>, Arc<str>>,
 }
 
-/// Most followers have the same version, and those that missed some have one of a few others.
+/// Most followers have the same version; the others have one of a few earlier versions.
 const MAX_CACHED_ANSWERS: usize = 16;
-/// The source verifies and commits its own changes at once.
+/// The source verifies and commits its own changes in a single slice.
 const ALL_ENTRIES: usize = usize::MAX;
 
 impl Source {
-    /// Begins an epoch with these settings as its first version. `check` is the check that followers make, too.
+    /// Starts an epoch with these settings as its first version. `check` should be the same check that followers run.
     ///
     /// # Errors
-    /// No document can hold the settings, or the check rejects them.
+    /// Returns an error if a document cannot hold the settings, or if `check` rejects them.
     pub fn new(
         epoch: u64, settings: &Value, bounds: HistoryBounds,
         check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
@@ -89,17 +90,17 @@
         })
     }
 
-    /// The latest version.
+    /// Returns the latest version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The document of the latest version.
+    /// Returns the document of the latest version.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// What the earlier versions replaced.
+    /// Returns the values that recent versions replaced.
     pub fn history(&self) -> &History {
         &self.history
     }
@@ -107,7 +108,7 @@
     /// Publishes these settings as the next version.
     ///
     /// # Errors
-    /// The settings are not valid, or nothing changes.
+    /// Returns an error if the settings are not valid, or if they do not differ from the latest version.
     pub fn publish(
         &mut self, settings: &Value, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
@@ -118,10 +119,10 @@
         self.publish_changes(changed, removed.cloned().collect(), check)
     }
 
-    /// Publishes changes of single entries as the next version.
+    /// Publishes changes of individual entries as the next version.
     ///
     /// # Errors
-    /// The changes are not valid, or there are none.
+    /// Returns an error if the changes or the resulting settings are not valid, or if there are no changes.
     pub fn publish_changes(
         &mut self, changed: Vec<Entry>, removed: Vec<Key>,
         check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
@@ -145,7 +146,7 @@
         Ok(publication)
     }
 
-    /// The verified changes of the document.
+    /// Stages and verifies changes of the document.
     fn stage(
         &self, to: Version, changed: Vec<Entry>, removed: Vec<Key>,
     ) -> Result<StagedUpdate, PublishError> {
@@ -165,10 +166,11 @@
         Ok(staged)
     }
 
-    /// Reverts everything after `version` by publishing a new version with the entries of that one.
+    /// Reverts all changes after `version` by publishing a new version with the same entries as `version`.
     ///
     /// # Errors
-    /// The history does not reach back to that version, or its settings are no longer valid.
+    /// Returns an error if the history does not reach back to `version`, if its settings are no longer valid, or if
+    /// they do not differ from the latest version.
     pub fn revert_to(
         &mut self, version: Version, check: impl FnOnce(&Value) -> Result<(), InvalidSettings>,
     ) -> Result<Publication, PublishError> {
@@ -185,7 +187,7 @@
         self.publish_changes(changed, removed, check)
     }
 
-    /// The values at `version` of all entries that were changed since.
+    /// Returns the values at `version` of all entries changed since; `None` if the history does not reach back to it.
     fn values_at(&self, version: Version) -> Option<PreviousValues> {
         if version.epoch != self.version.epoch {
             return None;
@@ -193,24 +195,25 @@
         self.history.previous_values(self.version.number.checked_sub(version.number)?)
     }
 
-    /// The answer to a poll.
+    /// Returns the answer to a poll.
     pub fn answer_poll(&mut self, poll: &Poll) -> SourceAnswer {
         let latest = self.version;
         let known = poll.after.max(poll.rejected_version);
         match known {
-            // The follower knows a later version: this source was rolled back, which the follower reports.
+            // The follower knows a later version, so this source was rolled back. The answer lets the follower report
+            // that.
             Some(known) if known > latest => SourceAnswer::Now(self.unchanged_message()),
             Some(known) if known == latest => SourceAnswer::Later,
             _ => SourceAnswer::Now(self.update_message(poll.after)),
         }
     }
 
-    /// The answer to a poll whose wait is over.
+    /// Returns the answer to a poll whose wait has ended.
     pub fn unchanged_message(&self) -> Arc<str> {
         encode(&Message::Unchanged(self.version)).into()
     }
 
-    /// The message that brings a follower from `after` to the latest version.
+    /// Returns the message that updates a follower from `after` to the latest version, from the cache where possible.
     fn update_message(&mut self, after: Option<Version>) -> Arc<str> {
         if let Some(text) = self.cached_answers.get(&after) {
             return text.clone();
@@ -227,8 +230,8 @@
         text
     }
 
-    /// The change from `after` to the latest version; `None` where the history does not reach back so far, or where the
-    /// change is larger than the full document.
+    /// Returns the changes from `after` to the latest version; `None` if the history does not reach back to `after`, or
+    /// if the changes are not smaller than the full document.
     pub fn delta(&self, after: Version) -> Option<Delta> {
         let mut changed = Vec::new();
         let mut removed = Vec::new();
@@ -249,7 +252,7 @@
         (bytes < self.document.bytes()).then_some(delta)
     }
 
-    /// All entries of the latest version.
+    /// Returns all entries of the latest version.
     pub fn full_document(&self) -> FullDocument {
         FullDocument {
             version: self.version,
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -1,7 +1,8 @@
-//! A version that is built without touching the document in force, a bounded number of entries at a time.
+//! Builds a version without modifying the document in force, a bounded number of entries at a time.
 //!
-//! The document in force stays as it is until the checksum over the new one matches and its settings are found valid.
-//! From then on nothing can fail, and the entries are moved into the document in force, again in slices.
+//! The document in force stays unchanged until the checksum over the new document matches and its settings are valid.
+//! After that no step can fail: the changes are moved into the document in force in slices, or a full document replaces
+//! it in one step.
 
 mod error;
 mod overlay;
@@ -16,16 +17,16 @@
 
 pub use error::StagingError;
 
-/// How far a version has been verified or committed.
+/// Whether verifying or committing a version is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Entries are left.
+    /// Entries remain to be processed.
     More,
     /// All entries are processed.
     Done,
 }
 
-/// A version on its way to be applied.
+/// A version that is being verified or committed.
 #[derive(Clone, Debug)]
 pub struct StagedUpdate {
     target: Version,
@@ -35,14 +36,14 @@
 
 #[derive(Clone, Debug)]
 enum Content {
-    /// Changes of the document in force.
+    /// Changes to the document in force.
     Delta { pending: std::vec::IntoIter<Change>, overlay: Overlay },
-    /// Replaces the document in force.
+    /// A full document that replaces the document in force.
     FullDocument { pending: std::vec::IntoIter<Entry>, document: Document },
 }
 
 impl StagedUpdate {
-    /// Stages a delta for the document in force.
+    /// Stages a delta for `base`, the document in force.
     pub fn from_delta(delta: Delta, base: &Document) -> StagedUpdate {
         let removed = delta.removed.into_iter().map(|key| Change { key, value: None });
         let mut changes: Vec<Change> = removed.collect();
@@ -65,20 +66,20 @@
         }
     }
 
-    /// The version that is staged.
+    /// Returns the staged version.
     pub fn target(&self) -> Version {
         self.target
     }
 
-    /// Whether the version replaces the document in force.
+    /// Returns whether the version is a full document.
     pub fn is_full_document(&self) -> bool {
         matches!(self.content, Content::FullDocument { .. })
     }
 
-    /// Verifies up to `max_entries` more entries; after the last one the checksum over the document is compared.
+    /// Verifies up to `max_entries` more entries, and compares the checksum over the document after the last one.
     ///
     /// # Errors
-    /// The first fault of the version; nothing of it may be used then.
+    /// Returns the first error found in the version, which must not be committed then.
     pub fn verify(&mut self, base: &Document, max_entries: usize) -> Result<Progress, StagingError> {
         let verified = match &mut self.content {
             Content::Delta { pending, overlay } => verify_changes(pending, overlay, base, max_entries)?,
@@ -92,7 +93,8 @@
         Ok(Progress::Done)
     }
 
-    /// Moves up to `max_entries` more entries into the document in force. Only after all entries were verified.
+    /// Moves up to `max_entries` more changes into the document in force, or replaces it by a full document. May only
+    /// be called after all entries were verified.
     pub fn commit(&mut self, base: &mut Document, max_entries: usize) -> Progress {
         let is_done = match &mut self.content {
             Content::Delta { overlay, .. } => overlay.commit(base, max_entries),
@@ -108,13 +110,13 @@
         }
     }
 
-    /// The resulting document. Only after all entries were verified, and before any of them is committed.
+    /// Returns the resulting document. May only be called after all entries were verified and before any is committed.
     pub fn candidate<'a>(&'a self, base: &'a Document) -> Candidate<'a> {
         Candidate { base, staged: self }
     }
 }
 
-/// The checksum after the last change, `None` where changes are left.
+/// Verifies up to `max_changes` more changes; returns the checksum after the last one, or `None` if changes remain.
 fn verify_changes(
     pending: &mut std::vec::IntoIter<Change>, overlay: &mut Overlay, base: &Document, max_changes: usize,
 ) -> Result<Option<Checksum>, StagingError> {
@@ -128,7 +130,7 @@
     Ok(Some(overlay.checksum()))
 }
 
-/// The checksum after the last entry, `None` where entries are left.
+/// Verifies up to `max_entries` more entries; returns the checksum after the last one, or `None` if entries remain.
 fn verify_entries(
     pending: &mut std::vec::IntoIter<Entry>, document: &mut Document, max_entries: usize,
 ) -> Result<Option<Checksum>, StagingError> {
@@ -146,22 +148,22 @@
     Ok(Some(document.checksum()))
 }
 
-/// A verified version before it is in force.
+/// A verified version that is not yet in force.
 pub struct Candidate<'a> {
     base: &'a Document,
     staged: &'a StagedUpdate,
 }
 
 impl Candidate<'_> {
-    /// The version of the candidate.
+    /// Returns the version of the candidate.
     pub fn version(&self) -> Version {
         self.staged.target
     }
 
-    /// The candidate's settings object.
+    /// Builds the candidate's settings object.
     ///
     /// # Errors
-    /// The first entry whose value is not valid.
+    /// Returns the first entry whose value is not valid.
     pub fn to_settings(&self) -> Result<Value, DocumentError> {
         match &self.staged.content {
             Content::Delta { overlay, .. } => to_settings(overlay.merged(self.base)),
--- a/crates/configuration/src/staging/overlay.rs
+++ b/crates/configuration/src/staging/overlay.rs
@@ -1,4 +1,4 @@
-//! Changes laid over a document that stays untouched.
+//! Changes to a document, stored separately so that the document itself stays unmodified.
 
 use super::error::StagingError;
 use crate::checksum::Checksum;
@@ -7,17 +7,17 @@
 use std::collections::{btree_map, BTreeMap};
 use std::iter::Peekable;
 
-/// The new value of an entry; `None` removes it.
+/// The new value of an entry; `None` removes the entry.
 pub(super) type NewValue = Option<Box<str>>;
 
-/// A new value for one entry.
+/// A change of one entry.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) key: Key,
     pub(super) value: NewValue,
 }
 
-/// Changes of a document, with the size and the checksum that result from them.
+/// Changes to a document, and the size and checksum of the resulting document.
 #[derive(Clone, Debug)]
 pub(super) struct Overlay {
     changes: BTreeMap<Key, NewValue>,
@@ -27,7 +27,7 @@
 }
 
 impl Overlay {
-    /// No changes of `base`.
+    /// Creates an overlay without changes for `base`.
     pub(super) fn new(base: &Document) -> Overlay {
         Overlay {
             changes: BTreeMap::new(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds a change of `base`, the document that the overlay was made for.
+    /// Adds a change of an entry of `base`, which has to be the document for which the overlay was created.
     pub(super) fn add(&mut self, base: &Document, change: Change) -> Result<(), StagingError> {
         let Change { key, value } = change;
         check_key(&key)?;
@@ -63,17 +63,17 @@
         Ok(())
     }
 
-    /// Checks the size of the resulting document.
+    /// Checks that the resulting document is not too large.
     pub(super) fn check_size(&self) -> Result<(), DocumentError> {
         check_size(self.entries, self.bytes)
     }
 
-    /// Checksum over all entries of the resulting document.
+    /// Returns the checksum over all entries of the resulting document.
     pub(super) fn checksum(&self) -> Checksum {
         self.checksum
     }
 
-    /// Moves up to `max_changes` changes into `base`; returns whether none is left.
+    /// Moves up to `max_changes` changes into `base`; returns whether all changes have been moved.
     pub(super) fn commit(&mut self, base: &mut Document, max_changes: usize) -> bool {
         for _ in 0..max_changes {
             let Some((key, value)) = self.changes.pop_first() else { return true };
@@ -85,13 +85,13 @@
         self.changes.is_empty()
     }
 
-    /// The entries of the resulting document in their canonical order.
+    /// Iterates over the entries of the resulting document in canonical order.
     pub(super) fn merged<'a>(&'a self, base: &'a Document) -> impl Iterator<Item = (&'a Key, &'a str)> {
         Merged { base: base.iter().peekable(), changes: self.changes.iter().peekable() }
     }
 }
 
-/// Merges two sorted sequences; a change takes the place of the base's entry of the same key.
+/// Merges two sorted sequences; a change replaces the base's entry with the same key.
 struct Merged<'a, I: Iterator<Item = (&'a Key, &'a str)>> {
     base: Peekable<I>,
     changes: Peekable<btree_map::Iter<'a, Key, NewValue>>,
--- a/crates/configuration/src/version.rs
+++ b/crates/configuration/src/version.rs
@@ -4,26 +4,26 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The epoch of a source and a number within it; a later version is greater.
+/// The epoch of a source and a number within that epoch; later versions compare greater.
 ///
-/// A source that starts without its history chooses an epoch greater than every epoch before, for example the Unix time
-/// of that start in milliseconds. Within an epoch the number rises by one with every version and never falls: a change
-/// is reverted by publishing a later version.
+/// A source that starts without its history chooses an epoch greater than all earlier ones, for example the Unix time
+/// of its start in milliseconds. Within an epoch the number increases by one with each version and never decreases: a
+/// change is reverted by publishing a later version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// Identifies the source's start without history.
+    /// Identifies the start of the source without history.
     pub epoch: u64,
-    /// Counts the versions of that epoch from 1.
+    /// Number of the version within its epoch, starting at 1.
     pub number: u64,
 }
 
 impl Version {
-    /// The first version of an epoch.
+    /// Returns the first version of an epoch.
     pub fn first(epoch: u64) -> Version {
         Version { epoch, number: 1 }
     }
 
-    /// The version after this one.
+    /// Returns the version that follows this one in the same epoch.
     pub fn next(self) -> Version {
         Version { number: self.number + 1, ..self }
     }
@@ -35,12 +35,12 @@
     }
 }
 
-/// A text that is no version.
+/// The error for a text that is not a version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("expected a version as EPOCH-NUMBER, got {0:?}")]
 pub struct VersionError(String);
 
-/// Characters of an invalid text that an error quotes: two numbers of full length, and a few more.
+/// Maximum characters of an invalid text in an error message: two `u64` numbers of full length and a few more.
 const MAX_QUOTED_CHARS: usize = 48;
 
 impl FromStr for Version {
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests of this crate: settings of any size, and a follower driven by hand.
+//! Helpers for the tests of this crate: settings of any size, and a driver that steps a follower.
 #![allow(dead_code)]
 
 use lotusdeck_configuration::history::HistoryBounds;
@@ -16,7 +16,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Settings with the given numbers of profiles and customers.
+/// Returns settings with the given numbers of profiles and customers.
 pub(crate) fn settings(profiles: usize, customers: usize) -> Value {
     let profile =
         |index| json!({"name": format!("class-{index}"), "aim_us": 250_000, "deadline_us": 500_000});
@@ -29,7 +29,7 @@
     })
 }
 
-/// Settings are invalid only where a customer has a quota below 0.
+/// Checks that no customer has a quota below 0.
 pub(crate) fn check(settings: &Value) -> Result<(), InvalidSettings> {
     let customers =
         settings["customers"].as_array().ok_or_else(|| InvalidSettings::new("customers: missing"))?;
@@ -54,24 +54,24 @@
     Key::new(Section::Customers, &format!("tenant-{customer}"))
 }
 
-/// Sets the quota of one customer.
+/// Publishes a version with another quota of one customer.
 pub(crate) fn publish_quota(source: &mut Source, customer: usize, to: f64) -> Version {
     source.publish_changes(vec![quota_entry(customer, to)], Vec::new(), check).unwrap().version
 }
 
-/// Publishes the given number of versions, each with another quota of the same customer.
+/// Publishes the given number of versions, each with a different quota of the same customer.
 pub(crate) fn publish_quotas(source: &mut Source, versions: usize) {
     for quota in 0..versions {
         publish_quota(source, 1, quota as f64);
     }
 }
 
-/// The outcome of working on an answer.
+/// The result of processing an answer.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Outcome {
     Applied(Version),
     Rejected(Rejection),
-    /// Nothing to do but to wait or to poll.
+    /// The follower waits or wants to poll.
     Idle,
 }
 
@@ -79,9 +79,9 @@
 pub(crate) struct FollowerDriver {
     pub follower: Follower,
     pub now: Duration,
-    /// Slices worked on.
+    /// Number of slices processed.
     pub slices: usize,
-    /// Settings of the last version applied.
+    /// The last applied version and its settings.
     pub in_force: Option<(Version, Value)>,
 }
 
@@ -91,7 +91,7 @@
         FollowerDriver { follower, now: Duration::ZERO, slices: 0, in_force: None }
     }
 
-    /// The next poll; time moves on to the end of any pause.
+    /// Returns the next poll, and advances time to the end of any delay before it.
     pub(crate) fn next_poll(&mut self) -> Poll {
         loop {
             match self.follower.next_step(self.now) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Delivers an answer and works on it to its end.
+    /// Delivers an answer and processes it completely.
     pub(crate) fn deliver(&mut self, message: Message) -> Outcome {
         self.follower.handle_message(self.now, message);
         self.work()
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Polls the source and works on its answer; `Idle` where it has nothing later.
+    /// Polls the source and processes its answer; returns `Idle` if the source has no later version.
     pub(crate) fn poll_source(&mut self, source: &mut Source) -> Outcome {
         let poll = self.next_poll();
         match source.answer_poll(&poll) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Both the follower's document and the settings in force are this document.
+    /// Asserts that the follower's document and the applied settings both equal `document`.
     pub(crate) fn assert_in_force(&self, document: &Document) {
         assert_eq!(self.follower.document(), document);
         let (version, settings) = self.in_force.as_ref().unwrap();
--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -1,5 +1,5 @@
-//! A source and its followers in virtual time: connections of bounded bandwidth, polls, answers and pauses. Every proxy is a
-//! real follower of a small document; a full document counts with the bytes of a large one.
+//! A simulation of a source and its followers in virtual time, with connections of bounded bandwidth. Every proxy is a
+//! real follower of a small document; sending a full document takes as many bytes as a large one has.
 
 use lotusdeck_configuration::long_poll::{Eviction, FollowerId, LongPollQueue, PollReply, QueueBounds};
 use lotusdeck_configuration::{
@@ -8,24 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Network and machines.
+/// Properties of the simulated network and machines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
-    /// Bytes a second that the source sends to all proxies together.
+    /// Bytes per second that the source can send to all proxies together.
     pub source_bandwidth: u64,
-    /// Bytes a second that one proxy receives.
+    /// Bytes per second that one proxy can receive.
     pub proxy_bandwidth: u64,
-    /// Time from one end to the other, without that for its bytes.
+    /// One-way latency, without the transmission time of the bytes.
     pub latency: Duration,
-    /// Bytes of a full document.
+    /// Bytes that sending a full document takes.
     pub full_document_bytes: u64,
-    /// Time from the last byte of an answer until its settings are read.
+    /// Time from the last byte of an answer until the proxy has read its settings.
     pub read_time: Duration,
 }
 
-/// Virtual time moves on by this.
+/// Step of the virtual time.
 const TICK: Duration = Duration::from_millis(10);
-/// Bytes of headers and of the connection for every poll and every answer.
+/// Overhead of headers and connection for every poll and every answer, bytes.
 const HEADER_BYTES: u64 = 200;
 
 enum Connection {
@@ -46,11 +46,11 @@
     pub follower: Follower,
     pub starts: Duration,
     pub bandwidth: u64,
-    /// It does nothing, and its connection stays open.
+    /// Whether the proxy does nothing while its connection stays open.
     pub stuck: bool,
-    /// Bytes in both directions.
+    /// Bytes transferred in both directions.
     pub bytes: u64,
-    /// The version applied last, and when.
+    /// The last applied version and the time at which it was applied.
     pub applied: Option<AppliedAt>,
     connection: Connection,
 }
@@ -60,17 +60,17 @@
     pub queue: LongPollQueue,
     pub proxies: Vec<Proxy>,
     pub now: Duration,
-    /// The largest number of bytes of answers that the queue buffered at a time.
+    /// The maximum bytes of answers that the queue buffered at a time.
     pub max_buffered: usize,
-    /// Polls for which there was no capacity.
+    /// Number of polls for which the source had no capacity.
     pub busy: u64,
-    /// Connections closed as the answer was not received in time.
+    /// Number of connections closed because the answer was not received in time.
     pub closed: u64,
     conditions: Conditions,
 }
 
 impl Rollout {
-    /// The given number of proxies, whose starts are spread evenly over `within`.
+    /// Creates a rollout to the given number of proxies, whose starts are spread evenly over `within`.
     pub(crate) fn new(
         source: Source, proxies: u64, within: Duration, bounds: QueueBounds, conditions: Conditions,
     ) -> Rollout {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Runs until all have the source's version, for `max` at the longest; returns how many have it.
+    /// Runs until all proxies have the source's version, or for at most `max`; returns how many have it.
     pub(crate) fn run(&mut self, max: Duration) -> usize {
         let end = self.now + max;
         while self.now < end && self.current() < self.proxies.len() {
@@ -105,7 +105,7 @@
         self.current()
     }
 
-    /// Runs for this span.
+    /// Runs for this duration.
     pub(crate) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -119,7 +119,7 @@
         self.proxies.iter().filter(|proxy| proxy.follower.applied_version() == version).count()
     }
 
-    /// Sends what the source has published.
+    /// Answers waiting polls with the version that the source has published.
     pub(crate) fn distribute(&mut self) {
         for (id, reply) in self.queue.publish(&mut self.source, self.now) {
             self.reply(id, reply);
@@ -165,7 +165,7 @@
         self.max_buffered = self.max_buffered.max(self.queue.buffered_bytes());
     }
 
-    /// The source's bandwidth is shared evenly by the proxies that receive an answer.
+    /// Sends bytes for one tick, sharing the source's bandwidth evenly among the proxies that receive an answer.
     fn send(&mut self) {
         let receiving = self
             .proxies
@@ -212,7 +212,7 @@
         self.run_follower(index);
     }
 
-    /// Runs a follower until it waits.
+    /// Runs a follower until it polls or waits.
     fn run_follower(&mut self, index: usize) {
         let now = self.now;
         let proxy = &mut self.proxies[index];
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Times from `since` until each proxy applied its version, sorted.
+    /// Returns the times from `since` until each proxy applied its last version, sorted.
     pub(crate) fn delays(&self, since: Duration) -> Vec<Duration> {
         let delay = |proxy: &Proxy| proxy.applied.map(|applied| applied.at.saturating_sub(since));
         let mut delays: Vec<Duration> = self.proxies.iter().filter_map(delay).collect();
@@ -243,7 +243,7 @@
         delays
     }
 
-    /// Bytes in both directions of all proxies.
+    /// Returns the bytes that all proxies transferred in both directions.
     pub(crate) fn bytes(&self) -> u64 {
         self.proxies.iter().map(|proxy| proxy.bytes).sum()
     }
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -1,5 +1,5 @@
-//! Under any loss, duplication and reordering of messages a follower converges to the source's document, and only
-//! published documents are ever in force; a disconnected region keeps its document and catches up.
+//! Under any loss, duplication and reordering of messages, a follower converges to the source's document and applies
+//! only published documents. A disconnected region keeps its document and catches up after reconnecting.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 mod common;
@@ -14,24 +14,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The next event.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A customer gets another quota, invalid where it is below 0, which this source does not check.
+    /// The source sets a customer's quota. Quotas below 0 are invalid, but this source does not check them.
     Publish { customer: usize, quota: i8 },
-    /// A customer is removed.
+    /// The source removes a customer.
     Remove { customer: usize },
-    /// The last versions are reverted.
+    /// The source reverts its last `versions` versions.
     Revert { versions: u64 },
     /// The source restarts without its history.
     Restart,
-    /// The poll reaches the source, and its answer is sent.
+    /// The open poll reaches the source, which sends its answer.
     Poll,
-    /// One of the answers in transit arrives, possibly not that of the open poll, and stays in transit as well.
+    /// One of the answers in transit arrives, not necessarily that of the open poll. It stays in transit, so that it
+    /// can arrive again.
     Deliver { which: usize },
-    /// One of them is lost, and time moves on.
+    /// One of the answers in transit is lost, and time advances.
     Lose { which: usize, millis: u64 },
-    /// The follower does one step.
+    /// The follower performs one step.
     Step,
 }
 
@@ -50,14 +51,14 @@
 
 struct World {
     source: Source,
-    /// Every version published so far.
+    /// The documents of all versions published so far.
     published: BTreeMap<Version, Document>,
     follower: FollowerDriver,
     open_poll: Option<Poll>,
     in_transit: Vec<Message>,
 }
 
-/// So few that followers fall behind it.
+/// A history so short that followers fall behind it.
 const HISTORY: HistoryBounds = HistoryBounds { versions: 5, bytes: 1 << 20 };
 
 impl World {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// From now on all messages arrive, and the follower has to converge.
+    /// Delivers all messages from now on, and asserts that the follower converges.
     fn converge(&mut self) {
         self.in_transit.clear();
         self.open_poll = None;
@@ -163,7 +164,7 @@
                     SourceAnswer::Later => panic!("{poll:?} waits for more than {}", self.source.version()),
                 }
             }
-            // The rest of a poll that times out, the longest pause, and the one after a rejected full document.
+            // Seconds: a poll until it times out, the maximum backoff, and the delay after a rejected full document.
             assert!(
                 self.follower.now - started < seconds(12 + 2 + 30),
                 "not converged: {:?}",
@@ -177,7 +178,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// proptest prints the seed and the shortest sequence of events that fails.
+    /// On failure, proptest prints the seed and the shortest failing sequence of events.
     #[test]
     fn follower_converges_under_any_loss_duplication_and_reordering(
         seed in any::<u64>(), events in prop::collection::vec(event(), 0..200),
@@ -187,7 +188,7 @@
         world.converge();
     }
 
-    /// The checksum of a document that was changed step by step equals that of the same document built at once.
+    /// The checksum of a document after incremental changes equals that of the same document built from its settings.
     #[test]
     fn incremental_checksum_equals_that_of_the_full_document(
         changes in prop::collection::vec((0..12usize, 0..100i8, any::<bool>()), 0..60),
@@ -206,8 +207,9 @@
     }
 }
 
-/// A region is disconnected for three minutes with five changes: it keeps the last valid document, reports its age, polls
-/// with pauses up to the longest, and afterwards applies all five changes as one delta within that pause.
+/// A region is disconnected for three minutes, in which five changes are published. It keeps the last valid document,
+/// reports its age and polls with backoff; after reconnecting it applies all five changes as one delta within 2 s, the
+/// maximum backoff.
 #[test]
 fn region_disconnected_for_three_minutes_catches_up_by_one_delta() {
     for seed in 1..=50 {
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -1,4 +1,4 @@
-//! The faults of a distribution of changes, one by one.
+//! Tests of individual faults in the distribution of versions.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 mod common;
@@ -30,7 +30,7 @@
     follower.assert_in_force(source.document());
 }
 
-/// A change during the verification of another does not affect it, and is applied after it.
+/// A change published while a follower verifies an earlier one does not affect that verification and is applied later.
 #[test]
 fn change_during_a_verification_is_applied_after_it() {
     let (mut source, mut follower) = (source(1, 3_000), FollowerDriver::new(1));
@@ -49,7 +49,7 @@
     follower.assert_in_force(source.document());
 }
 
-/// Nothing of a version is in the document before its last entry was verified and its settings were found valid.
+/// The document in force does not change before the last entry of a version is verified and its settings are valid.
 #[test]
 fn document_stays_unchanged_until_all_of_a_version_is_verified() {
     let (mut source, mut follower) = (source(1, 1_000), FollowerDriver::new(1));
@@ -68,7 +68,7 @@
     follower.assert_in_force(source.document());
 }
 
-/// 500 versions are sent as one delta, which has each entry once, and none that is as before.
+/// 500 missed versions are sent as one delta, with each entry once and without entries whose value is as before.
 #[test]
 fn five_hundred_missed_versions_are_sent_as_one_delta() {
     let (mut source, mut follower) = (source(10, 100), FollowerDriver::new(1));
@@ -83,7 +83,7 @@
     follower.assert_in_force(source.document());
 }
 
-/// A follower that missed more versions than are kept gets the full document.
+/// A follower that missed more versions than the history holds gets the full document.
 #[test]
 fn gap_beyond_the_history_is_closed_by_the_full_document() {
     let bounds = HistoryBounds { versions: 4, ..HistoryBounds::default() };
@@ -100,7 +100,7 @@
     assert!(source.history().bytes() <= 300 && source.history().len() < 5, "{}", source.history().bytes());
 }
 
-/// A source that is rolled back within its epoch, or to an earlier one, is rejected; a new epoch is followed.
+/// A source that was rolled back within its epoch or to an earlier epoch is rejected until it starts a new epoch.
 #[test]
 fn rolled_back_source_is_rejected_until_it_begins_a_new_epoch() {
     let (mut newer, mut older) = (source(1, 5), source(1, 5));
@@ -126,7 +126,7 @@
     follower.assert_in_force(new_epoch.document());
 }
 
-/// A delta for another version is rejected, and the full document requested.
+/// A delta that applies to a different version is rejected, and the full document is requested.
 #[test]
 fn delta_for_another_base_is_rejected() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -143,7 +143,8 @@
     follower.assert_in_force(source.document());
 }
 
-/// Every truncated message, and every message with one byte changed, is invalid or fails its checksum.
+/// Every truncated message fails to decode. Every message with the lowest bit of one byte flipped fails to decode or is
+/// rejected.
 #[test]
 fn truncated_or_altered_message_is_rejected() {
     let (mut source, mut follower) = (source(2, 3), FollowerDriver::new(1));
@@ -166,7 +167,7 @@
     }
 }
 
-/// A checksum mismatch rejects the delta, then a full document too; the last valid document stays in force.
+/// A delta and then a full document with a wrong checksum are rejected; the last valid document stays in force.
 #[test]
 fn checksum_mismatch_keeps_the_last_valid_document() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -218,8 +219,8 @@
     assert!(decoded(r#""changed":{"customers":{"north":{}}}"#).is_ok());
 }
 
-/// An invalid version is not published. One that only a follower finds invalid is rejected once and not requested again,
-/// and the next one is applied, though it is based on the rejected version.
+/// An invalid version is not published. A version that only the follower's check finds invalid is rejected once and not
+/// requested again. The next version is applied, although the source builds it on the rejected one.
 #[test]
 fn invalid_version_is_rejected_and_the_next_one_applied() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -247,7 +248,7 @@
     follower.assert_in_force(&applied.1);
 }
 
-/// What several versions changed, added and removed is restored by one later version.
+/// Publishing one later version reverts the changes, additions and removals of several versions.
 #[test]
 fn versions_are_reverted_by_a_later_one() {
     let mut source = source(3, 5);
@@ -261,7 +262,7 @@
     assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::NoChange));
 }
 
-/// The order of profiles and customers in a settings object has no meaning, that of other arrays has.
+/// The order of profiles and customers in a settings object has no meaning; the order of other arrays has.
 #[test]
 fn document_ignores_the_order_of_profiles_and_customers() {
     let mut reversed = settings(3, 3);
@@ -273,7 +274,7 @@
     assert_ne!(Document::from_settings(&reversed).unwrap().checksum(), document.checksum());
 }
 
-/// No delta lets a document grow beyond its bounds, whatever a source sends.
+/// A delta that would make the document too large is rejected by the source and by the follower.
 #[test]
 fn delta_beyond_the_bounds_of_a_document_is_rejected() {
     let (mut source, mut follower) = (source(1, 1), FollowerDriver::new(1));
--- a/crates/configuration/tests/rollout.rs
+++ b/crates/configuration/tests/rollout.rs
@@ -11,7 +11,7 @@
 use rollout::{Conditions, Rollout};
 use std::time::Duration;
 
-/// A source of 1 Gb/s, proxies of 100 Mb/s, a document of 5 MB that is read in half a second.
+/// A source of 1 Gb/s, proxies of 100 Mb/s, and a document of 5 MB that a proxy reads in half a second.
 const CONDITIONS: Conditions = Conditions {
     source_bandwidth: 125_000_000,
     proxy_bandwidth: 12_500_000,
@@ -20,10 +20,10 @@
     read_time: Duration::from_millis(500),
 };
 const PROXIES: u64 = 1_200;
-/// A change is in force everywhere within this time.
+/// The time within which a change has to be in force at all proxies.
 const IN_FORCE: Duration = Duration::from_secs(20);
 
-/// The document's text counts as a large answer, as that of a real one.
+/// Creates a source whose full document counts as a large answer, like that of a real site.
 fn large_source() -> Source {
     let mut source = source(1, 5);
     let value = format!("\"{}\"", "x".repeat(70_000));
@@ -36,7 +36,7 @@
     Rollout::new(large_source(), PROXIES, within, bounds, CONDITIONS)
 }
 
-/// All have a change long before 20 s, and a proxy uses under 2 KB a second.
+/// All followers apply a change in under 2 s, well within the required 20 s, and a proxy transfers under 2 KB/s.
 #[test]
 fn change_reaches_all_followers_in_time() {
     let mut world = rollout(seconds(60), QueueBounds::default());
@@ -50,13 +50,13 @@
         assert_eq!(world.run(IN_FORCE), 1_200);
         let last = *world.delays(published).last().unwrap();
         assert!(last < seconds(2), "the last applied it after {last:?}");
-        world.run_for(seconds(34)); // 1,600 a day are one in 54 s
+        world.run_for(seconds(34)); // 1,600 changes a day are one every 54 s
     }
     let rate = (world.bytes() - before) as f64 / PROXIES as f64 / (world.now - since).as_secs_f64();
     assert!(rate < 2_000.0, "{rate} bytes a second and proxy");
 }
 
-/// All proxies restart within a minute: each requests the full document, and the last has it soon after.
+/// All proxies start within a minute and request the full document; the last has it at most 20 s after that minute.
 #[test]
 fn proxies_restarted_within_a_minute_get_the_full_document() {
     let mut world = rollout(seconds(60), QueueBounds::default());
@@ -65,8 +65,8 @@
     assert!(sent < 1_200 * 5_100_000, "{sent} bytes: some were wasted");
 }
 
-/// All request the full document at once, which is more than the source's bandwidth allows within the timeout of an answer:
-/// it serves some at a time, so that no bytes are wasted.
+/// All proxies request the full document at once, which at the source's bandwidth takes longer than the timeout of an
+/// answer. The source serves a limited number at a time, so that no answer is abandoned after some of it was sent.
 #[test]
 fn proxies_started_at_once_get_the_full_document_at_the_sources_bandwidth() {
     let mut world = rollout(Duration::ZERO, QueueBounds::default());
@@ -76,7 +76,8 @@
     assert_eq!(world.closed, 0);
 }
 
-/// Proxies that receive an answer at a few bytes a second delay no other, and use a bounded part of the source's memory.
+/// Proxies that receive answers at a few bytes a second do not delay others, and use a bounded amount of the source's
+/// memory.
 #[test]
 fn slow_proxies_delay_no_other() {
     let mut world = rollout(seconds(60), QueueBounds::default());
@@ -84,7 +85,7 @@
     let slow = 60;
     for (at, proxy) in world.proxies.iter_mut().take(slow).enumerate() {
         proxy.bandwidth = 10;
-        proxy.stuck = at % 2 == 0; // the others time out by themselves, and reconnect
+        proxy.stuck = at % 2 == 0; // the others time out and reconnect
     }
     world.run_for(seconds(15));
     for at in 0..40 {
--- a/crates/configuration/tests/wire.rs
+++ b/crates/configuration/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The text of each kind of message, byte for byte: sources and followers of different versions understand each other.
+//! The exact text of each kind of message, so that sources and followers of different program versions stay compatible.
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
 
 use lotusdeck_configuration::history::HistoryBounds;
