--- a/crates/configuration/examples/size/costs.rs
+++ b/crates/configuration/examples/size/costs.rs
@@ -38,11 +38,11 @@
     loop {
         let started = Instant::now();
         let step = follower.next_step(now);
-        let spent = started.elapsed();
+        let elapsed = started.elapsed();
         match step {
             NextStep::Continue | NextStep::Applied(_) => {
-                *(if is_validated { &mut cost.commit } else { &mut cost.verify }) += spent;
-                cost.longest_slice = cost.longest_slice.max(spent);
+                *(if is_validated { &mut cost.commit } else { &mut cost.verify }) += elapsed;
+                cost.longest_slice = cost.longest_slice.max(elapsed);
                 if matches!(step, NextStep::Applied(_)) {
                     return cost;
                 }
@@ -73,8 +73,8 @@
     span.as_secs_f64() * 1e3
 }
 
-fn median(costs: &[Cost], of: impl Fn(&Cost) -> Duration) -> f64 {
-    let mut spans: Vec<Duration> = costs.iter().map(of).collect();
+fn median(costs: &[Cost], span_of: impl Fn(&Cost) -> Duration) -> f64 {
+    let mut spans: Vec<Duration> = costs.iter().map(span_of).collect();
     spans.sort_unstable();
     milliseconds(spans[spans.len() / 2])
 }
--- a/crates/configuration/examples/size/distribution.rs
+++ b/crates/configuration/examples/size/distribution.rs
@@ -13,14 +13,14 @@
 /// 1,600 changes a day, one every 54 s.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(54);
 /// Number of profiles and of customers in the small document that the simulated followers have.
-const SMALL_SECTION: usize = 20;
+const SMALL_SECTION_ENTRIES: usize = 20;
 /// Padding that makes the text of the small document a large answer, like that of the real one, bytes.
 const PADDING_BYTES: usize = 70_000;
 
 fn small_source() -> Source {
     let mut settings = settings();
     for section in ["profiles", "customers"] {
-        settings[section].as_array_mut().expect("an array").truncate(SMALL_SECTION);
+        settings[section].as_array_mut().expect("an array").truncate(SMALL_SECTION_ENTRIES);
     }
     settings["note"] = Value::String("x".repeat(PADDING_BYTES));
     Source::new(1, &settings, HistoryBounds::default(), |_| Ok(())).expect("a source")
@@ -36,40 +36,40 @@
         read_time,
     };
     let within_a_minute = Duration::from_secs(60);
-    let mut world = start_proxies("within a minute", within_a_minute, conditions);
-    publish_changes(&mut world);
+    let mut rollout = start_proxies("within a minute", within_a_minute, conditions);
+    publish_changes(&mut rollout);
     start_proxies("at once", Duration::ZERO, conditions);
 }
 
 fn start_proxies(name: &str, within: Duration, conditions: Conditions) -> Rollout {
-    let mut world = Rollout::new(small_source(), PROXIES, within, QueueBounds::default(), conditions);
-    let current = world.run(Duration::from_secs(600));
+    let mut rollout = Rollout::new(small_source(), PROXIES, within, QueueBounds::default(), conditions);
+    let current = rollout.run(Duration::from_secs(600));
     println!(
         "{PROXIES} proxies started {name}: {current} have the document after {:.1} s, {:.0} MB, {} polls found the source \
          busy",
-        world.now.as_secs_f64(),
-        world.bytes() as f64 / 1e6,
-        world.busy
+        rollout.now.as_secs_f64(),
+        rollout.bytes() as f64 / 1e6,
+        rollout.busy_replies
     );
-    world
+    rollout
 }
 
-fn publish_changes(world: &mut Rollout) {
-    world.run_for(Duration::from_secs(30));
-    let started = world.now;
-    let bytes_before = world.bytes();
+fn publish_changes(rollout: &mut Rollout) {
+    rollout.run_for(Duration::from_secs(30));
+    let started = rollout.now;
+    let bytes_before = rollout.bytes();
     let mut delays: Vec<Duration> = Vec::new();
     for round in 0..CHANGES {
         let entry = quota_entry(1, round as f64);
-        world.source.publish_changes(vec![entry], Vec::new(), |_| Ok(())).expect("published");
-        world.distribute();
-        let published = world.now;
-        world.run_for(CHANGE_INTERVAL);
-        delays.extend(world.delays(published).last().copied());
+        rollout.source.publish_changes(vec![entry], Vec::new(), |_| Ok(())).expect("published");
+        rollout.distribute();
+        let published = rollout.now;
+        rollout.run_for(CHANGE_INTERVAL);
+        delays.extend(rollout.delays(published).last().copied());
     }
     delays.sort_unstable();
-    let bytes_per_proxy = (world.bytes() - bytes_before) as f64 / PROXIES as f64;
-    let rate = bytes_per_proxy / (world.now - started).as_secs_f64();
+    let bytes_per_proxy = (rollout.bytes() - bytes_before) as f64 / PROXIES as f64;
+    let rate = bytes_per_proxy / (rollout.now - started).as_secs_f64();
     println!(
         "{CHANGES} changes, one in {} s: the last of {PROXIES} has it after {:.2} s (median), {:.2} s (max); {rate:.0} B/s a \
          proxy",
--- a/crates/configuration/examples/size/memory.rs
+++ b/crates/configuration/examples/size/memory.rs
@@ -21,7 +21,7 @@
 
 /// Resident memory of this process, MB.
 struct ResidentMemory {
-    present: f64,
+    current: f64,
     /// The maximum since the last reset.
     peak: f64,
 }
@@ -33,7 +33,7 @@
         let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
         kilobytes.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0) / KILOBYTES_PER_MB
     };
-    ResidentMemory { present: field("VmRSS:"), peak: field("VmHWM:") }
+    ResidentMemory { current: field("VmRSS:"), peak: field("VmHWM:") }
 }
 
 fn allocated_mb(region: &Region<'_, System>) -> f64 {
@@ -73,7 +73,7 @@
 pub(crate) fn follow_standard_input() {
     let region = Region::new(ALLOCATOR);
     let mut follower = Follower::new(FollowerSettings::default(), 1);
-    println!("a process of its own: {:.1} MB resident at its start", resident_memory().present);
+    println!("a process of its own: {:.1} MB resident at its start", resident_memory().current);
     for name in ["full document", "one change"] {
         // Resets the peak of the resident memory to the current value (proc(5)).
         let is_reset = std::fs::write("/proc/self/clear_refs", "5").is_ok();
@@ -88,7 +88,7 @@
              {:.1} MB allocated",
             cost.read_settings.as_secs_f64() * 1e3,
             memory.peak,
-            memory.present,
+            memory.current,
             allocated_mb(&region)
         );
     }
--- a/crates/configuration/src/checksum.rs
+++ b/crates/configuration/src/checksum.rs
@@ -31,7 +31,7 @@
 
     /// Returns the checksum sent in messages, which includes the version: with a wrong version, a follower would treat
     /// later versions as already known.
-    pub fn of_version(self, version: Version) -> Checksum {
+    pub fn with_version(self, version: Version) -> Checksum {
         let mut hasher = Xxh3::new();
         hasher.update(&version.epoch.to_le_bytes());
         hasher.update(&version.number.to_le_bytes());
--- a/crates/configuration/src/decoding.rs
+++ b/crates/configuration/src/decoding.rs
@@ -5,7 +5,7 @@
 use crate::document::MAX_ENTRIES;
 use crate::entry::{Entry, Key};
 use crate::message::{Message, MessageError, MAX_MESSAGE_BYTES};
-use crate::message_fields::{MessageFields, NamedValues, Names, Sections, Text};
+use crate::message_fields::{MessageFields, NamedValues, Names, Parsed, Sections};
 
 /// Maximum characters of an unknown kind in an error message.
 const MAX_QUOTED_CHARS: usize = 24;
@@ -96,8 +96,8 @@
     }
 }
 
-fn required<T>(value: Option<Text<T>>, key: &'static str, kind: &str) -> Result<T, MessageError> {
-    let Some(Text(value)) = value else {
+fn required<T>(value: Option<Parsed<T>>, key: &'static str, kind: &str) -> Result<T, MessageError> {
+    let Some(Parsed(value)) = value else {
         return Err(MessageError::MissingKey { key, kind: kind.into() });
     };
     Ok(value)
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -58,8 +58,8 @@
     text.push('{');
     let mut is_first = true;
     for section in Section::ALL {
-        let mut of_section = items.iter().filter(|item| section_of(item) == section).peekable();
-        if of_section.peek().is_none() {
+        let mut section_items = items.iter().filter(|item| section_of(item) == section).peekable();
+        if section_items.peek().is_none() {
             continue;
         }
         if !is_first {
@@ -69,9 +69,9 @@
         push_quoted(text, section.label());
         text.push(':');
         text.push(brackets.open);
-        while let Some(item) = of_section.next() {
+        while let Some(item) = section_items.next() {
             write_item(text, item);
-            if of_section.peek().is_some() {
+            if section_items.peek().is_some() {
                 text.push(',');
             }
         }
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -216,7 +216,7 @@
 
     /// Compares the checksum of the source's document of the version in force with this proxy's.
     fn confirm_full_document(&mut self, now: Duration, full: &FullDocument) {
-        if full.checksum == self.document.checksum().of_version(full.version) {
+        if full.checksum == self.document.checksum().with_version(full.version) {
             self.needs_full_document = false;
             self.current_at = Some(self.polled_at);
             self.backoff.reset();
--- a/crates/configuration/src/long_poll.rs
+++ b/crates/configuration/src/long_poll.rs
@@ -171,11 +171,11 @@
 
     /// Returns the replies to waiting polls after the source has published a version.
     pub fn publish(&mut self, source: &mut Source, now: Duration) -> Vec<(FollowerId, PollReply)> {
-        let parked = |(id, state): (&FollowerId, &PollState)| match state {
+        let parked_poll = |(id, state): (&FollowerId, &PollState)| match state {
             PollState::Parked { poll, .. } => Some((*id, *poll)),
             PollState::Writing { .. } => None,
         };
-        let parked: Vec<(FollowerId, Poll)> = self.polls.iter().filter_map(parked).collect();
+        let parked: Vec<(FollowerId, Poll)> = self.polls.iter().filter_map(parked_poll).collect();
         let mut replies = Vec::new();
         for (id, poll) in parked {
             if let SourceAnswer::Now(answer) = source.answer_poll(&poll) {
--- a/crates/configuration/src/message_fields.rs
+++ b/crates/configuration/src/message_fields.rs
@@ -15,10 +15,10 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct MessageFields {
     pub(crate) kind: String,
-    pub(crate) version: Option<Text<Version>>,
-    pub(crate) from: Option<Text<Version>>,
-    pub(crate) to: Option<Text<Version>>,
-    pub(crate) checksum: Option<Text<Checksum>>,
+    pub(crate) version: Option<Parsed<Version>>,
+    pub(crate) from: Option<Parsed<Version>>,
+    pub(crate) to: Option<Parsed<Version>>,
+    pub(crate) checksum: Option<Parsed<Checksum>>,
     pub(crate) entries: Option<Sections<NamedValues>>,
     pub(crate) changed: Option<Sections<NamedValues>>,
     pub(crate) removed: Option<Sections<Names>>,
@@ -41,12 +41,12 @@
 }
 
 /// A value that is parsed from a JSON string.
-pub(crate) struct Text<T>(pub(crate) T);
+pub(crate) struct Parsed<T>(pub(crate) T);
 
-impl<'de, T: FromStr<Err: fmt::Display>> Deserialize<'de> for Text<T> {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Text<T>, D::Error> {
+impl<'de, T: FromStr<Err: fmt::Display>> Deserialize<'de> for Parsed<T> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Parsed<T>, D::Error> {
         let text = String::deserialize(deserializer)?;
-        text.parse().map(Text).map_err(D::Error::custom)
+        text.parse().map(Parsed).map_err(D::Error::custom)
     }
 }
 
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -159,7 +159,7 @@
         for entry in &changed {
             checksum.add(&entry.key, &entry.value);
         }
-        let checksum = checksum.of_version(to);
+        let checksum = checksum.with_version(to);
         let delta = Delta { from: self.version, to, changed, removed, checksum };
         let mut staged = StagedUpdate::from_delta(delta, &self.document);
         staged.verify(&self.document, ALL_ENTRIES)?;
@@ -247,7 +247,7 @@
                 _ => {}
             }
         }
-        let checksum = self.document.checksum().of_version(self.version);
+        let checksum = self.document.checksum().with_version(self.version);
         let delta = Delta { from: after, to: self.version, changed, removed, checksum };
         (bytes < self.document.bytes()).then_some(delta)
     }
@@ -257,7 +257,7 @@
         FullDocument {
             version: self.version,
             entries: self.document.entries(),
-            checksum: self.document.checksum().of_version(self.version),
+            checksum: self.document.checksum().with_version(self.version),
         }
     }
 }
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -86,7 +86,7 @@
             Content::FullDocument { pending, document } => verify_entries(pending, document, max_entries)?,
         };
         let Some(checksum) = verified else { return Ok(Progress::More) };
-        let got = checksum.of_version(self.target);
+        let got = checksum.with_version(self.target);
         if got != self.expected {
             return Err(StagingError::ChecksumMismatch { expected: self.expected, got });
         }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -55,8 +55,8 @@
 }
 
 /// Publishes a version with another quota of one customer.
-pub(crate) fn publish_quota(source: &mut Source, customer: usize, to: f64) -> Version {
-    source.publish_changes(vec![quota_entry(customer, to)], Vec::new(), check).unwrap().version
+pub(crate) fn publish_quota(source: &mut Source, customer: usize, quota: f64) -> Version {
+    source.publish_changes(vec![quota_entry(customer, quota)], Vec::new(), check).unwrap().version
 }
 
 /// Publishes the given number of versions, each with a different quota of the same customer.
@@ -105,10 +105,10 @@
     /// Delivers an answer and processes it completely.
     pub(crate) fn deliver(&mut self, message: Message) -> Outcome {
         self.follower.handle_message(self.now, message);
-        self.work()
+        self.run_to_outcome()
     }
 
-    pub(crate) fn work(&mut self) -> Outcome {
+    pub(crate) fn run_to_outcome(&mut self) -> Outcome {
         let mut candidate_settings = None;
         loop {
             match self.follower.next_step(self.now) {
--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -30,9 +30,9 @@
 
 enum Connection {
     Idle,
-    Polling { poll: Poll, arrives: Duration },
+    Polling { poll: Poll, arrives_at: Duration },
     Parked,
-    Receiving { text: Arc<str>, left: u64, arrives: Duration },
+    Receiving { text: Arc<str>, remaining: u64, arrives_at: Duration },
     Reading { message: Message, until: Duration },
 }
 
@@ -44,7 +44,7 @@
 
 pub(crate) struct Proxy {
     pub follower: Follower,
-    pub starts: Duration,
+    pub starts_at: Duration,
     pub bandwidth: u64,
     /// Whether the proxy does nothing while its connection stays open.
     pub stuck: bool,
@@ -61,11 +61,11 @@
     pub proxies: Vec<Proxy>,
     pub now: Duration,
     /// The maximum bytes of answers that the queue buffered at a time.
-    pub max_buffered: usize,
+    pub max_buffered_bytes: usize,
     /// Number of polls for which the source had no capacity.
-    pub busy: u64,
+    pub busy_replies: u64,
     /// Number of connections closed because the answer was not received in time.
-    pub closed: u64,
+    pub closed_connections: u64,
     conditions: Conditions,
 }
 
@@ -76,7 +76,7 @@
     ) -> Rollout {
         let proxy = |index: u64| Proxy {
             follower: Follower::new(FollowerSettings::default(), index + 1),
-            starts: within.mul_f64(index as f64 / proxies as f64),
+            starts_at: within.mul_f64(index as f64 / proxies as f64),
             bandwidth: conditions.proxy_bandwidth,
             stuck: false,
             bytes: 0,
@@ -88,9 +88,9 @@
             queue: LongPollQueue::new(bounds),
             proxies: (0..proxies).map(proxy).collect(),
             now: Duration::ZERO,
-            max_buffered: 0,
-            busy: 0,
-            closed: 0,
+            max_buffered_bytes: 0,
+            busy_replies: 0,
+            closed_connections: 0,
             conditions,
         }
     }
@@ -98,11 +98,11 @@
     /// Runs until all proxies have the source's version, or for at most `max`; returns how many have it.
     pub(crate) fn run(&mut self, max: Duration) -> usize {
         let end = self.now + max;
-        while self.now < end && self.current() < self.proxies.len() {
+        while self.now < end && self.count_current() < self.proxies.len() {
             self.now += TICK;
             self.step();
         }
-        self.current()
+        self.count_current()
     }
 
     /// Runs for this duration.
@@ -114,7 +114,7 @@
         }
     }
 
-    pub(crate) fn current(&self) -> usize {
+    pub(crate) fn count_current(&self) -> usize {
         let version = Some(self.source.version());
         self.proxies.iter().filter(|proxy| proxy.follower.applied_version() == version).count()
     }
@@ -122,26 +122,26 @@
     /// Answers waiting polls with the version that the source has published.
     pub(crate) fn distribute(&mut self) {
         for (id, reply) in self.queue.publish(&mut self.source, self.now) {
-            self.reply(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn reply(&mut self, id: FollowerId, reply: PollReply) {
-        let arrives = self.now + self.conditions.latency;
+    fn deliver(&mut self, id: FollowerId, reply: PollReply) {
+        let arrives_at = self.now + self.conditions.latency;
         let proxy = &mut self.proxies[id.0 as usize];
         match reply {
             PollReply::Parked => proxy.connection = Connection::Parked,
             PollReply::Busy => {
-                self.busy += 1;
+                self.busy_replies += 1;
                 proxy.bytes += HEADER_BYTES;
                 proxy.connection = Connection::Idle;
                 proxy.follower.poll_failed(self.now, Failure::Busy);
             }
             PollReply::Write(text) => {
                 let is_full = text.starts_with(r#"{"kind":"whole""#);
-                let left = HEADER_BYTES
+                let remaining = HEADER_BYTES
                     + if is_full { self.conditions.full_document_bytes } else { text.len() as u64 };
-                proxy.connection = Connection::Receiving { text, left, arrives };
+                proxy.connection = Connection::Receiving { text, remaining, arrives_at };
             }
         }
     }
@@ -149,9 +149,9 @@
     fn step(&mut self) {
         for eviction in self.queue.expire(&self.source, self.now) {
             match eviction {
-                Eviction::Write { follower, answer } => self.reply(follower, PollReply::Write(answer)),
+                Eviction::Write { follower, answer } => self.deliver(follower, PollReply::Write(answer)),
                 Eviction::Close { follower } => {
-                    self.closed += 1;
+                    self.closed_connections += 1;
                     let proxy = &mut self.proxies[follower.0 as usize];
                     proxy.connection = Connection::Idle;
                     proxy.follower.poll_failed(self.now, Failure::ConnectionFailed("closed".into()));
@@ -162,24 +162,23 @@
         for index in 0..self.proxies.len() {
             self.run_proxy(index);
         }
-        self.max_buffered = self.max_buffered.max(self.queue.buffered_bytes());
+        self.max_buffered_bytes = self.max_buffered_bytes.max(self.queue.buffered_bytes());
     }
 
     /// Sends bytes for one tick, sharing the source's bandwidth evenly among the proxies that receive an answer.
     fn send(&mut self) {
-        let receiving = self
-            .proxies
-            .iter()
-            .filter(|proxy| matches!(proxy.connection, Connection::Receiving { left, .. } if left > 0));
-        let per_tick = |speed: u64| speed * TICK.as_millis() as u64 / 1_000;
-        let share = per_tick(self.conditions.source_bandwidth) / (receiving.count() as u64).max(1);
-        for (at, proxy) in self.proxies.iter_mut().enumerate() {
-            let Connection::Receiving { text, left, .. } = &mut proxy.connection else { continue };
-            let sent = share.min(per_tick(proxy.bandwidth)).min(*left);
+        let receiving = self.proxies.iter().filter(
+            |proxy| matches!(proxy.connection, Connection::Receiving { remaining, .. } if remaining > 0),
+        );
+        let per_tick = |bandwidth: u64| bandwidth * TICK.as_millis() as u64 / 1_000;
+        let proxy_share = per_tick(self.conditions.source_bandwidth) / (receiving.count() as u64).max(1);
+        for (index, proxy) in self.proxies.iter_mut().enumerate() {
+            let Connection::Receiving { text, remaining, .. } = &mut proxy.connection else { continue };
+            let sent = proxy_share.min(per_tick(proxy.bandwidth)).min(*remaining);
             proxy.bytes += sent;
-            *left -= sent;
-            if *left == 0 && sent > 0 {
-                self.queue.bytes_written(FollowerId(at as u64), text.len());
+            *remaining -= sent;
+            if *remaining == 0 && sent > 0 {
+                self.queue.bytes_written(FollowerId(index as u64), text.len());
             }
         }
     }
@@ -188,15 +187,15 @@
         let (now, id) = (self.now, FollowerId(index as u64));
         let conditions = self.conditions;
         let proxy = &mut self.proxies[index];
-        if now < proxy.starts || proxy.stuck {
+        if now < proxy.starts_at || proxy.stuck {
             return;
         }
         match std::mem::replace(&mut proxy.connection, Connection::Idle) {
-            Connection::Polling { poll, arrives } if arrives <= now => {
+            Connection::Polling { poll, arrives_at } if arrives_at <= now => {
                 let reply = self.queue.poll(&mut self.source, now, id, poll);
-                return self.reply(id, reply);
+                return self.deliver(id, reply);
             }
-            Connection::Receiving { text, left: 0, arrives } if arrives <= now => {
+            Connection::Receiving { text, remaining: 0, arrives_at } if arrives_at <= now => {
                 let message = decode(text.as_bytes()).expect("a message of the source");
                 let read_time = match message {
                     Message::Unchanged(_) => Duration::ZERO,
@@ -220,7 +219,8 @@
             match proxy.follower.next_step(now) {
                 NextStep::Poll(poll) => {
                     proxy.bytes += HEADER_BYTES;
-                    proxy.connection = Connection::Polling { poll, arrives: now + self.conditions.latency };
+                    proxy.connection =
+                        Connection::Polling { poll, arrives_at: now + self.conditions.latency };
                     return;
                 }
                 NextStep::Validate => proxy.follower.candidate_validated(now, Ok(())),
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -29,9 +29,9 @@
     Poll,
     /// One of the answers in transit arrives, not necessarily that of the open poll. It stays in transit, so that it
     /// can arrive again.
-    Deliver { which: usize },
+    Deliver { index: usize },
     /// One of the answers in transit is lost, and time advances.
-    Lose { which: usize, millis: u64 },
+    Lose { index: usize, millis: u64 },
     /// The follower performs one step.
     Step,
 }
@@ -43,13 +43,13 @@
         1 => (0..6u64).prop_map(|versions| Event::Revert { versions }),
         1 => Just(Event::Restart),
         6 => Just(Event::Poll),
-        6 => (0..64usize).prop_map(|which| Event::Deliver { which }),
-        3 => (0..64usize, 0..15_000u64).prop_map(|(which, millis)| Event::Lose { which, millis }),
+        6 => (0..64usize).prop_map(|index| Event::Deliver { index }),
+        3 => (0..64usize, 0..15_000u64).prop_map(|(index, millis)| Event::Lose { index, millis }),
         6 => Just(Event::Step),
     ]
 }
 
-struct World {
+struct Simulation {
     source: Source,
     /// The documents of all versions published so far.
     published: BTreeMap<Version, Document>,
@@ -61,21 +61,21 @@
 /// A history so short that followers fall behind it.
 const HISTORY: HistoryBounds = HistoryBounds { versions: 5, bytes: 1 << 20 };
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let settings = common::settings(2, 10);
         let source = Source::new(common::EPOCH, &settings, HISTORY, check).unwrap();
         let mut follower = FollowerDriver::new(seed);
         let settings = FollowerSettings { entries_per_slice: 2, ..FollowerSettings::default() };
         follower.follower = lotusdeck_configuration::Follower::new(settings, seed);
         let published = BTreeMap::from([(source.version(), source.document().clone())]);
-        World { source, published, follower, open_poll: None, in_transit: Vec::new() }
+        Simulation { source, published, follower, open_poll: None, in_transit: Vec::new() }
     }
 
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::Publish { customer, quota: to } => {
-                let entry = quota_entry(*customer, f64::from(*to));
+            Event::Publish { customer, quota } => {
+                let entry = quota_entry(*customer, f64::from(*quota));
                 let _ = self.source.publish_changes(vec![entry], Vec::new(), |_| Ok(()));
             }
             Event::Remove { customer } => {
@@ -93,15 +93,15 @@
                 self.source = Source::new(epoch, &settings, HISTORY, check).unwrap();
             }
             Event::Poll => self.answer_open_poll(),
-            Event::Deliver { which } => {
-                if let Some(message) = self.message_in_transit(*which) {
+            Event::Deliver { index } => {
+                if let Some(message) = self.message_in_transit(*index) {
                     self.follower.follower.handle_message(self.follower.now, message);
                 }
             }
-            Event::Lose { which, millis } => {
+            Event::Lose { index, millis } => {
                 self.follower.now += Duration::from_millis(*millis);
                 if !self.in_transit.is_empty() {
-                    self.in_transit.remove(which % self.in_transit.len());
+                    self.in_transit.remove(index % self.in_transit.len());
                 }
             }
             Event::Step => self.step(),
@@ -110,8 +110,8 @@
         self.published.entry(self.source.version()).or_insert(document);
     }
 
-    fn message_in_transit(&self, which: usize) -> Option<Message> {
-        self.in_transit.get(which % self.in_transit.len().max(1)).cloned()
+    fn message_in_transit(&self, index: usize) -> Option<Message> {
+        self.in_transit.get(index % self.in_transit.len().max(1)).cloned()
     }
 
     fn answer_open_poll(&mut self) {
@@ -132,10 +132,10 @@
                 let verdict = check(&settings);
                 self.follower.follower.candidate_validated(self.follower.now, verdict.clone());
                 if verdict.is_ok() {
-                    let read = Document::from_settings(&settings).unwrap();
+                    let rebuilt = Document::from_settings(&settings).unwrap();
                     assert_eq!(
                         self.published.get(&version),
-                        Some(&read),
+                        Some(&rebuilt),
                         "a mixture of versions passed at {version}"
                     );
                 }
@@ -156,7 +156,7 @@
         self.source.publish_changes(vec![valid], Vec::new(), check).unwrap();
         let started = self.follower.now;
         while self.follower.follower.applied_version() != Some(self.source.version()) {
-            self.follower.work();
+            self.follower.run_to_outcome();
             if self.follower.follower.applied_version() != Some(self.source.version()) {
                 let poll = self.follower.next_poll();
                 match self.source.answer_poll(&poll) {
@@ -183,9 +183,9 @@
     fn follower_converges_under_any_loss_duplication_and_reordering(
         seed in any::<u64>(), events in prop::collection::vec(event(), 0..200),
     ) {
-        let mut world = World::new(seed);
-        events.iter().for_each(|event| world.apply(event));
-        world.converge();
+        let mut simulation = Simulation::new(seed);
+        events.iter().for_each(|event| simulation.apply(event));
+        simulation.converge();
     }
 
     /// The checksum of a document after incremental changes equals that of the same document built from its settings.
@@ -194,9 +194,9 @@
         changes in prop::collection::vec((0..12usize, 0..100i8, any::<bool>()), 0..60),
     ) {
         let mut source = source(2, 8);
-        for (customer, to, remove) in changes {
+        for (customer, quota, remove) in changes {
             let key = common::customer_key(customer);
-            let (changed, removed) = if remove { (vec![], vec![key]) } else { (vec![quota_entry(customer, to.into())], vec![]) };
+            let (changed, removed) = if remove { (vec![], vec![key]) } else { (vec![quota_entry(customer, quota.into())], vec![]) };
             let _ = source.publish_changes(changed, removed, check);
         }
         let entries = source.document().iter();
@@ -215,16 +215,17 @@
     for seed in 1..=50 {
         let (mut source, mut follower) = (source(5, 50), FollowerDriver::new(seed));
         assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
-        let (applied, disconnected, document) = (source.version(), follower.now, source.document().clone());
+        let (applied, disconnected_at, document) =
+            (source.version(), follower.now, source.document().clone());
         let mut polls = 0;
-        while follower.now < disconnected + seconds(180) {
+        while follower.now < disconnected_at + seconds(180) {
             let poll = follower.next_poll();
             assert_eq!(poll.after, Some(applied), "seed {seed}");
             polls += 1;
             follower.follower.poll_failed(follower.now, Failure::ConnectionFailed("unreachable".into()));
-            let due = (follower.now - disconnected).as_secs() / 36;
-            while source.version().number - applied.number < due.min(5) {
-                publish_quota(&mut source, due as usize, 1.0 + due as f64);
+            let due_changes = (follower.now - disconnected_at).as_secs() / 36;
+            while source.version().number - applied.number < due_changes.min(5) {
+                publish_quota(&mut source, due_changes as usize, 1.0 + due_changes as f64);
             }
             assert_eq!(follower.follower.document(), &document, "seed {seed}");
         }
@@ -236,12 +237,16 @@
         );
         assert!(status.age.unwrap() >= seconds(180), "seed {seed}: {:?}", status.age);
         assert!((90..=200).contains(&polls), "seed {seed}: {polls} polls");
-        let reconnected = follower.now;
+        let reconnected_at = follower.now;
         let poll = follower.next_poll();
         let SourceAnswer::Now(text) = source.answer_poll(&poll) else { panic!("seed {seed}") };
         assert!(matches!(decode(text.as_bytes()), Ok(Message::Delta(_))), "seed {seed}: {text}");
         assert_eq!(follower.deliver(decode(text.as_bytes()).unwrap()), Outcome::Applied(source.version()));
-        assert!(follower.now - reconnected <= seconds(2), "seed {seed}: {:?}", follower.now - reconnected);
+        assert!(
+            follower.now - reconnected_at <= seconds(2),
+            "seed {seed}: {:?}",
+            follower.now - reconnected_at
+        );
         follower.assert_in_force(source.document());
         assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Current);
     }
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -35,15 +35,15 @@
 fn change_during_a_verification_is_applied_after_it() {
     let (mut source, mut follower) = (source(1, 3_000), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    let all = (0..3_000).map(|at| quota_entry(at, 1.0)).collect();
-    let first = source.publish_changes(all, Vec::new(), check).unwrap().version;
+    let entries = (0..3_000).map(|index| quota_entry(index, 1.0)).collect();
+    let first = source.publish_changes(entries, Vec::new(), check).unwrap().version;
     let poll = follower.next_poll();
     let SourceAnswer::Now(text) = source.answer_poll(&poll) else { panic!() };
     follower.follower.handle_message(follower.now, decode(text.as_bytes()).unwrap());
     follower.follower.next_step(follower.now);
     let second = publish_quota(&mut source, 0, 2.0);
-    let late = Message::Delta(source.delta(first).unwrap());
-    assert_eq!(follower.deliver(late), Outcome::Applied(first), "a message without a poll is dropped");
+    let delayed = Message::Delta(source.delta(first).unwrap());
+    assert_eq!(follower.deliver(delayed), Outcome::Applied(first), "a message without a poll is dropped");
     assert!(follower.slices >= 2 * 3_000 / 256, "{} slices", follower.slices);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(second));
     follower.assert_in_force(source.document());
@@ -55,8 +55,8 @@
     let (mut source, mut follower) = (source(1, 1_000), FollowerDriver::new(1));
     follower.poll_source(&mut source);
     let before = source.document().clone();
-    let all = (0..1_000).map(|at| quota_entry(at, 1.0)).collect();
-    source.publish_changes(all, Vec::new(), check).unwrap();
+    let entries = (0..1_000).map(|index| quota_entry(index, 1.0)).collect();
+    source.publish_changes(entries, Vec::new(), check).unwrap();
     follower.next_poll();
     let delta = Message::Delta(source.delta(Version::first(EPOCH)).unwrap());
     follower.follower.handle_message(follower.now, delta);
@@ -64,7 +64,7 @@
         assert_eq!(follower.follower.document(), &before);
     }
     assert_eq!(follower.follower.document(), &before);
-    follower.work();
+    follower.run_to_outcome();
     follower.assert_in_force(source.document());
 }
 
@@ -73,8 +73,8 @@
 fn five_hundred_missed_versions_are_sent_as_one_delta() {
     let (mut source, mut follower) = (source(10, 100), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    for at in 0..500 {
-        publish_quota(&mut source, at % 50, 100.0 + at as f64);
+    for index in 0..500 {
+        publish_quota(&mut source, index % 50, 100.0 + index as f64);
     }
     source.publish_changes(vec![quota_entry(7, 50.0)], vec![customer_key(99)], check).unwrap();
     let delta = source.delta(Version::first(EPOCH)).unwrap();
@@ -135,8 +135,8 @@
     let from = publish_quota(&mut source, 1, 1.0);
     publish_quota(&mut source, 2, 2.0);
     follower.next_poll();
-    let late = Message::Delta(source.delta(from).unwrap());
-    assert_eq!(follower.deliver(late), Outcome::Rejected(Rejection::BaseMismatch { applied, from }));
+    let delayed = Message::Delta(source.delta(from).unwrap());
+    assert_eq!(follower.deliver(delayed), Outcome::Rejected(Rejection::BaseMismatch { applied, from }));
     assert_eq!(follower.next_poll().after, None);
     follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
@@ -155,9 +155,9 @@
     for end in 0..text.len() {
         assert!(decode(&text.as_bytes()[..end]).is_err(), "{}", &text[..end]);
     }
-    for at in 0..text.len() {
+    for index in 0..text.len() {
         let mut altered = text.clone().into_bytes();
-        altered[at] ^= 1;
+        altered[index] ^= 1;
         let Ok(message) = decode(&altered) else { continue };
         follower.next_poll();
         let outcome = follower.deliver(message);
@@ -199,20 +199,21 @@
 
 #[test]
 fn duplicate_tenant_is_rejected_by_the_source_and_in_a_message() {
-    let twice = json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
+    let duplicate_names =
+        json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
     let north = Key::new(Section::Customers, "north");
-    assert_eq!(Document::from_settings(&twice), Err(DocumentError::DuplicateEntry(north)));
+    assert_eq!(Document::from_settings(&duplicate_names), Err(DocumentError::DuplicateEntry(north)));
     let mut source = source(1, 1);
-    assert!(matches!(source.publish(&twice, check), Err(PublishError::Document(_))));
-    let sum = "0".repeat(32);
+    assert!(matches!(source.publish(&duplicate_names, check), Err(PublishError::Document(_))));
+    let checksum = "0".repeat(32);
     let decoded = |parts: &str| {
-        let text = format!(r#"{{"kind":"delta","from":"1-1","to":"1-2",{parts},"checksum":"{sum}"}}"#);
+        let text = format!(r#"{{"kind":"delta","from":"1-1","to":"1-2",{parts},"checksum":"{checksum}"}}"#);
         decode(text.as_bytes()).map_err(|error| error.to_string())
     };
-    let twice = r#""changed":{"customers":{"north":{"quota_rps":1},"north":{"quota_rps":2}}}"#;
-    assert_eq!(decoded(twice), Err("customers.north: duplicate entry".into()));
-    let both = r#""changed":{"customers":{"north":{}}},"removed":{"customers":["north"]}"#;
-    assert_eq!(decoded(both), Err("customers.north: duplicate entry".into()));
+    let changed_twice = r#""changed":{"customers":{"north":{"quota_rps":1},"north":{"quota_rps":2}}}"#;
+    assert_eq!(decoded(changed_twice), Err("customers.north: duplicate entry".into()));
+    let changed_and_removed = r#""changed":{"customers":{"north":{}}},"removed":{"customers":["north"]}"#;
+    assert_eq!(decoded(changed_and_removed), Err("customers.north: duplicate entry".into()));
     assert!(decoded(r#""changed":{"customers":{"north":{}}},"changed":{}"#).is_err());
     assert!(decoded(r#""changed":{"tenants":{"north":{}}}"#).is_err());
     assert!(decoded(r#""entries":{}"#).is_err());
@@ -279,18 +280,19 @@
 fn delta_beyond_the_bounds_of_a_document_is_rejected() {
     let (mut source, mut follower) = (source(1, 1), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    let large = |at: usize| lotusdeck_configuration::Entry {
-        key: customer_key(at),
+    let large_entry = |index: usize| lotusdeck_configuration::Entry {
+        key: customer_key(index),
         value: format!("{{\"note\":\"{}\"}}", "x".repeat(250_000)).into(),
     };
-    let changed = (0..80).map(large).collect();
+    let changed = (0..80).map(large_entry).collect();
     let published = source.publish_changes(changed, Vec::new(), |_| Ok(()));
     assert!(matches!(
         published,
         Err(PublishError::Staging(StagingError::Document(DocumentError::TooLarge { .. })))
     ));
-    let changed = (0..80).map(large).collect();
-    let delta = lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty(&source) };
+    let changed = (0..80).map(large_entry).collect();
+    let delta =
+        lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty_delta(&source) };
     follower.next_poll();
     let outcome = follower.deliver(Message::Delta(delta));
     assert!(matches!(
@@ -302,12 +304,12 @@
     ));
 }
 
-fn empty(source: &Source) -> lotusdeck_configuration::Delta {
+fn empty_delta(source: &Source) -> lotusdeck_configuration::Delta {
     lotusdeck_configuration::Delta {
         from: source.version(),
         to: source.version(),
         changed: Vec::new(),
         removed: Vec::new(),
-        checksum: source.document().checksum().of_version(source.version()),
+        checksum: source.document().checksum().with_version(source.version()),
     }
 }
--- a/crates/configuration/tests/rollout.rs
+++ b/crates/configuration/tests/rollout.rs
@@ -21,7 +21,7 @@
 };
 const PROXIES: u64 = 1_200;
 /// The time within which a change has to be in force at all proxies.
-const IN_FORCE: Duration = Duration::from_secs(20);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(20);
 
 /// Creates a source whose full document counts as a large answer, like that of a real site.
 fn large_source() -> Source {
@@ -39,29 +39,35 @@
 /// All followers apply a change in under 2 s, well within the required 20 s, and a proxy transfers under 2 KB/s.
 #[test]
 fn change_reaches_all_followers_in_time() {
-    let mut world = rollout(seconds(60), QueueBounds::default());
-    assert_eq!(world.run(seconds(120)), 1_200);
-    world.run_for(seconds(30));
-    let (before, since) = (world.bytes(), world.now);
+    let mut rollout = rollout(seconds(60), QueueBounds::default());
+    assert_eq!(rollout.run(seconds(120)), 1_200);
+    rollout.run_for(seconds(30));
+    let (before, measured_from) = (rollout.bytes(), rollout.now);
     for customer in 0..20 {
-        publish_quota(&mut world.source, customer % 5, 100.0 + customer as f64);
-        world.distribute();
-        let published = world.now;
-        assert_eq!(world.run(IN_FORCE), 1_200);
-        let last = *world.delays(published).last().unwrap();
+        publish_quota(&mut rollout.source, customer % 5, 100.0 + customer as f64);
+        rollout.distribute();
+        let published = rollout.now;
+        assert_eq!(rollout.run(PROPAGATION_LIMIT), 1_200);
+        let last = *rollout.delays(published).last().unwrap();
         assert!(last < seconds(2), "the last applied it after {last:?}");
-        world.run_for(seconds(34)); // 1,600 changes a day are one every 54 s
+        rollout.run_for(seconds(34)); // 1,600 changes a day are one every 54 s
     }
-    let rate = (world.bytes() - before) as f64 / PROXIES as f64 / (world.now - since).as_secs_f64();
+    let rate =
+        (rollout.bytes() - before) as f64 / PROXIES as f64 / (rollout.now - measured_from).as_secs_f64();
     assert!(rate < 2_000.0, "{rate} bytes a second and proxy");
 }
 
 /// All proxies start within a minute and request the full document; the last has it at most 20 s after that minute.
 #[test]
 fn proxies_restarted_within_a_minute_get_the_full_document() {
-    let mut world = rollout(seconds(60), QueueBounds::default());
-    assert_eq!(world.run(seconds(60) + IN_FORCE), 1_200, "of 1,200 have the document at {:?}", world.now);
-    let sent = world.bytes();
+    let mut rollout = rollout(seconds(60), QueueBounds::default());
+    assert_eq!(
+        rollout.run(seconds(60) + PROPAGATION_LIMIT),
+        1_200,
+        "of 1,200 have the document at {:?}",
+        rollout.now
+    );
+    let sent = rollout.bytes();
     assert!(sent < 1_200 * 5_100_000, "{sent} bytes: some were wasted");
 }
 
@@ -69,39 +75,43 @@
 /// answer. The source serves a limited number at a time, so that no answer is abandoned after some of it was sent.
 #[test]
 fn proxies_started_at_once_get_the_full_document_at_the_sources_bandwidth() {
-    let mut world = rollout(Duration::ZERO, QueueBounds::default());
-    let current = world.run(seconds(70));
-    assert_eq!(current, 1_200, "of 1,200 have the document at {:?}", world.now);
-    assert!(world.bytes() < 1_200 * 5_100_000, "{} bytes", world.bytes());
-    assert_eq!(world.closed, 0);
+    let mut rollout = rollout(Duration::ZERO, QueueBounds::default());
+    let current = rollout.run(seconds(70));
+    assert_eq!(current, 1_200, "of 1,200 have the document at {:?}", rollout.now);
+    assert!(rollout.bytes() < 1_200 * 5_100_000, "{} bytes", rollout.bytes());
+    assert_eq!(rollout.closed_connections, 0);
 }
 
 /// Proxies that receive answers at a few bytes a second do not delay others, and use a bounded amount of the source's
 /// memory.
 #[test]
 fn slow_proxies_delay_no_other() {
-    let mut world = rollout(seconds(60), QueueBounds::default());
-    assert_eq!(world.run(seconds(120)), 1_200);
+    let mut rollout = rollout(seconds(60), QueueBounds::default());
+    assert_eq!(rollout.run(seconds(120)), 1_200);
     let slow = 60;
-    for (at, proxy) in world.proxies.iter_mut().take(slow).enumerate() {
+    for (index, proxy) in rollout.proxies.iter_mut().take(slow).enumerate() {
         proxy.bandwidth = 10;
-        proxy.stuck = at % 2 == 0; // the others time out and reconnect
+        proxy.stuck = index % 2 == 0; // the others time out and reconnect
     }
-    world.run_for(seconds(15));
-    for at in 0..40 {
-        publish_quota(&mut world.source, at % 5, 100.0 + at as f64);
-        world.distribute();
-        let published = world.now;
-        world.run_for(seconds(2));
-        let fast = &world.proxies[slow..];
-        let version = world.source.version();
-        let late = fast
+    rollout.run_for(seconds(15));
+    for change in 0..40 {
+        publish_quota(&mut rollout.source, change % 5, 100.0 + change as f64);
+        rollout.distribute();
+        let published = rollout.now;
+        rollout.run_for(seconds(2));
+        let fast = &rollout.proxies[slow..];
+        let version = rollout.source.version();
+        let outdated = fast
             .iter()
             .filter(|proxy| proxy.applied.is_none_or(|applied| applied.version != version))
             .count();
-        assert_eq!(late, 0, "change {at}, published at {published:?}");
+        assert_eq!(outdated, 0, "change {change}, published at {published:?}");
     }
-    assert_eq!(world.closed, 30, "an answer that is not received is given up");
-    assert!(world.queue.len() <= 1_200);
-    assert!(world.max_buffered < 2_000_000, "{} bytes of answers buffered", world.max_buffered);
+    assert_eq!(rollout.closed_connections, 30, "an answer that is not received is given up");
+    assert!(rollout.queue.len() <= 1_200);
+    assert!(
+        rollout.max_buffered_bytes < 2_000_000,
+        "{} bytes of answers buffered",
+        rollout.max_buffered_bytes
+    );
 }
