--- a/crates/configuration/examples/size/main.rs
+++ b/crates/configuration/examples/size/main.rs
@@ -2,7 +2,7 @@
 //! until the last of 1,200 followers has applied it.
 //!
 //! `cargo run --release -p lotusdeck-configuration --example size`
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a trial stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a measurement panics on unexpected results")]
 
 mod costs;
 mod distribution;
--- a/crates/configuration/examples/size/workload.rs
+++ b/crates/configuration/examples/size/workload.rs
@@ -45,6 +45,6 @@
 pub(crate) fn answer(source: &mut Source, after: Option<Version>) -> Arc<str> {
     match source.answer_poll(&Poll { after, rejected_version: None, wait: Duration::ZERO }) {
         SourceAnswer::Now(text) => text,
-        SourceAnswer::Later => panic!("there is nothing later"),
+        SourceAnswer::Later => panic!("the source has no later version"),
     }
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
     /// The settings are not an object.
-    #[error("expected an object as the settings")]
+    #[error("settings: expected an object")]
     NotAnObject,
     /// A section of named objects is not an array.
     #[error("{section}: expected an array")]
@@ -46,7 +46,7 @@
         index: usize,
     },
     /// Two entries of a section have the same name. Rules refer to an entry by its name, so names have to be unique.
-    #[error("{0}: named twice")]
+    #[error("{0}: duplicate name")]
     DuplicateEntry(Key),
     /// The name is empty or too long.
     #[error("{section}: expected a name of 1 to {MAX_NAME_BYTES} bytes")]
--- a/crates/configuration/src/follower/step.rs
+++ b/crates/configuration/src/follower/step.rs
@@ -49,7 +49,7 @@
         offered: Version,
     },
     /// The source's document of the version in force differs from this proxy's.
-    #[error("version {0} is in force with other content")]
+    #[error("version {0} is in force with different content")]
     ContentConflict(Version),
     /// The version cannot be built, or its checksum does not match.
     #[error("version {version}: {error}")]
@@ -70,7 +70,7 @@
         error: InvalidSettings,
     },
     /// The source sent a version that was rejected before, or an earlier one.
-    #[error("version {0} was rejected already")]
+    #[error("version {0} was already rejected")]
     AlreadyRejected(Version),
 }
 
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -39,7 +39,7 @@
     #[error("invalid settings: {0}")]
     InvalidSettings(#[from] InvalidSettings),
     /// There is no difference from the latest version.
-    #[error("nothing changes")]
+    #[error("no changes to publish")]
     NoChange,
     /// The history does not reach back to the version to be restored.
     #[error("version {0} is not kept")]
--- a/crates/configuration/src/staging/error.rs
+++ b/crates/configuration/src/staging/error.rs
@@ -12,7 +12,7 @@
     #[error("{0}: duplicate entry")]
     DuplicateEntry(Key),
     /// A removed entry does not exist.
-    #[error("{0}: removed, but does not exist")]
+    #[error("{0}: cannot be removed, as it does not exist")]
     MissingEntry(Key),
     /// An entry or the whole document exceeds the bounds of a document, or an entry is not valid.
     #[error(transparent)]
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -1,6 +1,6 @@
 //! Under any loss, duplication and reordering of messages, a follower converges to the source's document and applies
 //! only published documents. A disconnected region keeps its document and catches up after reconnecting.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
 
 mod common;
 
@@ -136,7 +136,7 @@
                     assert_eq!(
                         self.published.get(&version),
                         Some(&rebuilt),
-                        "a mixture of versions passed at {version}"
+                        "the settings accepted for {version} are not the published ones"
                     );
                 }
             }
@@ -161,13 +161,15 @@
                 let poll = self.follower.next_poll();
                 match self.source.answer_poll(&poll) {
                     SourceAnswer::Now(text) => drop(self.follower.deliver(decode(text.as_bytes()).unwrap())),
-                    SourceAnswer::Later => panic!("{poll:?} waits for more than {}", self.source.version()),
+                    SourceAnswer::Later => {
+                        panic!("no answer to {poll:?} at version {}", self.source.version())
+                    }
                 }
             }
             // Seconds: a poll until it times out, the maximum backoff, and the delay after a rejected full document.
             assert!(
                 self.follower.now - started < seconds(12 + 2 + 30),
-                "not converged: {:?}",
+                "not converged at {:?}",
                 self.follower.now
             );
         }
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -1,5 +1,5 @@
 //! Tests of individual faults in the distribution of versions.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
 
 mod common;
 
@@ -22,7 +22,7 @@
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(Version::first(EPOCH)));
     let before = follower.now;
     assert_eq!(follower.poll_source(&mut source), Outcome::Idle);
-    assert_eq!(follower.now, before + seconds(10), "nothing later: the poll waits");
+    assert_eq!(follower.now, before + seconds(10), "the poll waits without a later version");
     let version = publish_quota(&mut source, 2, 7.0);
     assert_eq!(follower.next_poll().after, Some(Version::first(EPOCH)));
     follower.follower.poll_failed(follower.now, Failure::Busy);
@@ -191,7 +191,7 @@
     assert!(is_mismatch(follower.deliver(Message::FullDocument(full))));
     assert_eq!(follower.follower.document(), &applied);
     assert_eq!(follower.next_poll().after, None);
-    assert!(follower.now - before >= seconds(15), "megabytes are not requested again at once");
+    assert!(follower.now - before >= seconds(15), "the full document is not requested again immediately");
     follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
     follower.assert_in_force(source.document());
--- a/crates/configuration/tests/rollout.rs
+++ b/crates/configuration/tests/rollout.rs
@@ -1,5 +1,5 @@
 //! 1,200 followers of one source of fixed bandwidth, in virtual time.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
 
 mod common;
 #[path = "common/rollout.rs"]
@@ -49,12 +49,12 @@
         let published = rollout.now;
         assert_eq!(rollout.run(PROPAGATION_LIMIT), 1_200);
         let last = *rollout.delays(published).last().unwrap();
-        assert!(last < seconds(2), "the last applied it after {last:?}");
+        assert!(last < seconds(2), "the last proxy applied it after {last:?}");
         rollout.run_for(seconds(34)); // 1,600 changes a day are one every 54 s
     }
     let rate =
         (rollout.bytes() - before) as f64 / PROXIES as f64 / (rollout.now - measured_from).as_secs_f64();
-    assert!(rate < 2_000.0, "{rate} bytes a second and proxy");
+    assert!(rate < 2_000.0, "{rate} bytes per second and proxy");
 }
 
 /// All proxies start within a minute and request the full document; the last has it at most 20 s after that minute.
@@ -64,11 +64,11 @@
     assert_eq!(
         rollout.run(seconds(60) + PROPAGATION_LIMIT),
         1_200,
-        "of 1,200 have the document at {:?}",
+        "proxies with the document at {:?}",
         rollout.now
     );
     let sent = rollout.bytes();
-    assert!(sent < 1_200 * 5_100_000, "{sent} bytes: some were wasted");
+    assert!(sent < 1_200 * 5_100_000, "{sent} bytes, more than one full document per proxy");
 }
 
 /// All proxies request the full document at once, which at the source's bandwidth takes longer than the timeout of an
@@ -77,7 +77,7 @@
 fn proxies_started_at_once_get_the_full_document_at_the_sources_bandwidth() {
     let mut rollout = rollout(Duration::ZERO, QueueBounds::default());
     let current = rollout.run(seconds(70));
-    assert_eq!(current, 1_200, "of 1,200 have the document at {:?}", rollout.now);
+    assert_eq!(current, 1_200, "proxies with the document at {:?}", rollout.now);
     assert!(rollout.bytes() < 1_200 * 5_100_000, "{} bytes", rollout.bytes());
     assert_eq!(rollout.closed_connections, 0);
 }
@@ -107,7 +107,7 @@
             .count();
         assert_eq!(outdated, 0, "change {change}, published at {published:?}");
     }
-    assert_eq!(rollout.closed_connections, 30, "an answer that is not received is given up");
+    assert_eq!(rollout.closed_connections, 30, "connections of stuck proxies are closed");
     assert!(rollout.queue.len() <= 1_200);
     assert!(
         rollout.max_buffered_bytes < 2_000_000,
