--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -42,9 +42,9 @@
     document: Document,
     /// Whether the next poll requests the full document.
     needs_full_document: bool,
-    /// The time at which the last poll was sent.
+    /// Send time of the last poll.
     polled_at: Duration,
-    /// The time at which the last poll was sent whose answer confirmed the version in force as the source's latest.
+    /// Send time of the last poll whose answer delivered the version in force or confirmed it as the source's latest.
     current_at: Option<Duration>,
     /// A step that the next call of [`Follower::next_step`] returns.
     pending_step: Option<NextStep>,
--- a/crates/configuration/src/follower/step.rs
+++ b/crates/configuration/src/follower/step.rs
@@ -116,7 +116,7 @@
     pub applied_version: Option<Version>,
     /// How the document in force relates to the source's.
     pub sync_state: SyncState,
-    /// Time since the last poll was sent whose answer confirmed the version in force as the source's latest: an upper
-    /// bound on how long ago the source last had this version as its latest.
+    /// Upper bound on the time since the version in force was the source's latest: the time since sending the last poll
+    /// whose answer delivered or confirmed that version. `None` before the first such answer.
     pub age: Option<Duration>,
 }
