--- a/crates/configuration/tests/common/rollout.rs
+++ b/crates/configuration/tests/common/rollout.rs
@@ -1,5 +1,5 @@
-//! A source and its followers in virtual time: connections of bounded bandwidth, polls, answers and pauses. Every proxy is a
-//! real follower of a small document; a full document counts with the bytes of a large one.
+//! A simulation of a source and its followers in virtual time, with connections of bounded bandwidth. Every proxy is a
+//! real follower of a small document; sending a full document takes as many bytes as a large one has.
 
 use lotusdeck_configuration::long_poll::{Eviction, FollowerId, LongPollQueue, PollReply, QueueBounds};
 use lotusdeck_configuration::{
@@ -8,31 +8,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Network and machines.
+/// Properties of the simulated network and machines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
-    /// Bytes a second that the source sends to all proxies together.
+    /// Bytes per second that the source can send to all proxies together.
     pub source_bandwidth: u64,
-    /// Bytes a second that one proxy receives.
+    /// Bytes per second that one proxy can receive.
     pub proxy_bandwidth: u64,
-    /// Time from one end to the other, without that for its bytes.
+    /// One-way latency, without the transmission time of the bytes.
     pub latency: Duration,
-    /// Bytes of a full document.
+    /// Bytes that sending a full document takes.
     pub full_document_bytes: u64,
-    /// Time from the last byte of an answer until its settings are read.
+    /// Time from the last byte of an answer until the proxy has read its settings.
     pub read_time: Duration,
 }
 
-/// Virtual time moves on by this.
+/// Step of the virtual time.
 const TICK: Duration = Duration::from_millis(10);
-/// Bytes of headers and of the connection for every poll and every answer.
+/// Overhead of headers and connection for every poll and every answer, bytes.
 const HEADER_BYTES: u64 = 200;
 
 enum Connection {
     Idle,
-    Polling { poll: Poll, arrives: Duration },
+    Polling { poll: Poll, arrives_at: Duration },
     Parked,
-    Receiving { text: Arc<str>, left: u64, arrives: Duration },
+    Receiving { text: Arc<str>, remaining: u64, arrives_at: Duration },
     Reading { message: Message, until: Duration },
 }
 
@@ -44,13 +44,13 @@
 
 pub(crate) struct Proxy {
     pub follower: Follower,
-    pub starts: Duration,
+    pub starts_at: Duration,
     pub bandwidth: u64,
-    /// It does nothing, and its connection stays open.
+    /// Whether the proxy does nothing while its connection stays open.
     pub stuck: bool,
-    /// Bytes in both directions.
+    /// Bytes transferred in both directions.
     pub bytes: u64,
-    /// The version applied last, and when.
+    /// The last applied version and the time at which it was applied.
     pub applied: Option<AppliedAt>,
     connection: Connection,
 }
@@ -60,23 +60,23 @@
     pub queue: LongPollQueue,
     pub proxies: Vec<Proxy>,
     pub now: Duration,
-    /// The largest number of bytes of answers that the queue buffered at a time.
-    pub max_buffered: usize,
-    /// Polls for which there was no capacity.
-    pub busy: u64,
-    /// Connections closed as the answer was not received in time.
-    pub closed: u64,
+    /// The maximum bytes of answers that the queue buffered at a time.
+    pub max_buffered_bytes: usize,
+    /// Number of polls for which the source had no capacity.
+    pub busy_replies: u64,
+    /// Number of connections closed because the answer was not received in time.
+    pub closed_connections: u64,
     conditions: Conditions,
 }
 
 impl Rollout {
-    /// The given number of proxies, whose starts are spread evenly over `within`.
+    /// Creates a rollout to the given number of proxies, whose starts are spread evenly over `within`.
     pub(crate) fn new(
         source: Source, proxies: u64, within: Duration, bounds: QueueBounds, conditions: Conditions,
     ) -> Rollout {
         let proxy = |index: u64| Proxy {
             follower: Follower::new(FollowerSettings::default(), index + 1),
-            starts: within.mul_f64(index as f64 / proxies as f64),
+            starts_at: within.mul_f64(index as f64 / proxies as f64),
             bandwidth: conditions.proxy_bandwidth,
             stuck: false,
             bytes: 0,
@@ -88,24 +88,24 @@
             queue: LongPollQueue::new(bounds),
             proxies: (0..proxies).map(proxy).collect(),
             now: Duration::ZERO,
-            max_buffered: 0,
-            busy: 0,
-            closed: 0,
+            max_buffered_bytes: 0,
+            busy_replies: 0,
+            closed_connections: 0,
             conditions,
         }
     }
 
-    /// Runs until all have the source's version, for `max` at the longest; returns how many have it.
+    /// Runs until all proxies have the source's version, or for at most `max`; returns how many have it.
     pub(crate) fn run(&mut self, max: Duration) -> usize {
         let end = self.now + max;
-        while self.now < end && self.current() < self.proxies.len() {
+        while self.now < end && self.count_current() < self.proxies.len() {
             self.now += TICK;
             self.step();
         }
-        self.current()
+        self.count_current()
     }
 
-    /// Runs for this span.
+    /// Runs for this duration.
     pub(crate) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -114,34 +114,34 @@
         }
     }
 
-    pub(crate) fn current(&self) -> usize {
+    pub(crate) fn count_current(&self) -> usize {
         let version = Some(self.source.version());
         self.proxies.iter().filter(|proxy| proxy.follower.applied_version() == version).count()
     }
 
-    /// Sends what the source has published.
+    /// Answers waiting polls with the version that the source has published.
     pub(crate) fn distribute(&mut self) {
         for (id, reply) in self.queue.publish(&mut self.source, self.now) {
-            self.reply(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn reply(&mut self, id: FollowerId, reply: PollReply) {
-        let arrives = self.now + self.conditions.latency;
+    fn deliver(&mut self, id: FollowerId, reply: PollReply) {
+        let arrives_at = self.now + self.conditions.latency;
         let proxy = &mut self.proxies[id.0 as usize];
         match reply {
             PollReply::Parked => proxy.connection = Connection::Parked,
             PollReply::Busy => {
-                self.busy += 1;
+                self.busy_replies += 1;
                 proxy.bytes += HEADER_BYTES;
                 proxy.connection = Connection::Idle;
                 proxy.follower.poll_failed(self.now, Failure::Busy);
             }
             PollReply::Write(text) => {
                 let is_full = text.starts_with(r#"{"kind":"whole""#);
-                let left = HEADER_BYTES
+                let remaining = HEADER_BYTES
                     + if is_full { self.conditions.full_document_bytes } else { text.len() as u64 };
-                proxy.connection = Connection::Receiving { text, left, arrives };
+                proxy.connection = Connection::Receiving { text, remaining, arrives_at };
             }
         }
     }
@@ -149,9 +149,9 @@
     fn step(&mut self) {
         for eviction in self.queue.expire(&self.source, self.now) {
             match eviction {
-                Eviction::Write { follower, answer } => self.reply(follower, PollReply::Write(answer)),
+                Eviction::Write { follower, answer } => self.deliver(follower, PollReply::Write(answer)),
                 Eviction::Close { follower } => {
-                    self.closed += 1;
+                    self.closed_connections += 1;
                     let proxy = &mut self.proxies[follower.0 as usize];
                     proxy.connection = Connection::Idle;
                     proxy.follower.poll_failed(self.now, Failure::ConnectionFailed("closed".into()));
@@ -162,24 +162,23 @@
         for index in 0..self.proxies.len() {
             self.run_proxy(index);
         }
-        self.max_buffered = self.max_buffered.max(self.queue.buffered_bytes());
+        self.max_buffered_bytes = self.max_buffered_bytes.max(self.queue.buffered_bytes());
     }
 
-    /// The source's bandwidth is shared evenly by the proxies that receive an answer.
+    /// Sends bytes for one tick, sharing the source's bandwidth evenly among the proxies that receive an answer.
     fn send(&mut self) {
-        let receiving = self
-            .proxies
-            .iter()
-            .filter(|proxy| matches!(proxy.connection, Connection::Receiving { left, .. } if left > 0));
-        let per_tick = |speed: u64| speed * TICK.as_millis() as u64 / 1_000;
-        let share = per_tick(self.conditions.source_bandwidth) / (receiving.count() as u64).max(1);
-        for (at, proxy) in self.proxies.iter_mut().enumerate() {
-            let Connection::Receiving { text, left, .. } = &mut proxy.connection else { continue };
-            let sent = share.min(per_tick(proxy.bandwidth)).min(*left);
+        let receiving = self.proxies.iter().filter(
+            |proxy| matches!(proxy.connection, Connection::Receiving { remaining, .. } if remaining > 0),
+        );
+        let per_tick = |bandwidth: u64| bandwidth * TICK.as_millis() as u64 / 1_000;
+        let proxy_share = per_tick(self.conditions.source_bandwidth) / (receiving.count() as u64).max(1);
+        for (index, proxy) in self.proxies.iter_mut().enumerate() {
+            let Connection::Receiving { text, remaining, .. } = &mut proxy.connection else { continue };
+            let sent = proxy_share.min(per_tick(proxy.bandwidth)).min(*remaining);
             proxy.bytes += sent;
-            *left -= sent;
-            if *left == 0 && sent > 0 {
-                self.queue.bytes_written(FollowerId(at as u64), text.len());
+            *remaining -= sent;
+            if *remaining == 0 && sent > 0 {
+                self.queue.bytes_written(FollowerId(index as u64), text.len());
             }
         }
     }
@@ -188,15 +187,15 @@
         let (now, id) = (self.now, FollowerId(index as u64));
         let conditions = self.conditions;
         let proxy = &mut self.proxies[index];
-        if now < proxy.starts || proxy.stuck {
+        if now < proxy.starts_at || proxy.stuck {
             return;
         }
         match std::mem::replace(&mut proxy.connection, Connection::Idle) {
-            Connection::Polling { poll, arrives } if arrives <= now => {
+            Connection::Polling { poll, arrives_at } if arrives_at <= now => {
                 let reply = self.queue.poll(&mut self.source, now, id, poll);
-                return self.reply(id, reply);
+                return self.deliver(id, reply);
             }
-            Connection::Receiving { text, left: 0, arrives } if arrives <= now => {
+            Connection::Receiving { text, remaining: 0, arrives_at } if arrives_at <= now => {
                 let message = decode(text.as_bytes()).expect("a message of the source");
                 let read_time = match message {
                     Message::Unchanged(_) => Duration::ZERO,
@@ -212,7 +211,7 @@
         self.run_follower(index);
     }
 
-    /// Runs a follower until it waits.
+    /// Runs a follower until it polls or waits.
     fn run_follower(&mut self, index: usize) {
         let now = self.now;
         let proxy = &mut self.proxies[index];
@@ -220,7 +219,8 @@
             match proxy.follower.next_step(now) {
                 NextStep::Poll(poll) => {
                     proxy.bytes += HEADER_BYTES;
-                    proxy.connection = Connection::Polling { poll, arrives: now + self.conditions.latency };
+                    proxy.connection =
+                        Connection::Polling { poll, arrives_at: now + self.conditions.latency };
                     return;
                 }
                 NextStep::Validate => proxy.follower.candidate_validated(now, Ok(())),
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Times from `since` until each proxy applied its version, sorted.
+    /// Returns the times from `since` until each proxy applied its last version, sorted.
     pub(crate) fn delays(&self, since: Duration) -> Vec<Duration> {
         let delay = |proxy: &Proxy| proxy.applied.map(|applied| applied.at.saturating_sub(since));
         let mut delays: Vec<Duration> = self.proxies.iter().filter_map(delay).collect();
@@ -243,7 +243,7 @@
         delays
     }
 
-    /// Bytes in both directions of all proxies.
+    /// Returns the bytes that all proxies transferred in both directions.
     pub(crate) fn bytes(&self) -> u64 {
         self.proxies.iter().map(|proxy| proxy.bytes).sum()
     }
--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -1,6 +1,6 @@
-//! Under any loss, duplication and reordering of messages a follower converges to the source's document, and only
-//! published documents are ever in force; a disconnected region keeps its document and catches up.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+//! Under any loss, duplication and reordering of messages, a follower converges to the source's document and applies
+//! only published documents. A disconnected region keeps its document and catches up after reconnecting.
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
 
 mod common;
 
@@ -14,24 +14,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The next event.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A customer gets another quota, invalid where it is below 0, which this source does not check.
+    /// The source sets a customer's quota. Quotas below 0 are invalid, but this source does not check them.
     Publish { customer: usize, quota: i8 },
-    /// A customer is removed.
+    /// The source removes a customer.
     Remove { customer: usize },
-    /// The last versions are reverted.
+    /// The source reverts its last `versions` versions.
     Revert { versions: u64 },
     /// The source restarts without its history.
     Restart,
-    /// The poll reaches the source, and its answer is sent.
+    /// The open poll reaches the source, which sends its answer.
     Poll,
-    /// One of the answers in transit arrives, possibly not that of the open poll, and stays in transit as well.
-    Deliver { which: usize },
-    /// One of them is lost, and time moves on.
-    Lose { which: usize, millis: u64 },
-    /// The follower does one step.
+    /// One of the answers in transit arrives, not necessarily that of the open poll. It stays in transit, so that it
+    /// can arrive again.
+    Deliver { index: usize },
+    /// One of the answers in transit is lost, and time advances.
+    Lose { index: usize, millis: u64 },
+    /// The follower performs one step.
     Step,
 }
 
@@ -42,39 +43,39 @@
         1 => (0..6u64).prop_map(|versions| Event::Revert { versions }),
         1 => Just(Event::Restart),
         6 => Just(Event::Poll),
-        6 => (0..64usize).prop_map(|which| Event::Deliver { which }),
-        3 => (0..64usize, 0..15_000u64).prop_map(|(which, millis)| Event::Lose { which, millis }),
+        6 => (0..64usize).prop_map(|index| Event::Deliver { index }),
+        3 => (0..64usize, 0..15_000u64).prop_map(|(index, millis)| Event::Lose { index, millis }),
         6 => Just(Event::Step),
     ]
 }
 
-struct World {
+struct Simulation {
     source: Source,
-    /// Every version published so far.
+    /// The documents of all versions published so far.
     published: BTreeMap<Version, Document>,
     follower: FollowerDriver,
     open_poll: Option<Poll>,
     in_transit: Vec<Message>,
 }
 
-/// So few that followers fall behind it.
+/// A history so short that followers fall behind it.
 const HISTORY: HistoryBounds = HistoryBounds { versions: 5, bytes: 1 << 20 };
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let settings = common::settings(2, 10);
         let source = Source::new(common::EPOCH, &settings, HISTORY, check).unwrap();
         let mut follower = FollowerDriver::new(seed);
         let settings = FollowerSettings { entries_per_slice: 2, ..FollowerSettings::default() };
         follower.follower = lotusdeck_configuration::Follower::new(settings, seed);
         let published = BTreeMap::from([(source.version(), source.document().clone())]);
-        World { source, published, follower, open_poll: None, in_transit: Vec::new() }
+        Simulation { source, published, follower, open_poll: None, in_transit: Vec::new() }
     }
 
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::Publish { customer, quota: to } => {
-                let entry = quota_entry(*customer, f64::from(*to));
+            Event::Publish { customer, quota } => {
+                let entry = quota_entry(*customer, f64::from(*quota));
                 let _ = self.source.publish_changes(vec![entry], Vec::new(), |_| Ok(()));
             }
             Event::Remove { customer } => {
@@ -92,15 +93,15 @@
                 self.source = Source::new(epoch, &settings, HISTORY, check).unwrap();
             }
             Event::Poll => self.answer_open_poll(),
-            Event::Deliver { which } => {
-                if let Some(message) = self.message_in_transit(*which) {
+            Event::Deliver { index } => {
+                if let Some(message) = self.message_in_transit(*index) {
                     self.follower.follower.handle_message(self.follower.now, message);
                 }
             }
-            Event::Lose { which, millis } => {
+            Event::Lose { index, millis } => {
                 self.follower.now += Duration::from_millis(*millis);
                 if !self.in_transit.is_empty() {
-                    self.in_transit.remove(which % self.in_transit.len());
+                    self.in_transit.remove(index % self.in_transit.len());
                 }
             }
             Event::Step => self.step(),
@@ -109,8 +110,8 @@
         self.published.entry(self.source.version()).or_insert(document);
     }
 
-    fn message_in_transit(&self, which: usize) -> Option<Message> {
-        self.in_transit.get(which % self.in_transit.len().max(1)).cloned()
+    fn message_in_transit(&self, index: usize) -> Option<Message> {
+        self.in_transit.get(index % self.in_transit.len().max(1)).cloned()
     }
 
     fn answer_open_poll(&mut self) {
@@ -131,11 +132,11 @@
                 let verdict = check(&settings);
                 self.follower.follower.candidate_validated(self.follower.now, verdict.clone());
                 if verdict.is_ok() {
-                    let read = Document::from_settings(&settings).unwrap();
+                    let rebuilt = Document::from_settings(&settings).unwrap();
                     assert_eq!(
                         self.published.get(&version),
-                        Some(&read),
-                        "a mixture of versions passed at {version}"
+                        Some(&rebuilt),
+                        "the settings accepted for {version} are not the published ones"
                     );
                 }
             }
@@ -146,7 +147,7 @@
         }
     }
 
-    /// From now on all messages arrive, and the follower has to converge.
+    /// Delivers all messages from now on, and asserts that the follower converges.
     fn converge(&mut self) {
         self.in_transit.clear();
         self.open_poll = None;
@@ -155,18 +156,20 @@
         self.source.publish_changes(vec![valid], Vec::new(), check).unwrap();
         let started = self.follower.now;
         while self.follower.follower.applied_version() != Some(self.source.version()) {
-            self.follower.work();
+            self.follower.run_to_outcome();
             if self.follower.follower.applied_version() != Some(self.source.version()) {
                 let poll = self.follower.next_poll();
                 match self.source.answer_poll(&poll) {
                     SourceAnswer::Now(text) => drop(self.follower.deliver(decode(text.as_bytes()).unwrap())),
-                    SourceAnswer::Later => panic!("{poll:?} waits for more than {}", self.source.version()),
+                    SourceAnswer::Later => {
+                        panic!("no answer to {poll:?} at version {}", self.source.version())
+                    }
                 }
             }
-            // The rest of a poll that times out, the longest pause, and the one after a rejected full document.
+            // Seconds: a poll until it times out, the maximum backoff, and the delay after a rejected full document.
             assert!(
                 self.follower.now - started < seconds(12 + 2 + 30),
-                "not converged: {:?}",
+                "not converged at {:?}",
                 self.follower.now
             );
         }
@@ -177,25 +180,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// proptest prints the seed and the shortest sequence of events that fails.
+    /// On failure, proptest prints the seed and the shortest failing sequence of events.
     #[test]
     fn follower_converges_under_any_loss_duplication_and_reordering(
         seed in any::<u64>(), events in prop::collection::vec(event(), 0..200),
     ) {
-        let mut world = World::new(seed);
-        events.iter().for_each(|event| world.apply(event));
-        world.converge();
+        let mut simulation = Simulation::new(seed);
+        events.iter().for_each(|event| simulation.apply(event));
+        simulation.converge();
     }
 
-    /// The checksum of a document that was changed step by step equals that of the same document built at once.
+    /// The checksum of a document after incremental changes equals that of the same document built from its settings.
     #[test]
     fn incremental_checksum_equals_that_of_the_full_document(
         changes in prop::collection::vec((0..12usize, 0..100i8, any::<bool>()), 0..60),
     ) {
         let mut source = source(2, 8);
-        for (customer, to, remove) in changes {
+        for (customer, quota, remove) in changes {
             let key = common::customer_key(customer);
-            let (changed, removed) = if remove { (vec![], vec![key]) } else { (vec![quota_entry(customer, to.into())], vec![]) };
+            let (changed, removed) = if remove { (vec![], vec![key]) } else { (vec![quota_entry(customer, quota.into())], vec![]) };
             let _ = source.publish_changes(changed, removed, check);
         }
         let entries = source.document().iter();
@@ -206,23 +209,25 @@
     }
 }
 
-/// A region is disconnected for three minutes with five changes: it keeps the last valid document, reports its age, polls
-/// with pauses up to the longest, and afterwards applies all five changes as one delta within that pause.
+/// A region is disconnected for three minutes, in which five changes are published. It keeps the last valid document,
+/// reports its age and polls with backoff; after reconnecting it applies all five changes as one delta within 2 s, the
+/// maximum backoff.
 #[test]
 fn region_disconnected_for_three_minutes_catches_up_by_one_delta() {
     for seed in 1..=50 {
         let (mut source, mut follower) = (source(5, 50), FollowerDriver::new(seed));
         assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
-        let (applied, disconnected, document) = (source.version(), follower.now, source.document().clone());
+        let (applied, disconnected_at, document) =
+            (source.version(), follower.now, source.document().clone());
         let mut polls = 0;
-        while follower.now < disconnected + seconds(180) {
+        while follower.now < disconnected_at + seconds(180) {
             let poll = follower.next_poll();
             assert_eq!(poll.after, Some(applied), "seed {seed}");
             polls += 1;
             follower.follower.poll_failed(follower.now, Failure::ConnectionFailed("unreachable".into()));
-            let due = (follower.now - disconnected).as_secs() / 36;
-            while source.version().number - applied.number < due.min(5) {
-                publish_quota(&mut source, due as usize, 1.0 + due as f64);
+            let due_changes = (follower.now - disconnected_at).as_secs() / 36;
+            while source.version().number - applied.number < due_changes.min(5) {
+                publish_quota(&mut source, due_changes as usize, 1.0 + due_changes as f64);
             }
             assert_eq!(follower.follower.document(), &document, "seed {seed}");
         }
@@ -234,12 +239,16 @@
         );
         assert!(status.age.unwrap() >= seconds(180), "seed {seed}: {:?}", status.age);
         assert!((90..=200).contains(&polls), "seed {seed}: {polls} polls");
-        let reconnected = follower.now;
+        let reconnected_at = follower.now;
         let poll = follower.next_poll();
         let SourceAnswer::Now(text) = source.answer_poll(&poll) else { panic!("seed {seed}") };
         assert!(matches!(decode(text.as_bytes()), Ok(Message::Delta(_))), "seed {seed}: {text}");
         assert_eq!(follower.deliver(decode(text.as_bytes()).unwrap()), Outcome::Applied(source.version()));
-        assert!(follower.now - reconnected <= seconds(2), "seed {seed}: {:?}", follower.now - reconnected);
+        assert!(
+            follower.now - reconnected_at <= seconds(2),
+            "seed {seed}: {:?}",
+            follower.now - reconnected_at
+        );
         follower.assert_in_force(source.document());
         assert_eq!(follower.follower.status(follower.now).sync_state, SyncState::Current);
     }
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! The faults of a distribution of changes, one by one.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+//! Tests of individual faults in the distribution of versions.
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
 
 mod common;
 
@@ -22,7 +22,7 @@
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(Version::first(EPOCH)));
     let before = follower.now;
     assert_eq!(follower.poll_source(&mut source), Outcome::Idle);
-    assert_eq!(follower.now, before + seconds(10), "nothing later: the poll waits");
+    assert_eq!(follower.now, before + seconds(10), "the poll waits without a later version");
     let version = publish_quota(&mut source, 2, 7.0);
     assert_eq!(follower.next_poll().after, Some(Version::first(EPOCH)));
     follower.follower.poll_failed(follower.now, Failure::Busy);
@@ -30,33 +30,33 @@
     follower.assert_in_force(source.document());
 }
 
-/// A change during the verification of another does not affect it, and is applied after it.
+/// A change published while a follower verifies an earlier one does not affect that verification and is applied later.
 #[test]
 fn change_during_a_verification_is_applied_after_it() {
     let (mut source, mut follower) = (source(1, 3_000), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    let all = (0..3_000).map(|at| quota_entry(at, 1.0)).collect();
-    let first = source.publish_changes(all, Vec::new(), check).unwrap().version;
+    let entries = (0..3_000).map(|index| quota_entry(index, 1.0)).collect();
+    let first = source.publish_changes(entries, Vec::new(), check).unwrap().version;
     let poll = follower.next_poll();
     let SourceAnswer::Now(text) = source.answer_poll(&poll) else { panic!() };
     follower.follower.handle_message(follower.now, decode(text.as_bytes()).unwrap());
     follower.follower.next_step(follower.now);
     let second = publish_quota(&mut source, 0, 2.0);
-    let late = Message::Delta(source.delta(first).unwrap());
-    assert_eq!(follower.deliver(late), Outcome::Applied(first), "a message without a poll is dropped");
+    let delayed = Message::Delta(source.delta(first).unwrap());
+    assert_eq!(follower.deliver(delayed), Outcome::Applied(first), "a message without a poll is dropped");
     assert!(follower.slices >= 2 * 3_000 / 256, "{} slices", follower.slices);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(second));
     follower.assert_in_force(source.document());
 }
 
-/// Nothing of a version is in the document before its last entry was verified and its settings were found valid.
+/// The document in force does not change before the last entry of a version is verified and its settings are valid.
 #[test]
 fn document_stays_unchanged_until_all_of_a_version_is_verified() {
     let (mut source, mut follower) = (source(1, 1_000), FollowerDriver::new(1));
     follower.poll_source(&mut source);
     let before = source.document().clone();
-    let all = (0..1_000).map(|at| quota_entry(at, 1.0)).collect();
-    source.publish_changes(all, Vec::new(), check).unwrap();
+    let entries = (0..1_000).map(|index| quota_entry(index, 1.0)).collect();
+    source.publish_changes(entries, Vec::new(), check).unwrap();
     follower.next_poll();
     let delta = Message::Delta(source.delta(Version::first(EPOCH)).unwrap());
     follower.follower.handle_message(follower.now, delta);
@@ -64,17 +64,17 @@
         assert_eq!(follower.follower.document(), &before);
     }
     assert_eq!(follower.follower.document(), &before);
-    follower.work();
+    follower.run_to_outcome();
     follower.assert_in_force(source.document());
 }
 
-/// 500 versions are sent as one delta, which has each entry once, and none that is as before.
+/// 500 missed versions are sent as one delta, with each entry once and without entries whose value is as before.
 #[test]
 fn five_hundred_missed_versions_are_sent_as_one_delta() {
     let (mut source, mut follower) = (source(10, 100), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    for at in 0..500 {
-        publish_quota(&mut source, at % 50, 100.0 + at as f64);
+    for index in 0..500 {
+        publish_quota(&mut source, index % 50, 100.0 + index as f64);
     }
     source.publish_changes(vec![quota_entry(7, 50.0)], vec![customer_key(99)], check).unwrap();
     let delta = source.delta(Version::first(EPOCH)).unwrap();
@@ -83,7 +83,7 @@
     follower.assert_in_force(source.document());
 }
 
-/// A follower that missed more versions than are kept gets the full document.
+/// A follower that missed more versions than the history holds gets the full document.
 #[test]
 fn gap_beyond_the_history_is_closed_by_the_full_document() {
     let bounds = HistoryBounds { versions: 4, ..HistoryBounds::default() };
@@ -100,7 +100,7 @@
     assert!(source.history().bytes() <= 300 && source.history().len() < 5, "{}", source.history().bytes());
 }
 
-/// A source that is rolled back within its epoch, or to an earlier one, is rejected; a new epoch is followed.
+/// A source that was rolled back within its epoch or to an earlier epoch is rejected until it starts a new epoch.
 #[test]
 fn rolled_back_source_is_rejected_until_it_begins_a_new_epoch() {
     let (mut newer, mut older) = (source(1, 5), source(1, 5));
@@ -126,7 +126,7 @@
     follower.assert_in_force(new_epoch.document());
 }
 
-/// A delta for another version is rejected, and the full document requested.
+/// A delta that applies to a different version is rejected, and the full document is requested.
 #[test]
 fn delta_for_another_base_is_rejected() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -135,15 +135,16 @@
     let from = publish_quota(&mut source, 1, 1.0);
     publish_quota(&mut source, 2, 2.0);
     follower.next_poll();
-    let late = Message::Delta(source.delta(from).unwrap());
-    assert_eq!(follower.deliver(late), Outcome::Rejected(Rejection::BaseMismatch { applied, from }));
+    let delayed = Message::Delta(source.delta(from).unwrap());
+    assert_eq!(follower.deliver(delayed), Outcome::Rejected(Rejection::BaseMismatch { applied, from }));
     assert_eq!(follower.next_poll().after, None);
     follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
     follower.assert_in_force(source.document());
 }
 
-/// Every truncated message, and every message with one byte changed, is invalid or fails its checksum.
+/// Every truncated message fails to decode. Every message with the lowest bit of one byte flipped fails to decode or is
+/// rejected.
 #[test]
 fn truncated_or_altered_message_is_rejected() {
     let (mut source, mut follower) = (source(2, 3), FollowerDriver::new(1));
@@ -154,9 +155,9 @@
     for end in 0..text.len() {
         assert!(decode(&text.as_bytes()[..end]).is_err(), "{}", &text[..end]);
     }
-    for at in 0..text.len() {
+    for index in 0..text.len() {
         let mut altered = text.clone().into_bytes();
-        altered[at] ^= 1;
+        altered[index] ^= 1;
         let Ok(message) = decode(&altered) else { continue };
         follower.next_poll();
         let outcome = follower.deliver(message);
@@ -166,7 +167,7 @@
     }
 }
 
-/// A checksum mismatch rejects the delta, then a full document too; the last valid document stays in force.
+/// A delta and then a full document with a wrong checksum are rejected; the last valid document stays in force.
 #[test]
 fn checksum_mismatch_keeps_the_last_valid_document() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -190,7 +191,7 @@
     assert!(is_mismatch(follower.deliver(Message::FullDocument(full))));
     assert_eq!(follower.follower.document(), &applied);
     assert_eq!(follower.next_poll().after, None);
-    assert!(follower.now - before >= seconds(15), "megabytes are not requested again at once");
+    assert!(follower.now - before >= seconds(15), "the full document is not requested again immediately");
     follower.follower.poll_failed(follower.now, Failure::Busy);
     assert_eq!(follower.poll_source(&mut source), Outcome::Applied(source.version()));
     follower.assert_in_force(source.document());
@@ -198,28 +199,29 @@
 
 #[test]
 fn duplicate_tenant_is_rejected_by_the_source_and_in_a_message() {
-    let twice = json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
+    let duplicate_names =
+        json!({"customers": [{"name": "north", "quota_rps": 1}, {"name": "north", "quota_rps": 2}]});
     let north = Key::new(Section::Customers, "north");
-    assert_eq!(Document::from_settings(&twice), Err(DocumentError::DuplicateEntry(north)));
+    assert_eq!(Document::from_settings(&duplicate_names), Err(DocumentError::DuplicateEntry(north)));
     let mut source = source(1, 1);
-    assert!(matches!(source.publish(&twice, check), Err(PublishError::Document(_))));
-    let sum = "0".repeat(32);
+    assert!(matches!(source.publish(&duplicate_names, check), Err(PublishError::Document(_))));
+    let checksum = "0".repeat(32);
     let decoded = |parts: &str| {
-        let text = format!(r#"{{"kind":"delta","from":"1-1","to":"1-2",{parts},"checksum":"{sum}"}}"#);
+        let text = format!(r#"{{"kind":"delta","from":"1-1","to":"1-2",{parts},"checksum":"{checksum}"}}"#);
         decode(text.as_bytes()).map_err(|error| error.to_string())
     };
-    let twice = r#""changed":{"customers":{"north":{"quota_rps":1},"north":{"quota_rps":2}}}"#;
-    assert_eq!(decoded(twice), Err("customers.north: duplicate entry".into()));
-    let both = r#""changed":{"customers":{"north":{}}},"removed":{"customers":["north"]}"#;
-    assert_eq!(decoded(both), Err("customers.north: duplicate entry".into()));
+    let changed_twice = r#""changed":{"customers":{"north":{"quota_rps":1},"north":{"quota_rps":2}}}"#;
+    assert_eq!(decoded(changed_twice), Err("customers.north: duplicate entry".into()));
+    let changed_and_removed = r#""changed":{"customers":{"north":{}}},"removed":{"customers":["north"]}"#;
+    assert_eq!(decoded(changed_and_removed), Err("customers.north: duplicate entry".into()));
     assert!(decoded(r#""changed":{"customers":{"north":{}}},"changed":{}"#).is_err());
     assert!(decoded(r#""changed":{"tenants":{"north":{}}}"#).is_err());
     assert!(decoded(r#""entries":{}"#).is_err());
     assert!(decoded(r#""changed":{"customers":{"north":{}}}"#).is_ok());
 }
 
-/// An invalid version is not published. One that only a follower finds invalid is rejected once and not requested again,
-/// and the next one is applied, though it is based on the rejected version.
+/// An invalid version is not published. A version that only the follower's check finds invalid is rejected once and not
+/// requested again. The next version is applied, although the source builds it on the rejected one.
 #[test]
 fn invalid_version_is_rejected_and_the_next_one_applied() {
     let (mut source, mut follower) = (source(1, 5), FollowerDriver::new(1));
@@ -247,7 +249,7 @@
     follower.assert_in_force(&applied.1);
 }
 
-/// What several versions changed, added and removed is restored by one later version.
+/// Publishing one later version reverts the changes, additions and removals of several versions.
 #[test]
 fn versions_are_reverted_by_a_later_one() {
     let mut source = source(3, 5);
@@ -261,7 +263,7 @@
     assert_eq!(source.revert_to(Version { epoch: EPOCH, number: 5 }, check), Err(PublishError::NoChange));
 }
 
-/// The order of profiles and customers in a settings object has no meaning, that of other arrays has.
+/// The order of profiles and customers in a settings object has no meaning; the order of other arrays has.
 #[test]
 fn document_ignores_the_order_of_profiles_and_customers() {
     let mut reversed = settings(3, 3);
@@ -273,23 +275,24 @@
     assert_ne!(Document::from_settings(&reversed).unwrap().checksum(), document.checksum());
 }
 
-/// No delta lets a document grow beyond its bounds, whatever a source sends.
+/// A delta that would make the document too large is rejected by the source and by the follower.
 #[test]
 fn delta_beyond_the_bounds_of_a_document_is_rejected() {
     let (mut source, mut follower) = (source(1, 1), FollowerDriver::new(1));
     follower.poll_source(&mut source);
-    let large = |at: usize| lotusdeck_configuration::Entry {
-        key: customer_key(at),
+    let large_entry = |index: usize| lotusdeck_configuration::Entry {
+        key: customer_key(index),
         value: format!("{{\"note\":\"{}\"}}", "x".repeat(250_000)).into(),
     };
-    let changed = (0..80).map(large).collect();
+    let changed = (0..80).map(large_entry).collect();
     let published = source.publish_changes(changed, Vec::new(), |_| Ok(()));
     assert!(matches!(
         published,
         Err(PublishError::Staging(StagingError::Document(DocumentError::TooLarge { .. })))
     ));
-    let changed = (0..80).map(large).collect();
-    let delta = lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty(&source) };
+    let changed = (0..80).map(large_entry).collect();
+    let delta =
+        lotusdeck_configuration::Delta { to: source.version().next(), changed, ..empty_delta(&source) };
     follower.next_poll();
     let outcome = follower.deliver(Message::Delta(delta));
     assert!(matches!(
@@ -301,12 +304,12 @@
     ));
 }
 
-fn empty(source: &Source) -> lotusdeck_configuration::Delta {
+fn empty_delta(source: &Source) -> lotusdeck_configuration::Delta {
     lotusdeck_configuration::Delta {
         from: source.version(),
         to: source.version(),
         changed: Vec::new(),
         removed: Vec::new(),
-        checksum: source.document().checksum().of_version(source.version()),
+        checksum: source.document().checksum().with_version(source.version()),
     }
 }
