--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -1,18 +1,18 @@
-//! The disk that a ledger is written to.
+//! The storage interface of the ledger.
 
 use std::io;
 
-/// A folder of files: a real one is [`Folder`](crate::Folder), one that fails on demand
-/// [`MemoryDisk`](crate::memory_disk::MemoryDisk).
+/// A folder of files, either of the file system ([`Folder`](crate::Folder)) or in memory with injected faults
+/// ([`MemoryDisk`](crate::memory_disk::MemoryDisk)).
 pub trait Disk {
     /// An open file.
     type File;
-    /// The names of the files, in no particular order.
+    /// Returns the names of the files, in no particular order.
     ///
     /// # Errors
     /// The folder cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Creates a file with `reserved` bytes of zeros; its name survives a loss of power once this returns.
+    /// Creates a file of `reserved` zero bytes. Once this returns, the file's name survives a loss of power.
     ///
     /// # Errors
     /// The file exists already, or the space cannot be reserved.
@@ -20,19 +20,19 @@
     /// Writes all bytes at `offset`.
     ///
     /// # Errors
-    /// The write failed, perhaps in part.
+    /// The write failed; a part of the bytes may have been written.
     fn write(&mut self, file: &mut Self::File, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what was written survive a loss of power.
+    /// Makes all writes to `file` survive a loss of power.
     ///
     /// # Errors
-    /// The sync failed; which of the writes survive is unknown then.
+    /// The sync failed; which of the writes survive is unknown.
     fn sync(&mut self, file: &mut Self::File) -> io::Result<()>;
-    /// All bytes of a file.
+    /// Reads all bytes of a file.
     ///
     /// # Errors
     /// The file cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// `length` bytes of a file from `offset`, or fewer at its end.
+    /// Reads `length` bytes of a file from `offset`, or fewer at its end.
     ///
     /// # Errors
     /// The file cannot be read.
@@ -42,7 +42,7 @@
     /// # Errors
     /// The file cannot be deleted.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Free space, bytes.
+    /// Returns the free space in bytes.
     ///
     /// # Errors
     /// The file system does not report it.
--- a/crates/ledger/src/folder.rs
+++ b/crates/ledger/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder as the ledger's disk.
+//! The disk of a ledger as a folder of the file system.
 
 use crate::disk::Disk;
 use std::fs::{File, OpenOptions};
@@ -6,12 +6,12 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// A real folder.
+/// A folder of the file system.
 #[derive(Clone, Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Opens a folder, and creates it if it does not exist.
+    /// Opens a folder, creating it if it does not exist.
     ///
     /// # Errors
     /// The folder cannot be created.
@@ -20,7 +20,7 @@
         Ok(Folder(path.into()))
     }
 
-    /// Opens an existing folder, to be read.
+    /// Opens an existing folder for reading.
     ///
     /// # Errors
     /// There is no folder at `path`, or it cannot be read.
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -1,10 +1,11 @@
-//! Frames: each record behind its length, checksum and sequence number, so that torn and flipped bytes are detected.
+//! Frames: records with a header of length, checksum and sequence number, by which torn writes and flipped bits are
+//! detected.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 4 | length of the record, little-endian; 0 ends the written part of a preallocated segment |
 //! | 4 | CRC-32C (RFC 3720, B.4) over sequence number, length and record |
-//! | 8 | sequence number within the generation, from 1, without gaps |
+//! | 8 | sequence number within the generation: consecutive from 1, so that a jump shows lost records |
 //! | n | the record in postcard's format |
 
 #[cfg(test)]
@@ -12,9 +13,9 @@
 
 use crate::record::Record;
 
-/// Bytes of a frame before its record.
+/// The length of a frame's header, bytes.
 pub const HEADER: usize = 16;
-/// The greatest length of a record, bytes.
+/// The greatest length of an encoded record, bytes.
 pub(crate) const MAX_RECORD: usize = 4096;
 
 const CHECKSUM_OFFSET: usize = 4;
@@ -23,23 +24,23 @@
 /// A record and its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The sequence number within the generation, from 1, without gaps.
+    /// The sequence number within the generation: consecutive from 1, counting lost records too.
     pub sequence: u64,
     /// The record.
     pub record: Record,
 }
 
-/// Why bytes do not begin with a frame.
+/// The reason why bytes do not begin with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// Nothing was written there: zeros, or the end of the bytes.
+    /// Nothing was written there: only zeros, or no bytes at all.
     End,
-    /// Something was written there and cannot be decoded.
+    /// Something was written there but cannot be decoded.
     Bad,
 }
 
 impl Damage {
-    /// What undecodable bytes are, by whether any of them was written.
+    /// Classifies undecodable bytes: all zeros were never written.
     fn of(bytes: &[u8]) -> Damage {
         if bytes.iter().all(|byte| *byte == 0) {
             Damage::End
@@ -49,9 +50,9 @@
     }
 }
 
-/// The header of a frame, not yet checked against the record.
+/// The header of a frame. Its checksum has not been verified.
 pub(crate) struct FrameHeader {
-    /// Bytes of the record.
+    /// The length of the record, bytes.
     pub(crate) length: usize,
     pub(crate) sequence: u64,
     checksum: u32,
@@ -78,7 +79,7 @@
     crc32c::crc32c_append(sum, record)
 }
 
-/// Appends a frame to `out`. The record's texts are truncated beforehand, so that none is too long.
+/// Appends a frame to `out`. The caller has truncated the record's texts, so that the record is not too long.
 pub fn encode(sequence: u64, record: &Record, out: &mut Vec<u8>) {
     // Serializing numbers and strings to memory cannot fail.
     let bytes = postcard::to_allocvec(record).unwrap_or_default();
@@ -89,7 +90,7 @@
     out.extend_from_slice(&bytes);
 }
 
-/// Decodes the frame at the beginning of `bytes`; returns it with its length in bytes. Does not panic, whatever the
+/// Decodes the frame at the beginning of `bytes` and returns it with its length in bytes. Never panics, whatever the
 /// bytes are.
 ///
 /// # Errors
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of a process: a writer on a thread of its own. Nobody who hands over a record waits for the disk, but may
-//! await a future that resolves when the record is durable.
+//! Runs a writer on its own thread. Callers that queue a record do not wait for the disk, but can await a future that
+//! resolves when the record is durable.
 
 use crate::disk::Disk;
 use crate::durable_write::DurableWrite;
@@ -13,10 +13,10 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::sync::Arc;
 
-/// Records that may wait for the writer; those beyond count as records that could not be written.
+/// The capacity of the writer's queue. Records beyond it are counted as lost.
 const MAX_QUEUED_RECORDS: usize = 16 * 1024;
 
-/// The handle of a ledger. No call blocks.
+/// A handle to a running ledger. None of its methods waits for the disk.
 pub struct Ledger {
     jobs: SyncSender<Job>,
     gauges: Arc<Gauges>,
@@ -24,10 +24,10 @@
 }
 
 impl Ledger {
-    /// Starts the writer of a new generation on `disk`.
+    /// Creates the first segment of a new generation on `disk` and starts the writer's thread.
     ///
     /// # Errors
-    /// No thread can be started. A disk that fails is no error: see [`LedgerStatus::is_failing`].
+    /// The thread cannot be started. A failure of the disk is not an error: see [`LedgerStatus::is_failing`].
     pub fn start<D>(disk: D, options: Options, generation: u64) -> std::io::Result<Ledger>
     where
         D: Disk + Send + 'static,
@@ -45,12 +45,13 @@
         Ok(Ledger { jobs, gauges, on_failure })
     }
 
-    /// Queues a record.
+    /// Queues a record. The record is lost if the queue is full.
     pub fn record(&self, record: Record) {
         self.queue(Job::Write { record, durable: None });
     }
 
-    /// Queues a record whose request may be sent once it is durable.
+    /// Queues a record. The returned future resolves to whether the record is durable; it resolves to false at once if
+    /// the queue is full.
     pub fn record_durably(&self, record: Record) -> DurableWrite {
         let durable = DurableWrite::default();
         if !self.queue(Job::Write { record, durable: Some(durable.clone()) }) {
@@ -59,7 +60,7 @@
         durable
     }
 
-    /// Queues a job; returns false if the queue is full or the thread has ended.
+    /// Queues a job. Returns false and counts a lost record if the queue is full or the thread has ended.
     fn queue(&self, job: Job) -> bool {
         self.gauges.queued_records.fetch_add(1, Relaxed);
         match self.jobs.try_send(job) {
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Whether requests may be sent while nothing can be written: see [`OnFailure::SendUnrecorded`].
+    /// Returns whether requests may be sent while no record can be written: see [`OnFailure::SendUnrecorded`].
     pub fn sends_unrecorded(&self) -> bool {
         self.on_failure == OnFailure::SendUnrecorded && self.gauges.has_segment.load(Relaxed)
     }
 
-    /// Ends the generation in order; resolves when its last record is written.
+    /// Ends the generation gracefully. The returned future resolves to whether the last record was written.
     pub fn close(&self) -> DurableWrite {
         let closed = DurableWrite::default();
         if !self.queue(Job::Close(closed.clone())) {
@@ -87,17 +88,17 @@
         closed
     }
 
-    /// The present state, for operators.
+    /// Returns the current state, for operators.
     pub fn status(&self) -> LedgerStatus {
         self.gauges.status()
     }
 
-    /// The names of the segments deleted for their age or the total size since the last call.
+    /// Returns the names of the segments deleted for their age or the total size since the last call.
     pub fn take_deleted(&self) -> Vec<String> {
         self.gauges.take_deleted()
     }
 
-    /// A text as records contain it: a very long one is truncated.
+    /// Truncates a text to the greatest length that a record may contain.
     pub fn truncate_text(text: &str) -> String {
         text::truncate(text)
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! A journal of non-idempotent requests. After any crash it shows for each of them whether it was never sent, sent to
-//! a named backend (and how that ended), or possibly sent. It is never wrong, only sometimes uncertain.
+//! A journal of non-idempotent requests. After any crash it shows whether each request was never sent, sent to named
+//! backends (and how each attempt ended), or possibly sent. It may be uncertain, but it is never wrong.
 //!
-//! [`Writer`] appends records to segments on a [`Disk`]; [`History`] reads folders and draws the conclusions. Neither
-//! starts a thread nor reads a clock. [`Ledger`] runs a writer on a thread of its own.
+//! [`Writer`] appends records to segments on a [`Disk`]; [`History`] reads folders and reconstructs the requests.
+//! Neither starts a thread nor reads a clock. [`Ledger`] runs a writer on its own thread.
 
 mod disk;
 mod durable_write;
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -1,50 +1,50 @@
-//! How a generation is written, and how long its segments are kept.
+//! Options of a writer: durability, segment size and retention.
 
 use crate::record::Millis;
 
-/// What a record has to survive before its request may be sent.
+/// The failure that a record must survive before its request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The death of the process: the record is written to the kernel.
+    /// A crash of the process: the record has been written to the kernel.
     Process,
-    /// The loss of power: the record is synced to the disk.
+    /// A loss of power: the record has been synced to the disk.
     Power,
 }
 
-/// What happens to requests while nothing can be written.
+/// The treatment of requests while no record can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFailure {
-    /// They are not sent.
+    /// Requests are not sent.
     RejectRequests,
-    /// They are sent, and the gap is recorded once writing works again. This applies once the generation has its first
-    /// segment: before that nothing on the disk would show that there may be a gap.
+    /// Requests are sent, and the gap is recorded once writing works again. Before the generation has its first
+    /// segment, requests are not sent, because nothing on the disk would show that there may be a gap.
     SendUnrecorded,
 }
 
-/// How to write.
+/// The options of a [`Writer`](crate::Writer).
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The proxy's name, at most 64 bytes.
     pub proxy: String,
-    /// What records have to survive.
+    /// The failure that records must survive.
     pub mode: Mode,
-    /// What happens to requests while nothing can be written.
+    /// The treatment of requests while no record can be written.
     pub on_failure: OnFailure,
-    /// The size of a segment, reserved when it is created, bytes.
+    /// The size of a segment in bytes, reserved when it is created.
     pub segment_bytes: u64,
-    /// Beyond this total size sealed segments are deleted, the oldest first, bytes.
+    /// The total size in bytes beyond which sealed segments are deleted, the oldest first.
     pub keep_bytes: u64,
-    /// From this age on sealed segments are deleted.
+    /// The age from which sealed segments are deleted.
     pub keep: Millis,
-    /// Segments with an unfinished request are deleted only from this age on.
+    /// The age from which segments with an unfinished request are deleted. They are never deleted earlier.
     pub keep_unresolved: Millis,
 }
 
 const DAY: Millis = 24 * 3600 * 1000;
 
 impl Options {
-    /// 16 MiB segments, 1 GiB or 90 days in all, 180 days for unfinished requests. A longer name is truncated to 16
-    /// characters.
+    /// Returns options with segments of 16 MiB that are kept up to 1 GiB in total and for 90 days, or for 180 days if
+    /// they contain unfinished requests. Truncates the proxy's name to 16 characters.
     pub fn new(proxy: &str, mode: Mode, on_failure: OnFailure) -> Options {
         Options {
             proxy: proxy.chars().take(16).collect(),
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,36 +1,37 @@
-//! The records of the journal.
+//! The records of the ledger.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of Unix time by the proxy's wall clock, which may step.
+/// Milliseconds since the Unix epoch by the proxy's wall clock, which may step.
 pub type Millis = u64;
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// Certainly not processed: no connection came up, the backend rejected it unprocessed, or no byte was sent.
+    /// Certainly not processed: no connection was established, the backend rejected the attempt unprocessed, or no byte
+    /// was sent.
     NeverSent,
-    /// Answered with this status.
+    /// Sent, and answered with this status.
     Answered(u16),
-    /// Sent, and ended without an answer: reset, timed out, or given up.
+    /// Sent, and ended without an answer: reset, timed out, or abandoned.
     Unanswered,
 }
 
-/// One record. Requests are numbered within a generation, which is one start of one process; `at` is always the time
-/// of the event. The order of variants and fields is the format.
+/// One record. Requests are numbered within a generation, which is one run of one process; `at` is always the time of
+/// the event. The encoding depends on the order of the variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// A request was received from a client.
     Taken {
         /// The request's number.
         request: u64,
-        /// When.
+        /// The time of its arrival.
         at: Millis,
         /// Its correlation id.
         id: String,
         /// Its class.
         class: String,
-        /// What it concerns, as the client names it.
+        /// What it concerns, as named by the client.
         key: String,
     },
     /// An attempt may be sent from now on.
@@ -39,13 +40,13 @@
         request: u64,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// When.
+        /// The time of this record.
         at: Millis,
         /// Its correlation id again, in case the record of its arrival is lost.
         id: String,
-        /// The backend's id in the list.
+        /// The backend's id in the endpoint list.
         backend: String,
-        /// Where the backend listens.
+        /// The address of the backend.
         address: String,
     },
     /// An attempt ended.
@@ -54,34 +55,34 @@
         request: u64,
         /// The attempt's number.
         attempt: u32,
-        /// When.
+        /// The time of its end.
         at: Millis,
-        /// How.
+        /// Its outcome.
         end: End,
     },
-    /// The client has its final answer; no attempt follows.
+    /// The client has its final answer or has disconnected; no attempt follows.
     Settled {
         /// The request's number.
         request: u64,
     },
-    /// Between these times nothing could be written, and requests may have been sent all the same.
+    /// Records were lost between these times, and their requests may have been sent.
     Gap {
-        /// When writing began to fail.
+        /// When the first record was lost.
         from: Millis,
-        /// When writing worked again.
+        /// When writing succeeded again.
         to: Millis,
-        /// How many records are missing.
+        /// The number of records lost.
         records: u64,
     },
-    /// The process shut down gracefully: nothing follows in this generation.
+    /// The process shut down gracefully: no record follows in this generation.
     Closed {
-        /// When.
+        /// The time of the shutdown.
         at: Millis,
     },
 }
 
 impl Record {
-    /// The number of the request that it concerns.
+    /// Returns the number of the request that the record concerns.
     pub fn request(&self) -> Option<u64> {
         match self {
             Record::Taken { request, .. }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The correlation id that it contains.
+    /// Returns the correlation id that the record contains.
     pub fn id(&self) -> Option<&str> {
         match self {
             Record::Taken { id, .. } | Record::Intent { id, .. } => Some(id),
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,40 +1,40 @@
-//! Segments: files of frames behind a header. A reader finds every intact frame, also behind damage, and knows which
-//! byte ranges may have contained others.
+//! Segments: files that consist of a header and frames. A reader finds every intact frame, even after damaged bytes,
+//! and reports the byte ranges that may have contained others.
 
 use crate::frame::{decode, Damage, Frame, FrameHeader, HEADER, MAX_RECORD};
 use crate::record::Millis;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 
-/// The format version that this program writes.
+/// The version of the segment format that this program writes.
 pub const VERSION: u16 = 1;
-/// Bytes of the segment header: the frames begin behind it.
+/// The length of the segment header in bytes. The first frame follows it.
 pub const HEAD_LEN: usize = 256;
 const MAGIC: &[u8; 8] = b"LDLEDGER";
 /// Bytes before the postcard part of the header: magic, version, length, CRC-32C.
 const FIXED_LEN: usize = 16;
-/// Behind damage, a frame is accepted only if fewer than so many sequence numbers are missing before it.
+/// After damage, a frame is accepted only if its sequence number exceeds that of the last frame by less than this.
 const MAX_SEQUENCE_JUMP: u64 = 1 << 24;
 
-/// What a segment belongs to.
+/// The header of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentHeader {
     /// The proxy's name.
     pub proxy: String,
-    /// The generation, which is one start of one process: a random number.
+    /// The id of the generation, which is one run of one process.
     pub generation: u64,
-    /// When that process started.
+    /// The start time of that process.
     pub started_at: Millis,
     /// The number of the segment within the generation, from 0.
     pub number: u32,
-    /// The sequence number of its first frame.
+    /// The sequence number of the segment's first frame.
     pub first_sequence: u64,
-    /// Requests may be sent while nothing can be written.
+    /// Whether requests may be sent while no record can be written.
     pub sends_unrecorded: bool,
 }
 
 impl SegmentHeader {
-    /// Encodes the header as the first [`HEAD_LEN`] bytes of the file.
+    /// Encodes the header, padded with zeros to [`HEAD_LEN`] bytes.
     pub fn encode(&self) -> Vec<u8> {
         // Serializing numbers and strings to memory cannot fail.
         let mut body = postcard::to_allocvec(self).unwrap_or_default();
@@ -50,14 +50,14 @@
     }
 }
 
-/// What the header of a file shows it to be.
+/// The kind of a segment file according to its header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentKind {
     /// A segment of this format version.
     Segment(SegmentHeader),
     /// A segment of a later format version.
     Newer(u16),
-    /// Created, and not a byte of it written: it contained no frame.
+    /// The file was created and never written: it contained no frame.
     Blank,
     /// The header cannot be decoded.
     Damaged,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A frame and where it was found.
+/// A frame and its position in a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocatedFrame {
     /// The offset of its first byte in the segment.
@@ -98,21 +98,22 @@
     pub frame: Frame,
 }
 
-/// All that a segment contains.
+/// The content of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
-    /// What its header shows it to be.
+    /// The kind of the file according to its header.
     pub kind: SegmentKind,
-    /// The intact frames, in their order.
+    /// The intact frames, in the order of their offsets.
     pub frames: Vec<LocatedFrame>,
     /// Byte ranges that cannot be decoded and may have contained frames.
     pub damaged: Vec<Range<usize>>,
-    /// The last damaged range reaches to the end of the segment: nothing tells how many frames it contained.
+    /// Whether the last damaged range extends to the end of the segment, so that the number of frames lost in it is
+    /// unknown.
     pub torn: bool,
 }
 
-/// Reads a segment, whatever its bytes are. Behind damage it continues with the next intact frame whose sequence
-/// number can follow.
+/// Reads a segment, whatever its bytes are. After damage it continues with the next intact frame whose sequence number
+/// can follow that of the last frame.
 pub fn read_segment(bytes: &[u8]) -> Scan {
     let mut scan =
         Scan { kind: SegmentKind::of(bytes), frames: Vec::new(), damaged: Vec::new(), torn: false };
@@ -129,7 +130,7 @@
                 scan.frames.push(LocatedFrame { offset, frame });
                 offset += length;
             }
-            // Zeros up to the end were never written. If a frame follows them they are damage.
+            // Zeros up to the end were never written; zeros with other bytes after them are damage.
             Err(Damage::End) if bytes[offset..].iter().all(|byte| *byte == 0) => break,
             Ok(_) | Err(_) => {
                 let next = next_frame(bytes, offset + 1, last_sequence);
@@ -143,10 +144,10 @@
     scan
 }
 
-/// The offset of the next intact frame whose sequence number can follow `last_sequence`.
+/// Returns the offset of the first intact frame at or after `from` whose sequence number can follow `last_sequence`.
 fn next_frame(bytes: &[u8], from: usize, last_sequence: u64) -> Option<usize> {
     let last_offset = bytes.len().checked_sub(HEADER)?;
-    // Most offsets fail by length or sequence number, before any checksum is computed.
+    // The length and the sequence number rule out most offsets without computing a checksum.
     let is_plausible = |offset: &usize| {
         let Some(header) = bytes[*offset..].first_chunk::<HEADER>() else { return false };
         let header = FrameHeader::decode(header);
--- a/crates/ledger/src/worker.rs
+++ b/crates/ledger/src/worker.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: takes records from the queue, and writes those that wait with one write and one sync.
+//! The writer's thread. It takes queued records in batches, each of which needs one write and one sync.
 
 use crate::disk::Disk;
 use crate::durable_write::DurableWrite;
@@ -10,22 +10,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Records of one write at most.
+/// The greatest number of records in one write.
 const MAX_BATCH: usize = 512;
-/// How often the disk is checked while no record comes.
+/// The interval between checks of the disk while no record is queued.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The present time by the wall clock.
+/// Returns the current time of the wall clock.
 pub(crate) fn wall_clock() -> Millis {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     unix.as_millis() as Millis
 }
 
-/// What the handle asks of the thread.
+/// A job that the handle queues for the thread.
 pub(crate) enum Job {
-    /// Write a record, and resolve the future where somebody waits for it.
+    /// Write a record, and resolve the future if there is one.
     Write { record: Record, durable: Option<DurableWrite> },
-    /// Write what is queued, end the generation in order, and resolve the future.
+    /// Write the records queued before, end the generation gracefully, and resolve the future.
     Close(DurableWrite),
 }
 
@@ -36,7 +36,7 @@
     gauges: Arc<Gauges>,
     /// The records of the next write.
     batch: Vec<Record>,
-    /// The futures that wait for the batch.
+    /// The futures to resolve once the batch is written.
     waiting: Vec<DurableWrite>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Runs until the ledger is closed or its handle dropped.
+    /// Runs until the ledger is closed or its handle is dropped.
     pub(crate) fn run(mut self) {
         loop {
             let closing = match self.jobs.recv_timeout(IDLE_CHECK_INTERVAL) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Collects the records that are queued, up to one write's; returns the future of a close if it is requested.
+    /// Adds queued records to the batch, up to `MAX_BATCH`. Returns the future of the close request if one is queued.
     fn collect_batch(&mut self, first: Job) -> Option<DurableWrite> {
         let mut next = Some(first);
         while let Some(job) = next {
@@ -109,7 +109,7 @@
 
     fn check_disk(&mut self) {
         if self.writer.is_failing() {
-            // Tries to begin a segment again.
+            // An empty append begins a segment if none is open, and records the gap.
             let _ = self.writer.append(wall_clock(), &[]);
         }
         self.gauges.free_bytes.store(self.writer.free_bytes().unwrap_or(0), Relaxed);
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -1,4 +1,4 @@
-//! Appends records to segments. Owned by one thread; it neither reads a clock nor starts a thread.
+//! Appends records to segments. A writer is owned by one thread; it neither reads a clock nor starts a thread.
 
 use crate::disk::Disk;
 use crate::frame::encode;
@@ -11,27 +11,27 @@
 use std::io;
 use thiserror::Error;
 
-/// Why records were not written as durably as the mode requires.
+/// The reason why records are not as durable as the mode requires.
 #[derive(Debug, Error)]
 pub enum WriteError {
-    /// The disk failed; whether these records survive is unknown.
+    /// The disk failed, or its last failure is too recent to try again. Whether the records survive is unknown.
     #[error("the disk failed: {0}")]
     Disk(#[from] io::Error),
 }
 
-/// How long after a failure a new segment is tried.
+/// The time from a failure to the next attempt to create a segment, ms.
 const RETRY_INTERVAL: Millis = 500;
-/// An estimate of the bytes of a frame, by which buffers are allocated.
+/// The estimated length of a frame in bytes, for the capacity of buffers.
 const TYPICAL_FRAME_BYTES: usize = 160;
 
-/// One start of one process.
+/// One run of one process.
 struct Generation {
     id: u64,
     started_at: Millis,
 }
 
 impl Generation {
-    /// What the names of its files begin with. Sorted by name, its segments are in order.
+    /// Returns the prefix of its file names. Sorted by name, its segments are in the order in which they were written.
     fn file_prefix(&self) -> String {
         format!("ledger-{:016x}-", self.id)
     }
@@ -46,45 +46,45 @@
     file: F,
     name: String,
     number: u32,
-    /// The bytes written so far, with the header.
+    /// Bytes written so far, including the header.
     length: u64,
-    /// The hashes of the ids in it.
+    /// The hashes of the correlation ids in the segment.
     id_hashes: BTreeSet<u64>,
 }
 
-/// Records that could not be written.
+/// Records lost since the last successful write.
 #[derive(Clone, Copy)]
 struct LostRecords {
     since: Millis,
     count: u64,
 }
 
-/// A request that is not finished.
+/// A request that has not finished.
 struct OpenRequest {
     id_hash: u64,
-    /// The number of the segment in which it was received.
+    /// The number of the segment that records its arrival.
     segment: u32,
 }
 
-/// What was written so far.
+/// Counts of what was written so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteCounts {
-    /// Syncs.
+    /// Syncs of segments.
     pub syncs: u64,
-    /// Bytes of frames.
+    /// Bytes of frames in segments.
     pub bytes: u64,
 }
 
-/// Writes one generation's segments.
+/// Writes the segments of one generation.
 pub struct Writer<D: Disk> {
     disk: D,
     options: Options,
     generation: Generation,
     next_segment: u32,
-    /// The sequence number of the last record.
+    /// The sequence number of the last record, written or lost.
     sequence: u64,
     open: Option<OpenSegment<D::File>>,
-    /// No segment is created before this time.
+    /// The time before which a failed segment is not replaced by a new one.
     retry_at: Millis,
     lost: Option<LostRecords>,
     open_requests: HashMap<u64, OpenRequest>,
@@ -94,8 +94,8 @@
 }
 
 impl<D: Disk> Writer<D> {
-    /// Begins a generation. If its first segment cannot be created, the error is returned beside the writer, which
-    /// tries again with the first records.
+    /// Begins a generation. If its first segment cannot be created, returns the error together with the writer, which
+    /// tries again when records are appended.
     pub fn open(
         disk: D, options: Options, generation: u64, now: Millis,
     ) -> (Writer<D>, Result<(), WriteError>) {
@@ -148,11 +148,11 @@
         Ok(())
     }
 
-    /// Writes records, all of them as durably as the mode requires, or none.
+    /// Writes records as durably as the mode requires. A single write contains all of them.
     ///
     /// # Errors
-    /// The disk failed. Which records the segment contains is unknown then, so it is not written any more, and the
-    /// records' sequence numbers are not used again.
+    /// The disk failed. Which of the records the segment contains is then unknown, so nothing more is written to it,
+    /// and the records' sequence numbers are not used again.
     pub fn append(&mut self, now: Millis, records: &[Record]) -> Result<(), WriteError> {
         let written = self.try_append(now, records);
         if written.is_err() {
@@ -162,7 +162,7 @@
         written
     }
 
-    /// Records were lost before they reached the writer, and their requests were sent all the same.
+    /// Counts lost records, whose requests may have been sent. The next successful write records the gap.
     pub fn record_lost(&mut self, now: Millis, records: u64) {
         let lost = self.lost.get_or_insert(LostRecords { since: now, count: 0 });
         lost.count += records;
@@ -201,13 +201,13 @@
         Ok(())
     }
 
-    /// Whether the open segment contains frames and has no space for so many bytes more.
+    /// Returns whether the open segment contains frames and has no space for another `bytes` bytes.
     fn is_full_for(&self, bytes: u64) -> bool {
         let Some(open) = &self.open else { return false };
         open.length > HEAD_LEN as u64 && open.length + bytes > self.options.segment_bytes
     }
 
-    /// Keeps the index and the open requests up to date.
+    /// Updates the index and the open requests with a record that was written.
     fn note_written(&mut self, record: &Record) {
         let Some(open) = self.open.as_mut() else { return };
         if let Some(id) = record.id() {
@@ -231,18 +231,18 @@
         }
     }
 
-    /// Ends the open segment and writes its index.
+    /// Closes the open segment, writes its index and deletes surplus segments.
     fn seal_segment(&mut self, now: Millis) {
         let Some(open) = self.open.take() else { return };
         let bytes = index::encode(&open.id_hashes, self.sequence);
-        // A segment without an index is read in full: nothing is lost.
+        // Errors are ignored: a segment without an index is read in full.
         let index = self.disk.create(&index::file_name(&open.name), 0);
         let _ = index.and_then(|mut file| self.disk.write(&mut file, 0, &bytes));
         self.retain_segment(open, now);
         self.retention.delete_surplus(&mut self.disk, &self.options, &self.generation.file_prefix(), now);
     }
 
-    /// Ends the open segment after a failure.
+    /// Closes the open segment after a failure, without an index.
     fn abandon_segment(&mut self, now: Millis) {
         if let Some(open) = self.open.take() {
             self.retain_segment(open, now);
@@ -262,37 +262,38 @@
         self.retention.add(open.number, sealed);
     }
 
-    /// Ends the generation in order.
+    /// Ends the generation gracefully.
     ///
     /// # Errors
-    /// The disk failed: the generation then reads as if the process had crashed.
+    /// The disk failed. To readers, the process then appears to have crashed.
     pub fn close(&mut self, now: Millis) -> Result<(), WriteError> {
         self.append(now, &[Record::Closed { at: now }])?;
         self.seal_segment(now);
         Ok(())
     }
 
-    /// The names of the segments deleted since the last call, for the log.
+    /// Returns the names of the segments deleted since the last call, for the log.
     pub fn take_deleted(&mut self) -> Vec<String> {
         self.retention.take_deleted()
     }
 
-    /// Whether nothing can be written at present.
+    /// Returns whether no segment is open or records were lost since the last successful write.
     pub fn is_failing(&self) -> bool {
         self.open.is_none() || self.lost.is_some()
     }
 
-    /// Whether the generation has a segment on the disk, which shows whether requests may be sent unrecorded.
+    /// Returns whether the generation has a segment on the disk, whose header shows readers whether requests may have
+    /// been sent unrecorded.
     pub fn has_segment(&self) -> bool {
         self.has_segment
     }
 
-    /// What was written so far.
+    /// Returns counts of what was written so far.
     pub fn write_counts(&self) -> WriteCounts {
         self.counts
     }
 
-    /// The free space of the disk, bytes; `None` if it is unknown.
+    /// Returns the free space of the disk in bytes, or `None` if it is unknown.
     pub fn free_bytes(&self) -> Option<u64> {
         self.disk.free().ok()
     }
