--- a/crates/ledger/src/durable_write.rs
+++ b/crates/ledger/src/durable_write.rs
@@ -1,4 +1,4 @@
-//! The future of a record that is being written.
+//! The future that resolves when a record is written.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,12 +11,12 @@
     waker: Option<Waker>,
 }
 
-/// Resolves to whether the record is as durable as the mode requires. Clones share the result.
+/// A future that resolves to whether the record is as durable as the mode requires. Clones share the result.
 #[derive(Clone, Default)]
 pub struct DurableWrite(Arc<Mutex<Slot>>);
 
 impl DurableWrite {
-    /// Sets the result and wakes who waits for it.
+    /// Sets the result and wakes the task that waits for it.
     pub(crate) fn resolve(&self, is_durable: bool) {
         let mut slot = self.slot();
         slot.is_durable = Some(is_durable);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A panic elsewhere cannot leave the slot inconsistent.
+    /// Locks the slot. Ignores poisoning, because a panic elsewhere cannot leave the slot inconsistent.
     fn slot(&self) -> MutexGuard<'_, Slot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -1,5 +1,5 @@
-//! What the segments of one or more folders show of each request: certain where the records exist, uncertain where
-//! records may be missing, never wrong.
+//! Reconstructs requests from the segments of one or more folders. The result is certain where the records exist and
+//! uncertain where records may be missing, but never wrong.
 
 mod generation;
 mod reconstruction;
@@ -14,30 +14,30 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// The content of one or more folders, complete or only as far as one id requires.
+/// The content of one or more folders, either all of it or only what a query for one id requires.
 #[derive(Default)]
 pub struct History {
     generations: BTreeMap<u64, Generation>,
-    /// What could not be read, as text for operators: requests in there are missing.
+    /// Messages for operators about content that cannot be read or is missing, and with it perhaps requests.
     pub faults: Vec<String>,
-    /// Segments that were read.
+    /// The number of segments that were read.
     pub segments_read: usize,
-    /// Segments that were skipped, as by their index they do not contain the wanted id.
+    /// The number of segments skipped because their index shows that they do not contain the queried id.
     pub segments_skipped: usize,
 }
 
 impl History {
-    /// Adds a folder; its faults are reported under `name`. With an id, segments whose index shows that they do not
-    /// contain it are skipped, and only that request may be queried then.
+    /// Adds a folder, whose faults are reported under `name`. With an id, segments whose index shows that they do not
+    /// contain it are skipped, and only requests with that id may be queried afterwards.
     ///
     /// # Errors
-    /// The folder cannot be listed. A file that cannot be read is a fault, not an error.
+    /// The folder cannot be listed. A file that cannot be read is reported as a fault instead.
     pub fn add<D: Disk>(&mut self, name: &str, disk: &D, id: Option<&str>) -> io::Result<()> {
         let mut files = disk.list()?;
         files.retain(|file| file.ends_with(".seg"));
         files.sort();
         for (position, file) in files.iter().enumerate() {
-            // The last segment of a generation shows how that ended: it is always read.
+            // The last segment of a generation is always read, because it shows how the generation ended.
             let next = files.get(position + 1);
             let is_last = next.is_none_or(|next| generation_part(next) != generation_part(file));
             let skippable = id.filter(|_| !is_last).and_then(|id| last_sequence_without(disk, file, id));
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// Adds a segment; `last_skipped` is the sequence number of its last frame if its frames were not read.
+    /// Adds a segment. `last_skipped` is the sequence number of its last frame if its frames were not read.
     fn add_segment(&mut self, folder: &str, file: &str, content: &[u8], last_skipped: Option<u64>) {
         let scan = read_segment(content);
         for range in &scan.damaged {
@@ -99,20 +99,20 @@
         }
     }
 
-    /// All requests, in the order of their generations and of their arrival.
+    /// Returns all requests, ordered by generation and by arrival.
     pub fn requests(&self) -> Vec<Request> {
         self.generations.iter().flat_map(|(id, generation)| generation.requests(*id)).collect()
     }
 
-    /// The requests of a correlation id, which may have been used more than once. If there is none, that proves that
-    /// it was never sent only if the history is [`History::is_complete`].
+    /// Returns the requests with a correlation id, which may have been used more than once. An empty result proves that
+    /// no such request was sent only if [`History::is_complete`] returns true.
     pub fn find(&self, id: &str) -> Vec<Request> {
         let mut found = self.requests();
         found.retain(|request| request.id == id);
         found
     }
 
-    /// Whether no record is missing anywhere: what is not found was never sent by these proxies.
+    /// Returns whether no record is missing, so that a request that is not found was never sent by these proxies.
     pub fn is_complete(&self) -> bool {
         // An empty folder proves nothing: it may be the wrong one.
         !self.generations.is_empty()
@@ -121,19 +121,19 @@
     }
 }
 
-/// The part of a segment's file name that names its generation, in hexadecimal.
+/// Returns the part of a segment's file name that contains its generation in hexadecimal.
 fn generation_part(file: &str) -> Option<&str> {
     file.split('-').nth(1)
 }
 
-/// The generation by the file name, for a segment whose header does not show it.
+/// Parses the generation from the file name, for a segment whose header does not show it.
 fn generation_id(file: &str) -> Option<u64> {
     let (generation, _number) = file.strip_prefix("ledger-")?.split_once('-')?;
     u64::from_str_radix(generation, 16).ok()
 }
 
-/// The sequence number of the last frame of a segment which by its index does not contain `id`; `None` if the segment
-/// has to be read.
+/// Returns the sequence number of the last frame of a segment whose index shows that it does not contain `id`, or
+/// `None` if the segment must be read.
 fn last_sequence_without<D: Disk>(disk: &D, file: &str, id: &str) -> Option<u64> {
     let bytes = disk.read(&index::file_name(file)).ok()?;
     let index = Index::read(&bytes)?;
--- a/crates/ledger/src/history/generation.rs
+++ b/crates/ledger/src/history/generation.rs
@@ -1,4 +1,4 @@
-//! One generation, which is one start of one process, assembled from its segments.
+//! Assembles a generation, which is one run of one process, from its segments.
 
 use super::reconstruction::Reconstruction;
 use super::request::Request;
@@ -7,18 +7,19 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// The records of a generation, and what is known of those that are missing.
+/// The records of a generation and the evidence of missing ones.
 #[derive(Default)]
 pub(super) struct Generation {
     proxy: String,
     records: BTreeMap<u64, Record>,
     /// The sequence number of the first frame of each segment.
     first_sequences: Vec<u64>,
-    /// Requests may have been sent while nothing could be written.
+    /// Whether requests may have been sent while no record could be written.
     sends_unrecorded: bool,
-    /// What follows the last frame of a segment cannot be read.
+    /// Whether a segment ends with damaged bytes or its header cannot be read, so that any number of records may be
+    /// missing.
     is_torn: bool,
-    /// The sequence numbers in segments that were skipped: their records exist and concern other ids.
+    /// The sequence numbers of skipped segments, whose records exist and concern other ids.
     skipped: Vec<Range<u64>>,
 }
 
@@ -28,7 +29,7 @@
         self.proxy.clone_from(&header.proxy);
         self.sends_unrecorded |= header.sends_unrecorded;
         self.first_sequences.push(header.first_sequence);
-        // Damage inside a segment shows as missing numbers; nothing else shows damage at its end.
+        // Damage inside a segment leaves a gap in the sequence numbers; damage at its end shows only here.
         self.is_torn |= scan.torn;
         self.add_frames(scan.frames);
     }
@@ -39,12 +40,12 @@
         self.add_frames(scan.frames);
     }
 
-    /// Records that a segment cannot be read at all.
+    /// Notes that a segment cannot be read at all.
     pub(super) fn add_unreadable(&mut self) {
         self.is_torn = true;
     }
 
-    /// Records that a segment's frames with these sequence numbers were not read, as none concerns the wanted id.
+    /// Notes that the frames with these sequence numbers were not read because none concerns the queried id.
     pub(super) fn skip(&mut self, sequences: Range<u64>) {
         self.skipped.push(sequences);
     }
@@ -53,23 +54,23 @@
         self.records.extend(frames.into_iter().map(|located| (located.frame.sequence, located.frame.record)));
     }
 
-    /// Whether its last record shows a graceful shutdown.
+    /// Returns whether the last record shows a graceful shutdown.
     fn is_closed(&self) -> bool {
         self.records.values().next_back().is_some_and(|record| matches!(record, Record::Closed { .. }))
     }
 
-    /// Whether no record is missing, from the first to the last.
+    /// Returns whether no record is missing, from the first to the last.
     pub(super) fn is_complete(&self) -> bool {
         self.missing().is_empty() && self.first_sequences.iter().min() == Some(&1)
     }
 
-    /// How many records are certainly missing.
+    /// Returns the number of records that are certainly missing.
     pub(super) fn count_missing(&self) -> u64 {
         let bounded = self.missing().into_iter().filter(|range| range.end < u64::MAX);
         bounded.map(|range| range.end - range.start).sum()
     }
 
-    /// The sequence numbers under which records may be missing; the last range may be unbounded.
+    /// Returns the sequence numbers of records that may be missing. The last range may be unbounded.
     fn missing(&self) -> Vec<Range<u64>> {
         let mut known: Vec<Range<u64>> =
             self.records.keys().map(|sequence| *sequence..sequence + 1).collect();
@@ -90,7 +91,7 @@
         missing
     }
 
-    /// Its requests, in the order of their arrival.
+    /// Reconstructs the requests of the generation, in the order of their arrival.
     pub(super) fn requests(&self, id: u64) -> Vec<Request> {
         let missing = self.missing();
         let mut reconstructions: BTreeMap<u64, Reconstruction> = BTreeMap::new();
--- a/crates/ledger/src/history/reconstruction.rs
+++ b/crates/ledger/src/history/reconstruction.rs
@@ -4,15 +4,15 @@
 use crate::record::{End, Record};
 use std::ops::Range;
 
-/// A request as far as its records were read.
+/// A request as shown by the records applied so far.
 pub(super) struct Reconstruction {
     request: Request,
-    /// The sequence numbers that records of it may have: from that of its arrival to that of its final answer.
+    /// The range of sequence numbers that its records may have, from its arrival to its final answer.
     span: Range<u64>,
 }
 
 impl Reconstruction {
-    /// A request whose first record has that sequence number.
+    /// Creates a request whose first record has the sequence number `first_sequence`.
     pub(super) fn new(proxy: &str, generation: u64, first_sequence: u64) -> Reconstruction {
         let request = Request {
             id: String::new(),
@@ -28,7 +28,7 @@
         Reconstruction { request, span: first_sequence..u64::MAX }
     }
 
-    /// Adds what a record shows; records come in the order of their sequence numbers.
+    /// Applies a record. Records must be applied in the order of their sequence numbers.
     pub(super) fn apply(&mut self, sequence: u64, record: &Record) {
         match record {
             Record::Taken { at, id, class, key, .. } => {
@@ -61,7 +61,7 @@
 
     fn end_attempt(&mut self, number: u32, end: End) {
         let Some(attempt) = self.request.attempts.iter_mut().find(|attempt| attempt.number == number) else {
-            // Its intent is lost: it was sent to an unknown backend.
+            // The intent is lost: the attempt went to an unknown backend.
             self.earlier_records_are_lost();
             return;
         };
@@ -72,12 +72,12 @@
         };
     }
 
-    /// Earlier records of it are lost: they may have had any sequence number before.
+    /// Notes that earlier records of the request are lost, which may have had any lower sequence number.
     fn earlier_records_are_lost(&mut self) {
         self.span.start = 0;
     }
 
-    /// The request, uncertain if any of the missing records may have been one of its own.
+    /// Returns the request. It is uncertain if the record of its arrival or any other of its records may be missing.
     pub(super) fn finish(mut self, missing: &[Range<u64>]) -> Request {
         let may_miss_records =
             missing.iter().any(|range| range.start < self.span.end && range.end > self.span.start);
--- a/crates/ledger/src/history/request.rs
+++ b/crates/ledger/src/history/request.rs
@@ -1,9 +1,9 @@
-//! What is known of one request.
+//! A request as reconstructed from its records.
 
 use crate::record::Millis;
 use serde::Serialize;
 
-/// What became of one attempt.
+/// The known outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fate {
@@ -13,7 +13,7 @@
     Answered(u16),
     /// Sent, and ended without an answer.
     Unanswered,
-    /// It may have been sent.
+    /// Possibly sent; its end is not recorded.
     PossiblySent,
 }
 
@@ -24,22 +24,22 @@
     pub number: u32,
     /// The backend's id.
     pub backend: String,
-    /// Where the backend listened.
+    /// The address of the backend.
     pub address: String,
-    /// From when on it might be sent.
+    /// The time from which it may have been sent.
     #[serde(rename = "at")]
     pub sent_at: Millis,
-    /// What became of it.
+    /// Its outcome.
     pub fate: Fate,
 }
 
-/// What is known of a request with all its attempts.
+/// A summary of all attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It never reached a backend.
+    /// No attempt was sent.
     NeverSent,
-    /// It was sent, and the end of each attempt is known.
+    /// At least one attempt was sent, and the end of each attempt is known.
     Sent,
     /// It may have been sent, or sent more often than the attempts show.
     PossiblySent,
@@ -52,9 +52,9 @@
     pub id: String,
     /// Its class; empty if the record of its arrival is lost.
     pub class: String,
-    /// What it concerns, as the client names it.
+    /// What it concerns, as named by the client.
     pub key: String,
-    /// When it was received, by the proxy's clock; `None` if the record of its arrival is lost.
+    /// The time of its arrival by the proxy's clock; `None` if the record of its arrival is lost.
     #[serde(rename = "taken")]
     pub taken_at: Option<Millis>,
     /// The proxy that received it.
@@ -63,16 +63,16 @@
     pub generation: u64,
     /// Its attempts, in their order.
     pub attempts: Vec<Attempt>,
-    /// Records that may have shown further attempts are missing.
+    /// Whether records that may have shown further attempts are missing.
     #[serde(rename = "doubt")]
     pub is_uncertain: bool,
-    /// The client had its final answer, or had disconnected.
+    /// Whether the client received its final answer or disconnected.
     #[serde(rename = "settled")]
     pub is_finished: bool,
 }
 
 impl Request {
-    /// What is known of it with all its attempts.
+    /// Summarizes the attempts.
     pub fn verdict(&self) -> Verdict {
         let has_uncertain_attempt = self.attempts.iter().any(|attempt| attempt.fate == Fate::PossiblySent);
         let was_sent = self.attempts.iter().any(|attempt| attempt.fate != Fate::NeverSent);
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -1,7 +1,7 @@
-//! The index of a sealed segment: the ids that it contains, so that a query for one id reads few segments.
+//! The index of a sealed segment: hashes of the correlation ids in it, so that a query for one id reads few segments.
 //!
-//! The file holds the hashes (XXH3, 64 bits, little-endian) of all ids in ascending order, the sequence number of the
-//! segment's last frame, and the CRC-32C of all that.
+//! The file contains the hashes (XXH3, 64 bits, little-endian) of all ids in ascending order, the sequence number of
+//! the segment's last frame, and the CRC-32C of both.
 
 #[cfg(test)]
 mod tests;
@@ -10,15 +10,15 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a hash.
+/// The length of a hash, bytes.
 const HASH_LENGTH: usize = 8;
 
-/// The name of the index file of a segment.
+/// Returns the name of the index file of a segment.
 pub(crate) fn file_name(segment: &str) -> String {
     segment.replace(".seg", ".idx")
 }
 
-/// The hash of a correlation id.
+/// Returns the hash of a correlation id.
 pub(crate) fn hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
@@ -32,7 +32,7 @@
     bytes
 }
 
-/// The index of a segment, over the bytes of its file.
+/// The index of a segment, which borrows the bytes of its file.
 pub struct Index<'a> {
     hashes: &'a [u8],
     /// The sequence number of the segment's last frame.
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Index<'a> {
-    /// Checks and opens an index; `None` if it is damaged, so that the segment has to be read.
+    /// Checks and opens an index. Returns `None` if it is damaged; the segment must then be read.
     pub fn read(bytes: &'a [u8]) -> Option<Index<'a>> {
         let (content, checksum) = bytes.split_last_chunk::<4>()?;
         let (hashes, last) = content.split_last_chunk::<8>()?;
@@ -49,7 +49,7 @@
         is_intact.then_some(Index { hashes, last: u64::from_le_bytes(*last) })
     }
 
-    /// Whether the segment contains a record of that id, or of one with the same hash.
+    /// Returns whether the segment contains a record of that id or of an id with the same hash.
     pub fn contains(&self, id: &str) -> bool {
         let wanted = hash(id);
         let mut low = 0;
--- a/crates/ledger/src/memory_disk.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can lose what was not synced, tear a write, flip bits, fill up and fail, for tests.
+//! An in-memory disk for tests, which can lose unsynced writes, tear a write, flip bits, fill up and fail.
 
 use crate::disk::Disk;
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// A write that is not synced.
+/// A write that has not been synced.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     offset: usize,
@@ -18,7 +18,7 @@
         self.apply_part(content, self.bytes.len());
     }
 
-    /// Applies the first `length` bytes, or all if there are fewer.
+    /// Applies the first `length` bytes of the write, or all if there are fewer.
     fn apply_part(&self, content: &mut Vec<u8>, length: usize) {
         let part = &self.bytes[..length.min(self.bytes.len())];
         let end = self.offset + part.len();
@@ -29,9 +29,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct StoredFile {
-    /// What survives a loss of power.
+    /// The content that survives a loss of power.
     synced: Vec<u8>,
-    /// Writes since the last sync, in their order.
+    /// The writes since the last sync, in order.
     pending: Vec<PendingWrite>,
 }
 
@@ -40,7 +40,7 @@
         StoredFile { synced, pending: Vec::new() }
     }
 
-    /// All that was written, synced or not.
+    /// Returns the content with all writes, synced or not.
     fn content(&self) -> Vec<u8> {
         let mut content = self.synced.clone();
         self.pending.iter().for_each(|write| write.apply(&mut content));
@@ -48,23 +48,23 @@
     }
 }
 
-/// The faults that a disk will have. Operations are numbered from 0.
+/// The faults that a disk injects. Operations are numbered from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// From this operation on the disk is full.
+    /// The first operation for which the disk is full.
     pub full_after: Option<usize>,
-    /// This operation, if it is a sync, fails, and the writes that it was to make durable are lost.
+    /// The operation that fails if it is a sync; the writes that it should make durable are lost.
     pub sync_fails: Option<usize>,
-    /// From this operation on the disk is no longer full.
+    /// The first operation for which the disk is no longer full.
     pub mended_at: Option<usize>,
 }
 
-/// The unsynced writes of a disk.
+/// A summary of the unsynced writes of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnsyncedWrites {
-    /// The greatest number in any one file.
+    /// The greatest number of them in one file.
     pub most_in_a_file: usize,
-    /// Bytes of the longest.
+    /// The length of the longest, bytes.
     pub longest: usize,
 }
 
@@ -75,30 +75,30 @@
     faults: Faults,
 }
 
-/// The disk; clones are the same disk.
+/// An in-memory disk. Clones share its files.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk(Rc<RefCell<State>>);
 
 impl MemoryDisk {
-    /// An empty disk that will have these faults.
+    /// Creates an empty disk that injects `faults`.
     pub fn with_faults(faults: Faults) -> MemoryDisk {
         let disk = MemoryDisk::default();
         disk.0.borrow_mut().faults = faults;
         disk
     }
 
-    /// How many operations there have been.
+    /// Returns the number of operations so far.
     pub fn operations(&self) -> usize {
         self.0.borrow().operations
     }
 
-    /// A copy as the next process finds it after a kill: all that was written is there.
+    /// Returns a copy in the state that the next process finds after a kill: it has all writes.
     pub fn after_kill(&self) -> MemoryDisk {
         self.copy_with(StoredFile::content)
     }
 
-    /// A copy as it is found after a loss of power: of the writes since the last sync of each file the first `kept` are
-    /// there, and `torn` bytes of the next one.
+    /// Returns a copy in the state found after a loss of power: of the writes since the last sync of each file, it has
+    /// the first `kept` and the first `torn` bytes of the next one.
     pub fn after_power_loss(&self, kept: usize, torn: usize) -> MemoryDisk {
         self.copy_with(|file| {
             let mut content = file.synced.clone();
@@ -110,14 +110,14 @@
         })
     }
 
-    /// A disk without faults whose files have the content that `content` returns.
+    /// Returns a disk without faults whose files have the content that `content` returns.
     fn copy_with(&self, content: impl Fn(&StoredFile) -> Vec<u8>) -> MemoryDisk {
         let state = self.0.borrow();
         let files = state.files.iter().map(|(name, file)| (name.clone(), StoredFile::of(content(file))));
         MemoryDisk(Rc::new(RefCell::new(State { files: files.collect(), ..State::default() })))
     }
 
-    /// The writes that are not synced.
+    /// Summarizes the writes that have not been synced.
     pub fn unsynced(&self) -> UnsyncedWrites {
         let state = self.0.borrow();
         let most_in_a_file = state.files.values().map(|file| file.pending.len()).max();
@@ -126,7 +126,7 @@
         UnsyncedWrites { most_in_a_file: most_in_a_file.unwrap_or(0), longest: longest.unwrap_or(0) }
     }
 
-    /// Flips a synced bit of a file; returns false if there is no such bit.
+    /// Flips a synced bit of a file. Returns false if there is no such bit.
     pub fn flip(&self, name: &str, bit: usize) -> bool {
         let mut state = self.0.borrow_mut();
         let byte = state.files.get_mut(name).and_then(|file| file.synced.get_mut(bit / 8));
@@ -178,7 +178,7 @@
         let fails = state.faults.sync_fails == Some(operation);
         let stored = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
         if fails {
-            // As in page caches: the writes are dropped, and a second sync would succeed.
+            // The writes are dropped as by a page cache: a second sync would succeed.
             stored.pending.clear();
             return Err(io::Error::other("the disk failed"));
         }
--- a/crates/ledger/src/retention.rs
+++ b/crates/ledger/src/retention.rs
@@ -1,4 +1,4 @@
-//! Which sealed segments are kept, and which are deleted for their age or the total size.
+//! Deletes sealed segments for their age or the total size.
 
 use crate::disk::Disk;
 use crate::index;
@@ -11,24 +11,24 @@
 pub(crate) struct SealedSegment {
     /// The name of its file.
     pub(crate) name: String,
-    /// The size that counts towards the total.
+    /// The size that counts towards the total, bytes.
     pub(crate) bytes: u64,
-    /// The time of the newest record.
+    /// The time of the newest record, or a later time.
     pub(crate) newest_at: Millis,
-    /// The requests of this generation that were received in it and are not finished.
+    /// The unfinished requests of this generation whose arrival is recorded in the segment.
     pub(crate) open_requests: BTreeSet<u64>,
-    /// It may contain requests of an earlier generation that never will be finished.
+    /// Whether it may contain requests of an earlier generation that will never finish.
     pub(crate) has_unresolved: bool,
 }
 
 impl SealedSegment {
-    /// A segment of an earlier generation.
+    /// Creates the entry of an earlier generation's segment from its content.
     fn inherited(name: String, content: &[u8], now: Millis) -> SealedSegment {
         let scan = read_segment(content);
         let records = InheritedRecords::of(&scan, now);
         SealedSegment {
             name,
-            bytes: content.len() as u64, // the reserved space counts, written or not
+            bytes: content.len() as u64, // reserved space counts, written or not
             newest_at: records.newest_at,
             open_requests: BTreeSet::new(),
             has_unresolved: !records.open_requests.is_empty() || !scan.damaged.is_empty(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// What the records of an earlier generation's segment show.
+/// A summary of the records in an earlier generation's segment.
 struct InheritedRecords {
     newest_at: Millis,
     open_requests: BTreeSet<u64>,
@@ -82,11 +82,12 @@
 /// The sealed segments of a folder.
 #[derive(Default)]
 pub(crate) struct Retention {
-    /// This generation's, by number.
+    /// Segments of this generation, by number.
     own: BTreeMap<u32, SealedSegment>,
-    /// Those of earlier generations; `None` until the first segment is sealed, as reading them would delay a start.
+    /// Segments of earlier generations; `None` until the first segment is sealed, because reading them at the start
+    /// would delay it.
     inherited: Option<Vec<SealedSegment>>,
-    /// The names of segments deleted since the last [`Retention::take_deleted`].
+    /// The names of the segments deleted since the last [`Retention::take_deleted`].
     deleted: Vec<String>,
 }
 
@@ -96,15 +97,15 @@
         self.own.insert(number, segment);
     }
 
-    /// A request that was received in that segment is finished.
+    /// Marks a request, whose arrival is recorded in `segment`, as finished.
     pub(crate) fn request_finished(&mut self, request: u64, segment: u32) {
         if let Some(segment) = self.own.get_mut(&segment) {
             segment.open_requests.remove(&request);
         }
     }
 
-    /// Deletes what is too old or exceeds the total size: the oldest first, and none that is newer than one that has
-    /// to stay. `own_prefix` begins the names of this generation's files.
+    /// Deletes segments that are too old or exceed the total size, the oldest first, up to the first that must be kept.
+    /// `own_prefix` is the prefix of this generation's file names.
     pub(crate) fn delete_surplus<D: Disk>(
         &mut self, disk: &mut D, options: &Options, own_prefix: &str, now: Millis,
     ) {
@@ -136,20 +137,20 @@
         }
         self.inherited = Some(inherited);
         for segment in surplus {
-            // A file that cannot be deleted is found again by the next process.
+            // Errors are ignored: the next process finds a file that could not be deleted.
             let _ = disk.remove(&segment.name);
             let _ = disk.remove(&index::file_name(&segment.name));
             self.deleted.push(segment.name);
         }
     }
 
-    /// The names of the segments deleted since the last call.
+    /// Returns the names of the segments deleted since the last call.
     pub(crate) fn take_deleted(&mut self) -> Vec<String> {
         std::mem::take(&mut self.deleted)
     }
 }
 
-/// The segments that earlier generations left: they may contain requests that will never be finished.
+/// Reads the segments of earlier generations, which may contain requests that will never finish.
 fn read_inherited<D: Disk>(disk: &D, own_prefix: &str, now: Millis) -> Vec<SealedSegment> {
     let mut names = disk.list().unwrap_or_default();
     names.retain(|name| name.ends_with(".seg") && !name.starts_with(own_prefix));
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -1,36 +1,36 @@
-//! What a ledger reports of itself.
+//! The status of a ledger.
 
 use crate::writer::WriteCounts;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The present state of a ledger, for operators.
+/// The current state of a ledger, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LedgerStatus {
-    /// Records that wait to be written.
+    /// Records that are queued and not yet taken by the writer.
     #[serde(rename = "depth")]
     pub queued_records: u64,
     /// Records written.
     pub records: u64,
     /// Writes, each of one or more records.
     pub writes: u64,
-    /// Syncs.
+    /// Syncs of segments.
     pub syncs: u64,
-    /// Bytes of frames written.
+    /// Bytes of frames written to segments.
     pub bytes: u64,
-    /// Records that could not be written.
+    /// Records that could not be queued or written.
     #[serde(rename = "failed")]
     pub records_lost: u64,
-    /// How long the last write took, µs.
+    /// The duration of the last write, µs.
     pub last_write_us: u64,
-    /// Free space of the disk, bytes.
+    /// The free space of the disk, bytes; 0 if it is unknown.
     pub free_bytes: u64,
-    /// Whether nothing can be written at present.
+    /// Whether no segment is open or records were lost since the last successful write.
     #[serde(rename = "failing")]
     pub is_failing: bool,
 }
 
-/// What the writer's thread shares with the handle.
+/// The state that the writer's thread shares with the handle.
 #[derive(Default)]
 pub(crate) struct Gauges {
     pub(crate) queued_records: AtomicU64,
@@ -43,9 +43,9 @@
     pub(crate) free_bytes: AtomicU64,
     pub(crate) is_failing: AtomicBool,
     pub(crate) has_segment: AtomicBool,
-    /// Records that found the queue full since the writer last looked.
+    /// Records that could not be queued and that the writer has not counted as lost yet.
     pub(crate) skipped: AtomicU64,
-    /// The names of segments deleted and not yet reported.
+    /// The names of deleted segments that have not been reported yet.
     deleted: Mutex<Vec<String>>,
 }
 
@@ -77,7 +77,7 @@
         std::mem::take(&mut *self.deleted())
     }
 
-    /// A panic elsewhere cannot leave the names inconsistent.
+    /// Locks the names. Ignores poisoning, because a panic elsewhere cannot leave the names inconsistent.
     fn deleted(&self) -> MutexGuard<'_, Vec<String>> {
         self.deleted.lock().unwrap_or_else(PoisonError::into_inner)
     }
