--- a/crates/ledger/tests/crash/damage.rs
+++ b/crates/ledger/tests/crash/damage.rs
@@ -1,11 +1,12 @@
-//! Files that are damaged, lost or of another format.
+//! Checks histories whose files are damaged, lost or of a newer format.
 
 use crate::play::{compare, history, Play, Step, Truth, SHORT};
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{decode, read_segment, Disk, History, LocatedFrame, Mode, OnFailure};
 use proptest::prelude::*;
 
-/// Any one bit flipped anywhere makes uncertain at most, whether or not the process shut down gracefully.
+/// Flips each bit of each file: requests may become uncertain but are never shown wrongly, whether or not the process
+/// shut down gracefully.
 #[test]
 fn flipped_bit_never_makes_a_wrong_certainty() {
     for (steps, close) in [(SHORT.len(), true), (SHORT.len(), false), (10, false)] {
@@ -21,7 +22,7 @@
                 let flipped = disk.after_kill();
                 assert!(flipped.flip(&name, bit));
                 compare(&history(&flipped), &play.truth).unwrap_or_else(|e| panic!("{name}, bit {bit}: {e}"));
-                // The index may be read before the segment.
+                // A query for one id reads the index before the segment.
                 let mut one = History::default();
                 one.add("memory", &flipped, Some("request-0002")).unwrap();
                 let only: Truth =
@@ -32,7 +33,7 @@
     }
 }
 
-/// A segment that is missing, one of a newer format, and a clock that steps back.
+/// Removes each segment, or marks it as of a newer format, in a history whose clock runs backwards.
 #[test]
 fn lost_segment_newer_format_and_backward_clock_are_never_shown_wrongly() {
     let disk = MemoryDisk::default();
@@ -59,14 +60,14 @@
 proptest! {
     #![proptest_config(crate::random::config())]
 
-    /// The body of the fuzz target: whatever the bytes, reading ends and does not panic, and the frames that it finds
-    /// are those that decode.
+    /// Runs the body of the fuzz target as a property test: reading any bytes ends without a panic, and each frame
+    /// found is one that decodes. Repeats this with a partly overwritten segment, which must not be shown wrongly.
     #[test]
     fn segment_of_any_bytes_can_be_read(
         bytes in proptest::collection::vec(any::<u8>(), 0..2000), at in 0usize..2000,
     ) {
         check_scan(&bytes);
-        // A sound segment with random bytes written over a part of it.
+        // An intact segment with a part overwritten by random bytes.
         let disk = MemoryDisk::default();
         let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
         play.steps(&SHORT);
--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -1,10 +1,10 @@
-//! Which segments are kept.
+//! Checks which segments are kept and which are deleted.
 
 use crate::play::{record, Step};
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{Disk, End, Mode, OnFailure, Options, Writer};
 
-/// Old segments are deleted, but never one with an unresolved request before its age.
+/// Old segments are deleted, but a segment with an unresolved request only from `keep_unresolved` on.
 #[test]
 fn segment_with_an_unresolved_request_is_kept_until_its_age() {
     let disk = MemoryDisk::default();
@@ -36,7 +36,7 @@
             .unwrap();
     }
     assert!(writer.take_deleted().len() > 10);
-    // The next process knows what the last one left unresolved, and keeps that until it is too old.
+    // The next process finds the requests that the last one left unresolved, and keeps their segments.
     let kept = disk.list().unwrap().len();
     writer.append(300, &[record(Step::Take(999), 300), record(Step::Send(999, 0), 300)]).unwrap();
     drop(writer);
--- a/crates/ledger/tests/crash/main.rs
+++ b/crates/ledger/tests/crash/main.rs
@@ -1,4 +1,4 @@
-//! Every crash, every tear, every flipped bit of a short history: what the ledger shows afterwards is never wrong.
+//! Checks that the ledger never shows anything wrong after a crash at any step, a torn write or a flipped bit.
 
 mod damage;
 mod kept;
@@ -12,7 +12,7 @@
 
 const FAILURES: [OnFailure; 2] = [OnFailure::RejectRequests, OnFailure::SendUnrecorded];
 
-/// After a kill at each step all that was durable is shown, and nothing wrong; with small segments too.
+/// After a kill at each step everything durable is shown and nothing is shown wrongly, with large and small segments.
 #[test]
 fn kill_at_any_step_leaves_a_true_history() {
     for (on_failure, room) in FAILURES.iter().flat_map(|f| [(*f, 1 << 16), (*f, 700)]) {
@@ -22,7 +22,7 @@
             play.steps(&SHORT[..steps]);
             let shown = history(&disk.after_kill());
             let uncertain = compare(&shown, &play.truth).unwrap_or_else(|e| panic!("{steps} steps: {e}"));
-            // Where nothing is sent unrecorded only what is in flight is uncertain.
+            // If no request is sent unrecorded, only attempts in flight are uncertain.
             let ends = play.truth.values().flat_map(BTreeMap::values);
             let in_flight = ends.filter(|end| end.is_none()).count();
             if on_failure == OnFailure::RejectRequests {
@@ -32,7 +32,8 @@
     }
 }
 
-/// A loss of power at each step, with any of the unsynced writes and any tear of the next: nothing wrong is shown.
+/// Checks the history after a loss of power at each step, for every number of surviving unsynced writes and every
+/// length of a torn one.
 #[test]
 fn power_loss_at_any_byte_leaves_a_true_history() {
     let mut cases = 0;
@@ -40,10 +41,10 @@
         let disk = MemoryDisk::default();
         let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 1 << 16);
         play.steps(&SHORT[..steps]);
-        // The next step is written and not synced yet: its attempt has not been sent.
+        // The next step is written but not synced yet, so its attempt has not been sent.
         let next = SHORT.get(steps).copied().unwrap_or(Step::Settle(3));
         if let Step::End(request, attempt, end) = next {
-            // It has ended, written down or not.
+            // The attempt has ended, whether that record survives or not.
             play.truth.entry(id(request)).or_default().insert(attempt, Some(end));
         }
         let mut bytes = Vec::new();
@@ -61,7 +62,7 @@
     assert!(cases > 1000, "{cases}");
 }
 
-/// One operation fails of an intent that was written: its attempt is not sent.
+/// Fails each of the first 40 operations in turn: an attempt whose intent is not durable is not sent.
 #[test]
 fn attempt_whose_intent_failed_to_sync_is_not_sent() {
     for at in 0..40 {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Two processes write at the same time during an upgrade, each its own files; both are shown.
+/// During an upgrade two processes write their own files in one folder at the same time; both are shown.
 #[test]
 fn two_generations_in_one_folder_are_both_shown() {
     let disk = MemoryDisk::default();
--- a/crates/ledger/tests/crash/play.rs
+++ b/crates/ledger/tests/crash/play.rs
@@ -1,10 +1,11 @@
-//! Histories of requests that are played on a disk, and the comparison of what a ledger shows with what happened.
+//! Writes histories of requests to a disk, and compares what the ledger shows with what happened.
 
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{End, Fate, History, Mode, OnFailure, Options, Record, Request, Verdict, Writer};
 use std::collections::BTreeMap;
 
-/// What happened to a request: for each attempt that may have written a byte, how it has ended so far.
+/// What happened to a request: for each attempt that may have written a byte, its end, or `None` while it is in
+/// flight.
 pub(crate) type Attempts = BTreeMap<u32, Option<End>>;
 /// What happened to each request, by its id.
 pub(crate) type Truth = BTreeMap<String, Attempts>;
@@ -14,17 +15,17 @@
 pub(crate) enum Step {
     /// The request arrives.
     Take(u64),
-    /// The attempt of the request is to be sent.
+    /// An attempt of the request is to be sent.
     Send(u64, u32),
-    /// The attempt of the request ends.
+    /// An attempt of the request ends.
     End(u64, u32, End),
-    /// The client has its final answer.
+    /// The client receives its final answer.
     Settle(u64),
     /// The process shuts down.
     Close,
 }
 
-/// Three requests, interleaved: one served, one retried after a rejection, one whose connection breaks.
+/// Three interleaved requests: one answered, one retried after a rejection, one whose connection breaks.
 pub(crate) const SHORT: [Step; 14] = [
     Step::Take(1),
     Step::Send(1, 0),
@@ -46,7 +47,7 @@
     format!("request-{request:04}")
 }
 
-/// The record that a step writes.
+/// Returns the record that a step writes.
 pub(crate) fn record(step: Step, at: u64) -> Record {
     match step {
         Step::Take(request) => {
@@ -63,7 +64,7 @@
     }
 }
 
-/// A history that is played on a disk.
+/// A history that is written to a disk step by step.
 pub(crate) struct Play {
     writer: Writer<MemoryDisk>,
     on_failure: OnFailure,
@@ -78,8 +79,8 @@
         Play { writer, on_failure, truth: Truth::new(), now: 1000 }
     }
 
-    /// As the core does: an attempt is sent only once its intent is durable, or where the operators allow it; one that
-    /// was not sent ends as never sent.
+    /// Writes the record of a step and updates `truth` as the core would act: an attempt is sent only if its intent is
+    /// durable or the options allow sending it unrecorded, and an attempt that was not sent ends as never sent.
     pub(crate) fn step(&mut self, step: Step) {
         let was_sent = |request: u64, attempt: u32| {
             self.truth.get(&id(request)).is_some_and(|attempts| attempts.contains_key(&attempt))
@@ -90,7 +91,7 @@
             }
             other => other,
         };
-        self.now += 1000; // a new segment may be tried at every step
+        self.now += 1000; // above the retry interval of 500 ms, so that each step may create a segment
         if let Step::Close = step {
             let _ = self.writer.close(self.now);
             return;
@@ -126,17 +127,17 @@
     history
 }
 
-/// Every number of unsynced writes that may survive a loss of power, with every length of what may of the next.
+/// Returns every number of unsynced writes that may survive a loss of power, with every surviving length of the next.
 pub(crate) fn power_losses(disk: &MemoryDisk) -> impl Iterator<Item = (usize, usize)> {
     let unsynced = disk.unsynced();
     (0..=unsynced.most_in_a_file).flat_map(move |kept| (0..=unsynced.longest).map(move |torn| (kept, torn)))
 }
 
-/// Compares what a history shows with what happened: all that is certain has to be true, uncertain is always allowed.
-/// Returns how many requests are uncertain.
+/// Compares what a history shows with what happened. Everything certain must be true; uncertainty is always allowed.
+/// Returns the number of uncertain requests.
 ///
 /// # Errors
-/// What is shown wrongly.
+/// Something is shown wrongly.
 pub(crate) fn compare(shown: &History, truth: &Truth) -> Result<usize, String> {
     let mut uncertain = 0;
     for (id, attempts) in truth {
--- a/crates/ledger/tests/crash/random.rs
+++ b/crates/ledger/tests/crash/random.rs
@@ -1,4 +1,4 @@
-//! Random histories on a failing disk.
+//! Checks random histories on a failing disk.
 
 use crate::play::{compare, history, Play, Step};
 use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
@@ -6,17 +6,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases every time; `PROPTEST_RNG_SEED` selects others.
+/// Returns a configuration with a fixed seed. `PROPTEST_RNG_SEED` overrides the seed.
 pub(crate) fn config() -> ProptestConfig {
     let seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
     let rng_seed = RngSeed::Fixed(seed.unwrap_or(6));
     ProptestConfig { cases: 400, failure_persistence: None, rng_seed, ..Default::default() }
 }
 
-/// The life of one request, drawn at random.
+/// One random request: the ends of its attempts, whether it is finished, and the unsorted times of its steps.
 type Life = (Vec<End>, bool, Vec<u32>);
 
-/// A step, and what it is sorted by.
+/// A step and the keys by which it is sorted.
 struct TimedStep {
     time: u32,
     position: usize,
@@ -35,7 +35,7 @@
     proptest::collection::vec(life, 1..6).prop_map(interleave)
 }
 
-/// The steps of all requests, interleaved by the order of their random times.
+/// Interleaves the steps of all requests by their random times.
 fn interleave(lives: Vec<Life>) -> Vec<Step> {
     let mut timed: Vec<TimedStep> = Vec::new();
     for (request, (ends, settled, mut times)) in (0..).zip(lives) {
@@ -46,7 +46,7 @@
         if settled {
             own.push(Step::Settle(request));
         } else if own.len() > 1 {
-            own.pop(); // its last attempt is still in flight
+            own.pop(); // the last attempt stays in flight
         }
         times.sort_unstable();
         let own = own.into_iter().enumerate();
@@ -59,7 +59,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Random histories on disks that fill up, fail a sync and are repaired, then a kill or a loss of power.
+    /// Writes random histories to disks that fill up, fail a sync and recover, and compares them after a kill or a loss
+    /// of power.
     #[test]
     fn history_on_a_failing_disk_is_never_shown_wrongly(
         steps in steps(), power in any::<bool>(), goes_on in any::<bool>(), room in 400u64..3000,
--- a/crates/ledger/tests/format.rs
+++ b/crates/ledger/tests/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of segments are a format: a program of another version reads them.
+//! Checks that the format of segments does not change, because programs of other versions read them.
 
 use lotusdeck_ledger::{
     decode, encode, read_segment, End, Frame, Record, SegmentHeader, SegmentKind, HEAD_LEN,
@@ -15,7 +15,7 @@
     "05000000ed18a85007000000000000000405840703",
     "07000000c96db7f808000000000000000585d095ffbc31",
 ];
-/// The written part of [`header`], in hexadecimal; zeros follow up to [`HEAD_LEN`].
+/// The encoded [`header`] in hexadecimal, without the zeros that pad it to [`HEAD_LEN`].
 const HEADER: &str = "4c444c454447455201000f004d6b424f026e30ab0180d095ffbc3103a01f01";
 
 fn records() -> [Record; 8] {
--- a/fuzz/fuzz_targets/ledger.rs
+++ b/fuzz/fuzz_targets/ledger.rs
@@ -1,5 +1,5 @@
-//! Whatever the bytes of a segment, reading ends without a panic, and every frame that it tells of is one.
-//! The same body runs as a bounded property test: `segment_of_any_bytes_can_be_read` in crates/ledger/tests/crash/damage.rs.
+//! Checks that reading a segment of any bytes ends without a panic, and that every frame found is one that decodes.
+//! `segment_of_any_bytes_can_be_read` in crates/ledger/tests/crash/damage.rs runs the same body as a property test.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
