--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -14,9 +14,9 @@
 use crate::record::Record;
 
 /// The length of a frame's header, bytes.
-pub const HEADER: usize = 16;
+pub const FRAME_HEADER_LEN: usize = 16;
 /// The greatest length of an encoded record, bytes.
-pub(crate) const MAX_RECORD: usize = 4096;
+pub(crate) const MAX_RECORD_LEN: usize = 4096;
 
 const CHECKSUM_OFFSET: usize = 4;
 const SEQUENCE_OFFSET: usize = 8;
@@ -32,20 +32,20 @@
 
 /// The reason why bytes do not begin with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Damage {
+pub enum DecodeError {
     /// Nothing was written there: only zeros, or no bytes at all.
-    End,
+    Unwritten,
     /// Something was written there but cannot be decoded.
-    Bad,
+    Corrupt,
 }
 
-impl Damage {
+impl DecodeError {
     /// Classifies undecodable bytes: all zeros were never written.
-    fn of(bytes: &[u8]) -> Damage {
+    fn of(bytes: &[u8]) -> DecodeError {
         if bytes.iter().all(|byte| *byte == 0) {
-            Damage::End
+            DecodeError::Unwritten
         } else {
-            Damage::Bad
+            DecodeError::Corrupt
         }
     }
 }
@@ -59,7 +59,7 @@
 }
 
 impl FrameHeader {
-    pub(crate) fn decode(bytes: &[u8; HEADER]) -> FrameHeader {
+    pub(crate) fn decode(bytes: &[u8; FRAME_HEADER_LEN]) -> FrameHeader {
         let u32_at = |offset: usize| {
             u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
         };
@@ -83,7 +83,7 @@
 pub fn encode(sequence: u64, record: &Record, out: &mut Vec<u8>) {
     // Serializing numbers and strings to memory cannot fail.
     let bytes = postcard::to_allocvec(record).unwrap_or_default();
-    debug_assert!(bytes.len() <= MAX_RECORD);
+    debug_assert!(bytes.len() <= MAX_RECORD_LEN);
     out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     out.extend_from_slice(&checksum(sequence, &bytes).to_le_bytes());
     out.extend_from_slice(&sequence.to_le_bytes());
@@ -95,24 +95,24 @@
 ///
 /// # Errors
 /// The bytes do not begin with a frame.
-pub fn decode(bytes: &[u8]) -> Result<(Frame, usize), Damage> {
-    let Some((header_bytes, rest)) = bytes.split_first_chunk::<HEADER>() else {
-        return Err(Damage::of(bytes));
+pub fn decode(bytes: &[u8]) -> Result<(Frame, usize), DecodeError> {
+    let Some((header_bytes, rest)) = bytes.split_first_chunk::<FRAME_HEADER_LEN>() else {
+        return Err(DecodeError::of(bytes));
     };
     let header = FrameHeader::decode(header_bytes);
     if header.length == 0 {
-        return Err(Damage::of(header_bytes));
+        return Err(DecodeError::of(header_bytes));
     }
-    if header.length > MAX_RECORD {
-        return Err(Damage::Bad);
+    if header.length > MAX_RECORD_LEN {
+        return Err(DecodeError::Corrupt);
     }
-    let record = rest.get(..header.length).ok_or(Damage::Bad)?;
+    let record = rest.get(..header.length).ok_or(DecodeError::Corrupt)?;
     if checksum(header.sequence, record) != header.checksum {
-        return Err(Damage::Bad);
+        return Err(DecodeError::Corrupt);
     }
-    let (record, trailing) = postcard::take_from_bytes(record).map_err(|_| Damage::Bad)?;
+    let (record, trailing) = postcard::take_from_bytes(record).map_err(|_| DecodeError::Corrupt)?;
     if !trailing.is_empty() {
-        return Err(Damage::Bad);
+        return Err(DecodeError::Corrupt);
     }
-    Ok((Frame { sequence: header.sequence, record }, HEADER + header.length))
+    Ok((Frame { sequence: header.sequence, record }, FRAME_HEADER_LEN + header.length))
 }
--- a/crates/ledger/src/frame/tests.rs
+++ b/crates/ledger/src/frame/tests.rs
@@ -1,4 +1,4 @@
-use super::{decode, encode, Damage, Frame};
+use super::{decode, encode, DecodeError, Frame};
 use crate::record::Record;
 
 #[test]
@@ -20,7 +20,7 @@
         assert!(decode(&flipped).is_err(), "bit {bit}");
     }
     for cut in 1..bytes.len() {
-        assert_eq!(decode(&bytes[..cut]), Err(Damage::Bad), "cut at {cut}");
+        assert_eq!(decode(&bytes[..cut]), Err(DecodeError::Corrupt), "cut at {cut}");
     }
-    assert_eq!(decode(&[0; 40]), Err(Damage::End));
+    assert_eq!(decode(&[0; 40]), Err(DecodeError::Unwritten));
 }
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -9,7 +9,7 @@
 
 use crate::disk::Disk;
 use crate::index::{self, Index};
-use crate::segment::{read_segment, SegmentKind, HEAD_LEN};
+use crate::segment::{read_segment, SegmentKind, SEGMENT_HEADER_LEN};
 use generation::Generation;
 use std::collections::BTreeMap;
 use std::io;
@@ -40,16 +40,16 @@
             // The last segment of a generation is always read, because it shows how the generation ended.
             let next = files.get(position + 1);
             let is_last = next.is_none_or(|next| generation_part(next) != generation_part(file));
-            let skippable = id.filter(|_| !is_last).and_then(|id| last_sequence_without(disk, file, id));
-            let content = if skippable.is_some() {
+            let last_skipped = id.filter(|_| !is_last).and_then(|id| last_sequence_without(disk, file, id));
+            let content = if last_skipped.is_some() {
                 self.segments_skipped += 1;
-                disk.read_at(file, 0, HEAD_LEN)
+                disk.read_at(file, 0, SEGMENT_HEADER_LEN)
             } else {
                 self.segments_read += 1;
                 disk.read(file)
             };
             match content {
-                Ok(content) => self.add_segment(name, file, &content, skippable),
+                Ok(content) => self.add_segment(name, file, &content, last_skipped),
                 Err(error) => self.faults.push(format!("{name}/{file}: {error}")),
             }
         }
@@ -137,5 +137,5 @@
 fn last_sequence_without<D: Disk>(disk: &D, file: &str, id: &str) -> Option<u64> {
     let bytes = disk.read(&index::file_name(file)).ok()?;
     let index = Index::read(&bytes)?;
-    (!index.contains(id)).then_some(index.last)
+    (!index.contains(id)).then_some(index.last_sequence)
 }
--- a/crates/ledger/src/history/reconstruction.rs
+++ b/crates/ledger/src/history/reconstruction.rs
@@ -39,7 +39,7 @@
             }
             Record::Intent { attempt, at, id, backend, address, .. } => {
                 if self.request.taken_at.is_none() {
-                    self.earlier_records_are_lost();
+                    self.mark_earlier_records_lost();
                     self.request.id.clone_from(id);
                 }
                 self.request.attempts.push(Attempt {
@@ -62,7 +62,7 @@
     fn end_attempt(&mut self, number: u32, end: End) {
         let Some(attempt) = self.request.attempts.iter_mut().find(|attempt| attempt.number == number) else {
             // The intent is lost: the attempt went to an unknown backend.
-            self.earlier_records_are_lost();
+            self.mark_earlier_records_lost();
             return;
         };
         attempt.fate = match end {
@@ -73,7 +73,7 @@
     }
 
     /// Notes that earlier records of the request are lost, which may have had any lower sequence number.
-    fn earlier_records_are_lost(&mut self) {
+    fn mark_earlier_records_lost(&mut self) {
         self.span.start = 0;
     }
 
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The length of a hash, bytes.
-const HASH_LENGTH: usize = 8;
+const HASH_LEN: usize = 8;
 
 /// Returns the name of the index file of a segment.
 pub(crate) fn file_name(segment: &str) -> String {
@@ -36,24 +36,24 @@
 pub struct Index<'a> {
     hashes: &'a [u8],
     /// The sequence number of the segment's last frame.
-    pub last: u64,
+    pub last_sequence: u64,
 }
 
 impl<'a> Index<'a> {
     /// Checks and opens an index. Returns `None` if it is damaged; the segment must then be read.
     pub fn read(bytes: &'a [u8]) -> Option<Index<'a>> {
         let (content, checksum) = bytes.split_last_chunk::<4>()?;
-        let (hashes, last) = content.split_last_chunk::<8>()?;
+        let (hashes, last_sequence) = content.split_last_chunk::<8>()?;
         let is_intact =
-            hashes.len() % HASH_LENGTH == 0 && crc32c::crc32c(content) == u32::from_le_bytes(*checksum);
-        is_intact.then_some(Index { hashes, last: u64::from_le_bytes(*last) })
+            hashes.len() % HASH_LEN == 0 && crc32c::crc32c(content) == u32::from_le_bytes(*checksum);
+        is_intact.then_some(Index { hashes, last_sequence: u64::from_le_bytes(*last_sequence) })
     }
 
     /// Returns whether the segment contains a record of that id or of an id with the same hash.
     pub fn contains(&self, id: &str) -> bool {
         let wanted = hash(id);
         let mut low = 0;
-        let mut high = self.hashes.len() / HASH_LENGTH;
+        let mut high = self.hashes.len() / HASH_LEN;
         while low < high {
             let middle = (low + high) / 2;
             match self.hash_at(middle).cmp(&wanted) {
@@ -66,9 +66,9 @@
     }
 
     fn hash_at(&self, position: usize) -> u64 {
-        let mut bytes = [0; HASH_LENGTH];
-        let offset = position * HASH_LENGTH;
-        bytes.copy_from_slice(&self.hashes[offset..offset + HASH_LENGTH]);
+        let mut bytes = [0; HASH_LEN];
+        let offset = position * HASH_LEN;
+        bytes.copy_from_slice(&self.hashes[offset..offset + HASH_LEN]);
         u64::from_le_bytes(bytes)
     }
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -36,8 +36,8 @@
         let (jobs, queue) = sync_channel(MAX_QUEUED_RECORDS);
         let gauges = Arc::new(Gauges::default());
         let on_failure = options.on_failure;
-        let (writer, begun) = Writer::open(disk, options, generation, wall_clock());
-        gauges.is_failing.store(begun.is_err(), Relaxed);
+        let (writer, first_segment) = Writer::open(disk, options, generation, wall_clock());
+        gauges.is_failing.store(first_segment.is_err(), Relaxed);
         gauges.has_segment.store(writer.has_segment(), Relaxed);
         gauges.free_bytes.store(writer.free_bytes().unwrap_or(0), Relaxed);
         let worker = Worker::new(writer, queue, gauges.clone());
@@ -68,7 +68,7 @@
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 self.gauges.queued_records.fetch_sub(1, Relaxed);
                 self.gauges.records_lost.fetch_add(1, Relaxed);
-                self.gauges.skipped.fetch_add(1, Relaxed);
+                self.gauges.rejected_records.fetch_add(1, Relaxed);
                 false
             }
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -24,12 +24,14 @@
 pub use disk::Disk;
 pub use durable_write::DurableWrite;
 pub use folder::Folder;
-pub use frame::{decode, encode, Damage, Frame, HEADER};
+pub use frame::{decode, encode, DecodeError, Frame, FRAME_HEADER_LEN};
 pub use history::{Attempt, Fate, History, Request, Verdict};
 pub use index::Index;
 pub use ledger::Ledger;
 pub use options::{Mode, OnFailure, Options};
 pub use record::{End, Millis, Record};
-pub use segment::{read_segment, LocatedFrame, Scan, SegmentHeader, SegmentKind, HEAD_LEN, VERSION};
+pub use segment::{
+    read_segment, LocatedFrame, Scan, SegmentHeader, SegmentKind, SEGMENT_HEADER_LEN, VERSION,
+};
 pub use status::LedgerStatus;
 pub use writer::{WriteCounts, WriteError, Writer};
--- a/crates/ledger/src/memory_disk.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -52,20 +52,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// The first operation for which the disk is full.
-    pub full_after: Option<usize>,
+    pub full_from: Option<usize>,
     /// The operation that fails if it is a sync; the writes that it should make durable are lost.
-    pub sync_fails: Option<usize>,
+    pub failing_sync: Option<usize>,
     /// The first operation for which the disk is no longer full.
-    pub mended_at: Option<usize>,
+    pub recovers_at: Option<usize>,
 }
 
 /// A summary of the unsynced writes of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnsyncedWrites {
     /// The greatest number of them in one file.
-    pub most_in_a_file: usize,
+    pub max_per_file: usize,
     /// The length of the longest, bytes.
-    pub longest: usize,
+    pub max_length: usize,
 }
 
 #[derive(Debug, Default)]
@@ -120,10 +120,10 @@
     /// Summarizes the writes that have not been synced.
     pub fn unsynced(&self) -> UnsyncedWrites {
         let state = self.0.borrow();
-        let most_in_a_file = state.files.values().map(|file| file.pending.len()).max();
-        let longest =
+        let max_per_file = state.files.values().map(|file| file.pending.len()).max();
+        let max_length =
             state.files.values().flat_map(|file| &file.pending).map(|write| write.bytes.len()).max();
-        UnsyncedWrites { most_in_a_file: most_in_a_file.unwrap_or(0), longest: longest.unwrap_or(0) }
+        UnsyncedWrites { max_per_file: max_per_file.unwrap_or(0), max_length: max_length.unwrap_or(0) }
     }
 
     /// Flips a synced bit of a file. Returns false if there is no such bit.
@@ -141,9 +141,9 @@
         let mut state = self.0.borrow_mut();
         let number = state.operations;
         state.operations += 1;
-        let is_full = state.faults.full_after.is_some_and(|first| number >= first);
-        let is_mended = state.faults.mended_at.is_some_and(|first| number >= first);
-        if is_full && !is_mended {
+        let is_full = state.faults.full_from.is_some_and(|first| number >= first);
+        let has_recovered = state.faults.recovers_at.is_some_and(|first| number >= first);
+        if is_full && !has_recovered {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(number)
@@ -175,7 +175,7 @@
     fn sync(&mut self, file: &mut String) -> io::Result<()> {
         let operation = self.count_operation()?;
         let mut state = self.0.borrow_mut();
-        let fails = state.faults.sync_fails == Some(operation);
+        let fails = state.faults.failing_sync == Some(operation);
         let stored = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
         if fails {
             // The writes are dropped as by a page cache: a second sync would succeed.
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,7 +1,7 @@
 //! Segments: files that consist of a header and frames. A reader finds every intact frame, even after damaged bytes,
 //! and reports the byte ranges that may have contained others.
 
-use crate::frame::{decode, Damage, Frame, FrameHeader, HEADER, MAX_RECORD};
+use crate::frame::{decode, DecodeError, Frame, FrameHeader, FRAME_HEADER_LEN, MAX_RECORD_LEN};
 use crate::record::Millis;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
@@ -9,10 +9,10 @@
 /// The version of the segment format that this program writes.
 pub const VERSION: u16 = 1;
 /// The length of the segment header in bytes. The first frame follows it.
-pub const HEAD_LEN: usize = 256;
+pub const SEGMENT_HEADER_LEN: usize = 256;
 const MAGIC: &[u8; 8] = b"LDLEDGER";
 /// Bytes before the postcard part of the header: magic, version, length, CRC-32C.
-const FIXED_LEN: usize = 16;
+const HEADER_PREFIX_LEN: usize = 16;
 /// After damage, a frame is accepted only if its sequence number exceeds that of the last frame by less than this.
 const MAX_SEQUENCE_JUMP: u64 = 1 << 24;
 
@@ -34,18 +34,18 @@
 }
 
 impl SegmentHeader {
-    /// Encodes the header, padded with zeros to [`HEAD_LEN`] bytes.
+    /// Encodes the header, padded with zeros to [`SEGMENT_HEADER_LEN`] bytes.
     pub fn encode(&self) -> Vec<u8> {
         // Serializing numbers and strings to memory cannot fail.
         let mut body = postcard::to_allocvec(self).unwrap_or_default();
-        body.truncate(HEAD_LEN - FIXED_LEN); // it fits: `Options::new` truncates the proxy's name
-        let mut bytes = Vec::with_capacity(HEAD_LEN);
+        body.truncate(SEGMENT_HEADER_LEN - HEADER_PREFIX_LEN); // it fits: `Options::new` truncates the proxy's name
+        let mut bytes = Vec::with_capacity(SEGMENT_HEADER_LEN);
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
         bytes.extend_from_slice(&(body.len() as u16).to_le_bytes());
         bytes.extend_from_slice(&crc32c::crc32c(&body).to_le_bytes());
         bytes.extend_from_slice(&body);
-        bytes.resize(HEAD_LEN, 0);
+        bytes.resize(SEGMENT_HEADER_LEN, 0);
         bytes
     }
 }
@@ -68,17 +68,17 @@
         if bytes.iter().all(|byte| *byte == 0) {
             return SegmentKind::Blank;
         }
-        let Some(fixed) = bytes.get(..FIXED_LEN).filter(|fixed| fixed.starts_with(MAGIC)) else {
+        let Some(prefix) = bytes.get(..HEADER_PREFIX_LEN).filter(|prefix| prefix.starts_with(MAGIC)) else {
             return SegmentKind::Damaged;
         };
-        let version = u16::from_le_bytes([fixed[8], fixed[9]]);
+        let version = u16::from_le_bytes([prefix[8], prefix[9]]);
         if version > VERSION {
             return SegmentKind::Newer(version);
         }
-        let length = usize::from(u16::from_le_bytes([fixed[10], fixed[11]]));
-        let checksum = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
-        let end = FIXED_LEN + length;
-        let body = bytes.get(FIXED_LEN..end).filter(|_| end <= HEAD_LEN);
+        let length = usize::from(u16::from_le_bytes([prefix[10], prefix[11]]));
+        let checksum = u32::from_le_bytes([prefix[12], prefix[13], prefix[14], prefix[15]]);
+        let end = HEADER_PREFIX_LEN + length;
+        let body = bytes.get(HEADER_PREFIX_LEN..end).filter(|_| end <= SEGMENT_HEADER_LEN);
         let Some(body) = body.filter(|body| crc32c::crc32c(body) == checksum) else {
             return SegmentKind::Damaged;
         };
@@ -122,7 +122,7 @@
         SegmentKind::Damaged => 0,
         SegmentKind::Newer(_) | SegmentKind::Blank => return scan,
     };
-    let mut offset = HEAD_LEN.min(bytes.len());
+    let mut offset = SEGMENT_HEADER_LEN.min(bytes.len());
     while offset < bytes.len() {
         match decode(&bytes[offset..]) {
             Ok((frame, length)) if frame.sequence > last_sequence => {
@@ -131,7 +131,7 @@
                 offset += length;
             }
             // Zeros up to the end were never written; zeros with other bytes after them are damage.
-            Err(Damage::End) if bytes[offset..].iter().all(|byte| *byte == 0) => break,
+            Err(DecodeError::Unwritten) if bytes[offset..].iter().all(|byte| *byte == 0) => break,
             Ok(_) | Err(_) => {
                 let next = next_frame(bytes, offset + 1, last_sequence);
                 scan.torn = next.is_none();
@@ -146,13 +146,13 @@
 
 /// Returns the offset of the first intact frame at or after `from` whose sequence number can follow `last_sequence`.
 fn next_frame(bytes: &[u8], from: usize, last_sequence: u64) -> Option<usize> {
-    let last_offset = bytes.len().checked_sub(HEADER)?;
+    let last_offset = bytes.len().checked_sub(FRAME_HEADER_LEN)?;
     // The length and the sequence number rule out most offsets without computing a checksum.
     let is_plausible = |offset: &usize| {
-        let Some(header) = bytes[*offset..].first_chunk::<HEADER>() else { return false };
+        let Some(header) = bytes[*offset..].first_chunk::<FRAME_HEADER_LEN>() else { return false };
         let header = FrameHeader::decode(header);
         header.length > 0
-            && header.length <= MAX_RECORD
+            && header.length <= MAX_RECORD_LEN
             && header.sequence > last_sequence
             && header.sequence - last_sequence < MAX_SEQUENCE_JUMP
     };
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -44,7 +44,7 @@
     pub(crate) is_failing: AtomicBool,
     pub(crate) has_segment: AtomicBool,
     /// Records that could not be queued and that the writer has not counted as lost yet.
-    pub(crate) skipped: AtomicU64,
+    pub(crate) rejected_records: AtomicU64,
     /// The names of deleted segments that have not been reported yet.
     deleted: Mutex<Vec<String>>,
 }
--- a/crates/ledger/src/worker.rs
+++ b/crates/ledger/src/worker.rs
@@ -59,9 +59,9 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let skipped = self.gauges.skipped.swap(0, Relaxed);
-            if skipped > 0 {
-                self.writer.record_lost(wall_clock(), skipped);
+            let rejected_records = self.gauges.rejected_records.swap(0, Relaxed);
+            if rejected_records > 0 {
+                self.writer.record_lost(wall_clock(), rejected_records);
             }
             if self.batch.is_empty() {
                 self.check_disk();
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -6,7 +6,7 @@
 use crate::options::{Mode, OnFailure, Options};
 use crate::record::{Millis, Record};
 use crate::retention::{Retention, SealedSegment};
-use crate::segment::{SegmentHeader, HEAD_LEN};
+use crate::segment::{SegmentHeader, SEGMENT_HEADER_LEN};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 use thiserror::Error;
@@ -113,8 +113,8 @@
             counts: WriteCounts::default(),
             has_segment: false,
         };
-        let begun = writer.begin_segment(now);
-        (writer, begun.map_err(WriteError::from))
+        let first_segment = writer.begin_segment(now);
+        (writer, first_segment.map_err(WriteError::from))
     }
 
     fn begin_segment(&mut self, now: Millis) -> io::Result<()> {
@@ -143,7 +143,7 @@
             self.counts.syncs += 1;
         }
         self.has_segment = true;
-        let length = HEAD_LEN as u64;
+        let length = SEGMENT_HEADER_LEN as u64;
         self.open = Some(OpenSegment { file, name, number, length, id_hashes: BTreeSet::new() });
         Ok(())
     }
@@ -197,34 +197,35 @@
         self.counts.bytes += bytes.len() as u64;
         self.sequence = sequence;
         self.lost = None;
-        records.iter().for_each(|record| self.note_written(record));
+        records.iter().for_each(|record| self.track_written(record));
         Ok(())
     }
 
     /// Returns whether the open segment contains frames and has no space for another `bytes` bytes.
     fn is_full_for(&self, bytes: u64) -> bool {
         let Some(open) = &self.open else { return false };
-        open.length > HEAD_LEN as u64 && open.length + bytes > self.options.segment_bytes
+        open.length > SEGMENT_HEADER_LEN as u64 && open.length + bytes > self.options.segment_bytes
     }
 
     /// Updates the index and the open requests with a record that was written.
-    fn note_written(&mut self, record: &Record) {
+    fn track_written(&mut self, record: &Record) {
         let Some(open) = self.open.as_mut() else { return };
         if let Some(id) = record.id() {
             open.id_hashes.insert(index::hash(id));
         }
         match record {
             Record::Taken { request, id, .. } => {
-                let taken = OpenRequest { id_hash: index::hash(id), segment: open.number };
-                self.open_requests.insert(*request, taken);
+                let open_request = OpenRequest { id_hash: index::hash(id), segment: open.number };
+                self.open_requests.insert(*request, open_request);
             }
             Record::Ended { request, .. } => {
-                open.id_hashes.extend(self.open_requests.get(request).map(|taken| taken.id_hash));
+                open.id_hashes
+                    .extend(self.open_requests.get(request).map(|open_request| open_request.id_hash));
             }
             Record::Settled { request } => {
-                if let Some(taken) = self.open_requests.remove(request) {
-                    open.id_hashes.insert(taken.id_hash);
-                    self.retention.request_finished(*request, taken.segment);
+                if let Some(open_request) = self.open_requests.remove(request) {
+                    open.id_hashes.insert(open_request.id_hash);
+                    self.retention.request_finished(*request, open_request.segment);
                 }
             }
             Record::Intent { .. } | Record::Gap { .. } | Record::Closed { .. } => {}
@@ -251,12 +252,13 @@
     }
 
     fn retain_segment(&mut self, open: OpenSegment<D::File>, now: Millis) {
-        let taken_here = self.open_requests.iter().filter(|(_, taken)| taken.segment == open.number);
+        let received_here =
+            self.open_requests.iter().filter(|(_, open_request)| open_request.segment == open.number);
         let sealed = SealedSegment {
             name: open.name,
             bytes: open.length,
             newest_at: now,
-            open_requests: taken_here.map(|(request, _)| *request).collect(),
+            open_requests: received_here.map(|(request, _)| *request).collect(),
             has_unresolved: false,
         };
         self.retention.add(open.number, sealed);
--- a/crates/ledger/tests/crash/damage.rs
+++ b/crates/ledger/tests/crash/damage.rs
@@ -1,6 +1,6 @@
 //! Checks histories whose files are damaged, lost or of a newer format.
 
-use crate::play::{compare, history, Play, Step, Truth, SHORT};
+use crate::scenario::{compare, history, Scenario, Step, Truth, SHORT_HISTORY};
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{decode, read_segment, Disk, History, LocatedFrame, Mode, OnFailure};
 use proptest::prelude::*;
@@ -9,25 +9,26 @@
 /// shut down gracefully.
 #[test]
 fn flipped_bit_never_makes_a_wrong_certainty() {
-    for (steps, close) in [(SHORT.len(), true), (SHORT.len(), false), (10, false)] {
+    for (steps, close) in [(SHORT_HISTORY.len(), true), (SHORT_HISTORY.len(), false), (10, false)] {
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
-        play.steps(&SHORT[..steps]);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
+        scenario.steps(&SHORT_HISTORY[..steps]);
         if close {
-            play.step(Step::Close);
+            scenario.step(Step::Close);
         }
         for name in disk.list().unwrap() {
             let bits = disk.read(&name).unwrap().len() * 8;
             for bit in 0..bits {
                 let flipped = disk.after_kill();
                 assert!(flipped.flip(&name, bit));
-                compare(&history(&flipped), &play.truth).unwrap_or_else(|e| panic!("{name}, bit {bit}: {e}"));
+                compare(&history(&flipped), &scenario.truth)
+                    .unwrap_or_else(|e| panic!("{name}, bit {bit}: {e}"));
                 // A query for one id reads the index before the segment.
-                let mut one = History::default();
-                one.add("memory", &flipped, Some("request-0002")).unwrap();
-                let only: Truth =
-                    play.truth.clone().into_iter().filter(|(id, _)| id == "request-0002").collect();
-                compare(&one, &only).unwrap_or_else(|e| panic!("by index, {name}, bit {bit}: {e}"));
+                let mut by_id = History::default();
+                by_id.add("memory", &flipped, Some("request-0002")).unwrap();
+                let expected: Truth =
+                    scenario.truth.clone().into_iter().filter(|(id, _)| id == "request-0002").collect();
+                compare(&by_id, &expected).unwrap_or_else(|e| panic!("by index, {name}, bit {bit}: {e}"));
             }
         }
     }
@@ -37,24 +38,24 @@
 #[test]
 fn lost_segment_newer_format_and_backward_clock_are_never_shown_wrongly() {
     let disk = MemoryDisk::default();
-    let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 480);
-    for (position, step) in SHORT.iter().enumerate() {
-        play.now = 100_000 - 1000 * position as u64;
-        play.step(*step);
+    let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 480);
+    for (position, step) in SHORT_HISTORY.iter().enumerate() {
+        scenario.now = 100_000 - 1000 * position as u64;
+        scenario.step(*step);
     }
     let names: Vec<String> = disk.list().unwrap().into_iter().filter(|name| name.ends_with(".seg")).collect();
     assert!(names.len() > 2, "{names:?}");
     for name in &names {
         let mut lost = disk.after_kill();
         lost.remove(name).unwrap();
-        compare(&history(&lost), &play.truth).unwrap_or_else(|e| panic!("{name} lost: {e}"));
+        compare(&history(&lost), &scenario.truth).unwrap_or_else(|e| panic!("{name} lost: {e}"));
         let newer = disk.after_kill();
         newer.clone().write(&mut name.clone(), 8, &[9, 0]).unwrap();
         let shown = history(&newer);
         assert!(shown.faults.iter().any(|fault| fault.contains("format 9")), "{:?}", shown.faults);
-        compare(&shown, &play.truth).unwrap_or_else(|e| panic!("{name} newer: {e}"));
+        compare(&shown, &scenario.truth).unwrap_or_else(|e| panic!("{name} newer: {e}"));
     }
-    assert!(compare(&history(&disk), &play.truth) == Ok(0));
+    assert!(compare(&history(&disk), &scenario.truth) == Ok(0));
 }
 
 proptest! {
@@ -69,12 +70,12 @@
         check_scan(&bytes);
         // An intact segment with a part overwritten by random bytes.
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
-        play.steps(&SHORT);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
+        scenario.steps(&SHORT_HISTORY);
         let name = disk.list().unwrap().remove(0);
         disk.clone().write(&mut name.clone(), at as u64, &bytes[..bytes.len().min(60)]).unwrap();
         check_scan(&disk.read(&name).unwrap());
-        if let Err(e) = compare(&history(&disk), &play.truth) {
+        if let Err(e) = compare(&history(&disk), &scenario.truth) {
             prop_assert!(false, "{e}");
         }
     }
--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -1,6 +1,6 @@
 //! Checks which segments are kept and which are deleted.
 
-use crate::play::{record, Step};
+use crate::scenario::{record, Step};
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{Disk, End, Mode, OnFailure, Options, Writer};
 
--- a/crates/ledger/tests/crash/main.rs
+++ b/crates/ledger/tests/crash/main.rs
@@ -2,12 +2,12 @@
 
 mod damage;
 mod kept;
-mod play;
 mod random;
+mod scenario;
 
 use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
 use lotusdeck_ledger::{Disk, Mode, OnFailure, Options, Verdict, Writer};
-use play::{compare, history, id, power_losses, record, Play, Step, SHORT};
+use scenario::{compare, history, id, power_losses, record, Scenario, Step, SHORT_HISTORY};
 use std::collections::BTreeMap;
 
 const FAILURES: [OnFailure; 2] = [OnFailure::RejectRequests, OnFailure::SendUnrecorded];
@@ -15,18 +15,18 @@
 /// After a kill at each step everything durable is shown and nothing is shown wrongly, with large and small segments.
 #[test]
 fn kill_at_any_step_leaves_a_true_history() {
-    for (on_failure, room) in FAILURES.iter().flat_map(|f| [(*f, 1 << 16), (*f, 700)]) {
-        for steps in 0..=SHORT.len() {
+    for (on_failure, segment_bytes) in FAILURES.iter().flat_map(|f| [(*f, 1 << 16), (*f, 700)]) {
+        for steps in 0..=SHORT_HISTORY.len() {
             let disk = MemoryDisk::default();
-            let mut play = Play::new(disk.clone(), Mode::Process, on_failure, room);
-            play.steps(&SHORT[..steps]);
+            let mut scenario = Scenario::new(disk.clone(), Mode::Process, on_failure, segment_bytes);
+            scenario.steps(&SHORT_HISTORY[..steps]);
             let shown = history(&disk.after_kill());
-            let uncertain = compare(&shown, &play.truth).unwrap_or_else(|e| panic!("{steps} steps: {e}"));
+            let uncertain = compare(&shown, &scenario.truth).unwrap_or_else(|e| panic!("{steps} steps: {e}"));
             // If no request is sent unrecorded, only attempts in flight are uncertain.
-            let ends = play.truth.values().flat_map(BTreeMap::values);
+            let ends = scenario.truth.values().flat_map(BTreeMap::values);
             let in_flight = ends.filter(|end| end.is_none()).count();
             if on_failure == OnFailure::RejectRequests {
-                assert_eq!(uncertain, in_flight, "{steps} steps, segments of {room}");
+                assert_eq!(uncertain, in_flight, "{steps} steps, segments of {segment_bytes}");
             }
         }
     }
@@ -37,15 +37,15 @@
 #[test]
 fn power_loss_at_any_byte_leaves_a_true_history() {
     let mut cases = 0;
-    for steps in 0..=SHORT.len() {
+    for steps in 0..=SHORT_HISTORY.len() {
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 1 << 16);
-        play.steps(&SHORT[..steps]);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 1 << 16);
+        scenario.steps(&SHORT_HISTORY[..steps]);
         // The next step is written but not synced yet, so its attempt has not been sent.
-        let next = SHORT.get(steps).copied().unwrap_or(Step::Settle(3));
+        let next = SHORT_HISTORY.get(steps).copied().unwrap_or(Step::Settle(3));
         if let Step::End(request, attempt, end) = next {
             // The attempt has ended, whether that record survives or not.
-            play.truth.entry(id(request)).or_default().insert(attempt, Some(end));
+            scenario.truth.entry(id(request)).or_default().insert(attempt, Some(end));
         }
         let mut bytes = Vec::new();
         lotusdeck_ledger::encode(steps as u64 + 1, &record(next, 5), &mut bytes);
@@ -54,7 +54,7 @@
         disk.clone().write(&mut name.clone(), length.max(256), &bytes).unwrap();
         for (kept, torn) in power_losses(&disk) {
             let shown = history(&disk.after_power_loss(kept, torn));
-            compare(&shown, &play.truth)
+            compare(&shown, &scenario.truth)
                 .unwrap_or_else(|e| panic!("{steps} steps, {kept} kept, torn at {torn}: {e}"));
             cases += 1;
         }
@@ -65,14 +65,15 @@
 /// Fails each of the first 40 operations in turn: an attempt whose intent is not durable is not sent.
 #[test]
 fn attempt_whose_intent_failed_to_sync_is_not_sent() {
-    for at in 0..40 {
-        let faults = Faults { full_after: Some(at), sync_fails: None, mended_at: Some(at + 1) };
+    for operation in 0..40 {
+        let faults =
+            Faults { full_from: Some(operation), failing_sync: None, recovers_at: Some(operation + 1) };
         let disk = MemoryDisk::with_faults(faults);
-        let mut play = Play::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 641);
-        play.steps(&SHORT);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Power, OnFailure::RejectRequests, 641);
+        scenario.steps(&SHORT_HISTORY);
         for (kept, torn) in power_losses(&disk) {
             let shown = history(&disk.after_power_loss(kept, torn));
-            compare(&shown, &play.truth).unwrap_or_else(|e| panic!("operation {at} fails: {e}"));
+            compare(&shown, &scenario.truth).unwrap_or_else(|e| panic!("operation {operation} fails: {e}"));
         }
     }
 }
@@ -81,14 +82,14 @@
 #[test]
 fn two_generations_in_one_folder_are_both_shown() {
     let disk = MemoryDisk::default();
-    let mut old = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
-    old.steps(&SHORT[..5]);
+    let mut old = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
+    old.steps(&SHORT_HISTORY[..5]);
     let options =
         Options { segment_bytes: 700, ..Options::new("n0", Mode::Process, OnFailure::RejectRequests) };
-    let (mut new, begun) = Writer::open(disk.clone(), options, 0xcd, 9000);
-    begun.unwrap();
+    let (mut new, first_segment) = Writer::open(disk.clone(), options, 0xcd, 9000);
+    first_segment.unwrap();
     new.append(9001, &[record(Step::Take(7), 9001), record(Step::Send(7, 0), 9001)]).unwrap();
-    old.steps(&SHORT[5..]);
+    old.steps(&SHORT_HISTORY[5..]);
     let shown = history(&disk.after_kill());
     assert_eq!(compare(&shown, &old.truth), Ok(0));
     assert_eq!(shown.find("request-0007")[0].verdict(), Verdict::PossiblySent);
--- a/crates/ledger/tests/crash/random.rs
+++ b/crates/ledger/tests/crash/random.rs
@@ -1,6 +1,6 @@
 //! Checks random histories on a failing disk.
 
-use crate::play::{compare, history, Play, Step};
+use crate::scenario::{compare, history, Scenario, Step};
 use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
 use lotusdeck_ledger::{End, Mode, OnFailure};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 }
 
 /// One random request: the ends of its attempts, whether it is finished, and the unsorted times of its steps.
-type Life = (Vec<End>, bool, Vec<u32>);
+type RandomRequest = (Vec<End>, bool, Vec<u32>);
 
 /// A step and the keys by which it is sorted.
 struct TimedStep {
@@ -30,15 +30,15 @@
         Just(End::Answered(500)),
         Just(End::Unanswered)
     ];
-    let life =
+    let request =
         (proptest::collection::vec(end, 0..3), any::<bool>(), proptest::collection::vec(0u32..1000, 8));
-    proptest::collection::vec(life, 1..6).prop_map(interleave)
+    proptest::collection::vec(request, 1..6).prop_map(interleave)
 }
 
 /// Interleaves the steps of all requests by their random times.
-fn interleave(lives: Vec<Life>) -> Vec<Step> {
+fn interleave(requests: Vec<RandomRequest>) -> Vec<Step> {
     let mut timed: Vec<TimedStep> = Vec::new();
-    for (request, (ends, settled, mut times)) in (0..).zip(lives) {
+    for (request, (ends, settled, mut times)) in (0..).zip(requests) {
         let mut own = vec![Step::Take(request)];
         for (attempt, end) in (0..).zip(ends) {
             own.extend([Step::Send(request, attempt), Step::End(request, attempt, end)]);
@@ -63,21 +63,22 @@
     /// of power.
     #[test]
     fn history_on_a_failing_disk_is_never_shown_wrongly(
-        steps in steps(), power in any::<bool>(), goes_on in any::<bool>(), room in 400u64..3000,
-        full in proptest::option::of(0usize..40), sync in proptest::option::of(0usize..40), mended in 0usize..60,
+        steps in steps(), power in any::<bool>(), sends_unrecorded in any::<bool>(), segment_bytes in 400u64..3000,
+        full_from in proptest::option::of(0usize..40), failing_sync in proptest::option::of(0usize..40),
+        recovers_at in 0usize..60,
         kept in 0usize..4, torn in 0usize..200, close in any::<bool>(),
     ) {
-        let faults = Faults { full_after: full, sync_fails: sync, mended_at: Some(mended) };
+        let faults = Faults { full_from, failing_sync, recovers_at: Some(recovers_at) };
         let disk = MemoryDisk::with_faults(faults);
         let mode = if power { Mode::Power } else { Mode::Process };
-        let on_failure = if goes_on { OnFailure::SendUnrecorded } else { OnFailure::RejectRequests };
-        let mut play = Play::new(disk.clone(), mode, on_failure, room);
-        play.steps(&steps);
+        let on_failure = if sends_unrecorded { OnFailure::SendUnrecorded } else { OnFailure::RejectRequests };
+        let mut scenario = Scenario::new(disk.clone(), mode, on_failure, segment_bytes);
+        scenario.steps(&steps);
         if close {
-            play.step(Step::Close);
+            scenario.step(Step::Close);
         }
         let found = if power { disk.after_power_loss(kept, torn) } else { disk.after_kill() };
-        if let Err(e) = compare(&history(&found), &play.truth) {
+        if let Err(e) = compare(&history(&found), &scenario.truth) {
             prop_assert!(false, "{e}");
         }
     }
--- a/crates/ledger/tests/crash/play.rs
+++ b/crates/ledger/tests/crash/scenario.rs
@@ -26,7 +26,7 @@
 }
 
 /// Three interleaved requests: one answered, one retried after a rejection, one whose connection breaks.
-pub(crate) const SHORT: [Step; 14] = [
+pub(crate) const SHORT_HISTORY: [Step; 14] = [
     Step::Take(1),
     Step::Send(1, 0),
     Step::Take(2),
@@ -65,18 +65,18 @@
 }
 
 /// A history that is written to a disk step by step.
-pub(crate) struct Play {
+pub(crate) struct Scenario {
     writer: Writer<MemoryDisk>,
     on_failure: OnFailure,
     pub(crate) truth: Truth,
     pub(crate) now: u64,
 }
 
-impl Play {
-    pub(crate) fn new(disk: MemoryDisk, mode: Mode, on_failure: OnFailure, segment_bytes: u64) -> Play {
+impl Scenario {
+    pub(crate) fn new(disk: MemoryDisk, mode: Mode, on_failure: OnFailure, segment_bytes: u64) -> Scenario {
         let options = Options { segment_bytes, ..Options::new("n0", mode, on_failure) };
         let (writer, _) = Writer::open(disk, options, 0xab, 1000);
-        Play { writer, on_failure, truth: Truth::new(), now: 1000 }
+        Scenario { writer, on_failure, truth: Truth::new(), now: 1000 }
     }
 
     /// Writes the record of a step and updates `truth` as the core would act: an attempt is sent only if its intent is
@@ -130,7 +130,7 @@
 /// Returns every number of unsynced writes that may survive a loss of power, with every surviving length of the next.
 pub(crate) fn power_losses(disk: &MemoryDisk) -> impl Iterator<Item = (usize, usize)> {
     let unsynced = disk.unsynced();
-    (0..=unsynced.most_in_a_file).flat_map(move |kept| (0..=unsynced.longest).map(move |torn| (kept, torn)))
+    (0..=unsynced.max_per_file).flat_map(move |kept| (0..=unsynced.max_length).map(move |torn| (kept, torn)))
 }
 
 /// Compares what a history shows with what happened. Everything certain must be true; uncertainty is always allowed.
--- a/crates/ledger/tests/format.rs
+++ b/crates/ledger/tests/format.rs
@@ -1,7 +1,7 @@
 //! Checks that the format of segments does not change, because programs of other versions read them.
 
 use lotusdeck_ledger::{
-    decode, encode, read_segment, End, Frame, Record, SegmentHeader, SegmentKind, HEAD_LEN,
+    decode, encode, read_segment, End, Frame, Record, SegmentHeader, SegmentKind, SEGMENT_HEADER_LEN,
 };
 
 /// The frames of [`records`] with sequence numbers from 1, in hexadecimal.
@@ -15,7 +15,7 @@
     "05000000ed18a85007000000000000000405840703",
     "07000000c96db7f808000000000000000585d095ffbc31",
 ];
-/// The encoded [`header`] in hexadecimal, without the zeros that pad it to [`HEAD_LEN`].
+/// The encoded [`header`] in hexadecimal, without the zeros that pad it to [`SEGMENT_HEADER_LEN`].
 const HEADER: &str = "4c444c454447455201000f004d6b424f026e30ab0180d095ffbc3103a01f01";
 
 fn records() -> [Record; 8] {
@@ -69,7 +69,7 @@
 #[test]
 fn segment_header_keeps_its_bytes() {
     let bytes = header().encode();
-    assert_eq!(bytes.len(), HEAD_LEN);
-    assert_eq!(hexadecimal(&bytes), format!("{HEADER:0<width$}", width = 2 * HEAD_LEN));
+    assert_eq!(bytes.len(), SEGMENT_HEADER_LEN);
+    assert_eq!(hexadecimal(&bytes), format!("{HEADER:0<width$}", width = 2 * SEGMENT_HEADER_LEN));
     assert_eq!(read_segment(&bytes).kind, SegmentKind::Segment(header()));
 }
