--- a/crates/ledger/src/memory_disk.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -180,7 +180,7 @@
         if fails {
             // The writes are dropped as by a page cache: a second sync would succeed.
             stored.pending.clear();
-            return Err(io::Error::other("the disk failed"));
+            return Err(io::Error::other("injected sync failure"));
         }
         stored.synced = stored.content();
         stored.pending.clear();
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Error)]
 pub enum WriteError {
     /// The disk failed, or its last failure is too recent to try again. Whether the records survive is unknown.
-    #[error("the disk failed: {0}")]
+    #[error("cannot write to the disk: {0}")]
     Disk(#[from] io::Error),
 }
 
@@ -172,7 +172,9 @@
     fn try_append(&mut self, now: Millis, records: &[Record]) -> Result<(), WriteError> {
         if self.open.is_none() {
             if now < self.retry_at {
-                return Err(WriteError::Disk(io::Error::other("no segment could be made just now")));
+                return Err(WriteError::Disk(io::Error::other(
+                    "no segment is open, and the next attempt to create one is not due yet",
+                )));
             }
             self.begin_segment(now)?;
         }
--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -27,7 +27,7 @@
     }
     assert!(
         writer.take_deleted().is_empty(),
-        "the oldest holds an unresolved request, and the newer ones stay"
+        "a segment was deleted although the oldest one has an unresolved request"
     );
     writer.append(300, &[record(Step::Settle(0), 300)]).unwrap();
     for request in 200..230 {
--- a/crates/ledger/tests/crash/scenario.rs
+++ b/crates/ledger/tests/crash/scenario.rs
@@ -149,7 +149,7 @@
         let found = shown.find(id);
         let Some(request) = found.first() else {
             if shown.is_complete() && !sent.is_empty() {
-                return Err(format!("{id}: certainly not there, but it was sent: {sent:?}"));
+                return Err(format!("{id}: shown as never received, but attempts were sent: {sent:?}"));
             }
             uncertain += usize::from(!shown.is_complete());
             continue;
@@ -165,14 +165,14 @@
     let id = &request.id;
     let verdict = request.verdict();
     if verdict == Verdict::NeverSent && !sent.is_empty() {
-        return Err(format!("{id}: never sent, but it was: {sent:?}"));
+        return Err(format!("{id}: shown as never sent, but attempts were sent: {sent:?}"));
     }
     let is_listed = |number: &u32| {
         request.attempts.iter().any(|shown| shown.number == *number && shown.fate != Fate::NeverSent)
     };
     if verdict == Verdict::Sent {
         if let Some(number) = sent.keys().find(|number| !is_listed(number)) {
-            return Err(format!("{id}: attempt {number} was sent and is not shown"));
+            return Err(format!("{id}: attempt {number} was sent but is not shown"));
         }
     }
     Ok(())
@@ -189,7 +189,7 @@
         };
         if !is_true {
             let (id, number, fate) = (&request.id, shown.number, shown.fate);
-            return Err(format!("{id}: attempt {number} is shown as {fate:?} and was {end:?}"));
+            return Err(format!("{id}: attempt {number} is shown as {fate:?}, but its end was {end:?}"));
         }
     }
     Ok(())
