--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -40,7 +40,7 @@
 }
 
 impl DecodeError {
-    /// Classifies undecodable bytes: all zeros were never written.
+    /// Classifies undecodable bytes as unwritten if all of them are zero, and as corrupt otherwise.
     fn of(bytes: &[u8]) -> DecodeError {
         if bytes.iter().all(|byte| *byte == 0) {
             DecodeError::Unwritten
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Index<'a> {
-    /// Checks and opens an index. Returns `None` if it is damaged; the segment must then be read.
+    /// Checks and opens an index. Returns `None` if it is damaged, in which case the segment must be read.
     pub fn read(bytes: &'a [u8]) -> Option<Index<'a>> {
         let (content, checksum) = bytes.split_last_chunk::<4>()?;
         let (hashes, last_sequence) = content.split_last_chunk::<8>()?;
