--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! A journal of non-idempotent requests. After any crash it shows for each of them whether it was never sent, sent to
-//! a named backend (and how that ended), or possibly sent. It is never wrong, only sometimes uncertain.
+//! A journal of non-idempotent requests. After any crash it shows whether each request was never sent, sent to named
+//! backends (and how each attempt ended), or possibly sent. It may be uncertain, but it is never wrong.
 //!
-//! [`Writer`] appends records to segments on a [`Disk`]; [`History`] reads folders and draws the conclusions. Neither
-//! starts a thread nor reads a clock. [`Ledger`] runs a writer on a thread of its own.
+//! [`Writer`] appends records to segments on a [`Disk`]; [`History`] reads folders and reconstructs the requests.
+//! Neither starts a thread nor reads a clock. [`Ledger`] runs a writer on its own thread.
 
 mod disk;
 mod durable_write;
@@ -24,12 +24,14 @@
 pub use disk::Disk;
 pub use durable_write::DurableWrite;
 pub use folder::Folder;
-pub use frame::{decode, encode, Damage, Frame, HEADER};
+pub use frame::{decode, encode, DecodeError, Frame, FRAME_HEADER_LEN};
 pub use history::{Attempt, Fate, History, Request, Verdict};
 pub use index::Index;
 pub use ledger::Ledger;
 pub use options::{Mode, OnFailure, Options};
 pub use record::{End, Millis, Record};
-pub use segment::{read_segment, LocatedFrame, Scan, SegmentHeader, SegmentKind, HEAD_LEN, VERSION};
+pub use segment::{
+    read_segment, LocatedFrame, Scan, SegmentHeader, SegmentKind, SEGMENT_HEADER_LEN, VERSION,
+};
 pub use status::LedgerStatus;
 pub use writer::{WriteCounts, WriteError, Writer};
--- a/crates/ledger/tests/crash/damage.rs
+++ b/crates/ledger/tests/crash/damage.rs
@@ -1,79 +1,81 @@
-//! Files that are damaged, lost or of another format.
+//! Checks histories whose files are damaged, lost or of a newer format.
 
-use crate::play::{compare, history, Play, Step, Truth, SHORT};
+use crate::scenario::{compare, history, Scenario, Step, Truth, SHORT_HISTORY};
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{decode, read_segment, Disk, History, LocatedFrame, Mode, OnFailure};
 use proptest::prelude::*;
 
-/// Any one bit flipped anywhere makes uncertain at most, whether or not the process shut down gracefully.
+/// Flips each bit of each file: requests may become uncertain but are never shown wrongly, whether or not the process
+/// shut down gracefully.
 #[test]
 fn flipped_bit_never_makes_a_wrong_certainty() {
-    for (steps, close) in [(SHORT.len(), true), (SHORT.len(), false), (10, false)] {
+    for (steps, close) in [(SHORT_HISTORY.len(), true), (SHORT_HISTORY.len(), false), (10, false)] {
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
-        play.steps(&SHORT[..steps]);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 700);
+        scenario.steps(&SHORT_HISTORY[..steps]);
         if close {
-            play.step(Step::Close);
+            scenario.step(Step::Close);
         }
         for name in disk.list().unwrap() {
             let bits = disk.read(&name).unwrap().len() * 8;
             for bit in 0..bits {
                 let flipped = disk.after_kill();
                 assert!(flipped.flip(&name, bit));
-                compare(&history(&flipped), &play.truth).unwrap_or_else(|e| panic!("{name}, bit {bit}: {e}"));
-                // The index may be read before the segment.
-                let mut one = History::default();
-                one.add("memory", &flipped, Some("request-0002")).unwrap();
-                let only: Truth =
-                    play.truth.clone().into_iter().filter(|(id, _)| id == "request-0002").collect();
-                compare(&one, &only).unwrap_or_else(|e| panic!("by index, {name}, bit {bit}: {e}"));
+                compare(&history(&flipped), &scenario.truth)
+                    .unwrap_or_else(|e| panic!("{name}, bit {bit}: {e}"));
+                // A query for one id reads the index before the segment.
+                let mut by_id = History::default();
+                by_id.add("memory", &flipped, Some("request-0002")).unwrap();
+                let expected: Truth =
+                    scenario.truth.clone().into_iter().filter(|(id, _)| id == "request-0002").collect();
+                compare(&by_id, &expected).unwrap_or_else(|e| panic!("by index, {name}, bit {bit}: {e}"));
             }
         }
     }
 }
 
-/// A segment that is missing, one of a newer format, and a clock that steps back.
+/// Removes each segment, or marks it as of a newer format, in a history whose clock runs backwards.
 #[test]
 fn lost_segment_newer_format_and_backward_clock_are_never_shown_wrongly() {
     let disk = MemoryDisk::default();
-    let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 480);
-    for (position, step) in SHORT.iter().enumerate() {
-        play.now = 100_000 - 1000 * position as u64;
-        play.step(*step);
+    let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 480);
+    for (position, step) in SHORT_HISTORY.iter().enumerate() {
+        scenario.now = 100_000 - 1000 * position as u64;
+        scenario.step(*step);
     }
     let names: Vec<String> = disk.list().unwrap().into_iter().filter(|name| name.ends_with(".seg")).collect();
     assert!(names.len() > 2, "{names:?}");
     for name in &names {
         let mut lost = disk.after_kill();
         lost.remove(name).unwrap();
-        compare(&history(&lost), &play.truth).unwrap_or_else(|e| panic!("{name} lost: {e}"));
+        compare(&history(&lost), &scenario.truth).unwrap_or_else(|e| panic!("{name} lost: {e}"));
         let newer = disk.after_kill();
         newer.clone().write(&mut name.clone(), 8, &[9, 0]).unwrap();
         let shown = history(&newer);
         assert!(shown.faults.iter().any(|fault| fault.contains("format 9")), "{:?}", shown.faults);
-        compare(&shown, &play.truth).unwrap_or_else(|e| panic!("{name} newer: {e}"));
+        compare(&shown, &scenario.truth).unwrap_or_else(|e| panic!("{name} newer: {e}"));
     }
-    assert!(compare(&history(&disk), &play.truth) == Ok(0));
+    assert!(compare(&history(&disk), &scenario.truth) == Ok(0));
 }
 
 proptest! {
     #![proptest_config(crate::random::config())]
 
-    /// The body of the fuzz target: whatever the bytes, reading ends and does not panic, and the frames that it finds
-    /// are those that decode.
+    /// Runs the body of the fuzz target as a property test: reading any bytes ends without a panic, and each frame
+    /// found is one that decodes. Repeats this with a partly overwritten segment, which must not be shown wrongly.
     #[test]
     fn segment_of_any_bytes_can_be_read(
         bytes in proptest::collection::vec(any::<u8>(), 0..2000), at in 0usize..2000,
     ) {
         check_scan(&bytes);
-        // A sound segment with random bytes written over a part of it.
+        // An intact segment with a part overwritten by random bytes.
         let disk = MemoryDisk::default();
-        let mut play = Play::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
-        play.steps(&SHORT);
+        let mut scenario = Scenario::new(disk.clone(), Mode::Process, OnFailure::RejectRequests, 1 << 12);
+        scenario.steps(&SHORT_HISTORY);
         let name = disk.list().unwrap().remove(0);
         disk.clone().write(&mut name.clone(), at as u64, &bytes[..bytes.len().min(60)]).unwrap();
         check_scan(&disk.read(&name).unwrap());
-        if let Err(e) = compare(&history(&disk), &play.truth) {
+        if let Err(e) = compare(&history(&disk), &scenario.truth) {
             prop_assert!(false, "{e}");
         }
     }
