--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -1,5 +1,5 @@
-//! One transaction: bytes pass both ways between a client and the server that the core chose, until the server says that
-//! it is idle.
+//! One transaction: forwards messages in both directions between a client and the server that the core chose, until the
+//! server connection is idle.
 
 use crate::io::{drain, fill};
 use crate::statements::{Direction, Interrupted, PreparedStatements, SessionEnd, MAX_PREPARED};
@@ -22,32 +22,38 @@
     pub key: CancelKey,
 }
 
-/// A client's connection, and how far its streams have come.
+/// A client's connection and the state of its current transaction.
 pub(crate) struct Client {
     pub tcp: TcpStream,
-    /// What came and was not passed on yet, and what is to be written.
+    /// Bytes received and not yet forwarded.
     pub input: RefCell<BytesMut>,
+    /// Bytes to be written.
     pub output: RefCell<BytesMut>,
-    /// Where its messages to servers, and theirs to it, are cut at this moment.
+    /// The position within the messages from the client.
     pub up: RefCell<Forwarder>,
+    /// The position within the messages to the client.
     pub down: RefCell<Forwarder>,
     pub track: Cell<Track>,
-    /// Its prepared statements.
+    /// The client's prepared statements.
     pub statements: RefCell<PreparedStatements>,
-    /// Bytes of the present transaction have gone to a server, and that was lost.
+    /// Whether bytes of the current transaction were forwarded to a server.
     pub sent: Cell<bool>,
+    /// Whether that server was lost.
     pub lost: Cell<bool>,
-    /// The only message of a transaction that may be said again as long as nothing of its answer went to the client.
+    /// The only message of the transaction, if it may be sent again: as long as the client has received no part of the
+    /// answer.
     pub replay: RefCell<Option<Bytes>>,
-    /// It has said farewell behind what is still out.
+    /// Whether the client has sent Terminate while replies are pending.
     farewell: Cell<bool>,
-    /// Bytes of it that a server has, and whether something of an answer went to the client.
+    /// Number of bytes of the current transaction that were taken from the input.
     taken: Cell<usize>,
+    /// Whether part of an answer was forwarded to the client.
     answered: Cell<bool>,
-    /// It has left, or says what it cannot say.
+    /// Why the session ends.
     pub over: Cell<Option<SessionEnd>>,
+    /// Notified when `over` is set while a transaction is in flight.
     pub ended: Notify,
-    /// Where a CancelRequest of its would go.
+    /// Where the client's CancelRequests are forwarded; `None` outside a transaction.
     pub at: Cell<Option<CancelTarget>>,
 }
 
@@ -73,8 +79,9 @@
         })
     }
 
-    /// Asked right before the first byte of a transaction: nothing is read of a client while it waits for a server, and
-    /// its end may lie behind bytes that are still to be read.
+    /// Returns whether the client has disconnected, and ends its session then. Called right before the first byte of a
+    /// transaction is sent: nothing is read from a client while it waits for a server, and the end of its stream may
+    /// follow unread bytes.
     fn has_left(&self) -> bool {
         let has_left = socket_state::is_closed_by_peer(&self.tcp);
         if has_left {
@@ -83,12 +90,14 @@
         has_left
     }
 
+    /// Makes the session withdraw its request and end.
     fn end(&self, why: SessionEnd) {
         self.over.set(Some(why));
         self.ended.notify_one();
     }
 
-    /// What the client has said goes on to its server, as far as it may.
+    /// Forwards the bytes received from the client to the server connection's output buffer. Returns why the session
+    /// ends, if it does.
     fn pass_up(&self, upstream: &Upstream) -> Option<SessionEnd> {
         let (mut forwarder, mut track) = (self.up.borrow_mut(), self.track.get());
         let (mut from, mut to) = (self.input.borrow_mut(), upstream.output.borrow_mut());
@@ -107,7 +116,7 @@
             Err(Interrupted { taken, reason }) => (taken, Some(reason)),
         };
         self.sent.set(self.sent.get() || moved > 0);
-        // Whatever follows the one message is not kept.
+        // Only the first message is kept, so a transaction with more cannot be sent again.
         self.taken.set(self.taken.get() + moved);
         let beyond = self.replay.borrow().as_ref().is_some_and(|r| r.len() < self.taken.get());
         if beyond {
@@ -116,6 +125,7 @@
         why
     }
 
+    /// Forwards the bytes received from the server to the client's output buffer.
     fn pass_down(&self, upstream: &Upstream) -> Result<(), WireError> {
         let (mut forwarder, mut track) = (self.down.borrow_mut(), self.track.get());
         let (mut from, mut to) = (upstream.input.borrow_mut(), self.output.borrow_mut());
@@ -133,14 +143,15 @@
         passed
     }
 
-    /// A transaction begins.
+    /// Resets the state for a new transaction, whose message `replay` may be sent again.
     pub(crate) fn begin(&self, replay: Option<Bytes>) {
         [&self.sent, &self.lost, &self.answered].into_iter().for_each(|flag| flag.set(false));
         self.taken.set(0);
         self.replay.replace(replay);
     }
 
-    /// What went to a server that was lost is there to be sent again, where that may be.
+    /// Puts the transaction's message back in front of the input if it was sent to a server that was lost and may be
+    /// sent again.
     fn rewind(&self) {
         let again = self.replay.borrow().clone().filter(|_| self.sent.get() && !self.answered.get());
         if let Some(again) = again {
@@ -157,31 +168,35 @@
         }
     }
 
-    /// The connection may serve another client.
+    /// Returns whether another client may use the server connection.
     fn leaves_clean(&self, upstream: &Upstream) -> bool {
         !self.statements.borrow().is_tainted && upstream.prepared.borrow().len() <= MAX_PREPARED
     }
 
+    /// Returns whether the transaction has ended and both streams are at a message boundary, with no bytes buffered
+    /// on the server's side.
     fn idle(&self, upstream: &Upstream) -> bool {
         let cut = !self.up.borrow().is_at_boundary() || !self.down.borrow().is_at_boundary();
         let waiting = !upstream.input.borrow().is_empty() || !upstream.output.borrow().is_empty();
         self.track.get().is_idle() && !cut && !waiting
     }
 
+    /// Forwards the client's messages to the server; never returns.
     async fn upward(&self, upstream: &Upstream) -> Outcome {
         loop {
             let why = self.pass_up(upstream);
             if drain(&upstream.output, &upstream.tcp).await.is_err() {
-                // Its last words may still say why: the other direction ends with them.
+                // The server may have sent an error before it closed the connection: the other direction reads it and
+                // ends the attempt.
                 std::future::pending::<()>().await;
             }
             if let Some(why) = why {
-                // A farewell behind statements that are out holds once these are answered.
+                // A Terminate that follows unanswered statements takes effect once they are answered.
                 self.farewell.set(why == SessionEnd::ClientLeft && self.track.get().pending_ready() > 0);
                 if !self.farewell.get() {
                     self.end(why);
                 }
-                std::future::pending::<()>().await; // the session withdraws the request
+                std::future::pending::<()>().await; // the session withdraws the request, which drops this future
             }
             if !matches!(fill(&self.tcp, &self.input).await, Ok(1..)) {
                 self.end(SessionEnd::ClientLeft);
@@ -190,6 +205,8 @@
         }
     }
 
+    /// Forwards the server's messages to the client; returns the outcome once the transaction ends or the server is
+    /// lost.
     async fn downward(&self, upstream: &Upstream) -> Outcome {
         loop {
             if !matches!(fill(&upstream.tcp, &upstream.input).await, Ok(1..)) {
@@ -215,7 +232,7 @@
     }
 }
 
-/// A transaction under way.
+/// A transaction in flight.
 pub(crate) struct Transaction {
     pub client: Rc<Client>,
     pub servers: Rc<Servers>,
@@ -249,7 +266,8 @@
         })
     }
 
-    /// What has gone to a server is not kept for another, but for a single statement that is declared safe.
+    /// Returns whether bytes were sent that are not kept for another attempt. Only a single statement of a class
+    /// without side effects is kept, until part of its answer was forwarded.
     fn body_consumed(&self) -> bool {
         self.client.sent.get() && (self.client.answered.get() || self.client.replay.borrow().is_none())
     }
--- a/crates/postgres/src/classes.rs
+++ b/crates/postgres/src/classes.rs
@@ -1,9 +1,8 @@
-//! The class of a transaction: that of the first rule that matches what is known when its first message is there.
-//! Sans-IO.
+//! The classification of transactions by rules on the client and on the first message. Sans-IO.
 
 use lotusdeck_policy::ClassId;
 
-/// The client, according to its start-up packet.
+/// A client, as identified by its start-up packet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClientIdentity {
     /// The role.
@@ -14,10 +13,10 @@
     pub application: String,
 }
 
-/// One rule: everything that it names has to match.
+/// A rule, which matches if all its conditions do.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// The class of the transactions that match.
+    /// The class of matching transactions.
     pub class: ClassId,
     /// The role.
     pub user: Option<String>,
@@ -25,13 +24,13 @@
     pub database: Option<String>,
     /// `application_name` of the start-up packet.
     pub application: Option<String>,
-    /// The text of a comment that the statement begins with, without spaces at its ends.
+    /// The text of the first comment in front of the statement, without surrounding spaces.
     pub comment: Option<String>,
-    /// What the statement begins with, after comments, regardless of case.
+    /// The beginning of the statement after its leading comments, regardless of ASCII case.
     pub prefix: Option<String>,
 }
 
-/// The text of a first message: of a simple query, or of an unnamed statement that is parsed.
+/// Returns the text of a transaction's first message, if it is a Query or a Parse.
 pub fn statement(kind: u8, body: &[u8]) -> Option<&str> {
     let text = match kind {
         b'Q' => body,
@@ -41,12 +40,13 @@
     std::str::from_utf8(text.split(|byte| *byte == 0).next()?).ok()
 }
 
-/// A statement without leading comments and spaces, and the first of the comments.
+/// A statement without leading comments and spaces, and the first of these comments.
 struct StrippedStatement<'a> {
     text: &'a str,
     comment: Option<&'a str>,
 }
 
+/// Removes the leading comments and spaces of a statement.
 fn strip_comments(statement: &str) -> StrippedStatement<'_> {
     let mut text = statement.trim_start();
     let mut first_comment = None;
@@ -78,19 +78,19 @@
     }
 }
 
-/// The class of a transaction that begins with that text; `default` where no rule matches.
+/// Returns the class of a transaction that begins with `text`: that of the first rule that matches, or `default`.
 pub fn class(rules: &[Rule], client: &ClientIdentity, text: Option<&str>, default: ClassId) -> ClassId {
     let statement = strip_comments(text.unwrap_or(""));
     rules.iter().find(|rule| rule.matches(client, &statement)).map_or(default, |rule| rule.class)
 }
 
-/// First words of statements that begin or end a transaction, change the session, or read rows from the client; an empty
-/// statement is among them.
+/// First words of statements that begin or end a transaction, change the session, or read rows from the client; an
+/// empty statement is among them.
 const NOT_REPEATABLE: [&str; 11] =
     ["", "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "prepare", "copy", "set"];
 
-/// Whether a message is one statement outside a transaction that can be sent again as it is. In doubt it is not: a
-/// semicolon inside a literal counts as a second statement.
+/// Returns whether a message is a Query with a single statement that can be sent again by itself. Returns false in
+/// doubt: a semicolon inside a literal counts as the end of a statement.
 pub fn is_repeatable(kind: u8, body: &[u8]) -> bool {
     let Some(text) = statement(kind, body).filter(|_| kind == b'Q') else { return false };
     let text = strip_comments(text).text.trim_end().trim_end_matches(';');
--- a/crates/postgres/src/error.rs
+++ b/crates/postgres/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors as clients receive them ("Error and Notice Message Fields"; codes by "PostgreSQL Error Codes").
+//! Errors sent to clients ("Error and Notice Message Fields"; codes from "PostgreSQL Error Codes").
 
 use crate::wire::put;
 use bytes::BytesMut;
 use lotusdeck_policy::Micros;
 
-/// An error that a client receives.
+/// An error sent to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ClientError {
     /// Whether it ends the session.
@@ -16,22 +16,25 @@
 }
 
 impl ClientError {
+    /// Creates an error that ends the session.
     pub(crate) fn fatal(code: &'static str, message: impl Into<String>) -> ClientError {
         ClientError { fatal: true, code, message: message.into(), detail: None }
     }
 
+    /// Creates an error after which the session continues.
     pub(crate) fn error(code: &'static str, message: impl Into<String>) -> ClientError {
         ClientError { fatal: false, code, message: message.into(), detail: None }
     }
 
-    /// No server has capacity: `too_many_connections`, as a full server reports it. A transaction that may be repeated
-    /// may have been sent all the same.
+    /// Creates the error for a transaction that no server has capacity for: `too_many_connections`, as a full server
+    /// reports it. A transaction that may be repeated may nevertheless have been sent.
     pub(crate) fn refused(retry_after: Micros, sent: bool) -> ClientError {
         let effect = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
         let detail = Some(format!("Come again in {:.3} s. {effect}", retry_after.secs()));
         ClientError { detail, ..ClientError::error("53300", "no server has room at the moment") }
     }
 
+    /// Appends the error as an ErrorResponse.
     pub(crate) fn put(&self, out: &mut BytesMut) {
         let severity = if self.fatal { "FATAL" } else { "ERROR" };
         let mut body = Vec::new();
--- a/crates/postgres/src/front.rs
+++ b/crates/postgres/src/front.rs
@@ -1,4 +1,4 @@
-//! The listener for the clients of one address: their login and the end of their sessions.
+//! The listener for the clients of one address: their logins, their sessions and their CancelRequests.
 
 use crate::bridge::Client;
 use crate::classes::{ClientIdentity, Rule};
@@ -20,19 +20,19 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-/// A client that has not logged in by then is disconnected.
+/// Time for a client to log in before it is disconnected.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients beyond the bound that get an error before they are disconnected.
+/// Maximum number of clients above the limit that are accepted in order to send them an error.
 pub const MAX_EXCESS_CLIENTS: usize = 16;
-/// Time for the last messages to a client, and for a CancelRequest to a server.
+/// Time for writing the last messages to a client, and for connecting to a server to send it a CancelRequest.
 const FAREWELL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A role that may log in, and its verifier.
+/// A role that may log in.
 #[derive(Clone, Debug)]
 pub struct User {
-    /// The role.
+    /// The name of the role.
     pub name: String,
-    /// Its verifier.
+    /// The verifier of its password.
     pub verifier: Verifier,
 }
 
@@ -43,9 +43,9 @@
     pub databases: Vec<String>,
     /// Roles that may log in.
     pub users: Vec<User>,
-    /// Clients at the same time.
+    /// Maximum number of concurrent clients.
     pub max_clients: usize,
-    /// The class of a transaction; the last class of the settings where none matches.
+    /// The rules that give the class of a transaction; it has the last class of the settings if none matches.
     pub rules: Vec<Rule>,
 }
 
@@ -55,19 +55,19 @@
     servers: Rc<Servers>,
     settings: FrontSettings,
     rules: Rc<[Rule]>,
-    /// Derives the salts of users that do not exist.
+    /// The key from which the verifiers of unknown users are derived.
     secret: [u8; 32],
-    /// By the key of a CancelRequest.
+    /// The clients with a session, by the key of their CancelRequests.
     sessions: RefCell<HashMap<CancelKey, Weak<Client>>>,
     count: Cell<usize>,
     stop: watch::Sender<bool>,
 }
 
 impl Front {
-    /// A front that does not accept clients yet.
+    /// Creates a front that does not accept clients yet.
     ///
     /// # Errors
-    /// The machine has no random numbers.
+    /// Returns an error if the system provides no random numbers.
     pub fn new(
         host: Rc<Host>, servers: Rc<Servers>, settings: FrontSettings,
     ) -> Result<Rc<Front>, std::io::Error> {
@@ -85,17 +85,18 @@
         }))
     }
 
-    /// Number of connected clients.
+    /// Returns the number of connected clients.
     pub fn clients(&self) -> usize {
         self.count.get()
     }
 
-    /// Stops accepting clients; sessions end once they have no transaction open.
+    /// Stops accepting clients. Sessions end once they have no open transaction.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Accepts clients for as long as it is polled. Clients beyond the bound get an error.
+    /// Accepts clients until [`Front::stop`] is called, and serves each in a local task. Clients above the limit get an
+    /// error.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut stop = self.stop.subscribe();
         loop {
@@ -112,7 +113,7 @@
                 }
             };
             if self.count.get() >= self.settings.max_clients + MAX_EXCESS_CLIENTS {
-                continue; // not even the error can be sent
+                continue; // closes the connection without an error
             }
             let front = self.clone();
             self.count.set(self.count.get() + 1);
@@ -124,7 +125,7 @@
     }
 
     async fn client(self: &Rc<Self>, tcp: TcpStream) {
-        let _ = tcp.set_nodelay(true); // the socket works without it
+        let _ = tcp.set_nodelay(true); // the socket also works without it
         let new = NewConnection::new(tcp);
         let login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&new)).await;
         match login.unwrap_or(Err(LoginError::Disconnected)) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Logs a client in; returns the key of its session, and `None` where it does not begin one.
+    /// Logs a client in; returns its cancel key and its identity, or `None` if it sent a CancelRequest instead.
     async fn log_in(&self, new: &NewConnection) -> Result<Option<(CancelKey, ClientIdentity)>, LoginError> {
         let Some(start) = self.receive_start(new).await? else { return Ok(None) };
         if self.count.get() > self.settings.max_clients {
@@ -166,7 +167,8 @@
         Ok(Some((key, identity)))
     }
 
-    /// The start of a session; `None` after a CancelRequest.
+    /// Receives the client's start-up packet, after refusing encryption if the client requests it. Returns `None` after
+    /// a CancelRequest, which is forwarded.
     async fn receive_start(&self, new: &NewConnection) -> Result<Option<SessionStart>, LoginError> {
         loop {
             match new.opening().await? {
@@ -180,8 +182,8 @@
         }
     }
 
-    /// The verifier of a user. One who does not exist has one that no password matches, so that names cannot be told
-    /// apart by it.
+    /// Returns the verifier of a user. An unknown user gets one that no password matches, so that clients cannot find
+    /// out which names exist.
     fn verifier(&self, user: &str) -> Verifier {
         let users = &self.settings.users;
         match users.iter().find(|known| known.name == user) {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Forwards a CancelRequest to the server that runs the session's present transaction.
+    /// Forwards a CancelRequest to the server that runs the session's current transaction, if there is one.
     async fn cancel(&self, key: CancelKey) {
         let client = self.sessions.borrow().get(&key).and_then(Weak::upgrade);
         let Some(target) = client.and_then(|client| client.at.get()) else { return };
@@ -203,7 +205,7 @@
         packet.put_u32(CANCEL_REQUEST_CODE);
         packet.put_i32(target.key.process_id);
         packet.put_i32(target.key.secret);
-        let _ = drain(&RefCell::new(packet), &tcp).await; // a CancelRequest has no answer
+        let _ = drain(&RefCell::new(packet), &tcp).await; // a CancelRequest is not answered
     }
 
     fn session(&self, client: &Rc<Client>, identity: ClientIdentity) -> Session {
--- a/crates/postgres/src/io.rs
+++ b/crates/postgres/src/io.rs
@@ -1,13 +1,13 @@
-//! Reading from and writing to sockets through buffers.
+//! Buffered reading from and writing to sockets.
 
 use bytes::{Buf, BufMut, BytesMut};
 use std::cell::RefCell;
 use tokio::net::TcpStream;
 
-/// The most bytes of one read.
+/// Maximum number of bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Waits for bytes and appends them; returns 0 at the end of the stream.
+/// Waits for bytes and appends them to a buffer; returns their number, or 0 at the end of the stream.
 pub(crate) async fn fill(tcp: &TcpStream, to: &RefCell<BytesMut>) -> std::io::Result<usize> {
     loop {
         tcp.readable().await?;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Writes the whole buffer. Bytes that were written are removed from it, also where the future is dropped before its end.
+/// Writes the whole buffer. Removes the bytes written, even if the future is dropped before it completes.
 pub(crate) async fn drain(from: &RefCell<BytesMut>, tcp: &TcpStream) -> std::io::Result<()> {
     while !from.borrow().is_empty() {
         tcp.writable().await?;
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -1,6 +1,6 @@
-//! A front for clients and servers of the PostgreSQL wire protocol, version 3 (PostgreSQL documentation, "Frontend/Backend
-//! Protocol"). Framing, the state of a transaction and SCRAM know no sockets; a session hands each transaction to the
-//! core, which says where it goes.
+//! A front for the PostgreSQL wire protocol, version 3 (PostgreSQL documentation, "Frontend/Backend Protocol").
+//! Framing, the tracking of transactions and SCRAM do no I/O of their own; a session submits each transaction to the
+//! core, which chooses its server.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -1,4 +1,4 @@
-//! The login of a client: from its first packet to the first ReadyForQuery.
+//! The login of a client, from its first packet to the first ReadyForQuery.
 
 use crate::error::ClientError;
 use crate::io::{drain, fill};
@@ -8,16 +8,16 @@
 use std::cell::RefCell;
 use tokio::net::TcpStream;
 
-/// The longest message of a login, bytes.
+/// Maximum length of a client's message during login, without its header, bytes.
 const MAX_LOGIN_MESSAGE_BYTES: usize = 8 * 1024;
-/// Names of protocol options in a start-up packet begin with this.
+/// The prefix of the names of protocol options in a start-up packet.
 const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
-/// Codes of authentication messages ("Message Formats").
+// Codes of authentication messages ("Message Formats").
 const AUTHENTICATION_OK: u32 = 0;
 const AUTHENTICATION_SASL: u32 = 10;
 const AUTHENTICATION_SASL_CONTINUE: u32 = 11;
 const AUTHENTICATION_SASL_FINAL: u32 = 12;
-/// Parameters of the server before the proxy has logged in to one (ParameterStatus).
+/// Parameters that clients get (ParameterStatus) unless a server has reported another value during login.
 const DEFAULT_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -34,14 +34,14 @@
 }
 
 impl SessionStart {
-    /// The value of a parameter.
+    /// Returns the value of a parameter.
     pub(crate) fn parameter(&self, name: &str) -> Option<&str> {
         let parameter = self.parameters.iter().find(|parameter| parameter.name == name);
         parameter.map(|parameter| parameter.value.as_str())
     }
 }
 
-/// The parameters of a server, after the defaults that it does not report.
+/// Returns the parameters of a server, after the defaults for those that it does not report.
 fn with_defaults(server_parameters: Vec<Parameter>) -> Vec<Parameter> {
     let defaults = DEFAULT_PARAMETERS.iter();
     let mut parameters: Vec<Parameter> = defaults
@@ -54,14 +54,14 @@
     parameters
 }
 
-/// Appends a ReadyForQuery outside a transaction.
+/// Appends a ReadyForQuery with the status "not in a transaction".
 pub(crate) fn put_ready(out: &mut BytesMut) {
     put(out, b'Z', b"I");
 }
 
 /// Why a session does not begin.
 pub(crate) enum LoginError {
-    /// The client has disconnected, or did not answer in time.
+    /// The client has disconnected, or has not logged in within the time limit.
     Disconnected,
     /// The client gets this error.
     Rejected(ClientError),
@@ -104,7 +104,7 @@
         NewConnection { tcp, input: RefCell::default(), output: RefCell::default() }
     }
 
-    /// The client's next first packet.
+    /// Receives an opening packet of the client; another one follows after encryption was refused.
     pub(crate) async fn opening(&self) -> Result<Opening, LoginError> {
         loop {
             if let Some(opening) = opening(&mut self.input.borrow_mut())? {
@@ -114,14 +114,14 @@
         }
     }
 
-    /// Answers a request for encryption, which is not offered.
+    /// Refuses encryption, which is not supported.
     pub(crate) async fn refuse_encryption(&self) -> Result<(), LoginError> {
         self.output.borrow_mut().put_u8(b'N');
         Ok(drain(&self.output, &self.tcp).await?)
     }
 
-    /// Tells a client which version and which of its protocol options are supported (NegotiateProtocolVersion), where
-    /// these are not all.
+    /// Sends a NegotiateProtocolVersion, with the supported minor version and the unknown options, if the client
+    /// requests a newer minor version or protocol options.
     pub(crate) async fn negotiate_version(&self, start: &SessionStart) -> Result<(), LoginError> {
         let names = start.parameters.iter().map(|parameter| parameter.name.as_str());
         let unknown: Vec<&str> = names.filter(|name| name.starts_with(PROTOCOL_OPTION_PREFIX)).collect();
@@ -136,7 +136,8 @@
         self.say(b'v', &body).await
     }
 
-    /// Completes the login of an authenticated client: tells it the server's parameters and the key of its session.
+    /// Completes the login of an authenticated client: sends it the server's parameters and the cancel key of its
+    /// session, and returns the key.
     pub(crate) async fn welcome(&self, server_parameters: Vec<Parameter>) -> Result<CancelKey, LoginError> {
         let mut key_bytes = random::<8>()?;
         key_bytes[0] &= 0x7f; // process ids are positive
@@ -154,6 +155,7 @@
         Ok(CancelKey { process_id, secret: key_bytes.get_i32() })
     }
 
+    /// Waits for more bytes from the client.
     async fn more(&self) -> Result<(), LoginError> {
         match fill(&self.tcp, &self.input).await? {
             0 => Err(LoginError::Disconnected),
@@ -161,12 +163,13 @@
         }
     }
 
+    /// Sends a message.
     async fn say(&self, kind: u8, body: &[u8]) -> Result<(), LoginError> {
         put(&mut self.output.borrow_mut(), kind, body);
         Ok(drain(&self.output, &self.tcp).await?)
     }
 
-    /// A message of the kind that passwords come in.
+    /// Receives a message of the type that PasswordMessage and the SASL responses share.
     async fn proof(&self) -> Result<bytes::Bytes, LoginError> {
         loop {
             match message(&mut self.input.borrow_mut(), MAX_LOGIN_MESSAGE_BYTES)? {
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Authenticates a client ("SASL Authentication", with SCRAM-SHA-256 alone).
+    /// Authenticates a client ("SASL Authentication", with SCRAM-SHA-256 only).
     pub(crate) async fn prove(&self, verifier: Verifier, nonce: &str) -> Result<(), LoginError> {
         let mut offer = AUTHENTICATION_SASL.to_be_bytes().to_vec();
         offer.extend(MECHANISM.as_bytes());
@@ -214,6 +217,7 @@
     }
 }
 
+/// Returns random bytes.
 pub(crate) fn random<const N: usize>() -> Result<[u8; N], LoginError> {
     let mut out = [0; N];
     getrandom::fill(&mut out)
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -1,5 +1,5 @@
-//! The server's side of SCRAM-SHA-256 (RFC 5802, RFC 7677), with verifiers as PostgreSQL stores them instead of passwords.
-//! Sans-IO: one message goes in, one comes out.
+//! The server side of SCRAM-SHA-256 (RFC 5802, RFC 7677), with the verifiers that PostgreSQL stores instead of
+//! passwords. Sans-IO: takes the client's messages and returns the answers.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use hmac::{Hmac, Mac};
@@ -8,8 +8,9 @@
 
 /// A SHA-256 hash, or a key of the same length.
 type Sha256Hash = [u8; 32];
-/// Of the verifier of an unknown user where there is no user at all.
+/// Iterations of an unknown user's verifier if no users are configured.
 const DEFAULT_ITERATIONS: u32 = 4096;
+/// Salt length of an unknown user's verifier if no users are configured, bytes.
 const DEFAULT_SALT_BYTES: usize = 16;
 
 /// The name of the mechanism.
@@ -18,10 +19,10 @@
 /// Why a client is not authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScramError {
-    /// A message that does not have the form of the mechanism.
+    /// A message or a stored verifier is malformed.
     #[error("{0}")]
     Malformed(&'static str),
-    /// The proof does not match: a wrong password, or no such user.
+    /// The proof does not match: the password is wrong, or the user does not exist.
     #[error("the proof does not fit")]
     Wrong,
 }
@@ -36,7 +37,7 @@
 }
 
 impl std::fmt::Debug for Verifier {
-    /// Without its keys, which must not be logged.
+    /// Omits the keys, which must not be logged.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Verifier({} iterations)", self.iterations)
     }
@@ -53,7 +54,7 @@
     /// Parses the stored form.
     ///
     /// # Errors
-    /// The text has another form.
+    /// Returns an error if the text is malformed.
     pub fn parse(text: &str) -> Result<Verifier, ScramError> {
         const FORM: ScramError =
             ScramError::Malformed("expected SCRAM-SHA-256$ITERATIONS:SALT$STOREDKEY:SERVERKEY");
@@ -69,16 +70,16 @@
         Ok(Verifier { iterations, salt, stored_key: key(stored)?, server_key: key(server)? })
     }
 
-    /// The stored form, which [`Verifier::parse`] reads.
+    /// Returns the stored form, which [`Verifier::parse`] parses.
     pub fn stored(&self) -> String {
         let text = |bytes: &[u8]| BASE64_STANDARD.encode(bytes);
         let (salt, stored, server) = (text(&self.salt), text(&self.stored_key), text(&self.server_key));
         format!("SCRAM-SHA-256${}:{salt}${stored}:{server}", self.iterations)
     }
 
-    /// A verifier that no password matches, for a user who does not exist. The same name has always the same salt, and
-    /// the parameters are those of `like`, the verifier of an existing user, so that clients cannot find out which names
-    /// exist. `secret` is known to this process only.
+    /// Creates a verifier for a user who does not exist, which no password matches. So that clients cannot find out
+    /// which names exist, the same name always gets the same salt, and the other parameters are those of `like`, the
+    /// verifier of an existing user. `secret` is known to this process only.
     pub fn of_nobody(name: &str, secret: &[u8; 32], like: Option<&Verifier>) -> Verifier {
         let (iterations, length) = like.map_or((DEFAULT_ITERATIONS, DEFAULT_SALT_BYTES), |verifier| {
             (verifier.iterations, verifier.salt.len().min(32))
@@ -88,7 +89,7 @@
         Verifier { iterations, salt, stored_key: key(b"stored"), server_key: key(b"server") }
     }
 
-    /// The verifier of a password, as a client tool stores it.
+    /// Computes the verifier of a password.
     pub fn of_password(password: &[u8], salt: &[u8], iterations: u32) -> Verifier {
         let mut block = hmac_sha256(password, &[salt, &1u32.to_be_bytes()]);
         let mut salted = block;
@@ -102,24 +103,26 @@
     }
 }
 
-/// An exchange that waits for the client's final message.
+/// An exchange that waits for the client's last message.
 pub struct Exchange {
     verifier: Verifier,
-    /// The client's first message without its header and the server's answer, joined as they are signed.
+    /// The first part of the text that is signed: the client's first message without its header, and the server's
+    /// answer.
     auth_message: String,
-    /// The base64 of the client's header for channel binding.
+    /// The client's header for channel binding, in base64.
     binding: String,
     nonce: String,
 }
 
 impl Exchange {
-    /// Answers the client's first message; `nonce` is the server's part of the nonce, a random text.
+    /// Begins an exchange with the client's first message; returns it with the answer. `nonce` is the server's part
+    /// of the nonce, a random text.
     ///
     /// # Errors
-    /// The message has another form, or requests channel binding.
+    /// Returns an error if the message is malformed or requests channel binding.
     pub fn begin(verifier: Verifier, first: &str, nonce: &str) -> Result<(Exchange, String), ScramError> {
         let form = ScramError::Malformed("the first message is no n,,n=NAME,r=NONCE");
-        // Without channel binding: `n`, or `y` where the client assumes that the server does not support it.
+        // Without channel binding: `n`, or `y` if the client supports it but assumes that the server does not.
         let bare = first.strip_prefix("n,,").or_else(|| first.strip_prefix("y,,"));
         let bare = bare.ok_or(ScramError::Malformed("channel binding is not offered"))?;
         let mut parts = bare.split(',');
@@ -137,10 +140,10 @@
         Ok((Exchange { verifier, auth_message, binding, nonce }, answer))
     }
 
-    /// Verifies the client's final message; returns the answer.
+    /// Verifies the client's last message; returns the answer.
     ///
     /// # Errors
-    /// The message has another form, or the proof does not match.
+    /// Returns an error if the message is malformed or the proof does not match.
     pub fn end(self, last: &str) -> Result<String, ScramError> {
         let form = ScramError::Malformed("the last message is no c=BINDING,r=NONCE,p=PROOF");
         let (plain, proof) = last.rsplit_once(",p=").ok_or(form.clone())?;
@@ -155,7 +158,7 @@
         let mut key = hmac_sha256(&self.verifier.stored_key, &signed);
         key.iter_mut().zip(proof).for_each(|(key, proof)| *key ^= proof);
         let stored: Sha256Hash = Sha256::digest(key).into();
-        // All bytes are compared, so that the time does not depend on them.
+        // Compares all bytes, so that the time does not reveal how many match.
         let differs = stored.iter().zip(self.verifier.stored_key).fold(0, |d, (a, b)| d | (a ^ b));
         match differs {
             0 => Ok(format!("v={}", BASE64_STANDARD.encode(hmac_sha256(&self.verifier.server_key, &signed)))),
--- a/crates/postgres/src/scram/tests.rs
+++ b/crates/postgres/src/scram/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The exchange of RFC 7677, section 3: user `user`, password `pencil`.
+/// Checks the exchange of RFC 7677, section 3: user `user`, password `pencil`.
 #[test]
 fn exchange_matches_the_example_of_the_rfc() {
     let salt = BASE64_STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").unwrap();
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of clients: one request to the core for each transaction.
+//! Client sessions: each transaction is submitted to the core as one request.
 
 use crate::bridge::{Client, Transaction};
 use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tracing::debug;
 
-/// The longest statement that may be sent again, bytes.
+/// Maximum length of a message that may be sent again, without its header, bytes.
 const MAX_REPLAY_BYTES: usize = 64 * 1024;
 
 /// The session of a client that has logged in.
@@ -27,11 +27,11 @@
     pub(crate) rules: Rc<[Rule]>,
     pub(crate) client: Rc<Client>,
     pub(crate) identity: ClientIdentity,
-    /// Whether the front stops.
+    /// Whether the front is stopping.
     pub(crate) stop: watch::Receiver<bool>,
 }
 
-/// The class of a transaction, and its message if that may be sent again.
+/// The class of a transaction, and its first message if that may be sent again.
 struct Classified {
     class: ClassId,
     replay: Option<Bytes>,
@@ -46,7 +46,7 @@
 }
 
 impl Session {
-    /// Serves the client's transactions until its session ends.
+    /// Serves the client's transactions until the session ends.
     pub(crate) async fn serve(&self) {
         let client = &self.client;
         let mut stop = self.stop.clone();
@@ -87,31 +87,31 @@
         }
     }
 
-    /// The error that the client gets for the core's answer; `None` where its transaction was served.
+    /// Returns the error that the client gets for the core's answer; `None` if its transaction was served.
     fn error_of(&self, answer: &Answer) -> Option<ClientError> {
         let client = &self.client;
         let is_result_unknown = client.track.get().is_result_unknown();
         Some(match answer {
             Answer::Served(_) => return None,
-            // It may be repeated, but no more by this proxy: the error is the loss of the server.
+            // The statement may be repeated, but the core makes no further attempt: report the loss of the server.
             Answer::Rejected(_) if client.lost.get() && is_result_unknown => result_unknown(),
             Answer::Rejected(after) => ClientError::refused(*after, client.sent.get()),
             Answer::TimedOut => deadline_exceeded(),
-            // Withdrawn by the core, a moment before the client's deadline.
+            // The core cancelled the attempt shortly before the client's deadline.
             Answer::Failed if client.sent.get() && !client.lost.get() => deadline_exceeded(),
             Answer::Failed if is_result_unknown => result_unknown(),
             Answer::Failed => ClientError::error("08006", "the server was lost before anything was done"),
         })
     }
 
-    /// Waits for the first message of a transaction, or for as much of it as is inspected: no server is reserved for a
-    /// client that has not sent a request.
+    /// Waits for the first message of a transaction, or for as much of it as is inspected. No server connection is
+    /// reserved for a client that has not sent a request.
     async fn wait_for_transaction(&self) -> Result<(), SessionEnd> {
         loop {
             self.skip_rest().await?;
             match self.next_kind()? {
                 Some(b'X') => return Err(SessionEnd::ClientLeft),
-                // Rows and their end, and a Flush, after a transaction that has failed: they request nothing.
+                // CopyData, CopyDone, CopyFail and Flush request nothing; they may follow a failed transaction.
                 Some(b'd' | b'c' | b'f' | b'H') => self.skip_until(|_| true).await?,
                 Some(_) => return Ok(()),
                 None => self.receive_more().await?,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The type of the next message, once as much of it is there as is inspected.
+    /// Returns the type of the next message, once as much of the message has arrived as is inspected.
     fn next_kind(&self) -> Result<Option<u8>, SessionEnd> {
         let input = self.client.input.borrow();
         let header = header(&input)?;
@@ -148,7 +148,7 @@
         Classified { class, replay }
     }
 
-    /// Runs one transaction through the core.
+    /// Submits one transaction to the core and waits for the answer.
     async fn run_transaction(&self) -> Answer {
         let settings = self.host.settings();
         let Classified { class, replay } = self.classify(&settings);
@@ -185,25 +185,27 @@
         }
     }
 
-    /// Reports to the client that its transaction has failed, in the order of its replies; returns whether the session goes
-    /// on.
+    /// Sends the client the error of its failed transaction in place of the pending replies; returns whether the
+    /// session continues.
     async fn report_error(&self, error: ClientError) -> bool {
         debug!(code = error.code, fatal = error.fatal, "transaction not served");
         if !self.client.down.borrow().is_at_boundary() {
-            return false; // the client has received a part of a message: nothing can follow it
+            return false; // the client has received part of a message, which an error cannot follow
         }
         let track = self.client.track.get();
         let is_client_waiting = track.pending_ready() > 0 || track.needs_sync() || !self.client.sent.get();
         if error.fatal || !is_client_waiting {
             ClientError { fatal: true, ..error }.put(&mut self.client.output.borrow_mut());
-            return false; // a transaction was open and the client is not waiting: it could not be told otherwise
+            // A client that waits for no reply learns only from the end of its session that its transaction was lost.
+            return false;
         }
         error.put(&mut self.client.output.borrow_mut());
-        // The client may wait for the error before it sends more.
+        // The client may wait for the error before it sends more messages.
         if drain(&self.client.output, &self.client.tcp).await.is_err() {
             return false;
         }
-        // One ReadyForQuery for each that is pending; without a Sync the client does not expect one yet.
+        // Each pending ReadyForQuery is sent. If none is pending, or a Sync is missing, the client expects one only
+        // after its next Query, FunctionCall or Sync.
         let is_end = |kind| matches!(kind, b'Q' | b'F' | b'S');
         if (track.pending_ready() == 0 || track.needs_sync()) && self.skip_until(is_end).await.is_err() {
             return false;
@@ -218,7 +220,7 @@
         drain(&self.client.output, &self.client.tcp).await.is_ok()
     }
 
-    /// Skips the rest of a message that was forwarded in part.
+    /// Skips the rest of a partially forwarded message.
     async fn skip_rest(&self) -> Result<(), SessionEnd> {
         while !self.client.up.borrow().is_at_boundary() {
             let (mut input, mut sink) = (self.client.input.take(), BytesMut::new());
@@ -232,7 +234,7 @@
         Ok(())
     }
 
-    /// Skips all messages up to the first one for which `is_end` holds, which is skipped as well.
+    /// Skips all messages up to and including the first one for which `is_end` returns true.
     async fn skip_until(&self, is_end: impl Fn(u8) -> bool) -> Result<(), SessionEnd> {
         loop {
             self.skip_rest().await?;
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Waits for more bytes of the client.
+    /// Waits for more bytes from the client.
     async fn receive_more(&self) -> Result<(), SessionEnd> {
         match fill(&self.client.tcp, &self.client.input).await {
             Ok(1..) => Ok(()),
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -1,7 +1,7 @@
-//! Named prepared statements, which follow a client from server to server: a client's names are its own, a server has
-//! each text once under a name derived from it, and a text that a server lacks is parsed there before it is used.
-//! Sans-IO: messages are moved from one buffer to another, with those of the proxy in between, and the replies to these
-//! are removed again.
+//! Named prepared statements, which stay valid when a client's transactions run on different server connections. Each
+//! client has its own statement names. On a server connection each text is prepared once, under a name derived from
+//! the text, and before its first use there. Sans-IO: messages move from one buffer to another; the proxy inserts its
+//! own, and removes the replies to them.
 
 mod direction;
 mod key;
@@ -20,47 +20,48 @@
 pub(crate) use key::Prepared;
 pub(crate) use session_end::{Interrupted, SessionEnd};
 
-/// The longest statement with its types, bytes.
+/// Maximum length of a named statement's Parse message, without its header, bytes.
 const MAX_STATEMENT_BYTES: usize = 1 << 20;
-/// All statements of a session together, bytes.
+/// Maximum length of all statements of a session together, bytes.
 const MAX_SESSION_BYTES: usize = 8 << 20;
-/// The longest name of a statement or a portal, bytes (PostgreSQL cuts its own at 63).
+/// Maximum length of the name of a statement or a portal, bytes (PostgreSQL truncates names to 63).
 const MAX_NAME_BYTES: usize = 1024;
-/// Replies that may be outstanding in a pipeline.
+/// Maximum number of pending replies in a pipeline.
 const MAX_PENDING_REPLIES: usize = 100_000;
-/// Statements that stay prepared on one connection.
+/// Maximum number of statements prepared on a connection: one with more is closed after its transaction.
 pub(crate) const MAX_PREPARED: usize = 1000;
-/// The content of a Close whose statement never exists.
+/// The body of a Close for a statement that never exists.
 const CLOSE_NONEXISTENT: &[u8] = b"Sld_none\0";
 
 /// A statement that a client has prepared.
 #[derive(Clone)]
 struct Statement {
     key: StatementKey,
-    /// The content of its Parse message after the name.
+    /// The body of its Parse message after the name.
     text: Bytes,
     leaves_traces: bool,
 }
 
-/// A session's prepared statements, and the replies pending at the server of the present transaction.
+/// A session's prepared statements, and the replies pending in the current transaction.
 #[derive(Default)]
 pub(crate) struct PreparedStatements {
-    /// By the client's names.
+    /// The statements by the client's names.
     by_name: HashMap<Bytes, Statement>,
-    /// Of all texts.
+    /// The length of all texts together.
     bytes: usize,
     pending: PendingReplies,
-    /// Whether the server connection has state that no other client may see.
+    /// Whether the server connection may have session state that must not be visible to other clients.
     pub(crate) is_tainted: bool,
 }
 
 impl PreparedStatements {
-    /// Begins another transaction, which may be at another server.
+    /// Begins a transaction, which may use another server connection than the one before.
     pub(crate) fn begin_transaction(&mut self) {
         self.pending.clear();
         self.is_tainted = false;
     }
 
+    /// Adds a pending reply.
     fn expect(&mut self, reply: PendingReply) -> Result<(), SessionEnd> {
         self.pending.push(reply);
         if self.pending.len() > MAX_PENDING_REPLIES {
@@ -69,10 +70,10 @@
         Ok(())
     }
 
-    /// Forwards what the client has sent. Returns how many of its bytes were taken.
+    /// Forwards the messages received from the client. Returns the number of bytes taken.
     ///
     /// # Errors
-    /// Why the session ends; everything before it was forwarded.
+    /// Returns why the session ends; the messages before that were forwarded.
     pub(crate) fn forward_to_server(&mut self, link: &mut Direction<'_>) -> Result<usize, Interrupted> {
         let available = link.from.len();
         loop {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Forwards one message, or a part of one; returns whether there may be more to forward.
+    /// Forwards one message, or part of one; returns whether there may be more to forward.
     fn forward_request(&mut self, link: &mut Direction<'_>) -> Result<bool, SessionEnd> {
         if !link.forwarder.is_at_boundary() {
             link.forward_rest()?;
@@ -104,7 +105,7 @@
             b'B' => return self.forward_bind(link, header),
             b'D' if names_statement => return self.forward_describe(link, header),
             b'C' if names_statement => return self.forward_close(link, header),
-            // A text that is not there completely may leave any traces.
+            // A text that has not arrived completely may change the session in any way.
             b'Q' => self.is_tainted |= !is_complete || leaves_traces(available),
             b'P' => self.is_tainted |= !is_complete || leaves_traces(available.get(1..).unwrap_or_default()),
             _ => {}
@@ -112,6 +113,7 @@
         self.forward_unchanged(link, header.kind)
     }
 
+    /// Forwards a message as it is.
     fn forward_unchanged(&mut self, link: &mut Direction<'_>, kind: u8) -> Result<bool, SessionEnd> {
         if link.forward_next()?.is_none() {
             return Ok(false);
@@ -128,7 +130,7 @@
         Ok(true)
     }
 
-    /// The client prepares a text under a name of its own.
+    /// Handles the Parse of a named statement: sends the text under its server name, unless it is already prepared.
     fn forward_parse(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         if header.length > MAX_STATEMENT_BYTES {
             return Err(SessionEnd::LimitExceeded);
@@ -147,7 +149,8 @@
             put(link.to, b'P', &[key.server_name().as_bytes(), b"\0", &text].concat());
             self.expect(PendingReply::Parsed { key, by_proxy: false })?;
         } else {
-            // The text is prepared already: a Close without effect gets its reply, of as many bytes, in the right place.
+            // The text is already prepared. A Close without effect is sent instead: its reply is as long as a
+            // ParseComplete and takes the place of one.
             put(link.to, b'C', CLOSE_NONEXISTENT);
             self.expect(PendingReply::Closed(Completion::Parsed))?;
         }
@@ -157,7 +160,7 @@
         Ok(true)
     }
 
-    /// The client binds a statement to a portal: the server's name takes the place of the client's.
+    /// Forwards a Bind, with the client's statement name replaced by the server's.
     fn forward_bind(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         let Header { kind, length } = header;
         let available = &link.from[HEADER_BYTES..link.from.len().min(HEADER_BYTES + length)];
@@ -184,6 +187,7 @@
         Ok(true)
     }
 
+    /// Forwards a Describe of a named statement, with the client's name replaced by the server's.
     fn forward_describe(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         let Some(body) = take_named(link, header)? else { return Ok(false) };
         match self.by_name.get(statement_name(&body)?).cloned() {
@@ -197,7 +201,8 @@
         Ok(true)
     }
 
-    /// Other clients may use the text: the server gets the client's own name, which it does not know.
+    /// Forwards a Close of a named statement under the client's name, which the server does not know: other clients may
+    /// use the text, so that it stays prepared.
     fn forward_close(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         let Some(body) = take_named(link, header)? else { return Ok(false) };
         let removed = self.by_name.remove(statement_name(&body)?);
@@ -208,8 +213,8 @@
         Ok(true)
     }
 
-    /// Whether the server has to get the text. Where an earlier part of the pipeline sends it, and may yet fail, the
-    /// statement is closed first, so that it can be sent again.
+    /// Returns whether the text has to be sent to the server. If an earlier part of the pipeline sends it but may still
+    /// fail, appends a Close first, so that the text can be sent again.
     fn needs_parse(&mut self, key: &StatementKey, link: &mut Direction<'_>) -> Result<bool, SessionEnd> {
         if link.prepared.insert(*key) {
             return Ok(true);
@@ -222,7 +227,7 @@
         Ok(true)
     }
 
-    /// Prepares a statement at the server before it is used, where the server lacks it.
+    /// Prepares a statement on the server connection if it is not prepared there yet.
     fn ensure_prepared(&mut self, statement: &Statement, link: &mut Direction<'_>) -> Result<(), SessionEnd> {
         let key = statement.key;
         if self.needs_parse(&key, link)? {
@@ -232,10 +237,10 @@
         Ok(())
     }
 
-    /// Forwards what the server has sent, without the replies that the client does not expect.
+    /// Forwards the messages received from the server, except the replies that the client does not expect.
     ///
     /// # Errors
-    /// A length that no message can have.
+    /// Returns an error if the length of a message is invalid.
     pub(crate) fn forward_to_client(&mut self, link: &mut Direction<'_>) -> Result<(), WireError> {
         loop {
             if !link.forwarder.is_at_boundary() {
@@ -285,7 +290,7 @@
     }
 }
 
-/// Takes a Describe or Close of a named statement; `None` while it is not there.
+/// Takes a Describe or Close of a named statement; returns `None` if it is not complete yet.
 fn take_named(link: &mut Direction<'_>, header: Header) -> Result<Option<Bytes>, SessionEnd> {
     if header.length > MAX_NAME_BYTES {
         return Err(SessionEnd::InvalidMessage);
--- a/crates/postgres/src/statements/direction.rs
+++ b/crates/postgres/src/statements/direction.rs
@@ -7,27 +7,27 @@
 
 /// One direction between a client and a server connection.
 pub(crate) struct Direction<'a> {
-    /// How far the stream has been forwarded.
+    /// The position within the current message.
     pub(crate) forwarder: &'a mut Forwarder,
-    /// The state of the transaction.
+    /// The state of the server connection.
     pub(crate) track: &'a mut Track,
     /// Bytes received and not yet forwarded.
     pub(crate) from: &'a mut BytesMut,
     /// Bytes to be sent.
     pub(crate) to: &'a mut BytesMut,
-    /// What the server connection has prepared.
+    /// The texts prepared on the server connection.
     pub(crate) prepared: &'a mut Prepared,
 }
 
 impl Direction<'_> {
-    /// Forwards what is there of the present message.
+    /// Forwards the bytes of the current message that have arrived.
     pub(super) fn forward_rest(&mut self) -> Result<(), WireError> {
         self.forwarder.forward(self.from, self.to, |_, _| false)?;
         Ok(())
     }
 
-    /// Forwards what is there of the next message; returns the first byte of its body, and `None` where nothing of the
-    /// message can be forwarded yet.
+    /// Forwards the bytes of the next message that have arrived. Returns the first byte of its body, if it has one, or
+    /// `None` if the message cannot be forwarded yet.
     pub(super) fn forward_next(&mut self) -> Result<Option<Option<u8>>, WireError> {
         let mut is_next = true;
         let mut first_byte = None;
@@ -42,7 +42,7 @@
         Ok((moved > 0).then_some(first_byte))
     }
 
-    /// Takes a complete message of at most `max_body` bytes; `None` while it is not there.
+    /// Takes a message with a body of at most `max_body` bytes; returns `None` if it is not complete yet.
     pub(super) fn take_message(&mut self, max_body: usize) -> Result<Option<Bytes>, WireError> {
         Ok(message(self.from, max_body)?.map(|Message { body, .. }| body))
     }
--- a/crates/postgres/src/statements/key.rs
+++ b/crates/postgres/src/statements/key.rs
@@ -1,42 +1,43 @@
-//! The identity of a statement's text at every server, and whether the text leaves traces in its session.
+//! Identifies statement texts on server connections, and detects texts that change the state of their session.
 
 use sha2::{Digest, Sha256};
 use std::collections::HashSet;
 
-/// Bytes of a SHA-256 that identify a text. Clients share what servers have prepared, so that nobody may be able to make a
-/// text that passes for another client's.
+/// Bytes of a SHA-256 hash that identify a text. Clients share the statements prepared on a connection, so it must be
+/// infeasible to construct a text with the same key as another client's.
 const KEY_BYTES: usize = 24;
 
-/// Identifies a text with its parameter types.
+/// Identifies a text and its parameter types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StatementKey([u8; KEY_BYTES]);
 
-/// The texts that a server connection has prepared.
+/// The texts prepared on a server connection.
 pub(crate) type Prepared = HashSet<StatementKey>;
 
 impl StatementKey {
-    /// The key of a Parse message's content after the statement's name.
+    /// Computes the key of the part of a Parse message after the statement's name.
     pub(super) fn of(text: &[u8]) -> StatementKey {
         let mut key = [0; KEY_BYTES];
         key.copy_from_slice(&Sha256::digest(text)[..KEY_BYTES]);
         StatementKey(key)
     }
 
-    /// The name of the text at every server: within the 63 bytes that PostgreSQL distinguishes.
+    /// Returns the statement's name on server connections, which is within PostgreSQL's limit of 63 bytes.
     pub(super) fn server_name(&self) -> String {
         self.0.iter().fold("ld_".into(), |name, byte| format!("{name}{byte:02x}"))
     }
 }
 
-/// First words of statements that change their session.
+/// First words of statements that change the state of their session.
 const SESSION_COMMANDS: [&str; 5] = ["discard", "deallocate", "listen", "load", "prepare"];
-/// Forms of SET that end with their transaction.
+/// Forms of SET whose effect ends with their transaction.
 const LOCAL_SETTINGS: [&str; 3] = ["set local", "set transaction", "set constraints"];
-/// Words anywhere in a text by which it may change its session.
+/// Words that indicate, anywhere in a text, that it may change the state of its session.
 const SESSION_WORDS: [&str; 4] = ["temp", "advisory", "with hold", "set_config"];
 
-/// Whether a text may leave behind what outlives its transaction: settings, listeners, temporary tables, locks, or the
-/// loss of prepared statements. Matched by words; in doubt it does.
+/// Returns whether a text may have an effect that outlives its transaction: settings, listeners, temporary tables,
+/// locks, or the loss of prepared statements. Compares words without parsing the text, so that a harmless text may
+/// match too.
 pub(super) fn leaves_traces(text: &[u8]) -> bool {
     let text = String::from_utf8_lossy(text).to_ascii_lowercase();
     let begins = |words: &str| text.split(';').any(|statement| statement.trim_start().starts_with(words));
--- a/crates/postgres/src/statements/pending.rs
+++ b/crates/postgres/src/statements/pending.rs
@@ -1,27 +1,27 @@
-//! The replies of a server that the proxy has to recognize, in their order.
+//! The pending replies of a server that the proxy has to recognize, in order.
 
 use super::key::{Prepared, StatementKey};
 use std::collections::VecDeque;
 
-/// A reply that is still to come.
+/// A reply that the server has yet to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PendingReply {
     /// ParseComplete for a named statement.
     Parsed {
-        /// The statement's text.
+        /// The key of the statement's text.
         key: StatementKey,
-        /// Whether the proxy has sent the Parse by itself: the client does not expect the reply.
+        /// Whether the proxy inserted the Parse, so that the client does not expect the reply.
         by_proxy: bool,
     },
     /// ParseComplete for the unnamed statement.
     ParsedUnnamed,
-    /// CloseComplete, and what the client gets for it.
+    /// CloseComplete, and what the client receives for it.
     Closed(Completion),
     /// ReadyForQuery.
     Ready,
 }
 
-/// What the client gets for a ParseComplete or a CloseComplete.
+/// What the client receives for a ParseComplete or a CloseComplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Completion {
     /// CloseComplete.
@@ -32,11 +32,11 @@
     Suppressed,
 }
 
-/// All replies that are still to come.
+/// The pending replies of a server, in order.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     replies: VecDeque<PendingReply>,
-    /// Those of named statements among them.
+    /// Number of ParseCompletes for named statements among them.
     parses: usize,
 }
 
@@ -59,13 +59,14 @@
         self.replies.front().copied()
     }
 
-    /// Removes the next reply: it has come, or will not come.
+    /// Removes the next reply, which has arrived or will not be sent.
     pub(super) fn pop(&mut self) {
         let reply = self.replies.pop_front();
         self.parses -= usize::from(matches!(reply, Some(PendingReply::Parsed { .. })));
     }
 
-    /// Removes all replies up to the next ReadyForQuery, which an error has prevented: their texts are not prepared.
+    /// Removes the replies before the next ReadyForQuery, which the server does not send after an error, and removes
+    /// their texts from `prepared`.
     pub(super) fn drop_until_ready(&mut self, prepared: &mut Prepared) {
         while let Some(reply) = self.front().filter(|reply| *reply != PendingReply::Ready) {
             if let PendingReply::Parsed { key, .. } = reply {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Whether an earlier part of the pipeline prepares this text, and may yet fail without this part failing as well.
+    /// Returns whether an earlier part of the pipeline, before a Sync, prepares this text and may still fail: the
+    /// present part is executed even then.
     pub(super) fn may_fail_to_prepare(&self, key: &StatementKey) -> bool {
         if self.parses == 0 {
             return false;
--- a/crates/postgres/src/statements/session_end.rs
+++ b/crates/postgres/src/statements/session_end.rs
@@ -5,11 +5,11 @@
 /// Why a session ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionEnd {
-    /// The client has ended it, or has disconnected.
+    /// The client has terminated the session or disconnected.
     ClientLeft,
-    /// A message of an impossible length or form.
+    /// A message of the client has an invalid length or form.
     InvalidMessage,
-    /// More or longer statements, or more messages ahead, than one session may have.
+    /// The session exceeds a limit on the length of its statements or on its pending replies.
     LimitExceeded,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Bytes that were taken before the session ended, and why it ends.
+/// The number of bytes taken before the session ended, and why it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Interrupted {
     pub(crate) taken: usize,
--- a/crates/postgres/src/statements/tests.rs
+++ b/crates/postgres/src/statements/tests.rs
@@ -3,7 +3,7 @@
 use crate::wire::{message, Forwarder, Message};
 use bytes::BytesMut;
 
-/// A session and a server's connection, both without sockets.
+/// The statements of a session and the state of a server connection, without sockets.
 #[derive(Default)]
 struct Pipeline {
     statements: PreparedStatements,
@@ -37,7 +37,7 @@
     fn up(&mut self, messages: &[(u8, &[u8])]) -> Vec<Message> {
         let (mut whole, mut to) = (BytesMut::new(), BytesMut::new());
         messages.iter().for_each(|(kind, body)| put(&mut whole, *kind, body));
-        // It comes byte by byte.
+        // The messages arrive byte by byte.
         let mut from = BytesMut::new();
         for byte in whole {
             from.put_u8(byte);
@@ -85,21 +85,21 @@
         kinds(&sent) == "BS" && sent[0].body.starts_with(b"\0ld_") && sent[0].body.ends_with(&BIND.1[3..])
     );
     assert_eq!(pipeline.down(&[(b'2', b""), READY]), "2Z");
-    // Another server: it is parsed in between, and the client hears nothing of that.
+    // On another server the proxy inserts a Parse, and removes its reply.
     pipeline.prepared.clear();
     assert_eq!(kinds(&pipeline.up(&[BIND, SYNC])), "PBS");
     assert_eq!(pipeline.down(&[(b'1', b""), (b'2', b""), READY]), "2Z");
-    // The same text under another name is there already.
+    // The same text under another name is already prepared.
     assert_eq!(kinds(&pipeline.up(&[(b'P', b"s1\0select 1\0\0\0"), SYNC])), "CS");
     assert_eq!(pipeline.down(&[(b'3', b""), READY]), "1Z");
-    // A close concerns the client's own name only.
+    // A Close affects the client's own name only.
     let sent = pipeline.up(&[(b'C', b"Ss0\0"), SYNC]);
     assert_eq!(sent[0].body, &b"Ss0\0"[..]);
     assert_eq!(pipeline.down(&[(b'3', b""), READY]), "3Z");
     assert!(pipeline.track.is_idle() && pipeline.prepared.len() == 1);
 }
 
-/// What failed is not taken for prepared, also where the next try was sent before the failure was known.
+/// A text that failed to parse does not count as prepared, even if the next Parse was sent before the error arrived.
 #[test]
 fn what_failed_to_parse_is_told_again() {
     let mut pipeline = Pipeline::default();
--- a/crates/postgres/src/track.rs
+++ b/crates/postgres/src/track.rs
@@ -1,21 +1,21 @@
-//! The state of a server connection within a transaction, from the messages that pass in both directions: when it may
-//! serve another client ("Message Flow": each Query, FunctionCall and Sync is answered by one ReadyForQuery).
+//! The state of a server connection, derived from the messages in both directions: whether another client may use it
+//! ("Message Flow": each Query, FunctionCall and Sync is answered by one ReadyForQuery).
 
-/// The transaction status of ReadyForQuery outside a transaction.
+/// The transaction status in a ReadyForQuery outside a transaction.
 const STATUS_IDLE: u8 = b'I';
 
-/// Follows both directions of one connection.
+/// Tracks the state of a connection from the types of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Track {
-    /// ReadyForQuery messages that are still to come.
+    /// Number of ReadyForQuery messages that the server has yet to send.
     pending_ready: u32,
-    /// The status in the last one: idle, in a transaction, or in one that has failed.
+    /// The status in the last ReadyForQuery: idle, in a transaction, or in a failed transaction.
     transaction_status: u8,
-    /// Messages of the extended protocol without a Sync after them.
+    /// Whether messages of the extended protocol were sent without a Sync after them.
     needs_sync: bool,
-    /// The server receives rows; it ignores a Sync meanwhile.
+    /// Whether the server is in copy-in mode, in which it ignores Sync.
     is_copying: bool,
-    /// A statement was sent that no ReadyForQuery has completed.
+    /// Whether a statement was sent that no ReadyForQuery has completed.
     is_running: bool,
 }
 
@@ -32,14 +32,14 @@
 }
 
 impl Track {
-    /// The client sends a message of that type.
+    /// Updates the state for a message of type `kind` from the client.
     pub fn sent(&mut self, kind: u8) {
         match kind {
             b'Q' | b'F' => {
                 self.pending_ready += 1;
                 self.is_running = true;
             }
-            // While rows are received a Sync is ignored; the one after CopyDone or CopyFail counts.
+            // In copy-in mode a Sync is ignored; the one after CopyDone or CopyFail counts.
             b'S' if !self.is_copying => {
                 self.pending_ready += 1;
                 self.needs_sync = false;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The server sends a message of that type, whose body begins with that byte.
+    /// Updates the state for a message of type `kind` from the server, whose body begins with `first`.
     pub fn received(&mut self, kind: u8, first: Option<u8>) {
         match kind {
             b'Z' => {
@@ -69,27 +69,27 @@
         }
     }
 
-    /// Whether nothing is pending and no transaction is open: another client may use the connection.
+    /// Returns whether nothing is pending and no transaction is open, so that another client may use the connection.
     pub fn is_idle(&self) -> bool {
         self.pending_ready == 0 && !self.needs_sync && self.transaction_status == STATUS_IDLE
     }
 
-    /// Whether the server receives rows.
+    /// Returns whether the server is in copy-in mode.
     pub fn is_copying(&self) -> bool {
         self.is_copying
     }
 
-    /// Whether the result of a statement is unknown: it may have been executed, or may yet be.
+    /// Returns whether the result of a statement is unknown: it may have been executed, or may still be.
     pub fn is_result_unknown(&self) -> bool {
         self.is_running
     }
 
-    /// ReadyForQuery messages that the client still waits for.
+    /// Returns the number of ReadyForQuery messages that the client still waits for.
     pub fn pending_ready(&self) -> u32 {
         self.pending_ready
     }
 
-    /// Whether the client has to send a Sync before it is answered.
+    /// Returns whether the client has yet to send a Sync after messages of the extended protocol.
     pub fn needs_sync(&self) -> bool {
         self.needs_sync
     }
--- a/crates/postgres/src/track/tests.rs
+++ b/crates/postgres/src/track/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// `>Q` is sent, `<Z:I` is received; whether the connection is idle after each.
+/// Applies steps such as `>Q` (sent) and `<Z:I` (received); returns whether the connection is idle after each.
 fn play(steps: &str) -> Vec<bool> {
     let mut track = Track::default();
     let step = |step: &str| {
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: how they are made, logged in, kept and closed.
+//! Connections to servers: establishing them, logging in, and the pool of idle ones.
 
 use crate::io::{drain, fill};
 use crate::statements::Prepared;
@@ -18,28 +18,28 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// What a server says before it is ready is no longer than this, a message.
+/// Maximum length of a message from a server during login, without its header, bytes.
 const MAX_GREETING: usize = 64 * 1024;
 
-/// Who this proxy is to servers.
+/// The credentials of the proxy at its servers.
 #[derive(Clone, Debug)]
 pub struct Login {
     /// The role.
     pub user: String,
     /// The database.
     pub database: String,
-    /// For SCRAM-SHA-256; servers that ask for another way are not logged in to.
+    /// The password for SCRAM-SHA-256. Logging in fails if a server requests another authentication method.
     pub password: Option<String>,
 }
 
-/// How many connections are open, and who waits for one.
+/// The number of open connections, and the tasks that wait for one.
 #[derive(Default)]
 struct Open {
     count: Cell<usize>,
     freed: Notify,
 }
 
-/// Counts an open connection.
+/// The place of an open connection in the count; dropping it frees the place.
 struct Slot(Rc<Open>);
 
 impl Drop for Slot {
@@ -49,40 +49,44 @@
     }
 }
 
-/// A connection that is logged in. Dropping it closes the socket, on which the server rolls back what is open.
+/// A connection to a server, logged in. Dropping it closes the socket, upon which the server rolls back an open
+/// transaction.
 pub(crate) struct Upstream {
     pub tcp: TcpStream,
     pub to: SocketAddr,
-    /// What came and was not passed on yet, and what is to be written.
+    /// Bytes received and not yet forwarded.
     pub input: RefCell<BytesMut>,
+    /// Bytes to be written.
     pub output: RefCell<BytesMut>,
-    /// For CancelRequest.
+    /// The key of a CancelRequest for this connection.
     pub cancel_key: CancelKey,
-    /// The texts that it has prepared.
+    /// The texts that are prepared on this connection.
     pub prepared: RefCell<Prepared>,
+    /// When it became idle, or was established.
     since: Instant,
     _slot: Slot,
 }
 
-/// The connections to all servers of a front.
+/// The connections of a front to all its servers.
 pub struct Servers {
     login: Login,
+    /// The idle connections of each backend, in the order in which they became idle.
     idle: RefCell<HashMap<BackendId, Vec<Upstream>>>,
     open: Rc<Open>,
     most: usize,
     keep: Cell<Duration>,
     connect_timeout: Cell<Duration>,
-    /// What the last server to be logged in to said of itself.
+    /// The parameters that a server reported during the latest login.
     params: RefCell<Vec<Parameter>>,
 }
 
-/// Why a server was not logged in to.
+/// Why a login to a server failed.
 enum Refusal {
     Io,
     Wire(WireError),
-    /// Its own error code.
+    /// The SQLSTATE of the server's error.
     Said(String),
-    /// It asks for what this proxy does not have or do.
+    /// The server requests an authentication that the proxy cannot perform.
     Way(&'static str),
 }
 
@@ -98,7 +102,7 @@
 }
 
 impl Servers {
-    /// None is open yet; at most so many will be.
+    /// Creates a pool without connections; at most `most` will be open at a time.
     pub fn new(login: Login, network: &NetworkSettings, most: usize) -> Rc<Servers> {
         Rc::new(Servers {
             login,
@@ -111,18 +115,19 @@
         })
     }
 
-    /// How many are open.
+    /// Returns the number of open connections, idle ones included.
     pub fn open_connections(&self) -> usize {
         self.open.count.get()
     }
 
-    /// What servers say of themselves: names and values for ParameterStatus.
+    /// Returns the parameters that a server reported during the latest login (ParameterStatus).
     pub fn params(&self) -> Vec<Parameter> {
         self.params.borrow().clone()
     }
 
-    /// One that is logged in and serves nobody. Where as many are open as may be, and all serve somebody, this waits
-    /// for the next that is free, in the order of coming: the core withdraws those whose time is up.
+    /// Takes an idle connection to a backend, or establishes one. If the maximum number is open and none is idle, waits
+    /// until one becomes idle or is closed; those that wait are woken in order of arrival. The core cancels attempts
+    /// whose deadline passes meanwhile.
     pub(crate) async fn take(&self, id: BackendId, to: SocketAddr) -> Result<Upstream, Outcome> {
         loop {
             if let Some(kept) = self.kept(id, to) {
@@ -135,10 +140,11 @@
         }
     }
 
+    /// Takes the most recently used idle connection to a backend, after closing those that are unusable.
     fn kept(&self, id: BackendId, to: SocketAddr) -> Option<Upstream> {
         let mut idle = self.idle.borrow_mut();
         let of = idle.entry(id).or_default();
-        // One that has something to say has said farewell.
+        // An idle connection that has become readable is not used: as a rule the server is closing it.
         let silent = |u: &Upstream| {
             let read = u.tcp.try_read(&mut [0]);
             matches!(read, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
@@ -147,7 +153,7 @@
         of.pop()
     }
 
-    /// It serves nobody any more.
+    /// Returns a connection to the pool; closes it if no connections to the backend are to be kept.
     pub(crate) fn put(&self, id: BackendId, mut upstream: Upstream) {
         if let Some(of) = self.idle.borrow_mut().get_mut(&id) {
             upstream.since = Instant::now();
@@ -156,6 +162,7 @@
         }
     }
 
+    /// Closes the connection that has been idle longest; returns whether there was an idle one.
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let some = idle.values_mut().filter(|of| !of.is_empty());
@@ -237,6 +244,7 @@
         }
     }
 
+    /// Handles an authentication request of the server, and appends the response to `out`.
     fn prove(
         &self, body: &mut Bytes, scram: &mut Option<ScramSha256>, out: &mut BytesMut,
     ) -> Result<(), Refusal> {
@@ -271,13 +279,13 @@
     }
 }
 
-/// Name and value, each ended by a zero byte.
+/// Parses a name and a value, each ended by a zero byte.
 fn pair(body: &[u8]) -> Option<Parameter> {
     let mut texts = body.split(|b| *b == 0).map(|t| String::from_utf8_lossy(t).into_owned());
     Some(Parameter { name: texts.next()?, value: texts.next()? })
 }
 
-/// The code of an error.
+/// Returns the SQLSTATE of an ErrorResponse; an empty text if it has none.
 fn code(body: &[u8]) -> String {
     let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&b'C'));
     field.map(|f| String::from_utf8_lossy(&f[1..]).into_owned()).unwrap_or_default()
@@ -292,7 +300,8 @@
         }
     }
 
-    /// Its idle connections may be dead without a sign.
+    /// Closes the connections to the backend that were already idle at `sent`: they may be broken without having been
+    /// closed.
     fn attempt_unanswered(&self, backend: BackendId, sent: Instant) {
         if let Some(of) = self.idle.borrow_mut().get_mut(&backend) {
             of.retain(|u| u.since > sent);
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -1,41 +1,41 @@
-//! Framing: the boundaries of messages, and the packets that open a connection ("Message Formats"). The body of a message
-//! does not have to be in memory to be forwarded.
+//! Framing: the boundaries of messages, and the packets that open a connection ("Message Formats"). Messages are
+//! forwarded without being held in memory as a whole.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// The longest start-up packet (PostgreSQL's own MAX_STARTUP_PACKET_LENGTH).
+/// Maximum length of a start-up packet, bytes (PostgreSQL's MAX_STARTUP_PACKET_LENGTH).
 pub const MAX_STARTUP_BYTES: usize = 10_000;
-/// Bytes of a message's header: its type and its length.
+/// Bytes of a message's header: its type and its length field.
 pub const HEADER_BYTES: usize = 5;
-/// The longest message (PostgreSQL's own bound on an allocation).
+/// Maximum length of a message's body, bytes (PostgreSQL's limit on an allocation).
 pub const MAX_MESSAGE_BYTES: usize = 0x3fff_ffff;
 
-/// Bytes of a length word, which counts itself.
+/// Bytes of a length field, which counts itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes in front of the rest of a start-up packet: its length and its code.
+/// Bytes of a start-up packet's header: its length field and its code.
 const STARTUP_HEADER_BYTES: usize = 8;
-/// The major version of the protocol that is served.
+/// The supported major version of the protocol.
 const PROTOCOL_MAJOR: u32 = 3;
 /// The code of a CancelRequest.
 pub(crate) const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 const GSS_REQUEST_CODE: u32 = 80_877_104;
 
-/// Why a message or a packet cannot be read.
+/// Why a message or a packet is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The length word is less than its own four bytes, or more than the bound.
+    /// The length field is less than its own four bytes, or exceeds the maximum.
     #[error("message {kind:?}: a length of {length} where 4 to {max} is possible")]
     Length {
         /// The message's type; `-` for a packet without one.
         kind: char,
-        /// The length word.
+        /// The length field.
         length: u32,
-        /// The bound.
+        /// The maximum.
         max: usize,
     },
-    /// A start-up packet for another protocol.
+    /// A start-up packet for another major version of the protocol.
     #[error("protocol {major}.{minor} is not served, 3.0 is")]
     UnsupportedVersion {
         /// The protocol's major version.
@@ -43,10 +43,10 @@
         /// The protocol's minor version.
         minor: u16,
     },
-    /// A start-up packet that is no list of names and values.
+    /// A malformed start-up packet.
     #[error("start-up packet: {0}")]
     Startup(&'static str),
-    /// A message that does not fit its type.
+    /// A message that is malformed or unexpected.
     #[error("message {kind:?}: {reason}")]
     Malformed {
         /// The message's type.
@@ -61,23 +61,23 @@
 pub struct Header {
     /// The message's type.
     pub kind: u8,
-    /// Bytes of its body.
+    /// The length of its body, bytes.
     pub length: usize,
 }
 
 /// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// The message's type.
     pub kind: u8,
-    /// The bytes after its header.
+    /// The bytes after the header.
     pub body: Bytes,
 }
 
-/// The header that a buffer begins with; `None` while it is not complete.
+/// Parses the header at the beginning of a buffer; returns `None` if it is not complete yet.
 ///
 /// # Errors
-/// A length that no message can have.
+/// Returns an error if the length is invalid.
 pub fn header(bytes: &[u8]) -> Result<Option<Header>, WireError> {
     let Some(header) = bytes.get(..HEADER_BYTES) else { return Ok(None) };
     let kind = header[0];
@@ -88,10 +88,10 @@
     }
 }
 
-/// Takes a complete message from a buffer; `None` while it is not there.
+/// Takes a message from a buffer; returns `None` if it is not complete yet.
 ///
 /// # Errors
-/// A body that is longer than `max_body`, or a length that no message can have.
+/// Returns an error if the body is longer than `max_body`, or the length is invalid.
 pub fn message(buffer: &mut BytesMut, max_body: usize) -> Result<Option<Message>, WireError> {
     let Some(Header { kind, length }) = header(buffer)? else { return Ok(None) };
     if length > max_body {
@@ -113,34 +113,34 @@
     out.put_slice(body);
 }
 
-/// Identifies a session in a CancelRequest.
+/// The key that identifies a session in a CancelRequest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CancelKey {
-    /// The process of the server, as it names it.
+    /// The process id of the session, as sent in BackendKeyData.
     pub process_id: i32,
-    /// Proves that the request comes from the session's client.
+    /// The secret that proves that the request comes from the session's client.
     pub secret: i32,
 }
 
-/// A name and its value in a start-up packet or a ParameterStatus.
+/// A parameter in a start-up packet or a ParameterStatus.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
     /// The parameter's name.
     pub name: String,
-    /// Its value.
+    /// The parameter's value.
     pub value: String,
 }
 
-/// The first packet of a client.
+/// A packet that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// Asks whether TLS is supported.
+    /// Requests TLS.
     Ssl,
-    /// Asks whether GSSAPI encryption is supported.
+    /// Requests GSSAPI encryption.
     Gss,
-    /// Cancels the statement of this session.
+    /// Cancels the running statement of another session.
     Cancel(CancelKey),
-    /// Begins a session.
+    /// Starts a session.
     Start {
         /// The minor version of the protocol.
         minor: u16,
@@ -149,10 +149,10 @@
     },
 }
 
-/// Takes the first packet from a buffer; `None` while it is not complete.
+/// Takes an opening packet from a buffer; returns `None` if it is not complete yet.
 ///
 /// # Errors
-/// A packet that cannot open a connection of protocol 3.
+/// Returns an error if the packet cannot open a connection of protocol 3.
 pub fn opening(buffer: &mut BytesMut) -> Result<Option<Opening>, WireError> {
     let word = |at: usize| buffer.get(at..at + 4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
     let Some(length) = word(0) else { return Ok(None) };
@@ -182,6 +182,7 @@
     }
 }
 
+/// Parses the parameters of a start-up packet.
 fn parameters(packet: &[u8]) -> Result<Vec<Parameter>, WireError> {
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| WireError::Startup("no UTF-8"));
     let mut texts = packet.split(|byte| *byte == 0);
@@ -189,7 +190,7 @@
     loop {
         let name = texts.next().ok_or(WireError::Startup("no zero byte at its end"))?;
         if name.is_empty() {
-            // The zero byte after the last parameter, and nothing after that.
+            // The zero byte that ends the list must be the last byte of the packet.
             let is_end = texts.next().is_some_and(|rest| rest.is_empty()) && texts.next().is_none();
             return if is_end { Ok(parameters) } else { Err(WireError::Startup("bytes behind its end")) };
         }
@@ -198,31 +199,31 @@
     }
 }
 
-/// Forwards messages piece by piece as they arrive, and reports where each begins.
+/// Forwards messages as their bytes arrive, and reports the beginning of each.
 #[derive(Debug, Default)]
 pub struct Forwarder {
-    /// Bytes of the present message that are still to come.
+    /// Bytes of the current message that have not been forwarded yet.
     remaining: usize,
 }
 
 impl Forwarder {
-    /// Whether the last message is complete.
+    /// Returns whether the last message was forwarded completely.
     pub fn is_at_boundary(&self) -> bool {
         self.remaining == 0
     }
 
-    /// Continues with a message of which only the last `remaining` bytes are still to come: its beginning was handled
-    /// elsewhere.
+    /// Continues in the middle of a message whose beginning was handled elsewhere: its last `remaining` bytes are to be
+    /// forwarded.
     pub fn continue_message(&mut self, remaining: usize) {
         self.remaining = remaining;
     }
 
-    /// Moves what may be forwarded from `from` to `to`. At the beginning of each message `inspect` gets its header and
-    /// the first byte of its body, if there is one, and returns whether the message is forwarded. Returns the number of
-    /// bytes moved.
+    /// Moves bytes from `from` to `to`. At the beginning of each message `inspect` receives its header and the first
+    /// byte of its body, if there is one, and returns whether to forward the message; the first message that it
+    /// rejects stays in `from`. Returns the number of bytes moved.
     ///
     /// # Errors
-    /// A length that no message can have; everything before it was moved.
+    /// Returns an error if the length of a message is invalid; the messages before it were moved.
     pub fn forward(
         &mut self, from: &mut BytesMut, to: &mut BytesMut,
         mut inspect: impl FnMut(Header, Option<u8>) -> bool,
--- a/crates/postgres/src/wire/tests.rs
+++ b/crates/postgres/src/wire/tests.rs
@@ -45,7 +45,7 @@
     assert!(fault(packet(80_877_102, b"\0")).contains("another length"));
 }
 
-/// However a stream is cut, the same bytes come out and each message is seen once.
+/// Wherever a stream is cut, the same bytes are forwarded and each message is inspected once.
 #[test]
 fn messages_are_forwarded_when_cut_at_every_byte() {
     let mut stream = BytesMut::new();
@@ -66,7 +66,7 @@
         assert_eq!(seen, [(b'P', Some(b's')), (b'S', None), (b'Z', Some(b'I'))], "cut at {cut}");
         assert!(out == stream && forwarder.is_at_boundary() && from.is_empty(), "cut at {cut}");
     }
-    // What is not forwarded stays, with its header.
+    // A message that is not forwarded stays in the buffer, with its header.
     let (mut out, mut from) = (BytesMut::new(), stream.clone());
     let moved = Forwarder::default().forward(&mut from, &mut out, |header, _| header.kind != b'S').unwrap();
     assert!(moved == out.len() && from[0] == b'S');
@@ -78,7 +78,7 @@
     #![proptest_config(proptest::test_runner::Config {
         failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..Default::default()
     })]
-    /// Whatever the bytes are, reading ends, takes no more than there is, and never panics.
+    /// Reading arbitrary bytes terminates, forwards only bytes that exist, and never panics.
     #[test]
     fn any_bytes_can_be_read(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..400)) {
         let mut from = BytesMut::from(&bytes[..]);
--- a/crates/postgres/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -1,4 +1,4 @@
-//! What no driver sends: scripted sessions, byte by byte.
+//! Scripted sessions with message sequences and fragmentation that no driver produces.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -24,7 +24,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A client that says what it is told to say.
+/// A client that sends scripted messages.
 struct Raw {
     tcp: TcpStream,
     input: BytesMut,
@@ -64,7 +64,7 @@
         self.write(&out).await;
     }
 
-    /// The next message; `None` at the end.
+    /// Receives a message; returns its type and body, or `None` at the end of the stream.
     async fn next(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some(Message { kind, body }) = message(&mut self.input, 1 << 24).unwrap() {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// The types of all messages to one of that type, or to the end; errors with their codes.
+    /// Receives messages up to the first of type `last`, or to the end of the stream. Returns their types, with the
+    /// codes of errors, and a dot for the end of the stream.
     async fn until(&mut self, last: u8) -> String {
         let mut out = String::new();
         while let Some((kind, body)) = self.next().await {
@@ -93,7 +94,7 @@
     }
 }
 
-/// A whole session written byte by byte, and the same in one piece with what follows it.
+/// A session gets the same answers whether it is written byte by byte or in one piece.
 #[tokio::test]
 async fn sessions_cut_at_every_byte_or_not_at_all_are_the_same() {
     scope(async {
@@ -128,7 +129,8 @@
     .await;
 }
 
-/// In a pipeline whose second statement fails the rest of its part is read over, and the next part is served.
+/// When the second statement of a pipeline fails, the rest of its part, up to the Sync, is skipped, and the next part
+/// is served.
 #[tokio::test]
 async fn a_pipeline_goes_on_behind_a_failure() {
     scope(async {
@@ -159,7 +161,7 @@
     .await;
 }
 
-/// Rows go in, and a client that leaves in the middle of them takes the connection with it.
+/// Rows are copied in; when a client disconnects in the middle of a copy, the server connection is closed.
 #[tokio::test]
 async fn rows_are_copied_in_and_broken_off() {
     scope(async {
@@ -169,7 +171,7 @@
         raw.say(&[(b'Q', b"copy\0")]).await;
         assert_eq!(raw.until(b'G').await, "G");
         let rows = vec![b'r'; 300_000];
-        // A Sync among the rows is read over, as servers do.
+        // A Sync between the rows is ignored, as servers do.
         raw.say(&[(b'd', &rows), (b'S', b""), (b'd', &rows), (b'c', b"")]).await;
         assert_eq!(raw.until(b'Z').await, "CZ");
         assert_eq!(*seen.copied.borrow(), 600_000);
@@ -185,7 +187,7 @@
     .await;
 }
 
-/// A client that reads nothing stops its server: no row is collected in between.
+/// A client that does not read stalls its server; the proxy does not buffer the rows.
 #[tokio::test]
 async fn a_client_that_reads_nothing_costs_no_memory() {
     scope(async {
@@ -202,7 +204,7 @@
     .await;
 }
 
-/// What cannot be read gets a clear error or a close, each at a bounded cost, and reaches no server.
+/// Invalid packets and messages get an error before the connection is closed, and reach no server.
 #[tokio::test]
 async fn strangers_get_a_clear_error() {
     scope(async {
@@ -224,7 +226,7 @@
         raw.write(&[b'Q', 0, 0, 0, 2]).await;
         assert_eq!(raw.until(b'Z').await, "E(08P01).");
         let mut raw = Raw::log_in(&rig).await;
-        // As much of it as is looked at before a server is bound to it.
+        // The first 64 KiB of a Parse of 256 MiB: as much of it as is inspected before a server connection is reserved.
         raw.write(&[&[b'P', 0x10, 0, 0, 0, b's', b'0', 0][..], &[b'x'; 64 * 1024]].concat()).await;
         assert_eq!(raw.until(b'Z').await, "E(54000).");
         assert!(seen.statements.borrow().is_empty());
@@ -232,7 +234,7 @@
     .await;
 }
 
-/// Every part of a pipeline that was out is told of the lost server, and rows that come behind it ask for nothing.
+/// Every pending part of a pipeline gets the error of a lost server, and rows that follow the error request nothing.
 #[tokio::test]
 async fn all_that_was_out_is_told_of_a_lost_server() {
     scope(async {
@@ -242,7 +244,7 @@
         raw.say(&[(b'Q', b"die\0"), (b'Q', b"select 1\0")]).await;
         assert_eq!(raw.until(b'Z').await, "E(08007)Z");
         assert_eq!(raw.until(b'Z').await, "E(08007)Z");
-        // The server dies in the middle of a row that is copied in.
+        // The server closes its connection in the middle of a row that is copied in.
         raw.say(&[(b'Q', b"copy\0")]).await;
         assert_eq!(raw.until(b'G').await, "G");
         let mut row = BytesMut::new();
@@ -258,7 +260,7 @@
     .await;
 }
 
-/// A client that has not said what it wants holds no server's connection.
+/// A client that has not sent a complete statement reserves no server connection.
 #[tokio::test]
 async fn half_a_statement_binds_no_server() {
     scope(async {
@@ -277,8 +279,8 @@
     .await;
 }
 
-/// Guards against a transaction that is sent to a server for a client that has left while it waited for one: with its end
-/// behind the statement, behind a part of the next one, and behind a farewell.
+/// Guards against sending a transaction to a server for a client that disconnected while it waited for one. The end
+/// of the stream follows the statement, part of the next one, or a Terminate, all still unread.
 #[tokio::test]
 async fn nothing_is_sent_for_a_client_that_left_while_it_waited_for_a_server() {
     scope(async {
@@ -288,19 +290,19 @@
             let (at, seen) = stand_in().await;
             let rig = Rig::start(&[at], 1, LONG).await;
             let (mut holder, mut leaver) = (Raw::log_in(&rig).await, Raw::log_in(&rig).await);
-            holder.say(&[(b'Q', b"begin\0")]).await; // the only connection is bound
+            holder.say(&[(b'Q', b"begin\0")]).await; // reserves the only connection
             assert_eq!(holder.until(b'Z').await, "TDCZ");
             let mut query = BytesMut::new();
             put(&mut query, b'Q', b"insert of nobody\0");
             leaver.write(&[&query, behind].concat()).await;
             drop(leaver);
             for _ in 0..3 {
-                holder.say(&[(b'Q', b"insert\0")]).await; // the front reads the other client meanwhile
+                holder.say(&[(b'Q', b"insert\0")]).await; // meanwhile the front reads from the other client
                 assert_eq!(holder.until(b'Z').await, "TDCZ");
             }
             holder.say(&[(b'Q', b"commit\0")]).await;
             assert_eq!(holder.until(b'Z').await, "TDCZ");
-            holder.say(&[(b'Q', b"select 1\0")]).await; // behind the other client, in the order of coming
+            holder.say(&[(b'Q', b"select 1\0")]).await; // comes after the other client's statement
             assert_eq!(holder.until(b'Z').await, "TDCZ");
             let order = ["begin", "insert", "insert", "insert", "commit", "select 1"];
             assert_eq!(*seen.statements.borrow(), order, "{behind:?} behind the statement");
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for servers of the PostgreSQL protocol, and a front before some of them.
+//! A stand-in for PostgreSQL servers, and a front that uses several of them.
 
 #![allow(dead_code)]
 
@@ -20,30 +20,36 @@
 use tokio::sync::Notify;
 
 thread_local! {
-    /// One of this test's stand-ins has died at `die once`.
+    /// Whether one of this test's stand-ins has received `die once` and closed the connection.
     static DIED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// What a stand-in has seen: statements in the order in which they ran, and cancels.
+/// What a stand-in has received and done.
 #[derive(Default)]
 pub(crate) struct Seen {
+    /// The statements, in the order in which they were executed.
     pub statements: RefCell<Vec<String>>,
+    /// The texts that were parsed successfully.
     pub parsed: RefCell<Vec<String>>,
     pub logins: RefCell<usize>,
-    /// Bytes of rows that clients copied in, and that were poured out to one.
+    /// Bytes of rows that clients copied in.
     pub copied: RefCell<usize>,
+    /// Bytes sent in answer to `pour`.
     pub poured: RefCell<usize>,
-    /// Nothing more can be poured.
+    /// Notified when the client of `pour` has not read for 500 ms.
     pub stalled: Notify,
-    /// The session that waits for rows dies.
+    /// Makes the session in copy-in mode close its connection.
     pub dies: Notify,
-    /// A session's connection has ended.
+    /// Notified when a connection has ended.
     pub ended: Notify,
+    /// Process ids and secrets of the CancelRequests.
     pub cancels: RefCell<Vec<(i32, i32)>>,
+    /// Notified when a CancelRequest has arrived.
     pub cancelled: Notify,
 }
 
-/// Runs a stand-in: `die` ends the connection unanswered, `halt` after CommandComplete, `stall` never answers.
+/// Starts a stand-in. On `die` it closes the connection without an answer, on `halt` after CommandComplete; it never
+/// answers `stall`.
 pub(crate) async fn stand_in() -> (SocketAddr, Rc<Seen>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (at, seen) = (listener.local_addr().unwrap(), Rc::new(Seen::default()));
@@ -107,7 +113,7 @@
         }
         copying &= kind == b'd';
         failed = false;
-        // As PostgreSQL does: a name is prepared once, and used only where it was.
+        // As in PostgreSQL, preparing an existing name and using an unknown one fail.
         let mut fail = |out: &mut BytesMut, code: &str| {
             put(out, b'E', format!("SERROR\0C{code}\0Mstand-in\0\0").as_bytes());
             failed = true;
@@ -186,7 +192,7 @@
     }
 }
 
-/// Rows without end, until nobody takes them any more.
+/// Sends rows until the connection fails, and reports when the client stops reading.
 async fn pour(mut tcp: TcpStream, seen: &Seen) {
     let mut out = BytesMut::new();
     put(&mut out, b'T', &column());
@@ -201,7 +207,7 @@
     }
 }
 
-/// RowDescription of one column of text.
+/// Returns the body of a RowDescription with one column of text.
 fn column() -> Vec<u8> {
     let mut body = BytesMut::new();
     body.put_u16(1);
@@ -215,7 +221,7 @@
     body.to_vec()
 }
 
-/// A DataRow that holds the statement itself.
+/// Appends a DataRow with the text of the statement.
 fn row(out: &mut BytesMut, text: &str) {
     let mut body = BytesMut::new();
     body.put_u16(1);
@@ -224,7 +230,7 @@
     put(out, b'D', &body);
 }
 
-/// A front before these servers.
+/// A front and its servers.
 pub(crate) struct Rig {
     pub host: Rc<Host>,
     pub servers: Rc<Servers>,
@@ -233,12 +239,12 @@
 }
 
 impl Rig {
-    /// At most so many connections to servers, and so much time for a transaction.
+    /// Starts a front with at most `most` server connections and a deadline for each transaction.
     pub(crate) async fn start(list: &[SocketAddr], most: usize, deadline: Micros) -> Rig {
         Rig::ruled(list, most, deadline, Vec::new()).await
     }
 
-    /// With rules: class 0 may be repeated, class 1 may not.
+    /// Starts a front with rules: transactions of class 0 may be repeated, those of class 1 may not.
     pub(crate) async fn ruled(list: &[SocketAddr], most: usize, deadline: Micros, rules: Vec<Rule>) -> Rig {
         let class = |effect| Class {
             side_effects: effect,
@@ -280,7 +286,7 @@
         rig
     }
 
-    /// The list says that of a server.
+    /// Updates the state of a server in the endpoint list.
     pub(crate) fn tell(&self, server: usize, state: BackendState) {
         let (name, address) = (format!("pg-{server}"), self.list[server]);
         let entry = Backend { state, ..Backend::default() };
@@ -288,7 +294,7 @@
         self.host.update_endpoints(ListUpdate::Changes, vec![Endpoint { name, address, state, row }]);
     }
 
-    /// A real driver's session.
+    /// Opens a session with a real driver, as user `ann` on database `scores`.
     pub(crate) async fn driver(
         &self, password: &str,
     ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
@@ -306,7 +312,7 @@
     }
 }
 
-/// The one value that a simple query brought.
+/// Returns the single value in the answer to a simple query.
 pub(crate) fn value(messages: &[tokio_postgres::SimpleQueryMessage]) -> String {
     let row = messages.iter().find_map(|m| match m {
         tokio_postgres::SimpleQueryMessage::Row(row) => row.get(0),
@@ -315,7 +321,7 @@
     row.unwrap_or_default().to_string()
 }
 
-/// The code of a server's error.
+/// Returns the SQLSTATE of an error; an empty text if there is none.
 pub(crate) fn code<T>(result: Result<T, tokio_postgres::Error>) -> String {
     result.err().and_then(|e| e.code().map(|c| c.code().to_string())).unwrap_or_default()
 }
--- a/crates/postgres/tests/transactions.rs
+++ b/crates/postgres/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! A real driver's sessions through the front, before stand-ins that log what they run.
+//! Sessions of a real driver through the front, with stand-ins for servers that record what they execute.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -20,7 +20,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Simple and extended queries and transactions of a driver, and more clients than connections to servers.
+/// Simple and extended queries and transactions of a driver, with more clients than server connections.
 #[tokio::test]
 async fn drivers_share_connections_by_transaction() {
     scope(async {
@@ -29,7 +29,7 @@
         let (a, b) = (rig.driver("do re mi").await.unwrap(), rig.driver("do re mi").await.unwrap());
         assert_eq!(value(&a.simple_query("select 1").await.unwrap()), "select 1");
         a.simple_query("begin").await.unwrap();
-        // The only connection is bound: the other client's statement waits for the transaction's end.
+        // The only connection is reserved: the other client's statement waits for the end of the transaction.
         let (waits, ends) = tokio::join!(b.simple_query("select 2"), async {
             a.simple_query("insert").await.unwrap();
             a.simple_query("commit").await
@@ -40,7 +40,7 @@
         let order = ["select 1", "begin", "insert", "commit", "select 2", "select 3"];
         assert_eq!(*seen.statements.borrow(), order);
         assert_eq!((*seen.logins.borrow(), rig.servers.open_connections()), (1, 1));
-        // What the server says of itself is what later clients are told.
+        // Later clients get the parameters that the server reported.
         let late = rig.driver("do re mi").await.unwrap();
         assert_eq!(value(&late.simple_query("select 4").await.unwrap()), "select 4");
     })
@@ -60,7 +60,8 @@
     .await;
 }
 
-/// What a lost server may have done is told as unknown, is not sent again, and the session goes on elsewhere.
+/// A statement whose server is lost is reported as unknown and not sent again, and the session continues on another
+/// server connection.
 #[tokio::test]
 async fn a_lost_server_is_told_and_nothing_runs_twice() {
     scope(async {
@@ -75,14 +76,14 @@
         let all = [first.statements.borrow().clone(), second.statements.borrow().clone()].concat();
         assert_eq!(all.iter().filter(|s| *s == "die").count(), 2, "{all:?}");
         assert_eq!(all.len(), 8, "{all:?}");
-        // In the extended protocol the client is answered at its Sync.
+        // In the extended protocol the error is followed by a ReadyForQuery only after the client's Sync.
         assert_eq!(code(client.query_typed("die", &[]).await), "08007");
         assert_eq!(value(&client.simple_query("select 9").await.unwrap()), "select 9");
     })
     .await;
 }
 
-/// Where no server can be reached the statement is answered, nothing was done, and the session stays.
+/// When no server is reachable, statements get an error without being executed, and the session continues.
 #[tokio::test]
 async fn without_a_server_statements_are_refused_and_sessions_stay() {
     scope(async {
@@ -102,7 +103,7 @@
     .await;
 }
 
-/// A cancel reaches the server that runs the statement; a deadline ends what nobody cancels.
+/// A CancelRequest reaches the server that runs the statement; a statement that is not cancelled ends at its deadline.
 #[tokio::test]
 async fn cancels_and_deadlines_end_what_stalls() {
     scope(async {
@@ -110,7 +111,7 @@
         let rig = Rig::start(&[at], 4, Micros(1_500_000)).await;
         let client = rig.driver("do re mi").await.unwrap();
         let token = client.cancel_token();
-        token.cancel_query(tokio_postgres::NoTls).await.unwrap(); // nothing runs: it goes nowhere
+        token.cancel_query(tokio_postgres::NoTls).await.unwrap(); // no statement runs, so it is not forwarded
         let (ended, ()) = tokio::join!(client.simple_query("stall"), async {
             while seen.statements.borrow().is_empty() {
                 tokio::task::yield_now().await;
@@ -126,7 +127,7 @@
     .await;
 }
 
-/// A client that leaves in the middle of its transaction takes the connection with it: the server rolls back.
+/// When a client disconnects in a transaction, the server connection is closed, so that the server rolls back.
 #[tokio::test]
 async fn a_client_that_leaves_ends_its_transaction() {
     scope(async {
@@ -142,8 +143,8 @@
     .await;
 }
 
-/// Named statements of two clients go with them from server to server; a text is parsed once on a connection, whoever
-/// prepares it under whatever name, and what failed to parse is not taken for prepared.
+/// Named statements of two clients stay valid when their server changes. A text is parsed once on a connection,
+/// whichever client prepares it under whichever name, and a text that failed to parse does not count as prepared.
 #[tokio::test]
 async fn prepared_statements_are_carried() {
     scope(async {
@@ -151,7 +152,7 @@
         let rig = Rig::start(&[one, two], 8, LONG).await;
         let (a, b) = (rig.driver("do re mi").await.unwrap(), rig.driver("do re mi").await.unwrap());
         let echo = |rows: Vec<tokio_postgres::Row>| rows[0].get::<_, String>(0);
-        // Both drivers call theirs `s0`.
+        // Both drivers name their first statement `s0`.
         let (x, y) = (a.prepare("select x").await.unwrap(), b.prepare("select y").await.unwrap());
         let again = b.prepare("select x").await.unwrap();
         for server in [0, 1, 0, 1] {
@@ -177,7 +178,7 @@
     .await;
 }
 
-/// What outlives a transaction is met by no other client: the connection is closed behind it.
+/// Session state that outlives a transaction is not visible to other clients: the connection is closed after it.
 #[tokio::test]
 async fn settings_of_one_client_do_not_reach_another() {
     scope(async {
@@ -190,7 +191,7 @@
             client.simple_query(statement).await.unwrap();
             assert_eq!(*seen.logins.borrow(), logins, "{statement}");
         }
-        // The extended protocol is no way around.
+        // The same holds in the extended protocol.
         let set = client.prepare("set z to 1").await.unwrap();
         client.execute(&set, &[]).await.unwrap();
         let before = *seen.logins.borrow();
@@ -200,8 +201,8 @@
     .await;
 }
 
-/// A single statement that is declared safe is said again where its server is lost before a word of the answer; in a
-/// transaction, behind a word, or without the rule, it is not.
+/// A single statement of a class without side effects is sent again if its server is lost before the first byte of the
+/// answer. It is not sent again without the rule, after part of the answer, or together with another statement.
 #[tokio::test]
 async fn what_is_declared_safe_is_said_again() {
     scope(async {
@@ -213,11 +214,11 @@
             let all = [first.statements.borrow().clone(), second.statements.borrow().clone()].concat();
             all.iter().filter(|s| *s == what).count()
         };
-        // Repeats have a budget, which grows with what is asked.
+        // Retries have a budget, which grows with the number of requests.
         for n in 0..12 {
             client.simple_query(&format!("select {n}")).await.unwrap();
         }
-        // The stand-in dies at the first of these alone.
+        // The stand-in closes the connection only when it receives the statement for the first time.
         assert_eq!(value(&client.simple_query("/* safe */ die once").await.unwrap()), "/* safe */ die once");
         assert_eq!(count("/* safe */ die once"), 2);
         assert_eq!(code(client.simple_query("die").await), "08007");
