--- a/crates/postgres/src/classes.rs
+++ b/crates/postgres/src/classes.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns the text of a transaction's first message, if it is a Query or a Parse.
-pub fn statement(kind: u8, body: &[u8]) -> Option<&str> {
+pub fn statement_text(kind: u8, body: &[u8]) -> Option<&str> {
     let text = match kind {
         b'Q' => body,
         b'P' => &body[body.iter().position(|byte| *byte == 0)? + 1..],
@@ -65,21 +65,22 @@
 
 impl Rule {
     fn matches(&self, client: &ClientIdentity, statement: &StrippedStatement<'_>) -> bool {
-        let is = |expected: &Option<String>, got: &str| expected.as_ref().is_none_or(|text| text == got);
+        let matches_value =
+            |expected: &Option<String>, actual: &str| expected.as_ref().is_none_or(|text| text == actual);
         let begins_with = |prefix: &String| {
-            let head = statement.text.get(..prefix.len());
-            head.is_some_and(|head| head.eq_ignore_ascii_case(prefix))
+            let beginning = statement.text.get(..prefix.len());
+            beginning.is_some_and(|beginning| beginning.eq_ignore_ascii_case(prefix))
         };
-        is(&self.user, &client.user)
-            && is(&self.database, &client.database)
-            && is(&self.application, &client.application)
+        matches_value(&self.user, &client.user)
+            && matches_value(&self.database, &client.database)
+            && matches_value(&self.application, &client.application)
             && self.comment.as_ref().is_none_or(|comment| statement.comment == Some(comment))
             && self.prefix.as_ref().is_none_or(begins_with)
     }
 }
 
 /// Returns the class of a transaction that begins with `text`: that of the first rule that matches, or `default`.
-pub fn class(rules: &[Rule], client: &ClientIdentity, text: Option<&str>, default: ClassId) -> ClassId {
+pub fn classify(rules: &[Rule], client: &ClientIdentity, text: Option<&str>, default: ClassId) -> ClassId {
     let statement = strip_comments(text.unwrap_or(""));
     rules.iter().find(|rule| rule.matches(client, &statement)).map_or(default, |rule| rule.class)
 }
@@ -92,7 +93,7 @@
 /// Returns whether a message is a Query with a single statement that can be sent again by itself. Returns false in
 /// doubt: a semicolon inside a literal counts as the end of a statement.
 pub fn is_repeatable(kind: u8, body: &[u8]) -> bool {
-    let Some(text) = statement(kind, body).filter(|_| kind == b'Q') else { return false };
+    let Some(text) = statement_text(kind, body).filter(|_| kind == b'Q') else { return false };
     let text = strip_comments(text).text.trim_end().trim_end_matches(';');
     let first_word = text.split(|character: char| !character.is_ascii_alphabetic()).next().unwrap_or("");
     let first_word = first_word.to_ascii_lowercase();
--- a/crates/postgres/src/classes/tests.rs
+++ b/crates/postgres/src/classes/tests.rs
@@ -13,15 +13,19 @@
         application: application.into(),
         ..ClientIdentity::default()
     };
-    let of = |client: &ClientIdentity, text: &str| class(&rules, client, Some(text), ClassId(9)).0;
-    assert_eq!(of(&client("bob", ""), "/* safe */ update x"), 0);
-    assert_eq!(of(&client("bob", ""), "-- safe\n/* other */ update x"), 0);
-    assert_eq!(of(&client("bob", ""), "update x /* safe */"), 9);
-    assert_eq!(of(&client("ann", ""), "  /* why */ SELECT 1"), 1);
-    assert_eq!(of(&client("ann", ""), "insert"), 9);
-    assert_eq!(of(&client("bob", "report"), "insert"), 2);
-    assert_eq!(class(&rules, &client("ann", ""), None, ClassId(9)), ClassId(9), "a Bind alone has no text");
-    assert_eq!(of(&client("ann", ""), "sélect"), 9);
+    let class_for = |client: &ClientIdentity, text: &str| classify(&rules, client, Some(text), ClassId(9)).0;
+    assert_eq!(class_for(&client("bob", ""), "/* safe */ update x"), 0);
+    assert_eq!(class_for(&client("bob", ""), "-- safe\n/* other */ update x"), 0);
+    assert_eq!(class_for(&client("bob", ""), "update x /* safe */"), 9);
+    assert_eq!(class_for(&client("ann", ""), "  /* why */ SELECT 1"), 1);
+    assert_eq!(class_for(&client("ann", ""), "insert"), 9);
+    assert_eq!(class_for(&client("bob", "report"), "insert"), 2);
+    assert_eq!(
+        classify(&rules, &client("ann", ""), None, ClassId(9)),
+        ClassId(9),
+        "a Bind alone has no text"
+    );
+    assert_eq!(class_for(&client("ann", ""), "sélect"), 9);
 }
 
 #[test]
@@ -38,5 +42,5 @@
         assert_eq!(is_repeatable(b'Q', text.as_bytes()), expected, "{text}");
     }
     assert!(!is_repeatable(b'P', b"\0select 1\0\0\0"));
-    assert_eq!(statement(b'P', b"\0select 1\0\0\0"), Some("select 1"));
+    assert_eq!(statement_text(b'P', b"\0select 1\0\0\0"), Some("select 1"));
 }
--- a/crates/postgres/src/error.rs
+++ b/crates/postgres/src/error.rs
@@ -28,7 +28,7 @@
 
     /// Creates the error for a transaction that no server has capacity for: `too_many_connections`, as a full server
     /// reports it. A transaction that may be repeated may nevertheless have been sent.
-    pub(crate) fn refused(retry_after: Micros, sent: bool) -> ClientError {
+    pub(crate) fn no_capacity(retry_after: Micros, sent: bool) -> ClientError {
         let effect = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
         let detail = Some(format!("Come again in {:.3} s. {effect}", retry_after.secs()));
         ClientError { detail, ..ClientError::error("53300", "no server has room at the moment") }
--- a/crates/postgres/src/front.rs
+++ b/crates/postgres/src/front.rs
@@ -4,7 +4,7 @@
 use crate::classes::{ClientIdentity, Rule};
 use crate::error::ClientError;
 use crate::io::drain;
-use crate::login::{random, LoginError, NewConnection, SessionStart};
+use crate::login::{random_bytes, LoginError, NewConnection, SessionStart};
 use crate::scram::Verifier;
 use crate::session::Session;
 use crate::upstream::Servers;
@@ -25,7 +25,7 @@
 /// Maximum number of clients above the limit that are accepted in order to send them an error.
 pub const MAX_EXCESS_CLIENTS: usize = 16;
 /// Time for writing the last messages to a client, and for connecting to a server to send it a CancelRequest.
-const FAREWELL_TIMEOUT: Duration = Duration::from_secs(2);
+const FINAL_IO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A role that may log in.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     secret: [u8; 32],
     /// The clients with a session, by the key of their CancelRequests.
     sessions: RefCell<HashMap<CancelKey, Weak<Client>>>,
-    count: Cell<usize>,
+    client_count: Cell<usize>,
     stop: watch::Sender<bool>,
 }
 
@@ -80,14 +80,14 @@
             settings,
             secret,
             sessions: RefCell::default(),
-            count: Cell::new(0),
+            client_count: Cell::new(0),
             stop: watch::Sender::new(false),
         }))
     }
 
     /// Returns the number of connected clients.
     pub fn clients(&self) -> usize {
-        self.count.get()
+        self.client_count.get()
     }
 
     /// Stops accepting clients. Sessions end once they have no open transaction.
@@ -112,55 +112,58 @@
                     continue;
                 }
             };
-            if self.count.get() >= self.settings.max_clients + MAX_EXCESS_CLIENTS {
+            if self.client_count.get() >= self.settings.max_clients + MAX_EXCESS_CLIENTS {
                 continue; // closes the connection without an error
             }
             let front = self.clone();
-            self.count.set(self.count.get() + 1);
+            self.client_count.set(self.client_count.get() + 1);
             tokio::task::spawn_local(async move {
-                front.client(tcp).await;
-                front.count.set(front.count.get() - 1);
+                front.serve_client(tcp).await;
+                front.client_count.set(front.client_count.get() - 1);
             });
         }
     }
 
-    async fn client(self: &Rc<Self>, tcp: TcpStream) {
+    async fn serve_client(self: &Rc<Self>, tcp: TcpStream) {
         let _ = tcp.set_nodelay(true); // the socket also works without it
-        let new = NewConnection::new(tcp);
-        let login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&new)).await;
+        let connection = NewConnection::new(tcp);
+        let login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&connection)).await;
         match login.unwrap_or(Err(LoginError::Disconnected)) {
             Ok(None) | Err(LoginError::Disconnected) => {}
-            Err(LoginError::Rejected(trouble)) => {
-                trouble.put(&mut new.output.borrow_mut());
-                let _ = tokio::time::timeout(FAREWELL_TIMEOUT, drain(&new.output, &new.tcp)).await;
+            Err(LoginError::Rejected(error)) => {
+                error.put(&mut connection.output.borrow_mut());
+                let _ =
+                    tokio::time::timeout(FINAL_IO_TIMEOUT, drain(&connection.output, &connection.tcp)).await;
             }
             Ok(Some((key, identity))) => {
-                let client = Client::new(new.tcp, new.input.into_inner());
+                let client = Client::new(connection.tcp, connection.input.into_inner());
                 self.sessions.borrow_mut().insert(key, Rc::downgrade(&client));
-                self.session(&client, identity).serve().await;
+                self.new_session(&client, identity).serve().await;
                 self.sessions.borrow_mut().remove(&key);
-                let _ = tokio::time::timeout(FAREWELL_TIMEOUT, drain(&client.output, &client.tcp)).await;
+                let _ = tokio::time::timeout(FINAL_IO_TIMEOUT, drain(&client.output, &client.tcp)).await;
             }
         }
     }
 
     /// Logs a client in; returns its cancel key and its identity, or `None` if it sent a CancelRequest instead.
-    async fn log_in(&self, new: &NewConnection) -> Result<Option<(CancelKey, ClientIdentity)>, LoginError> {
-        let Some(start) = self.receive_start(new).await? else { return Ok(None) };
-        if self.count.get() > self.settings.max_clients {
+    async fn log_in(
+        &self, connection: &NewConnection,
+    ) -> Result<Option<(CancelKey, ClientIdentity)>, LoginError> {
+        let Some(start) = self.receive_start(connection).await? else { return Ok(None) };
+        if self.client_count.get() > self.settings.max_clients {
             return Err(ClientError::fatal("53300", "too many clients already").into());
         }
-        new.negotiate_version(&start).await?;
+        connection.negotiate_version(&start).await?;
         let Some(user) = start.parameter("user").filter(|user| !user.is_empty()) else {
             return Err(ClientError::fatal("28000", "no user is named in the start-up packet").into());
         };
-        new.prove(self.verifier(user), &BASE64_STANDARD.encode(random::<18>()?)).await?;
+        connection.authenticate(self.verifier(user), &BASE64_STANDARD.encode(random_bytes::<18>()?)).await?;
         let database = start.parameter("database").unwrap_or(user);
         if !self.settings.databases.iter().any(|served| served == database) {
             let text = format!("database \"{database}\" is not served here");
             return Err(ClientError::fatal("3D000", text).into());
         }
-        let key = new.welcome(self.servers.params()).await?;
+        let key = connection.complete_login(self.servers.parameters()).await?;
         let application = start.parameter("application_name").unwrap_or_default();
         let identity =
             ClientIdentity { user: user.into(), database: database.into(), application: application.into() };
@@ -169,10 +172,10 @@
 
     /// Receives the client's start-up packet, after refusing encryption if the client requests it. Returns `None` after
     /// a CancelRequest, which is forwarded.
-    async fn receive_start(&self, new: &NewConnection) -> Result<Option<SessionStart>, LoginError> {
+    async fn receive_start(&self, connection: &NewConnection) -> Result<Option<SessionStart>, LoginError> {
         loop {
-            match new.opening().await? {
-                Opening::Ssl | Opening::Gss => new.refuse_encryption().await?,
+            match connection.receive_opening().await? {
+                Opening::Ssl | Opening::Gss => connection.refuse_encryption().await?,
                 Opening::Cancel(key) => {
                     self.cancel(key).await;
                     return Ok(None);
@@ -188,15 +191,17 @@
         let users = &self.settings.users;
         match users.iter().find(|known| known.name == user) {
             Some(known) => known.verifier.clone(),
-            None => Verifier::of_nobody(user, &self.secret, users.first().map(|first| &first.verifier)),
+            None => {
+                Verifier::for_unknown_user(user, &self.secret, users.first().map(|first| &first.verifier))
+            }
         }
     }
 
     /// Forwards a CancelRequest to the server that runs the session's current transaction, if there is one.
     async fn cancel(&self, key: CancelKey) {
         let client = self.sessions.borrow().get(&key).and_then(Weak::upgrade);
-        let Some(target) = client.and_then(|client| client.at.get()) else { return };
-        let Ok(Ok(tcp)) = tokio::time::timeout(FAREWELL_TIMEOUT, TcpStream::connect(target.server)).await
+        let Some(target) = client.and_then(|client| client.cancel_target.get()) else { return };
+        let Ok(Ok(tcp)) = tokio::time::timeout(FINAL_IO_TIMEOUT, TcpStream::connect(target.server)).await
         else {
             return;
         };
@@ -208,7 +213,7 @@
         let _ = drain(&RefCell::new(packet), &tcp).await; // a CancelRequest is not answered
     }
 
-    fn session(&self, client: &Rc<Client>, identity: ClientIdentity) -> Session {
+    fn new_session(&self, client: &Rc<Client>, identity: ClientIdentity) -> Session {
         Session {
             host: self.host.clone(),
             servers: self.servers.clone(),
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -105,12 +105,12 @@
     }
 
     /// Receives an opening packet of the client; another one follows after encryption was refused.
-    pub(crate) async fn opening(&self) -> Result<Opening, LoginError> {
+    pub(crate) async fn receive_opening(&self) -> Result<Opening, LoginError> {
         loop {
             if let Some(opening) = opening(&mut self.input.borrow_mut())? {
                 return Ok(opening);
             }
-            self.more().await?;
+            self.receive_more().await?;
         }
     }
 
@@ -133,13 +133,15 @@
         for name in unknown {
             body.extend(name.bytes().chain([0]));
         }
-        self.say(b'v', &body).await
+        self.send(b'v', &body).await
     }
 
     /// Completes the login of an authenticated client: sends it the server's parameters and the cancel key of its
     /// session, and returns the key.
-    pub(crate) async fn welcome(&self, server_parameters: Vec<Parameter>) -> Result<CancelKey, LoginError> {
-        let mut key_bytes = random::<8>()?;
+    pub(crate) async fn complete_login(
+        &self, server_parameters: Vec<Parameter>,
+    ) -> Result<CancelKey, LoginError> {
+        let mut key_bytes = random_bytes::<8>()?;
         key_bytes[0] &= 0x7f; // process ids are positive
         let mut out = self.output.take();
         put(&mut out, b'R', &AUTHENTICATION_OK.to_be_bytes());
@@ -156,7 +158,7 @@
     }
 
     /// Waits for more bytes from the client.
-    async fn more(&self) -> Result<(), LoginError> {
+    async fn receive_more(&self) -> Result<(), LoginError> {
         match fill(&self.tcp, &self.input).await? {
             0 => Err(LoginError::Disconnected),
             _ => Ok(()),
@@ -164,13 +166,13 @@
     }
 
     /// Sends a message.
-    async fn say(&self, kind: u8, body: &[u8]) -> Result<(), LoginError> {
+    async fn send(&self, kind: u8, body: &[u8]) -> Result<(), LoginError> {
         put(&mut self.output.borrow_mut(), kind, body);
         Ok(drain(&self.output, &self.tcp).await?)
     }
 
     /// Receives a message of the type that PasswordMessage and the SASL responses share.
-    async fn proof(&self) -> Result<bytes::Bytes, LoginError> {
+    async fn receive_sasl_response(&self) -> Result<bytes::Bytes, LoginError> {
         loop {
             match message(&mut self.input.borrow_mut(), MAX_LOGIN_MESSAGE_BYTES)? {
                 Some(Message { kind: b'p', body }) => return Ok(body),
@@ -181,32 +183,32 @@
                 }
                 None => {}
             }
-            self.more().await?;
+            self.receive_more().await?;
         }
     }
 
     /// Authenticates a client ("SASL Authentication", with SCRAM-SHA-256 only).
-    pub(crate) async fn prove(&self, verifier: Verifier, nonce: &str) -> Result<(), LoginError> {
-        let mut offer = AUTHENTICATION_SASL.to_be_bytes().to_vec();
-        offer.extend(MECHANISM.as_bytes());
-        offer.extend([0, 0]);
-        self.say(b'R', &offer).await?;
-        let mut first = self.proof().await?;
-        let bad = || {
+    pub(crate) async fn authenticate(&self, verifier: Verifier, nonce: &str) -> Result<(), LoginError> {
+        let mut mechanisms = AUTHENTICATION_SASL.to_be_bytes().to_vec();
+        mechanisms.extend(MECHANISM.as_bytes());
+        mechanisms.extend([0, 0]);
+        self.send(b'R', &mechanisms).await?;
+        let mut first = self.receive_sasl_response().await?;
+        let malformed = || {
             LoginError::from(WireError::Malformed {
                 kind: 'p',
                 reason: "no SASLInitialResponse of SCRAM-SHA-256",
             })
         };
-        let end = first.iter().position(|b| *b == 0).ok_or_else(bad)?;
+        let end = first.iter().position(|b| *b == 0).ok_or_else(malformed)?;
         if &first[..end] != MECHANISM.as_bytes() || first.len() < end + 5 {
-            return Err(bad());
+            return Err(malformed());
         }
         first.advance(end + 5);
-        let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| bad());
+        let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).map_err(|_| malformed());
         let (exchange, answer) = Exchange::begin(verifier, &text(&first)?, nonce)?;
-        self.say(b'R', &[&AUTHENTICATION_SASL_CONTINUE.to_be_bytes(), answer.as_bytes()].concat()).await?;
-        let last = self.proof().await?;
+        self.send(b'R', &[&AUTHENTICATION_SASL_CONTINUE.to_be_bytes(), answer.as_bytes()].concat()).await?;
+        let last = self.receive_sasl_response().await?;
         let answer = exchange.end(&text(&last)?)?;
         put(
             &mut self.output.borrow_mut(),
@@ -218,7 +220,7 @@
 }
 
 /// Returns random bytes.
-pub(crate) fn random<const N: usize>() -> Result<[u8; N], LoginError> {
+pub(crate) fn random_bytes<const N: usize>() -> Result<[u8; N], LoginError> {
     let mut out = [0; N];
     getrandom::fill(&mut out)
         .map_err(|_| LoginError::Rejected(ClientError::fatal("58000", "no random numbers can be had")))?;
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -56,17 +56,17 @@
     /// # Errors
     /// Returns an error if the text is malformed.
     pub fn parse(text: &str) -> Result<Verifier, ScramError> {
-        const FORM: ScramError =
+        const MALFORMED: ScramError =
             ScramError::Malformed("expected SCRAM-SHA-256$ITERATIONS:SALT$STOREDKEY:SERVERKEY");
-        let rest = text.strip_prefix("SCRAM-SHA-256$").ok_or(FORM)?;
-        let (first, keys) = rest.split_once('$').ok_or(FORM)?;
-        let (iterations, salt) = first.split_once(':').ok_or(FORM)?;
-        let (stored, server) = keys.split_once(':').ok_or(FORM)?;
+        let rest = text.strip_prefix("SCRAM-SHA-256$").ok_or(MALFORMED)?;
+        let (first, keys) = rest.split_once('$').ok_or(MALFORMED)?;
+        let (iterations, salt) = first.split_once(':').ok_or(MALFORMED)?;
+        let (stored, server) = keys.split_once(':').ok_or(MALFORMED)?;
         let key = |text: &str| -> Result<Sha256Hash, ScramError> {
-            BASE64_STANDARD.decode(text).ok().and_then(|k| k.try_into().ok()).ok_or(FORM)
+            BASE64_STANDARD.decode(text).ok().and_then(|k| k.try_into().ok()).ok_or(MALFORMED)
         };
-        let iterations = iterations.parse().ok().filter(|n| *n > 0).ok_or(FORM)?;
-        let salt = BASE64_STANDARD.decode(salt).ok().filter(|s| !s.is_empty()).ok_or(FORM)?;
+        let iterations = iterations.parse().ok().filter(|n| *n > 0).ok_or(MALFORMED)?;
+        let salt = BASE64_STANDARD.decode(salt).ok().filter(|s| !s.is_empty()).ok_or(MALFORMED)?;
         Ok(Verifier { iterations, salt, stored_key: key(stored)?, server_key: key(server)? })
     }
 
@@ -78,10 +78,10 @@
     }
 
     /// Creates a verifier for a user who does not exist, which no password matches. So that clients cannot find out
-    /// which names exist, the same name always gets the same salt, and the other parameters are those of `like`, the
+    /// which names exist, the same name always gets the same salt, and the other parameters are those of `template`, the
     /// verifier of an existing user. `secret` is known to this process only.
-    pub fn of_nobody(name: &str, secret: &[u8; 32], like: Option<&Verifier>) -> Verifier {
-        let (iterations, length) = like.map_or((DEFAULT_ITERATIONS, DEFAULT_SALT_BYTES), |verifier| {
+    pub fn for_unknown_user(name: &str, secret: &[u8; 32], template: Option<&Verifier>) -> Verifier {
+        let (iterations, length) = template.map_or((DEFAULT_ITERATIONS, DEFAULT_SALT_BYTES), |verifier| {
             (verifier.iterations, verifier.salt.len().min(32))
         });
         let salt = hmac_sha256(secret, &[b"salt", name.as_bytes()])[..length].to_vec();
@@ -110,7 +110,7 @@
     /// answer.
     auth_message: String,
     /// The client's header for channel binding, in base64.
-    binding: String,
+    channel_binding: String,
     nonce: String,
 }
 
@@ -121,23 +121,23 @@
     /// # Errors
     /// Returns an error if the message is malformed or requests channel binding.
     pub fn begin(verifier: Verifier, first: &str, nonce: &str) -> Result<(Exchange, String), ScramError> {
-        let form = ScramError::Malformed("the first message is no n,,n=NAME,r=NONCE");
+        let malformed = ScramError::Malformed("the first message is no n,,n=NAME,r=NONCE");
         // Without channel binding: `n`, or `y` if the client supports it but assumes that the server does not.
         let bare = first.strip_prefix("n,,").or_else(|| first.strip_prefix("y,,"));
         let bare = bare.ok_or(ScramError::Malformed("channel binding is not offered"))?;
         let mut parts = bare.split(',');
-        let (Some(_), Some(own)) = (
+        let (Some(_), Some(client_nonce)) = (
             parts.next().filter(|p| p.starts_with("n=")),
             parts.next().and_then(|p| p.strip_prefix("r=")).filter(|r| !r.is_empty()),
         ) else {
-            return Err(form);
+            return Err(malformed);
         };
-        let nonce = format!("{own}{nonce}");
+        let nonce = format!("{client_nonce}{nonce}");
         let salt = BASE64_STANDARD.encode(&verifier.salt);
         let answer = format!("r={nonce},s={salt},i={}", verifier.iterations);
         let auth_message = format!("{bare},{answer}");
-        let binding = BASE64_STANDARD.encode(&first[..3]);
-        Ok((Exchange { verifier, auth_message, binding, nonce }, answer))
+        let channel_binding = BASE64_STANDARD.encode(&first[..3]);
+        Ok((Exchange { verifier, auth_message, channel_binding, nonce }, answer))
     }
 
     /// Verifies the client's last message; returns the answer.
@@ -145,22 +145,23 @@
     /// # Errors
     /// Returns an error if the message is malformed or the proof does not match.
     pub fn end(self, last: &str) -> Result<String, ScramError> {
-        let form = ScramError::Malformed("the last message is no c=BINDING,r=NONCE,p=PROOF");
-        let (plain, proof) = last.rsplit_once(",p=").ok_or(form.clone())?;
-        let expected = format!("c={},r={}", self.binding, self.nonce);
-        if !plain.starts_with(&expected) || plain[expected.len()..].bytes().next().is_some_and(|b| b != b',')
+        let malformed = ScramError::Malformed("the last message is no c=BINDING,r=NONCE,p=PROOF");
+        let (without_proof, proof) = last.rsplit_once(",p=").ok_or(malformed.clone())?;
+        let expected = format!("c={},r={}", self.channel_binding, self.nonce);
+        if !without_proof.starts_with(&expected)
+            || without_proof[expected.len()..].bytes().next().is_some_and(|b| b != b',')
         {
-            return Err(form);
+            return Err(malformed);
         }
         let proof: Sha256Hash =
-            BASE64_STANDARD.decode(proof).ok().and_then(|proof| proof.try_into().ok()).ok_or(form)?;
-        let signed = [self.auth_message.as_bytes(), b",", plain.as_bytes()];
+            BASE64_STANDARD.decode(proof).ok().and_then(|proof| proof.try_into().ok()).ok_or(malformed)?;
+        let signed = [self.auth_message.as_bytes(), b",", without_proof.as_bytes()];
         let mut key = hmac_sha256(&self.verifier.stored_key, &signed);
         key.iter_mut().zip(proof).for_each(|(key, proof)| *key ^= proof);
         let stored: Sha256Hash = Sha256::digest(key).into();
         // Compares all bytes, so that the time does not reveal how many match.
-        let differs = stored.iter().zip(self.verifier.stored_key).fold(0, |d, (a, b)| d | (a ^ b));
-        match differs {
+        let difference = stored.iter().zip(self.verifier.stored_key).fold(0, |d, (a, b)| d | (a ^ b));
+        match difference {
             0 => Ok(format!("v={}", BASE64_STANDARD.encode(hmac_sha256(&self.verifier.server_key, &signed)))),
             _ => Err(ScramError::Wrong),
         }
--- a/crates/postgres/src/scram/tests.rs
+++ b/crates/postgres/src/scram/tests.rs
@@ -29,17 +29,17 @@
     let verifier = Verifier::parse(&text).unwrap();
     assert_eq!(verifier.stored(), text);
     assert!(verifier.iterations == 4096 && verifier.salt == b"salt" && verifier.stored_key == [7; 32]);
-    for bad in [
+    for malformed in [
         "md5abc",
         "SCRAM-SHA-256$x:c2FsdA==$a:b",
         "SCRAM-SHA-256$4096:$a:b",
         "SCRAM-SHA-256$1:c2FsdA==$YQ==:YQ==",
     ] {
-        assert!(Verifier::parse(bad).is_err(), "{bad}");
+        assert!(Verifier::parse(malformed).is_err(), "{malformed}");
     }
-    let nobody = |name| Verifier::of_nobody(name, &[1; 32], Some(&verifier));
-    let a = nobody("x");
-    assert!(a == nobody("x") && a != nobody("y"));
+    let unknown_user = |name| Verifier::for_unknown_user(name, &[1; 32], Some(&verifier));
+    let a = unknown_user("x");
+    assert!(a == unknown_user("x") && a != unknown_user("y"));
     assert_eq!((a.iterations, a.salt.len()), (verifier.iterations, verifier.salt.len()));
     assert!(Exchange::begin(a, "p=tls-unique,,n=,r=abc", "s").is_err());
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -1,12 +1,12 @@
 //! Client sessions: each transaction is submitted to the core as one request.
 
 use crate::bridge::{Client, Transaction};
-use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
+use crate::classes::{classify, is_repeatable, statement_text, ClientIdentity, Rule};
 use crate::error::ClientError;
 use crate::io::{drain, fill};
 use crate::login::put_ready;
 use crate::statements::SessionEnd;
-use crate::track::Track;
+use crate::track::ConnectionTracker;
 use crate::upstream::Servers;
 use crate::wire::{header, Header, HEADER_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
@@ -62,12 +62,12 @@
             let answer = match first {
                 Ok(()) => self.run_transaction().await,
                 Err(reason) => {
-                    client.over.set(Some(reason));
+                    client.session_end.set(Some(reason));
                     Answer::Failed
                 }
             };
-            client.at.set(None);
-            let error = match client.over.get() {
+            client.cancel_target.set(None);
+            let error = match client.session_end.get() {
                 Some(SessionEnd::ClientLeft) => return,
                 Some(SessionEnd::InvalidMessage) => {
                     ClientError::fatal("08P01", "a message of an impossible length")
@@ -76,7 +76,7 @@
                     "54000",
                     "statements of a session are bounded: 1 MB each, 8 MB together, 100,000 messages ahead",
                 ),
-                None => match self.error_of(&answer) {
+                None => match self.error_for(&answer) {
                     Some(error) => error,
                     None => continue,
                 },
@@ -88,17 +88,17 @@
     }
 
     /// Returns the error that the client gets for the core's answer; `None` if its transaction was served.
-    fn error_of(&self, answer: &Answer) -> Option<ClientError> {
+    fn error_for(&self, answer: &Answer) -> Option<ClientError> {
         let client = &self.client;
-        let is_result_unknown = client.track.get().is_result_unknown();
+        let is_result_unknown = client.tracker.get().is_result_unknown();
         Some(match answer {
             Answer::Served(_) => return None,
             // The statement may be repeated, but the core makes no further attempt: report the loss of the server.
-            Answer::Rejected(_) if client.lost.get() && is_result_unknown => result_unknown(),
-            Answer::Rejected(after) => ClientError::refused(*after, client.sent.get()),
+            Answer::Rejected(_) if client.server_lost.get() && is_result_unknown => result_unknown(),
+            Answer::Rejected(after) => ClientError::no_capacity(*after, client.sent.get()),
             Answer::TimedOut => deadline_exceeded(),
             // The core cancelled the attempt shortly before the client's deadline.
-            Answer::Failed if client.sent.get() && !client.lost.get() => deadline_exceeded(),
+            Answer::Failed if client.sent.get() && !client.server_lost.get() => deadline_exceeded(),
             Answer::Failed if is_result_unknown => result_unknown(),
             Answer::Failed => ClientError::error("08006", "the server was lost before anything was done"),
         })
@@ -136,9 +136,9 @@
             let body = input.get(HEADER_BYTES..HEADER_BYTES + header.length)?;
             Some((header, body))
         });
-        let text = message.and_then(|(header, body)| statement(header.kind, body));
+        let text = message.and_then(|(header, body)| statement_text(header.kind, body));
         let default = ClassId(settings.config.classes.len().saturating_sub(1));
-        let class = class(&self.rules, &self.identity, text, default);
+        let class = classify(&self.rules, &self.identity, text, default);
         let has_no_side_effects = settings.config.classes[class.0].side_effects == SideEffects::None;
         let may_replay = |(header, body): &(Header, &[u8])| {
             has_no_side_effects && header.length <= MAX_REPLAY_BYTES && is_repeatable(header.kind, body)
@@ -152,7 +152,7 @@
     async fn run_transaction(&self) -> Answer {
         let settings = self.host.settings();
         let Classified { class, replay } = self.classify(&settings);
-        self.client.begin(replay);
+        self.client.begin_transaction(replay);
         let side_effects = settings.config.classes[class.0].side_effects;
         let time_left = settings.network.deadlines.get(class.0).copied().unwrap_or_default();
         let arrival = Arrival {
@@ -189,11 +189,12 @@
     /// session continues.
     async fn report_error(&self, error: ClientError) -> bool {
         debug!(code = error.code, fatal = error.fatal, "transaction not served");
-        if !self.client.down.borrow().is_at_boundary() {
+        if !self.client.to_client.borrow().is_at_boundary() {
             return false; // the client has received part of a message, which an error cannot follow
         }
-        let track = self.client.track.get();
-        let is_client_waiting = track.pending_ready() > 0 || track.needs_sync() || !self.client.sent.get();
+        let tracker = self.client.tracker.get();
+        let is_client_waiting =
+            tracker.pending_ready() > 0 || tracker.needs_sync() || !self.client.sent.get();
         if error.fatal || !is_client_waiting {
             ClientError { fatal: true, ..error }.put(&mut self.client.output.borrow_mut());
             // A client that waits for no reply learns only from the end of its session that its transaction was lost.
@@ -207,27 +208,28 @@
         // Each pending ReadyForQuery is sent. If none is pending, or a Sync is missing, the client expects one only
         // after its next Query, FunctionCall or Sync.
         let is_end = |kind| matches!(kind, b'Q' | b'F' | b'S');
-        if (track.pending_ready() == 0 || track.needs_sync()) && self.skip_until(is_end).await.is_err() {
+        if (tracker.pending_ready() == 0 || tracker.needs_sync()) && self.skip_until(is_end).await.is_err() {
             return false;
         }
         put_ready(&mut self.client.output.borrow_mut());
         // Each pending part of a pipeline gets the error: a ReadyForQuery alone would mean an empty result.
-        for _ in 1..track.pending_ready() {
+        for _ in 1..tracker.pending_ready() {
             error.put(&mut self.client.output.borrow_mut());
             put_ready(&mut self.client.output.borrow_mut());
         }
-        self.client.track.set(Track::default());
+        self.client.tracker.set(ConnectionTracker::default());
         drain(&self.client.output, &self.client.tcp).await.is_ok()
     }
 
     /// Skips the rest of a partially forwarded message.
     async fn skip_rest(&self) -> Result<(), SessionEnd> {
-        while !self.client.up.borrow().is_at_boundary() {
-            let (mut input, mut sink) = (self.client.input.take(), BytesMut::new());
-            let passed = self.client.up.borrow_mut().forward(&mut input, &mut sink, |_, _| false);
+        while !self.client.to_server.borrow().is_at_boundary() {
+            let (mut input, mut discarded) = (self.client.input.take(), BytesMut::new());
+            let forwarded =
+                self.client.to_server.borrow_mut().forward(&mut input, &mut discarded, |_, _| false);
             self.client.input.replace(input);
-            passed?;
-            if !self.client.up.borrow().is_at_boundary() {
+            forwarded?;
+            if !self.client.to_server.borrow().is_at_boundary() {
                 self.receive_more().await?;
             }
         }
@@ -238,8 +240,8 @@
     async fn skip_until(&self, is_end: impl Fn(u8) -> bool) -> Result<(), SessionEnd> {
         loop {
             self.skip_rest().await?;
-            let head = header(&self.client.input.borrow())?;
-            let Some(Header { kind, length }) = head else {
+            let next_header = header(&self.client.input.borrow())?;
+            let Some(Header { kind, length }) = next_header else {
                 self.receive_more().await?;
                 continue;
             };
@@ -247,7 +249,7 @@
                 return Err(SessionEnd::ClientLeft);
             }
             self.client.input.borrow_mut().advance(HEADER_BYTES);
-            self.client.up.borrow_mut().continue_message(length);
+            self.client.to_server.borrow_mut().continue_message(length);
             if is_end(kind) {
                 return self.skip_rest().await;
             }
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -11,13 +11,13 @@
 
 use crate::wire::{header, put, Header, WireError, HEADER_BYTES};
 use bytes::{Buf, BufMut, Bytes};
-use key::{leaves_traces, StatementKey};
+use key::{may_change_session, StatementKey};
 use names::{statement_name, text_end};
 use pending::{Completion, PendingReplies, PendingReply};
 use std::collections::HashMap;
 
 pub(crate) use direction::Direction;
-pub(crate) use key::Prepared;
+pub(crate) use key::PreparedKeys;
 pub(crate) use session_end::{Interrupted, SessionEnd};
 
 /// Maximum length of a named statement's Parse message, without its header, bytes.
@@ -39,7 +39,7 @@
     key: StatementKey,
     /// The body of its Parse message after the name.
     text: Bytes,
-    leaves_traces: bool,
+    may_change_session: bool,
 }
 
 /// A session's prepared statements, and the replies pending in the current transaction.
@@ -48,21 +48,21 @@
     /// The statements by the client's names.
     by_name: HashMap<Bytes, Statement>,
     /// The length of all texts together.
-    bytes: usize,
+    total_bytes: usize,
     pending: PendingReplies,
     /// Whether the server connection may have session state that must not be visible to other clients.
-    pub(crate) is_tainted: bool,
+    pub(crate) has_session_state: bool,
 }
 
 impl PreparedStatements {
     /// Begins a transaction, which may use another server connection than the one before.
     pub(crate) fn begin_transaction(&mut self) {
         self.pending.clear();
-        self.is_tainted = false;
+        self.has_session_state = false;
     }
 
     /// Adds a pending reply.
-    fn expect(&mut self, reply: PendingReply) -> Result<(), SessionEnd> {
+    fn push_pending(&mut self, reply: PendingReply) -> Result<(), SessionEnd> {
         self.pending.push(reply);
         if self.pending.len() > MAX_PENDING_REPLIES {
             return Err(SessionEnd::LimitExceeded);
@@ -74,11 +74,11 @@
     ///
     /// # Errors
     /// Returns why the session ends; the messages before that were forwarded.
-    pub(crate) fn forward_to_server(&mut self, link: &mut Direction<'_>) -> Result<usize, Interrupted> {
-        let available = link.from.len();
+    pub(crate) fn forward_to_server(&mut self, direction: &mut Direction<'_>) -> Result<usize, Interrupted> {
+        let available = direction.from.len();
         loop {
-            let progress = self.forward_request(link);
-            let taken = available - link.from.len();
+            let progress = self.forward_request(direction);
+            let taken = available - direction.from.len();
             match progress {
                 Ok(true) => {}
                 Ok(false) => return Ok(taken),
@@ -88,82 +88,85 @@
     }
 
     /// Forwards one message, or part of one; returns whether there may be more to forward.
-    fn forward_request(&mut self, link: &mut Direction<'_>) -> Result<bool, SessionEnd> {
-        if !link.forwarder.is_at_boundary() {
-            link.forward_rest()?;
-            return Ok(link.forwarder.is_at_boundary());
+    fn forward_request(&mut self, direction: &mut Direction<'_>) -> Result<bool, SessionEnd> {
+        if !direction.forwarder.is_at_boundary() {
+            direction.forward_rest()?;
+            return Ok(direction.forwarder.is_at_boundary());
         }
-        let Some(header) = header(link.from)? else { return Ok(false) };
-        let available = &link.from[HEADER_BYTES..link.from.len().min(HEADER_BYTES + header.length)];
+        let Some(header) = header(direction.from)? else { return Ok(false) };
+        let available = &direction.from[HEADER_BYTES..direction.from.len().min(HEADER_BYTES + header.length)];
         let is_complete = available.len() == header.length;
         let names_statement = available.first() == Some(&b'S') && header.length > 2;
         match header.kind {
             b'X' => return Err(SessionEnd::ClientLeft),
             b'P' if available.first().is_some_and(|byte| *byte != 0) => {
-                return self.forward_parse(link, header);
+                return self.forward_parse(direction, header);
             }
-            b'B' => return self.forward_bind(link, header),
-            b'D' if names_statement => return self.forward_describe(link, header),
-            b'C' if names_statement => return self.forward_close(link, header),
+            b'B' => return self.forward_bind(direction, header),
+            b'D' if names_statement => return self.forward_describe(direction, header),
+            b'C' if names_statement => return self.forward_close(direction, header),
             // A text that has not arrived completely may change the session in any way.
-            b'Q' => self.is_tainted |= !is_complete || leaves_traces(available),
-            b'P' => self.is_tainted |= !is_complete || leaves_traces(available.get(1..).unwrap_or_default()),
+            b'Q' => self.has_session_state |= !is_complete || may_change_session(available),
+            b'P' => {
+                self.has_session_state |=
+                    !is_complete || may_change_session(available.get(1..).unwrap_or_default())
+            }
             _ => {}
         }
-        self.forward_unchanged(link, header.kind)
+        self.forward_unchanged(direction, header.kind)
     }
 
     /// Forwards a message as it is.
-    fn forward_unchanged(&mut self, link: &mut Direction<'_>, kind: u8) -> Result<bool, SessionEnd> {
-        if link.forward_next()?.is_none() {
+    fn forward_unchanged(&mut self, direction: &mut Direction<'_>, kind: u8) -> Result<bool, SessionEnd> {
+        if direction.forward_next()?.is_none() {
             return Ok(false);
         }
-        let was_copying = link.track.is_copying();
-        link.track.sent(kind);
+        let was_copying = direction.tracker.is_copying();
+        direction.tracker.message_sent(kind);
         match kind {
-            b'P' => self.expect(PendingReply::ParsedUnnamed)?,
-            b'C' => self.expect(PendingReply::Closed(Completion::Closed))?,
-            b'Q' | b'F' => self.expect(PendingReply::Ready)?,
-            b'S' if !was_copying => self.expect(PendingReply::Ready)?,
+            b'P' => self.push_pending(PendingReply::ParsedUnnamed)?,
+            b'C' => self.push_pending(PendingReply::Closed(Completion::Closed))?,
+            b'Q' | b'F' => self.push_pending(PendingReply::Ready)?,
+            b'S' if !was_copying => self.push_pending(PendingReply::Ready)?,
             _ => {}
         }
         Ok(true)
     }
 
     /// Handles the Parse of a named statement: sends the text under its server name, unless it is already prepared.
-    fn forward_parse(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
+    fn forward_parse(&mut self, direction: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         if header.length > MAX_STATEMENT_BYTES {
             return Err(SessionEnd::LimitExceeded);
         }
-        let Some(mut text) = link.take_message(MAX_STATEMENT_BYTES)? else { return Ok(false) };
+        let Some(mut text) = direction.take_message(MAX_STATEMENT_BYTES)? else { return Ok(false) };
         let name_end = text_end(&text, 0).ok_or(SessionEnd::InvalidMessage)?;
         let client_name = text.split_to(name_end);
         text.advance(1);
         let key = StatementKey::of(&text);
-        let leaves_traces = leaves_traces(&text);
-        self.bytes += text.len();
-        if self.bytes > MAX_SESSION_BYTES || client_name.len() > MAX_NAME_BYTES {
+        let may_change_session = may_change_session(&text);
+        self.total_bytes += text.len();
+        if self.total_bytes > MAX_SESSION_BYTES || client_name.len() > MAX_NAME_BYTES {
             return Err(SessionEnd::LimitExceeded);
         }
-        if self.needs_parse(&key, link)? {
-            put(link.to, b'P', &[key.server_name().as_bytes(), b"\0", &text].concat());
-            self.expect(PendingReply::Parsed { key, by_proxy: false })?;
+        if self.needs_parse(&key, direction)? {
+            put(direction.to, b'P', &[key.server_name().as_bytes(), b"\0", &text].concat());
+            self.push_pending(PendingReply::Parsed { key, by_proxy: false })?;
         } else {
             // The text is already prepared. A Close without effect is sent instead: its reply is as long as a
             // ParseComplete and takes the place of one.
-            put(link.to, b'C', CLOSE_NONEXISTENT);
-            self.expect(PendingReply::Closed(Completion::Parsed))?;
+            put(direction.to, b'C', CLOSE_NONEXISTENT);
+            self.push_pending(PendingReply::Closed(Completion::Parsed))?;
         }
-        let previous = self.by_name.insert(client_name, Statement { key, text, leaves_traces });
-        self.bytes -= previous.map_or(0, |previous| previous.text.len());
-        link.track.sent(b'P');
+        let previous = self.by_name.insert(client_name, Statement { key, text, may_change_session });
+        self.total_bytes -= previous.map_or(0, |previous| previous.text.len());
+        direction.tracker.message_sent(b'P');
         Ok(true)
     }
 
     /// Forwards a Bind, with the client's statement name replaced by the server's.
-    fn forward_bind(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
+    fn forward_bind(&mut self, direction: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         let Header { kind, length } = header;
-        let available = &link.from[HEADER_BYTES..link.from.len().min(HEADER_BYTES + length)];
+        let available = &direction.from[HEADER_BYTES..direction.from.len().min(HEADER_BYTES + length)];
         let portal_end = text_end(available, 0);
         let name_end = portal_end.and_then(|portal_end| text_end(available, portal_end + 1));
         let (Some(portal_end), Some(name_end)) = (portal_end, name_end) else {
@@ -172,67 +175,71 @@
         };
         let name_start = portal_end + 1;
         let Some(statement) = self.by_name.get(&available[name_start..name_end]).cloned() else {
-            return self.forward_unchanged(link, kind);
+            return self.forward_unchanged(direction, kind);
         };
-        self.ensure_prepared(&statement, link)?;
-        self.is_tainted |= statement.leaves_traces;
+        self.ensure_prepared(&statement, direction)?;
+        self.has_session_state |= statement.may_change_session;
         let server_name = statement.key.server_name();
-        link.to.put_u8(b'B');
-        link.to.put_u32((length + 4 + server_name.len() - (name_end - name_start)) as u32);
-        link.to.put_slice(&link.from[HEADER_BYTES..HEADER_BYTES + name_start]);
-        link.to.put_slice(server_name.as_bytes());
-        link.from.advance(HEADER_BYTES + name_end);
-        link.forwarder.continue_message(length - name_end);
-        link.track.sent(b'B');
+        direction.to.put_u8(b'B');
+        direction.to.put_u32((length + 4 + server_name.len() - (name_end - name_start)) as u32);
+        direction.to.put_slice(&direction.from[HEADER_BYTES..HEADER_BYTES + name_start]);
+        direction.to.put_slice(server_name.as_bytes());
+        direction.from.advance(HEADER_BYTES + name_end);
+        direction.forwarder.continue_message(length - name_end);
+        direction.tracker.message_sent(b'B');
         Ok(true)
     }
 
     /// Forwards a Describe of a named statement, with the client's name replaced by the server's.
-    fn forward_describe(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
-        let Some(body) = take_named(link, header)? else { return Ok(false) };
+    fn forward_describe(
+        &mut self, direction: &mut Direction<'_>, header: Header,
+    ) -> Result<bool, SessionEnd> {
+        let Some(body) = take_named(direction, header)? else { return Ok(false) };
         match self.by_name.get(statement_name(&body)?).cloned() {
             Some(statement) => {
-                self.ensure_prepared(&statement, link)?;
-                put(link.to, b'D', format!("S{}\0", statement.key.server_name()).as_bytes());
+                self.ensure_prepared(&statement, direction)?;
+                put(direction.to, b'D', format!("S{}\0", statement.key.server_name()).as_bytes());
             }
-            None => put(link.to, b'D', &body),
+            None => put(direction.to, b'D', &body),
         }
-        link.track.sent(b'D');
+        direction.tracker.message_sent(b'D');
         Ok(true)
     }
 
     /// Forwards a Close of a named statement under the client's name, which the server does not know: other clients may
     /// use the text, so that it stays prepared.
-    fn forward_close(&mut self, link: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
-        let Some(body) = take_named(link, header)? else { return Ok(false) };
+    fn forward_close(&mut self, direction: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
+        let Some(body) = take_named(direction, header)? else { return Ok(false) };
         let removed = self.by_name.remove(statement_name(&body)?);
-        self.bytes -= removed.map_or(0, |removed| removed.text.len());
-        put(link.to, b'C', &body);
-        link.track.sent(b'C');
-        self.expect(PendingReply::Closed(Completion::Closed))?;
+        self.total_bytes -= removed.map_or(0, |removed| removed.text.len());
+        put(direction.to, b'C', &body);
+        direction.tracker.message_sent(b'C');
+        self.push_pending(PendingReply::Closed(Completion::Closed))?;
         Ok(true)
     }
 
     /// Returns whether the text has to be sent to the server. If an earlier part of the pipeline sends it but may still
     /// fail, appends a Close first, so that the text can be sent again.
-    fn needs_parse(&mut self, key: &StatementKey, link: &mut Direction<'_>) -> Result<bool, SessionEnd> {
-        if link.prepared.insert(*key) {
+    fn needs_parse(&mut self, key: &StatementKey, direction: &mut Direction<'_>) -> Result<bool, SessionEnd> {
+        if direction.prepared.insert(*key) {
             return Ok(true);
         }
         if !self.pending.may_fail_to_prepare(key) {
             return Ok(false);
         }
-        put(link.to, b'C', format!("S{}\0", key.server_name()).as_bytes());
-        self.expect(PendingReply::Closed(Completion::Suppressed))?;
+        put(direction.to, b'C', format!("S{}\0", key.server_name()).as_bytes());
+        self.push_pending(PendingReply::Closed(Completion::Suppressed))?;
         Ok(true)
     }
 
     /// Prepares a statement on the server connection if it is not prepared there yet.
-    fn ensure_prepared(&mut self, statement: &Statement, link: &mut Direction<'_>) -> Result<(), SessionEnd> {
+    fn ensure_prepared(
+        &mut self, statement: &Statement, direction: &mut Direction<'_>,
+    ) -> Result<(), SessionEnd> {
         let key = statement.key;
-        if self.needs_parse(&key, link)? {
-            put(link.to, b'P', &[key.server_name().as_bytes(), b"\0", &statement.text].concat());
-            self.expect(PendingReply::Parsed { key, by_proxy: true })?;
+        if self.needs_parse(&key, direction)? {
+            put(direction.to, b'P', &[key.server_name().as_bytes(), b"\0", &statement.text].concat());
+            self.push_pending(PendingReply::Parsed { key, by_proxy: true })?;
         }
         Ok(())
     }
@@ -241,24 +248,24 @@
     ///
     /// # Errors
     /// Returns an error if the length of a message is invalid.
-    pub(crate) fn forward_to_client(&mut self, link: &mut Direction<'_>) -> Result<(), WireError> {
+    pub(crate) fn forward_to_client(&mut self, direction: &mut Direction<'_>) -> Result<(), WireError> {
         loop {
-            if !link.forwarder.is_at_boundary() {
-                link.forward_rest()?;
-                if !link.forwarder.is_at_boundary() {
+            if !direction.forwarder.is_at_boundary() {
+                direction.forward_rest()?;
+                if !direction.forwarder.is_at_boundary() {
                     return Ok(());
                 }
             }
-            let Some(Header { kind, length }) = header(link.from)? else { return Ok(()) };
-            if matches!(kind, b'1' | b'3') && length == 0 && !self.translate_completion(link, kind) {
-                link.from.advance(HEADER_BYTES);
+            let Some(Header { kind, length }) = header(direction.from)? else { return Ok(()) };
+            if matches!(kind, b'1' | b'3') && length == 0 && !self.translate_completion(direction, kind) {
+                direction.from.advance(HEADER_BYTES);
                 continue;
             }
-            let Some(first_byte) = link.forward_next()? else { return Ok(()) };
-            link.track.received(kind, first_byte);
+            let Some(first_byte) = direction.forward_next()? else { return Ok(()) };
+            direction.tracker.message_received(kind, first_byte);
             // After an error the server ignores everything up to the next Sync.
             if matches!(kind, b'E' | b'Z') {
-                self.pending.drop_until_ready(link.prepared);
+                self.pending.drop_until_ready(direction.prepared);
             }
             if kind == b'Z' {
                 self.pending.pop();
@@ -267,10 +274,10 @@
     }
 
     /// Turns a ParseComplete or CloseComplete into the reply that the client expects; returns whether it expects one.
-    fn translate_completion(&mut self, link: &mut Direction<'_>, kind: u8) -> bool {
+    fn translate_completion(&mut self, direction: &mut Direction<'_>, kind: u8) -> bool {
         let pending = self.pending.front();
         if let (b'1', Some(PendingReply::Parsed { key, .. })) = (kind, pending) {
-            link.prepared.insert(key);
+            direction.prepared.insert(key);
         }
         let completion = match (kind, pending) {
             (b'1', Some(PendingReply::Parsed { by_proxy: true, .. })) => Completion::Suppressed,
@@ -282,8 +289,8 @@
             self.pending.pop();
         }
         match completion {
-            Completion::Closed => link.from[0] = b'3',
-            Completion::Parsed => link.from[0] = b'1',
+            Completion::Closed => direction.from[0] = b'3',
+            Completion::Parsed => direction.from[0] = b'1',
             Completion::Suppressed => return false,
         }
         true
@@ -291,11 +298,11 @@
 }
 
 /// Takes a Describe or Close of a named statement; returns `None` if it is not complete yet.
-fn take_named(link: &mut Direction<'_>, header: Header) -> Result<Option<Bytes>, SessionEnd> {
+fn take_named(direction: &mut Direction<'_>, header: Header) -> Result<Option<Bytes>, SessionEnd> {
     if header.length > MAX_NAME_BYTES {
         return Err(SessionEnd::InvalidMessage);
     }
-    Ok(link.take_message(MAX_NAME_BYTES)?)
+    Ok(direction.take_message(MAX_NAME_BYTES)?)
 }
 
 #[cfg(test)]
--- a/crates/postgres/src/statements/direction.rs
+++ b/crates/postgres/src/statements/direction.rs
@@ -1,7 +1,7 @@
 //! The buffers and the state of one direction between a client and a server connection.
 
-use super::key::Prepared;
-use crate::track::Track;
+use super::key::PreparedKeys;
+use crate::track::ConnectionTracker;
 use crate::wire::{message, Forwarder, Header, Message, WireError};
 use bytes::{Bytes, BytesMut};
 
@@ -10,13 +10,13 @@
     /// The position within the current message.
     pub(crate) forwarder: &'a mut Forwarder,
     /// The state of the server connection.
-    pub(crate) track: &'a mut Track,
+    pub(crate) tracker: &'a mut ConnectionTracker,
     /// Bytes received and not yet forwarded.
     pub(crate) from: &'a mut BytesMut,
     /// Bytes to be sent.
     pub(crate) to: &'a mut BytesMut,
     /// The texts prepared on the server connection.
-    pub(crate) prepared: &'a mut Prepared,
+    pub(crate) prepared: &'a mut PreparedKeys,
 }
 
 impl Direction<'_> {
--- a/crates/postgres/src/statements/key.rs
+++ b/crates/postgres/src/statements/key.rs
@@ -12,7 +12,7 @@
 pub(crate) struct StatementKey([u8; KEY_BYTES]);
 
 /// The texts prepared on a server connection.
-pub(crate) type Prepared = HashSet<StatementKey>;
+pub(crate) type PreparedKeys = HashSet<StatementKey>;
 
 impl StatementKey {
     /// Computes the key of the part of a Parse message after the statement's name.
@@ -38,7 +38,7 @@
 /// Returns whether a text may have an effect that outlives its transaction: settings, listeners, temporary tables,
 /// locks, or the loss of prepared statements. Compares words without parsing the text, so that a harmless text may
 /// match too.
-pub(super) fn leaves_traces(text: &[u8]) -> bool {
+pub(super) fn may_change_session(text: &[u8]) -> bool {
     let text = String::from_utf8_lossy(text).to_ascii_lowercase();
     let begins = |words: &str| text.split(';').any(|statement| statement.trim_start().starts_with(words));
     let is_session_setting = begins("set ") && !LOCAL_SETTINGS.iter().any(|words| begins(words));
--- a/crates/postgres/src/statements/pending.rs
+++ b/crates/postgres/src/statements/pending.rs
@@ -1,6 +1,6 @@
 //! The pending replies of a server that the proxy has to recognize, in order.
 
-use super::key::{Prepared, StatementKey};
+use super::key::{PreparedKeys, StatementKey};
 use std::collections::VecDeque;
 
 /// A reply that the server has yet to send.
@@ -37,13 +37,13 @@
 pub(super) struct PendingReplies {
     replies: VecDeque<PendingReply>,
     /// Number of ParseCompletes for named statements among them.
-    parses: usize,
+    pending_parses: usize,
 }
 
 impl PendingReplies {
     pub(super) fn clear(&mut self) {
         self.replies.clear();
-        self.parses = 0;
+        self.pending_parses = 0;
     }
 
     pub(super) fn len(&self) -> usize {
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn push(&mut self, reply: PendingReply) {
-        self.parses += usize::from(matches!(reply, PendingReply::Parsed { .. }));
+        self.pending_parses += usize::from(matches!(reply, PendingReply::Parsed { .. }));
         self.replies.push_back(reply);
     }
 
@@ -62,12 +62,12 @@
     /// Removes the next reply, which has arrived or will not be sent.
     pub(super) fn pop(&mut self) {
         let reply = self.replies.pop_front();
-        self.parses -= usize::from(matches!(reply, Some(PendingReply::Parsed { .. })));
+        self.pending_parses -= usize::from(matches!(reply, Some(PendingReply::Parsed { .. })));
     }
 
     /// Removes the replies before the next ReadyForQuery, which the server does not send after an error, and removes
     /// their texts from `prepared`.
-    pub(super) fn drop_until_ready(&mut self, prepared: &mut Prepared) {
+    pub(super) fn drop_until_ready(&mut self, prepared: &mut PreparedKeys) {
         while let Some(reply) = self.front().filter(|reply| *reply != PendingReply::Ready) {
             if let PendingReply::Parsed { key, .. } = reply {
                 prepared.remove(&key);
@@ -79,7 +79,7 @@
     /// Returns whether an earlier part of the pipeline, before a Sync, prepares this text and may still fail: the
     /// present part is executed even then.
     pub(super) fn may_fail_to_prepare(&self, key: &StatementKey) -> bool {
-        if self.parses == 0 {
+        if self.pending_parses == 0 {
             return false;
         }
         let is_parse =
--- a/crates/postgres/src/track.rs
+++ b/crates/postgres/src/track.rs
@@ -6,7 +6,7 @@
 
 /// Tracks the state of a connection from the types of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Track {
+pub struct ConnectionTracker {
     /// Number of ReadyForQuery messages that the server has yet to send.
     pending_ready: u32,
     /// The status in the last ReadyForQuery: idle, in a transaction, or in a failed transaction.
@@ -19,9 +19,9 @@
     is_running: bool,
 }
 
-impl Default for Track {
-    fn default() -> Track {
-        Track {
+impl Default for ConnectionTracker {
+    fn default() -> ConnectionTracker {
+        ConnectionTracker {
             pending_ready: 0,
             transaction_status: STATUS_IDLE,
             needs_sync: false,
@@ -31,9 +31,9 @@
     }
 }
 
-impl Track {
+impl ConnectionTracker {
     /// Updates the state for a message of type `kind` from the client.
-    pub fn sent(&mut self, kind: u8) {
+    pub fn message_sent(&mut self, kind: u8) {
         match kind {
             b'Q' | b'F' => {
                 self.pending_ready += 1;
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Updates the state for a message of type `kind` from the server, whose body begins with `first`.
-    pub fn received(&mut self, kind: u8, first: Option<u8>) {
+    /// Updates the state for a message of type `kind` from the server, whose body begins with `first_byte`.
+    pub fn message_received(&mut self, kind: u8, first_byte: Option<u8>) {
         match kind {
             b'Z' => {
                 self.pending_ready = self.pending_ready.saturating_sub(1);
-                self.transaction_status = first.unwrap_or(STATUS_IDLE);
+                self.transaction_status = first_byte.unwrap_or(STATUS_IDLE);
                 self.is_running &= self.pending_ready > 0;
                 self.is_copying = false;
             }
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: establishing them, logging in, and the pool of idle ones.
 
 use crate::io::{drain, fill};
-use crate::statements::Prepared;
+use crate::statements::PreparedKeys;
 use crate::wire::{message, put, CancelKey, Message, Parameter, WireError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lotusdeck_core::{to_duration, ConnectionPools};
@@ -19,7 +19,7 @@
 use tracing::warn;
 
 /// Maximum length of a message from a server during login, without its header, bytes.
-const MAX_GREETING: usize = 64 * 1024;
+const MAX_LOGIN_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// The credentials of the proxy at its servers.
 #[derive(Clone, Debug)]
@@ -34,13 +34,13 @@
 
 /// The number of open connections, and the tasks that wait for one.
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     count: Cell<usize>,
     freed: Notify,
 }
 
 /// The place of an open connection in the count; dropping it frees the place.
-struct Slot(Rc<Open>);
+struct Slot(Rc<OpenConnections>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
@@ -53,7 +53,7 @@
 /// transaction.
 pub(crate) struct Upstream {
     pub tcp: TcpStream,
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// Bytes received and not yet forwarded.
     pub input: RefCell<BytesMut>,
     /// Bytes to be written.
@@ -61,9 +61,9 @@
     /// The key of a CancelRequest for this connection.
     pub cancel_key: CancelKey,
     /// The texts that are prepared on this connection.
-    pub prepared: RefCell<Prepared>,
+    pub prepared: RefCell<PreparedKeys>,
     /// When it became idle, or was established.
-    since: Instant,
+    idle_since: Instant,
     _slot: Slot,
 }
 
@@ -72,46 +72,46 @@
     login: Login,
     /// The idle connections of each backend, in the order in which they became idle.
     idle: RefCell<HashMap<BackendId, Vec<Upstream>>>,
-    open: Rc<Open>,
-    most: usize,
-    keep: Cell<Duration>,
+    open: Rc<OpenConnections>,
+    max_connections: usize,
+    idle_timeout: Cell<Duration>,
     connect_timeout: Cell<Duration>,
     /// The parameters that a server reported during the latest login.
-    params: RefCell<Vec<Parameter>>,
+    parameters: RefCell<Vec<Parameter>>,
 }
 
 /// Why a login to a server failed.
-enum Refusal {
+enum LoginFailure {
     Io,
-    Wire(WireError),
+    Protocol(WireError),
     /// The SQLSTATE of the server's error.
-    Said(String),
+    ServerError(String),
     /// The server requests an authentication that the proxy cannot perform.
-    Way(&'static str),
+    Unsupported(&'static str),
 }
 
-impl From<std::io::Error> for Refusal {
-    fn from(_: std::io::Error) -> Refusal {
-        Refusal::Io
+impl From<std::io::Error> for LoginFailure {
+    fn from(_: std::io::Error) -> LoginFailure {
+        LoginFailure::Io
     }
 }
-impl From<WireError> for Refusal {
-    fn from(e: WireError) -> Refusal {
-        Refusal::Wire(e)
+impl From<WireError> for LoginFailure {
+    fn from(e: WireError) -> LoginFailure {
+        LoginFailure::Protocol(e)
     }
 }
 
 impl Servers {
-    /// Creates a pool without connections; at most `most` will be open at a time.
-    pub fn new(login: Login, network: &NetworkSettings, most: usize) -> Rc<Servers> {
+    /// Creates a pool without connections; at most `max_connections` will be open at a time.
+    pub fn new(login: Login, network: &NetworkSettings, max_connections: usize) -> Rc<Servers> {
         Rc::new(Servers {
             login,
             idle: RefCell::default(),
             open: Rc::default(),
-            most,
-            keep: Cell::new(to_duration(network.idle_timeout)),
+            max_connections,
+            idle_timeout: Cell::new(to_duration(network.idle_timeout)),
             connect_timeout: Cell::new(to_duration(network.connect_timeout)),
-            params: RefCell::default(),
+            parameters: RefCell::default(),
         })
     }
 
@@ -121,43 +121,45 @@
     }
 
     /// Returns the parameters that a server reported during the latest login (ParameterStatus).
-    pub fn params(&self) -> Vec<Parameter> {
-        self.params.borrow().clone()
+    pub fn parameters(&self) -> Vec<Parameter> {
+        self.parameters.borrow().clone()
     }
 
     /// Takes an idle connection to a backend, or establishes one. If the maximum number is open and none is idle, waits
     /// until one becomes idle or is closed; those that wait are woken in order of arrival. The core cancels attempts
     /// whose deadline passes meanwhile.
-    pub(crate) async fn take(&self, id: BackendId, to: SocketAddr) -> Result<Upstream, Outcome> {
+    pub(crate) async fn acquire(&self, id: BackendId, address: SocketAddr) -> Result<Upstream, Outcome> {
         loop {
-            if let Some(kept) = self.kept(id, to) {
-                return Ok(kept);
+            if let Some(upstream) = self.take_idle(id, address) {
+                return Ok(upstream);
             }
-            if self.open_connections() < self.most || self.close_oldest() {
-                return self.connect(to).await;
+            if self.open_connections() < self.max_connections || self.close_oldest() {
+                return self.connect(address).await;
             }
             self.open.freed.notified().await;
         }
     }
 
     /// Takes the most recently used idle connection to a backend, after closing those that are unusable.
-    fn kept(&self, id: BackendId, to: SocketAddr) -> Option<Upstream> {
+    fn take_idle(&self, id: BackendId, address: SocketAddr) -> Option<Upstream> {
         let mut idle = self.idle.borrow_mut();
-        let of = idle.entry(id).or_default();
+        let connections = idle.entry(id).or_default();
         // An idle connection that has become readable is not used: as a rule the server is closing it.
-        let silent = |u: &Upstream| {
+        let is_silent = |u: &Upstream| {
             let read = u.tcp.try_read(&mut [0]);
             matches!(read, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
         };
-        of.retain(|u| u.to == to && u.since.elapsed() < self.keep.get() && silent(u));
-        of.pop()
+        connections.retain(|u| {
+            u.address == address && u.idle_since.elapsed() < self.idle_timeout.get() && is_silent(u)
+        });
+        connections.pop()
     }
 
     /// Returns a connection to the pool; closes it if no connections to the backend are to be kept.
-    pub(crate) fn put(&self, id: BackendId, mut upstream: Upstream) {
-        if let Some(of) = self.idle.borrow_mut().get_mut(&id) {
-            upstream.since = Instant::now();
-            of.push(upstream);
+    pub(crate) fn release(&self, id: BackendId, mut upstream: Upstream) {
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&id) {
+            upstream.idle_since = Instant::now();
+            connections.push(upstream);
             self.open.freed.notify_one();
         }
     }
@@ -165,36 +167,41 @@
     /// Closes the connection that has been idle longest; returns whether there was an idle one.
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let some = idle.values_mut().filter(|of| !of.is_empty());
-        some.min_by_key(|of| of[0].since).map(|of| of.remove(0)).is_some()
+        let non_empty = idle.values_mut().filter(|connections| !connections.is_empty());
+        non_empty
+            .min_by_key(|connections| connections[0].idle_since)
+            .map(|connections| connections.remove(0))
+            .is_some()
     }
 
-    async fn connect(&self, to: SocketAddr) -> Result<Upstream, Outcome> {
+    async fn connect(&self, address: SocketAddr) -> Result<Upstream, Outcome> {
         self.open.count.set(self.open_connections() + 1);
         let slot = Slot(self.open.clone());
-        let login = tokio::time::timeout(self.connect_timeout.get(), self.log_in(to)).await;
+        let login = tokio::time::timeout(self.connect_timeout.get(), self.log_in(address)).await;
         match login {
             Ok(Ok((tcp, input, key))) => {
                 let (input, output) = (RefCell::new(input), RefCell::default());
                 let prepared = RefCell::default();
                 Ok(Upstream {
                     tcp,
-                    to,
+                    address,
                     input,
                     output,
                     cancel_key: key,
                     prepared,
-                    since: Instant::now(),
+                    idle_since: Instant::now(),
                     _slot: slot,
                 })
             }
-            Ok(Err(Refusal::Said(code))) if code == "53300" || code == "57P03" => Err(Outcome::Rejected),
-            Ok(Err(refusal)) => {
-                match refusal {
-                    Refusal::Io => {}
-                    Refusal::Wire(e) => warn!(server = %to, error = %e, "login failed"),
-                    Refusal::Said(code) => warn!(server = %to, code, "login refused"),
-                    Refusal::Way(what) => warn!(server = %to, what, "login failed"),
+            Ok(Err(LoginFailure::ServerError(code))) if code == "53300" || code == "57P03" => {
+                Err(Outcome::Rejected)
+            }
+            Ok(Err(failure)) => {
+                match failure {
+                    LoginFailure::Io => {}
+                    LoginFailure::Protocol(e) => warn!(server = %address, error = %e, "login failed"),
+                    LoginFailure::ServerError(code) => warn!(server = %address, code, "login refused"),
+                    LoginFailure::Unsupported(what) => warn!(server = %address, what, "login failed"),
                 }
                 Err(Outcome::ConnectFailed)
             }
@@ -202,8 +209,8 @@
         }
     }
 
-    async fn log_in(&self, to: SocketAddr) -> Result<(TcpStream, BytesMut, CancelKey), Refusal> {
-        let tcp = TcpStream::connect(to).await?;
+    async fn log_in(&self, address: SocketAddr) -> Result<(TcpStream, BytesMut, CancelKey), LoginFailure> {
+        let tcp = TcpStream::connect(address).await?;
         tcp.set_nodelay(true)?;
         let (input, output) = (RefCell::<BytesMut>::default(), RefCell::<BytesMut>::default());
         let mut start = BytesMut::new();
@@ -217,26 +224,26 @@
         start.put_u8(0);
         output.borrow_mut().put_u32(start.len() as u32 + 4);
         output.borrow_mut().put_slice(&start);
-        let (mut scram, mut key, mut params) = (None, CancelKey::default(), Vec::new());
+        let (mut scram, mut key, mut parameters) = (None, CancelKey::default(), Vec::new());
         loop {
             drain(&output, &tcp).await?;
-            let next = message(&mut input.borrow_mut(), MAX_GREETING)?;
+            let next = message(&mut input.borrow_mut(), MAX_LOGIN_MESSAGE_BYTES)?;
             let Some(Message { kind, mut body }) = next else {
                 if fill(&tcp, &input).await? == 0 {
-                    return Err(Refusal::Io);
+                    return Err(LoginFailure::Io);
                 }
                 continue;
             };
             match kind {
-                b'R' => self.prove(&mut body, &mut scram, &mut output.borrow_mut())?,
-                b'S' => params.extend(pair(&body)),
+                b'R' => self.authenticate(&mut body, &mut scram, &mut output.borrow_mut())?,
+                b'S' => parameters.extend(parse_parameter(&body)),
                 b'K' if body.len() >= 8 => {
                     key.process_id = body.get_i32();
                     key.secret = body.get_i32();
                 }
-                b'E' => return Err(Refusal::Said(code(&body))),
+                b'E' => return Err(LoginFailure::ServerError(sqlstate(&body))),
                 b'Z' => {
-                    *self.params.borrow_mut() = params;
+                    *self.parameters.borrow_mut() = parameters;
                     return Ok((tcp, input.into_inner(), key));
                 }
                 _ => {}
@@ -245,27 +252,32 @@
     }
 
     /// Handles an authentication request of the server, and appends the response to `out`.
-    fn prove(
+    fn authenticate(
         &self, body: &mut Bytes, scram: &mut Option<ScramSha256>, out: &mut BytesMut,
-    ) -> Result<(), Refusal> {
-        const SHORT: Refusal = Refusal::Wire(WireError::Malformed { kind: 'R', reason: "too short" });
+    ) -> Result<(), LoginFailure> {
+        const TOO_SHORT: LoginFailure =
+            LoginFailure::Protocol(WireError::Malformed { kind: 'R', reason: "too short" });
         if body.len() < 4 {
-            return Err(SHORT);
+            return Err(TOO_SHORT);
         }
         match (body.get_u32(), scram.as_mut()) {
             (0, _) => Ok(()),
             (10, _) => {
-                let password = self.login.password.as_ref().ok_or(Refusal::Way("it asks for a password"))?;
+                let password = self
+                    .login
+                    .password
+                    .as_ref()
+                    .ok_or(LoginFailure::Unsupported("it asks for a password"))?;
                 if !body.split(|b| *b == 0).any(|m| m == crate::scram::MECHANISM.as_bytes()) {
-                    return Err(Refusal::Way("it does not offer SCRAM-SHA-256"));
+                    return Err(LoginFailure::Unsupported("it does not offer SCRAM-SHA-256"));
                 }
-                let own = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
+                let new_scram = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
                 let mut first = crate::scram::MECHANISM.as_bytes().to_vec();
                 first.push(0);
-                first.extend((own.message().len() as u32).to_be_bytes());
-                first.extend(own.message());
+                first.extend((new_scram.message().len() as u32).to_be_bytes());
+                first.extend(new_scram.message());
                 put(out, b'p', &first);
-                *scram = Some(own);
+                *scram = Some(new_scram);
                 Ok(())
             }
             (11, Some(scram)) => {
@@ -274,19 +286,19 @@
                 Ok(())
             }
             (12, Some(scram)) => Ok(scram.finish(body)?),
-            _ => Err(Refusal::Way("it asks for another way than SCRAM-SHA-256")),
+            _ => Err(LoginFailure::Unsupported("it asks for another way than SCRAM-SHA-256")),
         }
     }
 }
 
 /// Parses a name and a value, each ended by a zero byte.
-fn pair(body: &[u8]) -> Option<Parameter> {
+fn parse_parameter(body: &[u8]) -> Option<Parameter> {
     let mut texts = body.split(|b| *b == 0).map(|t| String::from_utf8_lossy(t).into_owned());
     Some(Parameter { name: texts.next()?, value: texts.next()? })
 }
 
 /// Returns the SQLSTATE of an ErrorResponse; an empty text if it has none.
-fn code(body: &[u8]) -> String {
+fn sqlstate(body: &[u8]) -> String {
     let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&b'C'));
     field.map(|f| String::from_utf8_lossy(&f[1..]).into_owned()).unwrap_or_default()
 }
@@ -303,13 +315,13 @@
     /// Closes the connections to the backend that were already idle at `sent`: they may be broken without having been
     /// closed.
     fn attempt_unanswered(&self, backend: BackendId, sent: Instant) {
-        if let Some(of) = self.idle.borrow_mut().get_mut(&backend) {
-            of.retain(|u| u.since > sent);
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&backend) {
+            connections.retain(|u| u.idle_since > sent);
         }
     }
 
     fn apply_settings(&self, network: &NetworkSettings) {
-        self.keep.set(to_duration(network.idle_timeout));
+        self.idle_timeout.set(to_duration(network.idle_timeout));
         self.connect_timeout.set(to_duration(network.connect_timeout));
     }
 }
--- a/crates/postgres/src/wire/tests.rs
+++ b/crates/postgres/src/wire/tests.rs
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn invalid_opening_names_its_fault() {
-    let fault = |mut bytes: BytesMut| opening(&mut bytes).unwrap_err().to_string();
-    assert!(fault(BytesMut::from(&[0, 0, 0, 7][..])).contains("a length of 7"));
-    assert!(fault(BytesMut::from(&[0xff; 4][..])).contains("10000"));
-    assert!(fault(packet(2 << 16, b"\0")).contains("protocol 2.0"));
-    assert!(fault(packet(3 << 16, b"user\0ann\0\0x")).contains("behind its end"));
-    assert!(fault(packet(3 << 16, b"user\0\xff\0\0")).contains("UTF-8"));
-    assert!(fault(packet(80_877_102, b"\0")).contains("another length"));
+fn invalid_openings_give_specific_errors() {
+    let error_text = |mut bytes: BytesMut| opening(&mut bytes).unwrap_err().to_string();
+    assert!(error_text(BytesMut::from(&[0, 0, 0, 7][..])).contains("a length of 7"));
+    assert!(error_text(BytesMut::from(&[0xff; 4][..])).contains("10000"));
+    assert!(error_text(packet(2 << 16, b"\0")).contains("protocol 2.0"));
+    assert!(error_text(packet(3 << 16, b"user\0ann\0\0x")).contains("behind its end"));
+    assert!(error_text(packet(3 << 16, b"user\0\xff\0\0")).contains("UTF-8"));
+    assert!(error_text(packet(80_877_102, b"\0")).contains("another length"));
 }
 
 /// Wherever a stream is cut, the same bytes are forwarded and each message is inspected once.
--- a/crates/postgres/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -18,39 +18,39 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-const LONG: Micros = Micros(20_000_000);
+const LONG_DEADLINE: Micros = Micros(20_000_000);
 
-async fn scope(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
 /// A client that sends scripted messages.
-struct Raw {
+struct RawClient {
     tcp: TcpStream,
     input: BytesMut,
 }
 
-impl Raw {
-    async fn connect(rig: &Rig) -> Raw {
-        Raw { tcp: TcpStream::connect(rig.at).await.unwrap(), input: BytesMut::new() }
+impl RawClient {
+    async fn connect(rig: &Rig) -> RawClient {
+        RawClient { tcp: TcpStream::connect(rig.address).await.unwrap(), input: BytesMut::new() }
     }
 
-    async fn log_in(rig: &Rig) -> Raw {
-        let mut raw = Raw::connect(rig).await;
+    async fn log_in(rig: &Rig) -> RawClient {
+        let mut raw = RawClient::connect(rig).await;
         let start = b"\0\x03\0\0user\0ann\0database\0scores\0\0";
         let mut packet = BytesMut::new();
         packet.put_u32(start.len() as u32 + 4);
         packet.put_slice(start);
         raw.write(&packet).await;
-        assert_eq!(raw.next().await.unwrap().0, b'R');
+        assert_eq!(raw.receive().await.unwrap().0, b'R');
         let mut scram = ScramSha256::new(b"do re mi", ChannelBinding::unsupported());
         let first = scram.message().to_vec();
         let initial = [b"SCRAM-SHA-256\0".as_ref(), &(first.len() as u32).to_be_bytes(), &first].concat();
-        raw.say(&[(b'p', &initial)]).await;
-        scram.update(&raw.next().await.unwrap().1[4..]).unwrap();
+        raw.send(&[(b'p', &initial)]).await;
+        scram.update(&raw.receive().await.unwrap().1[4..]).unwrap();
         let last = scram.message().to_vec();
-        raw.say(&[(b'p', &last)]).await;
-        raw.until(b'Z').await;
+        raw.send(&[(b'p', &last)]).await;
+        raw.receive_until(b'Z').await;
         raw
     }
 
@@ -58,14 +58,14 @@
         self.tcp.write_all(bytes).await.unwrap();
     }
 
-    async fn say(&mut self, messages: &[(u8, &[u8])]) {
+    async fn send(&mut self, messages: &[(u8, &[u8])]) {
         let mut out = BytesMut::new();
         messages.iter().for_each(|(kind, body)| put(&mut out, *kind, body));
         self.write(&out).await;
     }
 
     /// Receives a message; returns its type and body, or `None` at the end of the stream.
-    async fn next(&mut self) -> Option<(u8, Vec<u8>)> {
+    async fn receive(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some(Message { kind, body }) = message(&mut self.input, 1 << 24).unwrap() {
                 return Some((kind, body.to_vec()));
@@ -78,9 +78,9 @@
 
     /// Receives messages up to the first of type `last`, or to the end of the stream. Returns their types, with the
     /// codes of errors, and a dot for the end of the stream.
-    async fn until(&mut self, last: u8) -> String {
+    async fn receive_until(&mut self, last: u8) -> String {
         let mut out = String::new();
-        while let Some((kind, body)) = self.next().await {
+        while let Some((kind, body)) = self.receive().await {
             out.push(char::from(kind));
             if kind == b'E' {
                 let code = body.split(|b| *b == 0).find(|f| f.first() == Some(&b'C')).unwrap();
@@ -96,12 +96,12 @@
 
 /// A session gets the same answers whether it is written byte by byte or in one piece.
 #[tokio::test]
-async fn sessions_cut_at_every_byte_or_not_at_all_are_the_same() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
+async fn sessions_get_the_same_answers_in_one_piece_and_byte_by_byte() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
         let mut all = BytesMut::new();
-        let said: [(u8, &[u8]); 8] = [
+        let messages: [(u8, &[u8]); 8] = [
             (b'Q', b"select 1\0"),
             (b'P', b"\0select 2\0\0\0"),
             (b'B', b"\0\0\0\0\0\0\0\0"),
@@ -111,16 +111,16 @@
             (b'Q', b"commit\0"),
             (b'X', b""),
         ];
-        said.iter().for_each(|(kind, body)| put(&mut all, *kind, body));
-        let due = ["TDCZ", "12DCZ", "TDCZ", "TDCZ", "."];
+        messages.iter().for_each(|(kind, body)| put(&mut all, *kind, body));
+        let expected = ["TDCZ", "12DCZ", "TDCZ", "TDCZ", "."];
         for piece in [1, all.len()] {
-            let mut raw = Raw::log_in(&rig).await;
+            let mut raw = RawClient::log_in(&rig).await;
             for part in all.chunks(piece) {
                 raw.write(part).await;
                 tokio::task::yield_now().await;
             }
-            for answer in due {
-                assert_eq!(raw.until(b'Z').await, answer, "in pieces of {piece}");
+            for answer in expected {
+                assert_eq!(raw.receive_until(b'Z').await, answer, "in pieces of {piece}");
             }
         }
         let statements = ["select 1", "select 2", "begin", "commit"];
@@ -132,15 +132,15 @@
 /// When the second statement of a pipeline fails, the rest of its part, up to the Sync, is skipped, and the next part
 /// is served.
 #[tokio::test]
-async fn a_pipeline_goes_on_behind_a_failure() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
-        let mut raw = Raw::log_in(&rig).await;
+async fn a_pipeline_continues_after_a_failed_part() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
+        let mut raw = RawClient::log_in(&rig).await;
         let bind: (u8, &[u8]) = (b'B', b"\0\0\0\0\0\0\0\0");
         let run: (u8, &[u8]) = (b'E', b"\0\0\0\0\0");
         let parse = |text: &'static [u8]| (b'P', text);
-        raw.say(&[
+        raw.send(&[
             parse(b"\0one\0\0\0"),
             bind,
             run,
@@ -153,9 +153,9 @@
             (b'S', b""),
         ])
         .await;
-        raw.say(&[parse(b"\0two\0\0\0"), bind, run, (b'S', b"")]).await;
-        assert_eq!(raw.until(b'Z').await, "12DC12E(22012)Z");
-        assert_eq!(raw.until(b'Z').await, "12DCZ");
+        raw.send(&[parse(b"\0two\0\0\0"), bind, run, (b'S', b"")]).await;
+        assert_eq!(raw.receive_until(b'Z').await, "12DC12E(22012)Z");
+        assert_eq!(raw.receive_until(b'Z').await, "12DCZ");
         assert_eq!(*seen.statements.borrow(), ["one", "fail", "two"]);
     })
     .await;
@@ -163,25 +163,25 @@
 
 /// Rows are copied in; when a client disconnects in the middle of a copy, the server connection is closed.
 #[tokio::test]
-async fn rows_are_copied_in_and_broken_off() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 1, LONG).await;
-        let mut raw = Raw::log_in(&rig).await;
-        raw.say(&[(b'Q', b"copy\0")]).await;
-        assert_eq!(raw.until(b'G').await, "G");
+async fn an_interrupted_copy_closes_the_server_connection() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
+        let mut raw = RawClient::log_in(&rig).await;
+        raw.send(&[(b'Q', b"copy\0")]).await;
+        assert_eq!(raw.receive_until(b'G').await, "G");
         let rows = vec![b'r'; 300_000];
         // A Sync between the rows is ignored, as servers do.
-        raw.say(&[(b'd', &rows), (b'S', b""), (b'd', &rows), (b'c', b"")]).await;
-        assert_eq!(raw.until(b'Z').await, "CZ");
-        assert_eq!(*seen.copied.borrow(), 600_000);
-        raw.say(&[(b'Q', b"copy\0"), (b'd', &rows)]).await;
-        assert_eq!(raw.until(b'G').await, "G");
+        raw.send(&[(b'd', &rows), (b'S', b""), (b'd', &rows), (b'c', b"")]).await;
+        assert_eq!(raw.receive_until(b'Z').await, "CZ");
+        assert_eq!(*seen.copied_bytes.borrow(), 600_000);
+        raw.send(&[(b'Q', b"copy\0"), (b'd', &rows)]).await;
+        assert_eq!(raw.receive_until(b'G').await, "G");
         drop(raw);
         seen.ended.notified().await;
-        let mut next = Raw::log_in(&rig).await;
-        next.say(&[(b'Q', b"select 1\0")]).await;
-        assert_eq!(next.until(b'Z').await, "TDCZ");
+        let mut next = RawClient::log_in(&rig).await;
+        next.send(&[(b'Q', b"select 1\0")]).await;
+        assert_eq!(next.receive_until(b'Z').await, "TDCZ");
         assert_eq!(*seen.logins.borrow(), 2);
     })
     .await;
@@ -189,15 +189,18 @@
 
 /// A client that does not read stalls its server; the proxy does not buffer the rows.
 #[tokio::test]
-async fn a_client_that_reads_nothing_costs_no_memory() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
-        let mut raw = Raw::log_in(&rig).await;
-        raw.say(&[(b'Q', b"pour\0")]).await;
+async fn rows_are_not_buffered_for_a_client_that_does_not_read() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
+        let mut raw = RawClient::log_in(&rig).await;
+        raw.send(&[(b'Q', b"pour\0")]).await;
         seen.stalled.notified().await;
-        let poured = *seen.poured.borrow();
-        assert!(poured < 64 << 20, "{poured} bytes are between the server and a client that reads nothing");
+        let poured_bytes = *seen.poured_bytes.borrow();
+        assert!(
+            poured_bytes < 64 << 20,
+            "{poured_bytes} bytes are between the server and a client that reads nothing"
+        );
         drop(raw);
         seen.ended.notified().await;
     })
@@ -206,10 +209,10 @@
 
 /// Invalid packets and messages get an error before the connection is closed, and reach no server.
 #[tokio::test]
-async fn strangers_get_a_clear_error() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
+async fn invalid_messages_get_an_error() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
         let openings: [(&[u8], &str); 5] = [
             (&[0, 0, 0, 3, 0, 3, 0, 0], "E(08P01)."),
             (&[0xff, 0xff, 0xff, 0xff], "E(08P01)."),
@@ -217,18 +220,18 @@
             (b"\0\0\0\x09\0\x03\0\0\0", "E(28000)."),
             (b"GET / HTTP/1.1\r\n\r\n", "E(08P01)."),
         ];
-        for (bytes, due) in openings {
-            let mut raw = Raw::connect(&rig).await;
+        for (bytes, expected) in openings {
+            let mut raw = RawClient::connect(&rig).await;
             raw.write(bytes).await;
-            assert_eq!(raw.until(b'Z').await, due, "{bytes:?}");
+            assert_eq!(raw.receive_until(b'Z').await, expected, "{bytes:?}");
         }
-        let mut raw = Raw::log_in(&rig).await;
+        let mut raw = RawClient::log_in(&rig).await;
         raw.write(&[b'Q', 0, 0, 0, 2]).await;
-        assert_eq!(raw.until(b'Z').await, "E(08P01).");
-        let mut raw = Raw::log_in(&rig).await;
+        assert_eq!(raw.receive_until(b'Z').await, "E(08P01).");
+        let mut raw = RawClient::log_in(&rig).await;
         // The first 64 KiB of a Parse of 256 MiB: as much of it as is inspected before a server connection is reserved.
         raw.write(&[&[b'P', 0x10, 0, 0, 0, b's', b'0', 0][..], &[b'x'; 64 * 1024]].concat()).await;
-        assert_eq!(raw.until(b'Z').await, "E(54000).");
+        assert_eq!(raw.receive_until(b'Z').await, "E(54000).");
         assert!(seen.statements.borrow().is_empty());
     })
     .await;
@@ -236,25 +239,25 @@
 
 /// Every pending part of a pipeline gets the error of a lost server, and rows that follow the error request nothing.
 #[tokio::test]
-async fn all_that_was_out_is_told_of_a_lost_server() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
-        let mut raw = Raw::log_in(&rig).await;
-        raw.say(&[(b'Q', b"die\0"), (b'Q', b"select 1\0")]).await;
-        assert_eq!(raw.until(b'Z').await, "E(08007)Z");
-        assert_eq!(raw.until(b'Z').await, "E(08007)Z");
+async fn every_pending_part_gets_the_error_of_a_lost_server() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
+        let mut raw = RawClient::log_in(&rig).await;
+        raw.send(&[(b'Q', b"die\0"), (b'Q', b"select 1\0")]).await;
+        assert_eq!(raw.receive_until(b'Z').await, "E(08007)Z");
+        assert_eq!(raw.receive_until(b'Z').await, "E(08007)Z");
         // The server closes its connection in the middle of a row that is copied in.
-        raw.say(&[(b'Q', b"copy\0")]).await;
-        assert_eq!(raw.until(b'G').await, "G");
+        raw.send(&[(b'Q', b"copy\0")]).await;
+        assert_eq!(raw.receive_until(b'G').await, "G");
         let mut row = BytesMut::new();
         put(&mut row, b'd', &[b'r'; 1000]);
         raw.write(&row[..500]).await;
-        seen.dies.notify_one();
-        assert_eq!(raw.until(b'Z').await, "E(08007)Z");
+        seen.close_copying_session.notify_one();
+        assert_eq!(raw.receive_until(b'Z').await, "E(08007)Z");
         raw.write(&row[500..]).await;
-        raw.say(&[(b'd', b"more"), (b'c', b""), (b'H', b""), (b'Q', b"select 2\0")]).await;
-        assert_eq!(raw.until(b'Z').await, "TDCZ");
+        raw.send(&[(b'd', b"more"), (b'c', b""), (b'H', b""), (b'Q', b"select 2\0")]).await;
+        assert_eq!(raw.receive_until(b'Z').await, "TDCZ");
         assert_eq!(*seen.statements.borrow(), ["die", "copy", "select 2"]);
     })
     .await;
@@ -262,18 +265,18 @@
 
 /// A client that has not sent a complete statement reserves no server connection.
 #[tokio::test]
-async fn half_a_statement_binds_no_server() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 1, LONG).await;
-        let (mut slow, mut quick) = (Raw::log_in(&rig).await, Raw::log_in(&rig).await);
+async fn an_incomplete_statement_reserves_no_server_connection() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
+        let (mut slow, mut quick) = (RawClient::log_in(&rig).await, RawClient::log_in(&rig).await);
         let mut query = BytesMut::new();
         put(&mut query, b'Q', b"select 1\0");
         slow.write(&query[..9]).await;
-        quick.say(&[(b'Q', b"select 2\0")]).await;
-        assert_eq!(quick.until(b'Z').await, "TDCZ");
+        quick.send(&[(b'Q', b"select 2\0")]).await;
+        assert_eq!(quick.receive_until(b'Z').await, "TDCZ");
         slow.write(&query[9..]).await;
-        assert_eq!(slow.until(b'Z').await, "TDCZ");
+        assert_eq!(slow.receive_until(b'Z').await, "TDCZ");
         assert_eq!(*seen.statements.borrow(), ["select 2", "select 1"]);
     })
     .await;
@@ -282,30 +285,30 @@
 /// Guards against sending a transaction to a server for a client that disconnected while it waited for one. The end
 /// of the stream follows the statement, part of the next one, or a Terminate, all still unread.
 #[tokio::test]
-async fn nothing_is_sent_for_a_client_that_left_while_it_waited_for_a_server() {
-    scope(async {
+async fn nothing_is_sent_for_a_client_that_disconnected_while_waiting_for_a_server() {
+    run_local(async {
         let mut farewell = BytesMut::new();
         put(&mut farewell, b'X', b"");
-        for behind in [b"".as_ref(), b"Q\0\0", &farewell] {
-            let (at, seen) = stand_in().await;
-            let rig = Rig::start(&[at], 1, LONG).await;
-            let (mut holder, mut leaver) = (Raw::log_in(&rig).await, Raw::log_in(&rig).await);
-            holder.say(&[(b'Q', b"begin\0")]).await; // reserves the only connection
-            assert_eq!(holder.until(b'Z').await, "TDCZ");
+        for unread in [b"".as_ref(), b"Q\0\0", &farewell] {
+            let (address, seen) = stand_in().await;
+            let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
+            let (mut holding, mut leaving) = (RawClient::log_in(&rig).await, RawClient::log_in(&rig).await);
+            holding.send(&[(b'Q', b"begin\0")]).await; // reserves the only connection
+            assert_eq!(holding.receive_until(b'Z').await, "TDCZ");
             let mut query = BytesMut::new();
             put(&mut query, b'Q', b"insert of nobody\0");
-            leaver.write(&[&query, behind].concat()).await;
-            drop(leaver);
+            leaving.write(&[&query, unread].concat()).await;
+            drop(leaving);
             for _ in 0..3 {
-                holder.say(&[(b'Q', b"insert\0")]).await; // meanwhile the front reads from the other client
-                assert_eq!(holder.until(b'Z').await, "TDCZ");
+                holding.send(&[(b'Q', b"insert\0")]).await; // meanwhile the front reads from the other client
+                assert_eq!(holding.receive_until(b'Z').await, "TDCZ");
             }
-            holder.say(&[(b'Q', b"commit\0")]).await;
-            assert_eq!(holder.until(b'Z').await, "TDCZ");
-            holder.say(&[(b'Q', b"select 1\0")]).await; // comes after the other client's statement
-            assert_eq!(holder.until(b'Z').await, "TDCZ");
+            holding.send(&[(b'Q', b"commit\0")]).await;
+            assert_eq!(holding.receive_until(b'Z').await, "TDCZ");
+            holding.send(&[(b'Q', b"select 1\0")]).await; // comes after the other client's statement
+            assert_eq!(holding.receive_until(b'Z').await, "TDCZ");
             let order = ["begin", "insert", "insert", "insert", "commit", "select 1"];
-            assert_eq!(*seen.statements.borrow(), order, "{behind:?} behind the statement");
+            assert_eq!(*seen.statements.borrow(), order, "{unread:?} behind the statement");
         }
     })
     .await;
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -33,13 +33,13 @@
     pub parsed: RefCell<Vec<String>>,
     pub logins: RefCell<usize>,
     /// Bytes of rows that clients copied in.
-    pub copied: RefCell<usize>,
+    pub copied_bytes: RefCell<usize>,
     /// Bytes sent in answer to `pour`.
-    pub poured: RefCell<usize>,
+    pub poured_bytes: RefCell<usize>,
     /// Notified when the client of `pour` has not read for 500 ms.
     pub stalled: Notify,
     /// Makes the session in copy-in mode close its connection.
-    pub dies: Notify,
+    pub close_copying_session: Notify,
     /// Notified when a connection has ended.
     pub ended: Notify,
     /// Process ids and secrets of the CancelRequests.
@@ -52,18 +52,18 @@
 /// answers `stall`.
 pub(crate) async fn stand_in() -> (SocketAddr, Rc<Seen>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (at, seen) = (listener.local_addr().unwrap(), Rc::new(Seen::default()));
-    let log = seen.clone();
+    let (address, seen) = (listener.local_addr().unwrap(), Rc::new(Seen::default()));
+    let record = seen.clone();
     tokio::task::spawn_local(async move {
         while let Ok((tcp, _)) = listener.accept().await {
-            let log = log.clone();
+            let record = record.clone();
             tokio::task::spawn_local(async move {
-                session(tcp, log.clone()).await;
-                log.ended.notify_one();
+                session(tcp, record.clone()).await;
+                record.ended.notify_one();
             });
         }
     });
-    (at, seen)
+    (address, seen)
 }
 
 async fn session(mut tcp: TcpStream, seen: Rc<Seen>) {
@@ -89,7 +89,7 @@
     put(&mut out, b'S', b"server_version\09.6.1\0");
     put(&mut out, b'K', &[number.to_be_bytes(), 77i32.to_be_bytes()].concat());
     put(&mut out, b'Z', b"I");
-    let (mut status, mut text, mut failed, mut copying) = (b'I', String::new(), false, false);
+    let (mut status, mut text, mut skip_until_sync, mut is_copying) = (b'I', String::new(), false, false);
     let mut named: HashMap<String, String> = HashMap::new();
     loop {
         if tcp.write_all(&out).await.is_err() {
@@ -99,54 +99,54 @@
         let Some(Message { kind, body }) = message(&mut input, 1 << 20).unwrap() else {
             let read = tokio::select! {
                 read = tcp.read_buf(&mut input) => read.unwrap_or(0),
-                _ = seen.dies.notified(), if copying => 0,
+                _ = seen.close_copying_session.notified(), if is_copying => 0,
             };
             if read == 0 {
                 return;
             }
             continue;
         };
-        let words =
+        let first_text =
             |b: &[u8]| String::from_utf8_lossy(b.split(|b| *b == 0).next().unwrap_or(b"")).into_owned();
-        if failed && !matches!(kind, b'Q' | b'S') || copying && kind == b'S' {
+        if skip_until_sync && !matches!(kind, b'Q' | b'S') || is_copying && kind == b'S' {
             continue;
         }
-        copying &= kind == b'd';
-        failed = false;
+        is_copying &= kind == b'd';
+        skip_until_sync = false;
         // As in PostgreSQL, preparing an existing name and using an unknown one fail.
-        let mut fail = |out: &mut BytesMut, code: &str| {
+        let mut put_error = |out: &mut BytesMut, code: &str| {
             put(out, b'E', format!("SERROR\0C{code}\0Mstand-in\0\0").as_bytes());
-            failed = true;
+            skip_until_sync = true;
         };
-        let second = |b: &[u8]| words(&b[words(b).len() + 1..]);
+        let second_text = |b: &[u8]| first_text(&b[first_text(b).len() + 1..]);
         match kind {
-            b'Q' => text = words(&body),
-            b'P' => match (words(&body), second(&body)) {
-                (name, _) if !name.is_empty() && named.contains_key(&name) => fail(&mut out, "42P05"),
-                (_, new) if new == "nonsense" => fail(&mut out, "42601"),
+            b'Q' => text = first_text(&body),
+            b'P' => match (first_text(&body), second_text(&body)) {
+                (name, _) if !name.is_empty() && named.contains_key(&name) => put_error(&mut out, "42P05"),
+                (_, new) if new == "nonsense" => put_error(&mut out, "42601"),
                 (name, new) => {
                     seen.parsed.borrow_mut().push(new.clone());
                     named.insert(name, new);
                     put(&mut out, b'1', b"");
                 }
             },
-            b'B' => match named.get(&second(&body)) {
+            b'B' => match named.get(&second_text(&body)) {
                 Some(known) => {
                     text.clone_from(known);
                     put(&mut out, b'2', b"");
                 }
-                None => fail(&mut out, "26000"),
+                None => put_error(&mut out, "26000"),
             },
-            b'D' if body[0] == b'S' => match named.contains_key(&words(&body[1..])) {
+            b'D' if body[0] == b'S' => match named.contains_key(&first_text(&body[1..])) {
                 true => {
                     put(&mut out, b't', &[0, 0]);
-                    put(&mut out, b'T', &column());
+                    put(&mut out, b'T', &one_column());
                 }
-                false => fail(&mut out, "26000"),
+                false => put_error(&mut out, "26000"),
             },
-            b'D' => put(&mut out, b'T', &column()),
+            b'D' => put(&mut out, b'T', &one_column()),
             b'C' => put(&mut out, b'3', b""),
-            b'd' => *seen.copied.borrow_mut() += body.len(),
+            b'd' => *seen.copied_bytes.borrow_mut() += body.len(),
             b'c' => {
                 put(&mut out, b'C', b"COPY 1\0");
                 put(&mut out, b'Z', &[status]);
@@ -161,12 +161,12 @@
                 "stall" => std::future::pending().await,
                 "copy" => {
                     put(&mut out, b'G', &[0, 0, 0]);
-                    copying = true;
+                    is_copying = true;
                     continue;
                 }
-                "pour" => return pour(tcp, &seen).await,
+                "pour" => return send_endless_rows(tcp, &seen).await,
                 "fail" => {
-                    fail(&mut out, "22012");
+                    put_error(&mut out, "22012");
                     if kind == b'Q' {
                         put(&mut out, b'Z', &[status]);
                     }
@@ -177,9 +177,9 @@
                 _ => {}
             }
             if kind == b'Q' {
-                put(&mut out, b'T', &column());
+                put(&mut out, b'T', &one_column());
             }
-            row(&mut out, &text);
+            put_row(&mut out, &text);
             put(&mut out, b'C', b"SELECT 1\0");
             if text.ends_with("halt") {
                 let _ = tcp.write_all(&out).await;
@@ -193,14 +193,14 @@
 }
 
 /// Sends rows until the connection fails, and reports when the client stops reading.
-async fn pour(mut tcp: TcpStream, seen: &Seen) {
+async fn send_endless_rows(mut tcp: TcpStream, seen: &Seen) {
     let mut out = BytesMut::new();
-    put(&mut out, b'T', &column());
-    row(&mut out, &"x".repeat(8000));
+    put(&mut out, b'T', &one_column());
+    put_row(&mut out, &"x".repeat(8000));
     loop {
-        let stuck = std::time::Duration::from_millis(500);
-        match tokio::time::timeout(stuck, tcp.write_all(&out)).await {
-            Ok(Ok(())) => *seen.poured.borrow_mut() += out.len(),
+        let stall_timeout = std::time::Duration::from_millis(500);
+        match tokio::time::timeout(stall_timeout, tcp.write_all(&out)).await {
+            Ok(Ok(())) => *seen.poured_bytes.borrow_mut() += out.len(),
             Ok(Err(_)) => return,
             Err(_) => seen.stalled.notify_one(),
         }
@@ -208,7 +208,7 @@
 }
 
 /// Returns the body of a RowDescription with one column of text.
-fn column() -> Vec<u8> {
+fn one_column() -> Vec<u8> {
     let mut body = BytesMut::new();
     body.put_u16(1);
     body.put_slice(b"echo\0");
@@ -222,7 +222,7 @@
 }
 
 /// Appends a DataRow with the text of the statement.
-fn row(out: &mut BytesMut, text: &str) {
+fn put_row(out: &mut BytesMut, text: &str) {
     let mut body = BytesMut::new();
     body.put_u16(1);
     body.put_u32(text.len() as u32);
@@ -234,18 +234,20 @@
 pub(crate) struct Rig {
     pub host: Rc<Host>,
     pub servers: Rc<Servers>,
-    pub at: SocketAddr,
-    list: Vec<SocketAddr>,
+    pub address: SocketAddr,
+    addresses: Vec<SocketAddr>,
 }
 
 impl Rig {
-    /// Starts a front with at most `most` server connections and a deadline for each transaction.
-    pub(crate) async fn start(list: &[SocketAddr], most: usize, deadline: Micros) -> Rig {
-        Rig::ruled(list, most, deadline, Vec::new()).await
+    /// Starts a front with at most `max_connections` server connections and a deadline for each transaction.
+    pub(crate) async fn start(addresses: &[SocketAddr], max_connections: usize, deadline: Micros) -> Rig {
+        Rig::start_with_rules(addresses, max_connections, deadline, Vec::new()).await
     }
 
     /// Starts a front with rules: transactions of class 0 may be repeated, those of class 1 may not.
-    pub(crate) async fn ruled(list: &[SocketAddr], most: usize, deadline: Micros, rules: Vec<Rule>) -> Rig {
+    pub(crate) async fn start_with_rules(
+        addresses: &[SocketAddr], max_connections: usize, deadline: Micros, rules: Vec<Rule>,
+    ) -> Rig {
         let class = |effect| Class {
             side_effects: effect,
             latency_objective: deadline,
@@ -261,7 +263,7 @@
             deadlines: vec![deadline; 2],
         };
         let login = Login { user: "deck".into(), database: "scores".into(), password: None };
-        let servers = Servers::new(login, &network, most);
+        let servers = Servers::new(login, &network, max_connections);
         let settings = Settings { config: config.clone(), names: Names::default(), network };
         let cordon = Cordon::load(&std::env::temp_dir().join("lotusdeck-no-such-proxy"));
         let balancer = Balancer::new(config, 4).unwrap();
@@ -279,16 +281,16 @@
             FrontSettings { databases: vec!["scores".into()], users: vec![user], max_clients: 100, rules };
         let front = Front::new(host.clone(), servers.clone(), settings).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(front.run(listener));
-        let rig = Rig { host, servers, at, list: list.to_vec() };
-        (0..list.len()).for_each(|n| rig.tell(n, BackendState::Ready));
+        let rig = Rig { host, servers, address, addresses: addresses.to_vec() };
+        (0..addresses.len()).for_each(|n| rig.set_state(n, BackendState::Ready));
         rig
     }
 
     /// Updates the state of a server in the endpoint list.
-    pub(crate) fn tell(&self, server: usize, state: BackendState) {
-        let (name, address) = (format!("pg-{server}"), self.list[server]);
+    pub(crate) fn set_state(&self, server: usize, state: BackendState) {
+        let (name, address) = (format!("pg-{server}"), self.addresses[server]);
         let entry = Backend { state, ..Backend::default() };
         let row = EndpointRecord::new(&name, &address.to_string(), "", "", entry);
         self.host.update_endpoints(ListUpdate::Changes, vec![Endpoint { name, address, state, row }]);
@@ -298,14 +300,14 @@
     pub(crate) async fn driver(
         &self, password: &str,
     ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
-        self.driver_of("ann", password, "scores").await
+        self.driver_as("ann", password, "scores").await
     }
 
-    pub(crate) async fn driver_of(
+    pub(crate) async fn driver_as(
         &self, user: &str, password: &str, database: &str,
     ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
         let mut config = tokio_postgres::Config::new();
-        config.host("127.0.0.1").port(self.at.port()).user(user).password(password).dbname(database);
+        config.host("127.0.0.1").port(self.address.port()).user(user).password(password).dbname(database);
         let (client, connection) = config.connect(tokio_postgres::NoTls).await?;
         tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(client)
--- a/crates/postgres/tests/transactions.rs
+++ b/crates/postgres/tests/transactions.rs
@@ -14,27 +14,27 @@
 use std::future::Future;
 use tokio::task::LocalSet;
 
-const LONG: Micros = Micros(20_000_000);
+const LONG_DEADLINE: Micros = Micros(20_000_000);
 
-async fn scope(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
 /// Simple and extended queries and transactions of a driver, with more clients than server connections.
 #[tokio::test]
 async fn drivers_share_connections_by_transaction() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 1, LONG).await;
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
         let (a, b) = (rig.driver("do re mi").await.unwrap(), rig.driver("do re mi").await.unwrap());
         assert_eq!(value(&a.simple_query("select 1").await.unwrap()), "select 1");
         a.simple_query("begin").await.unwrap();
         // The only connection is reserved: the other client's statement waits for the end of the transaction.
-        let (waits, ends) = tokio::join!(b.simple_query("select 2"), async {
+        let (waiting, committed) = tokio::join!(b.simple_query("select 2"), async {
             a.simple_query("insert").await.unwrap();
             a.simple_query("commit").await
         });
-        assert!(value(&waits.unwrap()) == "select 2" && ends.is_ok());
+        assert!(value(&waiting.unwrap()) == "select 2" && committed.is_ok());
         let rows = b.query_typed("select 3", &[]).await.unwrap();
         assert_eq!(rows[0].get::<_, String>(0), "select 3");
         let order = ["select 1", "begin", "insert", "commit", "select 2", "select 3"];
@@ -48,13 +48,13 @@
 }
 
 #[tokio::test]
-async fn strangers_are_told_why_and_names_are_not_given_away() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, LONG).await;
+async fn rejected_logins_do_not_reveal_which_users_exist() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
         assert_eq!(code(rig.driver("fa so la").await), "28P01");
-        assert_eq!(code(rig.driver_of("bob", "do re mi", "scores").await), "28P01");
-        assert_eq!(code(rig.driver_of("ann", "do re mi", "wages").await), "3D000");
+        assert_eq!(code(rig.driver_as("bob", "do re mi", "scores").await), "28P01");
+        assert_eq!(code(rig.driver_as("ann", "do re mi", "wages").await), "3D000");
         assert_eq!(*seen.logins.borrow(), 0);
     })
     .await;
@@ -63,13 +63,13 @@
 /// A statement whose server is lost is reported as unknown and not sent again, and the session continues on another
 /// server connection.
 #[tokio::test]
-async fn a_lost_server_is_told_and_nothing_runs_twice() {
-    scope(async {
+async fn a_lost_server_is_reported_and_nothing_runs_twice() {
+    run_local(async {
         let ((one, first), (two, second)) = (stand_in().await, stand_in().await);
-        let rig = Rig::start(&[one, two], 8, LONG).await;
+        let rig = Rig::start(&[one, two], 8, LONG_DEADLINE).await;
         let client = rig.driver("do re mi").await.unwrap();
-        for (n, fatal) in ["die", "halt", "die", "halt"].iter().enumerate() {
-            assert_eq!(code(client.simple_query(fatal).await), "08007", "{fatal}");
+        for (n, statement) in ["die", "halt", "die", "halt"].iter().enumerate() {
+            assert_eq!(code(client.simple_query(statement).await), "08007", "{statement}");
             let next = format!("select {n}");
             assert_eq!(value(&client.simple_query(&next).await.unwrap()), next);
         }
@@ -85,19 +85,19 @@
 
 /// When no server is reachable, statements get an error without being executed, and the session continues.
 #[tokio::test]
-async fn without_a_server_statements_are_refused_and_sessions_stay() {
-    scope(async {
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[gone, at], 8, Micros(3_000_000)).await;
-        rig.tell(1, BackendState::Draining);
+async fn statements_without_a_reachable_server_fail_and_sessions_continue() {
+    run_local(async {
+        let unreachable = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[unreachable, address], 8, Micros(3_000_000)).await;
+        rig.set_state(1, BackendState::Draining);
         let client = rig.driver("do re mi").await.unwrap();
         let refused = code(client.simple_query("select 1").await);
         assert!(["53300", "08006", "57014"].contains(&refused.as_str()), "{refused}");
         assert_eq!(code(client.query_typed("select 2", &[]).await).len(), 5);
         assert!(seen.statements.borrow().is_empty(), "a server that drains gets nothing new");
-        rig.tell(1, BackendState::Ready);
-        rig.tell(0, BackendState::Removed);
+        rig.set_state(1, BackendState::Ready);
+        rig.set_state(0, BackendState::Removed);
         assert_eq!(value(&client.simple_query("select 3").await.unwrap()), "select 3");
     })
     .await;
@@ -105,10 +105,10 @@
 
 /// A CancelRequest reaches the server that runs the statement; a statement that is not cancelled ends at its deadline.
 #[tokio::test]
-async fn cancels_and_deadlines_end_what_stalls() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 4, Micros(1_500_000)).await;
+async fn cancels_and_deadlines_end_stalled_statements() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 4, Micros(1_500_000)).await;
         let client = rig.driver("do re mi").await.unwrap();
         let token = client.cancel_token();
         token.cancel_query(tokio_postgres::NoTls).await.unwrap(); // no statement runs, so it is not forwarded
@@ -129,10 +129,10 @@
 
 /// When a client disconnects in a transaction, the server connection is closed, so that the server rolls back.
 #[tokio::test]
-async fn a_client_that_leaves_ends_its_transaction() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 1, LONG).await;
+async fn a_client_that_disconnects_ends_its_transaction() {
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
         let client = rig.driver("do re mi").await.unwrap();
         client.simple_query("begin").await.unwrap();
         drop(client);
@@ -146,18 +146,18 @@
 /// Named statements of two clients stay valid when their server changes. A text is parsed once on a connection,
 /// whichever client prepares it under whichever name, and a text that failed to parse does not count as prepared.
 #[tokio::test]
-async fn prepared_statements_are_carried() {
-    scope(async {
+async fn prepared_statements_stay_valid_on_other_servers() {
+    run_local(async {
         let ((one, first), (two, second)) = (stand_in().await, stand_in().await);
-        let rig = Rig::start(&[one, two], 8, LONG).await;
+        let rig = Rig::start(&[one, two], 8, LONG_DEADLINE).await;
         let (a, b) = (rig.driver("do re mi").await.unwrap(), rig.driver("do re mi").await.unwrap());
         let echo = |rows: Vec<tokio_postgres::Row>| rows[0].get::<_, String>(0);
         // Both drivers name their first statement `s0`.
         let (x, y) = (a.prepare("select x").await.unwrap(), b.prepare("select y").await.unwrap());
         let again = b.prepare("select x").await.unwrap();
         for server in [0, 1, 0, 1] {
-            rig.tell(server, BackendState::Ready);
-            rig.tell(1 - server, BackendState::Draining);
+            rig.set_state(server, BackendState::Ready);
+            rig.set_state(1 - server, BackendState::Draining);
             assert_eq!(echo(a.query(&x, &[]).await.unwrap()), "select x");
             assert_eq!(echo(b.query(&y, &[]).await.unwrap()), "select y");
             assert_eq!(echo(b.query(&again, &[]).await.unwrap()), "select x");
@@ -181,9 +181,9 @@
 /// Session state that outlives a transaction is not visible to other clients: the connection is closed after it.
 #[tokio::test]
 async fn settings_of_one_client_do_not_reach_another() {
-    scope(async {
-        let (at, seen) = stand_in().await;
-        let rig = Rig::start(&[at], 1, LONG).await;
+    run_local(async {
+        let (address, seen) = stand_in().await;
+        let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
         let client = rig.driver("do re mi").await.unwrap();
         for (statement, logins) in
             [("select 1", 1), ("set x to 1", 1), ("set local y to 1", 2), ("listen z", 2), ("select 2", 3)]
@@ -204,11 +204,11 @@
 /// A single statement of a class without side effects is sent again if its server is lost before the first byte of the
 /// answer. It is not sent again without the rule, after part of the answer, or together with another statement.
 #[tokio::test]
-async fn what_is_declared_safe_is_said_again() {
-    scope(async {
+async fn statements_without_side_effects_are_sent_again() {
+    run_local(async {
         let ((one, first), (two, second)) = (stand_in().await, stand_in().await);
         let rule = Rule { class: ClassId(0), comment: Some("safe".into()), ..Rule::default() };
-        let rig = Rig::ruled(&[one, two], 8, LONG, vec![rule]).await;
+        let rig = Rig::start_with_rules(&[one, two], 8, LONG_DEADLINE, vec![rule]).await;
         let client = rig.driver("do re mi").await.unwrap();
         let count = |what: &str| {
             let all = [first.statements.borrow().clone(), second.statements.borrow().clone()].concat();
