--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -2,7 +2,7 @@
 //! server connection is idle.
 
 use crate::io::{drain, fill};
-use crate::statements::{Direction, Interrupted, PreparedStatements, SessionEnd, MAX_PREPARED};
+use crate::statements::{Direction, Interrupted, PreparedStatements, SessionEnd, MAX_PREPARED_STATEMENTS};
 use crate::track::ConnectionTracker;
 use crate::upstream::{Servers, Upstream};
 use crate::wire::{CancelKey, Forwarder, WireError};
@@ -170,7 +170,8 @@
 
     /// Returns whether another client may use the server connection.
     fn is_reusable(&self, upstream: &Upstream) -> bool {
-        !self.statements.borrow().has_session_state && upstream.prepared.borrow().len() <= MAX_PREPARED
+        !self.statements.borrow().has_session_state
+            && upstream.prepared.borrow().len() <= MAX_PREPARED_STATEMENTS
     }
 
     /// Returns whether the transaction has ended and both streams are at a message boundary, with no bytes buffered
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -86,7 +86,7 @@
 impl From<ScramError> for LoginError {
     fn from(e: ScramError) -> LoginError {
         LoginError::Rejected(match e {
-            ScramError::Wrong => ClientError::fatal("28P01", "password authentication failed"),
+            ScramError::ProofMismatch => ClientError::fatal("28P01", "password authentication failed"),
             ScramError::Malformed(what) => ClientError::fatal("08P01", what),
         })
     }
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -24,7 +24,7 @@
     Malformed(&'static str),
     /// The proof does not match: the password is wrong, or the user does not exist.
     #[error("the proof does not fit")]
-    Wrong,
+    ProofMismatch,
 }
 
 /// The stored form of a password: `SCRAM-SHA-256$ITERATIONS:SALT$STOREDKEY:SERVERKEY`, base64 for the last three.
@@ -163,7 +163,7 @@
         let difference = stored.iter().zip(self.verifier.stored_key).fold(0, |d, (a, b)| d | (a ^ b));
         match difference {
             0 => Ok(format!("v={}", BASE64_STANDARD.encode(hmac_sha256(&self.verifier.server_key, &signed)))),
-            _ => Err(ScramError::Wrong),
+            _ => Err(ScramError::ProofMismatch),
         }
     }
 }
--- a/crates/postgres/src/scram/tests.rs
+++ b/crates/postgres/src/scram/tests.rs
@@ -19,7 +19,7 @@
         Exchange::begin(verifier, "n,,n=user,r=rOprNGfwEbeRWgbNEkqO", "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0")
             .unwrap();
     let wrong = last.replace("p=dH", "p=aH");
-    assert_eq!(again.end(&wrong), Err(ScramError::Wrong));
+    assert_eq!(again.end(&wrong), Err(ScramError::ProofMismatch));
 }
 
 #[test]
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -51,15 +51,15 @@
         let client = &self.client;
         let mut stop = self.stop.clone();
         loop {
-            let first = tokio::select! {
-                first = self.wait_for_transaction() => first,
+            let waited = tokio::select! {
+                waited = self.wait_for_transaction() => waited,
                 _ = stop.wait_for(|stop| *stop), if client.input.borrow().is_empty() => {
                     let text = "this proxy stops: connect again";
                     ClientError::fatal("57P01", text).put(&mut client.output.borrow_mut());
                     return;
                 }
             };
-            let answer = match first {
+            let answer = match waited {
                 Ok(()) => self.run_transaction().await,
                 Err(reason) => {
                     client.session_end.set(Some(reason));
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -29,7 +29,7 @@
 /// Maximum number of pending replies in a pipeline.
 const MAX_PENDING_REPLIES: usize = 100_000;
 /// Maximum number of statements prepared on a connection: one with more is closed after its transaction.
-pub(crate) const MAX_PREPARED: usize = 1000;
+pub(crate) const MAX_PREPARED_STATEMENTS: usize = 1000;
 /// The body of a Close for a statement that never exists.
 const CLOSE_NONEXISTENT: &[u8] = b"Sld_none\0";
 
@@ -194,7 +194,7 @@
     fn forward_describe(
         &mut self, direction: &mut Direction<'_>, header: Header,
     ) -> Result<bool, SessionEnd> {
-        let Some(body) = take_named(direction, header)? else { return Ok(false) };
+        let Some(body) = take_statement_message(direction, header)? else { return Ok(false) };
         match self.by_name.get(statement_name(&body)?).cloned() {
             Some(statement) => {
                 self.ensure_prepared(&statement, direction)?;
@@ -209,7 +209,7 @@
     /// Forwards a Close of a named statement under the client's name, which the server does not know: other clients may
     /// use the text, so that it stays prepared.
     fn forward_close(&mut self, direction: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
-        let Some(body) = take_named(direction, header)? else { return Ok(false) };
+        let Some(body) = take_statement_message(direction, header)? else { return Ok(false) };
         let removed = self.by_name.remove(statement_name(&body)?);
         self.total_bytes -= removed.map_or(0, |removed| removed.text.len());
         put(direction.to, b'C', &body);
@@ -298,7 +298,9 @@
 }
 
 /// Takes a Describe or Close of a named statement; returns `None` if it is not complete yet.
-fn take_named(direction: &mut Direction<'_>, header: Header) -> Result<Option<Bytes>, SessionEnd> {
+fn take_statement_message(
+    direction: &mut Direction<'_>, header: Header,
+) -> Result<Option<Bytes>, SessionEnd> {
     if header.length > MAX_NAME_BYTES {
         return Err(SessionEnd::InvalidMessage);
     }
--- a/crates/postgres/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -100,7 +100,7 @@
     run_local(async {
         let (address, seen) = stand_in().await;
         let rig = Rig::start(&[address], 4, LONG_DEADLINE).await;
-        let mut all = BytesMut::new();
+        let mut session_bytes = BytesMut::new();
         let messages: [(u8, &[u8]); 8] = [
             (b'Q', b"select 1\0"),
             (b'P', b"\0select 2\0\0\0"),
@@ -111,11 +111,11 @@
             (b'Q', b"commit\0"),
             (b'X', b""),
         ];
-        messages.iter().for_each(|(kind, body)| put(&mut all, *kind, body));
+        messages.iter().for_each(|(kind, body)| put(&mut session_bytes, *kind, body));
         let expected = ["TDCZ", "12DCZ", "TDCZ", "TDCZ", "."];
-        for piece in [1, all.len()] {
+        for piece in [1, session_bytes.len()] {
             let mut raw = RawClient::log_in(&rig).await;
-            for part in all.chunks(piece) {
+            for part in session_bytes.chunks(piece) {
                 raw.write(part).await;
                 tokio::task::yield_now().await;
             }
@@ -287,9 +287,9 @@
 #[tokio::test]
 async fn nothing_is_sent_for_a_client_that_disconnected_while_waiting_for_a_server() {
     run_local(async {
-        let mut farewell = BytesMut::new();
-        put(&mut farewell, b'X', b"");
-        for unread in [b"".as_ref(), b"Q\0\0", &farewell] {
+        let mut terminate = BytesMut::new();
+        put(&mut terminate, b'X', b"");
+        for unread in [b"".as_ref(), b"Q\0\0", &terminate] {
             let (address, seen) = stand_in().await;
             let rig = Rig::start(&[address], 1, LONG_DEADLINE).await;
             let (mut holding, mut leaving) = (RawClient::log_in(&rig).await, RawClient::log_in(&rig).await);
