--- a/crates/postgres/src/statements/tests.rs
+++ b/crates/postgres/src/statements/tests.rs
@@ -105,9 +105,13 @@
     let mut pipeline = Pipeline::default();
     pipeline.client_sends(&[PARSE, SYNC]);
     assert_eq!(pipeline.server_sends(&[(b'E', b"\0")]), "E");
-    assert_eq!(kinds(&pipeline.client_sends(&[PARSE, SYNC])), "PS", "the error was known");
+    assert_eq!(kinds(&pipeline.client_sends(&[PARSE, SYNC])), "PS", "the error had arrived");
     assert_eq!(pipeline.server_sends(&[READY, (b'E', b"\0"), READY]), "ZEZ");
-    assert_eq!(kinds(&pipeline.client_sends(&[PARSE, SYNC, PARSE, SYNC])), "PSCPS", "it was not");
+    assert_eq!(
+        kinds(&pipeline.client_sends(&[PARSE, SYNC, PARSE, SYNC])),
+        "PSCPS",
+        "the error had not arrived"
+    );
     assert_eq!(pipeline.server_sends(&[(b'E', b"\0"), READY, (b'3', b""), (b'1', b""), READY]), "EZ1Z");
     assert_eq!(pipeline.prepared.len(), 1);
 }
--- a/crates/postgres/src/track/tests.rs
+++ b/crates/postgres/src/track/tests.rs
@@ -20,12 +20,12 @@
     assert_eq!(
         idle_after_each(">Q <Z:T >Q <Z:I"),
         [false, false, false, true],
-        "a transaction over two queries"
+        "a transaction of two queries"
     );
     assert_eq!(
         idle_after_each(">Q <E <Z:E >Q <Z:I"),
         [false, false, false, false, true],
-        "a failed one has to end too"
+        "a failed transaction has to end as well"
     );
     assert_eq!(
         idle_after_each(">P >B >E >S <1 <2 <C <Z:I"),
@@ -44,7 +44,7 @@
 fn result_of_a_statement_is_unknown_until_ready_for_query() {
     let mut tracker = ConnectionTracker::default();
     tracker.message_sent(b'P');
-    assert!(!tracker.is_result_unknown(), "nothing runs yet");
+    assert!(!tracker.is_result_unknown(), "no statement was executed yet");
     tracker.message_sent(b'E');
     tracker.message_sent(b'S');
     assert!(tracker.is_result_unknown() && tracker.pending_ready() == 1);
--- a/crates/postgres/tests/raw.rs
+++ b/crates/postgres/tests/raw.rs
@@ -199,7 +199,7 @@
         let poured_bytes = *seen.poured_bytes.borrow();
         assert!(
             poured_bytes < 64 << 20,
-            "{poured_bytes} bytes are between the server and a client that reads nothing"
+            "{poured_bytes} bytes were accepted for a client that does not read"
         );
         drop(raw);
         seen.ended.notified().await;
@@ -308,7 +308,7 @@
             holding.send(&[(b'Q', b"select 1\0")]).await; // comes after the other client's statement
             assert_eq!(holding.receive_until(b'Z').await, "TDCZ");
             let order = ["begin", "insert", "insert", "insert", "commit", "select 1"];
-            assert_eq!(*seen.statements.borrow(), order, "{unread:?} behind the statement");
+            assert_eq!(*seen.statements.borrow(), order, "{unread:?} after the statement");
         }
     })
     .await;
--- a/crates/postgres/tests/transactions.rs
+++ b/crates/postgres/tests/transactions.rs
@@ -95,7 +95,7 @@
         let refused = code(client.simple_query("select 1").await);
         assert!(["53300", "08006", "57014"].contains(&refused.as_str()), "{refused}");
         assert_eq!(code(client.query_typed("select 2", &[]).await).len(), 5);
-        assert!(seen.statements.borrow().is_empty(), "a server that drains gets nothing new");
+        assert!(seen.statements.borrow().is_empty(), "a draining server gets no new statements");
         rig.set_state(1, BackendState::Ready);
         rig.set_state(0, BackendState::Removed);
         assert_eq!(value(&client.simple_query("select 3").await.unwrap()), "select 3");
@@ -122,7 +122,7 @@
         assert_eq!(code(ended), "57014");
         assert_eq!(*seen.cancels.borrow(), [(1, 77)]);
         assert_eq!(value(&client.simple_query("select 1").await.unwrap()), "select 1");
-        assert_eq!(*seen.logins.borrow(), 2, "the connection that stalled was closed");
+        assert_eq!(*seen.logins.borrow(), 2, "the connection of the stalled statement was closed");
     })
     .await;
 }
@@ -165,7 +165,7 @@
             assert_eq!(code(a.prepare("nonsense").await), "42601");
         }
         drop(again);
-        assert_eq!(echo(a.query(&x, &[]).await.unwrap()), "select x", "closed by the other client only");
+        assert_eq!(echo(a.query(&x, &[]).await.unwrap()), "select x", "only the other client closed it");
         for seen in [first, second] {
             let (parsed, logins) = (seen.parsed.borrow(), *seen.logins.borrow());
             let count = |text: &str| parsed.iter().filter(|p| *p == text).count();
@@ -223,10 +223,14 @@
         assert_eq!(count("/* safe */ die once"), 2);
         assert_eq!(code(client.simple_query("die").await), "08007");
         assert_eq!(count("die"), 1);
-        assert_eq!(code(client.simple_query("/* safe */ halt").await), "08007", "a word was out");
+        assert_eq!(
+            code(client.simple_query("/* safe */ halt").await),
+            "08007",
+            "part of the answer was sent"
+        );
         assert_eq!(count("/* safe */ halt"), 1);
         assert_eq!(code(client.simple_query("/* safe */ select 1; die").await).len(), 5);
-        assert_eq!(count("/* safe */ select 1; die"), 1, "two statements are not one");
+        assert_eq!(count("/* safe */ select 1; die"), 1, "two statements are not a single statement");
     })
     .await;
 }
