--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Where a CancelRequest for a transaction is sent.
+/// The server connection to which a CancelRequest for a transaction is addressed.
 #[derive(Clone, Copy)]
 pub(crate) struct CancelTarget {
     pub server: SocketAddr,
@@ -33,6 +33,7 @@
     pub to_server: RefCell<Forwarder>,
     /// The position within the messages to the client.
     pub to_client: RefCell<Forwarder>,
+    /// The state of the server connection in the current transaction.
     pub tracker: Cell<ConnectionTracker>,
     /// The client's prepared statements.
     pub statements: RefCell<PreparedStatements>,
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -105,7 +105,7 @@
             b'B' => return self.forward_bind(direction, header),
             b'D' if names_statement => return self.forward_describe(direction, header),
             b'C' if names_statement => return self.forward_close(direction, header),
-            // A text that has not arrived completely may change the session in any way.
+            // A text that has not arrived completely is assumed to change the session.
             b'Q' => self.has_session_state |= !is_complete || may_change_session(available),
             b'P' => {
                 self.has_session_state |=
@@ -206,8 +206,8 @@
         Ok(true)
     }
 
-    /// Forwards a Close of a named statement under the client's name, which the server does not know: other clients may
-    /// use the text, so that it stays prepared.
+    /// Forwards a Close of a named statement under the client's name, which the server does not know. The text stays
+    /// prepared, as other clients may use it.
     fn forward_close(&mut self, direction: &mut Direction<'_>, header: Header) -> Result<bool, SessionEnd> {
         let Some(body) = take_statement_message(direction, header)? else { return Ok(false) };
         let removed = self.by_name.remove(statement_name(&body)?);
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -39,7 +39,7 @@
     freed: Notify,
 }
 
-/// The place of an open connection in the count; dropping it frees the place.
+/// Counts an open connection until it is dropped.
 struct Slot(Rc<OpenConnections>);
 
 impl Drop for Slot {
