--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -1,12 +1,12 @@
-//! Sessions of clients: one request to the core for each transaction.
+//! Client sessions: each transaction is submitted to the core as one request.
 
 use crate::bridge::{Client, Transaction};
-use crate::classes::{class, is_repeatable, statement, ClientIdentity, Rule};
+use crate::classes::{classify, is_repeatable, statement_text, ClientIdentity, Rule};
 use crate::error::ClientError;
 use crate::io::{drain, fill};
 use crate::login::put_ready;
 use crate::statements::SessionEnd;
-use crate::track::Track;
+use crate::track::ConnectionTracker;
 use crate::upstream::Servers;
 use crate::wire::{header, Header, HEADER_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tracing::debug;
 
-/// The longest statement that may be sent again, bytes.
+/// Maximum length of a message that may be sent again, without its header, bytes.
 const MAX_REPLAY_BYTES: usize = 64 * 1024;
 
 /// The session of a client that has logged in.
@@ -27,11 +27,11 @@
     pub(crate) rules: Rc<[Rule]>,
     pub(crate) client: Rc<Client>,
     pub(crate) identity: ClientIdentity,
-    /// Whether the front stops.
+    /// Whether the front is stopping.
     pub(crate) stop: watch::Receiver<bool>,
 }
 
-/// The class of a transaction, and its message if that may be sent again.
+/// The class of a transaction, and its first message if that may be sent again.
 struct Classified {
     class: ClassId,
     replay: Option<Bytes>,
@@ -46,28 +46,28 @@
 }
 
 impl Session {
-    /// Serves the client's transactions until its session ends.
+    /// Serves the client's transactions until the session ends.
     pub(crate) async fn serve(&self) {
         let client = &self.client;
         let mut stop = self.stop.clone();
         loop {
-            let first = tokio::select! {
-                first = self.wait_for_transaction() => first,
+            let waited = tokio::select! {
+                waited = self.wait_for_transaction() => waited,
                 _ = stop.wait_for(|stop| *stop), if client.input.borrow().is_empty() => {
                     let text = "this proxy stops: connect again";
                     ClientError::fatal("57P01", text).put(&mut client.output.borrow_mut());
                     return;
                 }
             };
-            let answer = match first {
+            let answer = match waited {
                 Ok(()) => self.run_transaction().await,
                 Err(reason) => {
-                    client.over.set(Some(reason));
+                    client.session_end.set(Some(reason));
                     Answer::Failed
                 }
             };
-            client.at.set(None);
-            let error = match client.over.get() {
+            client.cancel_target.set(None);
+            let error = match client.session_end.get() {
                 Some(SessionEnd::ClientLeft) => return,
                 Some(SessionEnd::InvalidMessage) => {
                     ClientError::fatal("08P01", "a message of an impossible length")
@@ -76,7 +76,7 @@
                     "54000",
                     "statements of a session are bounded: 1 MB each, 8 MB together, 100,000 messages ahead",
                 ),
-                None => match self.error_of(&answer) {
+                None => match self.error_for(&answer) {
                     Some(error) => error,
                     None => continue,
                 },
@@ -87,31 +87,31 @@
         }
     }
 
-    /// The error that the client gets for the core's answer; `None` where its transaction was served.
-    fn error_of(&self, answer: &Answer) -> Option<ClientError> {
+    /// Returns the error that the client gets for the core's answer; `None` if its transaction was served.
+    fn error_for(&self, answer: &Answer) -> Option<ClientError> {
         let client = &self.client;
-        let is_result_unknown = client.track.get().is_result_unknown();
+        let is_result_unknown = client.tracker.get().is_result_unknown();
         Some(match answer {
             Answer::Served(_) => return None,
-            // It may be repeated, but no more by this proxy: the error is the loss of the server.
-            Answer::Rejected(_) if client.lost.get() && is_result_unknown => result_unknown(),
-            Answer::Rejected(after) => ClientError::refused(*after, client.sent.get()),
+            // The statement may be repeated, but the core makes no further attempt: report the loss of the server.
+            Answer::Rejected(_) if client.server_lost.get() && is_result_unknown => result_unknown(),
+            Answer::Rejected(after) => ClientError::no_capacity(*after, client.sent.get()),
             Answer::TimedOut => deadline_exceeded(),
-            // Withdrawn by the core, a moment before the client's deadline.
-            Answer::Failed if client.sent.get() && !client.lost.get() => deadline_exceeded(),
+            // The core cancelled the attempt shortly before the client's deadline.
+            Answer::Failed if client.sent.get() && !client.server_lost.get() => deadline_exceeded(),
             Answer::Failed if is_result_unknown => result_unknown(),
             Answer::Failed => ClientError::error("08006", "the server was lost before anything was done"),
         })
     }
 
-    /// Waits for the first message of a transaction, or for as much of it as is inspected: no server is reserved for a
-    /// client that has not sent a request.
+    /// Waits for the first message of a transaction, or for as much of it as is inspected. No server connection is
+    /// reserved for a client that has not sent a request.
     async fn wait_for_transaction(&self) -> Result<(), SessionEnd> {
         loop {
             self.skip_rest().await?;
             match self.next_kind()? {
                 Some(b'X') => return Err(SessionEnd::ClientLeft),
-                // Rows and their end, and a Flush, after a transaction that has failed: they request nothing.
+                // CopyData, CopyDone, CopyFail and Flush request nothing; they may follow a failed transaction.
                 Some(b'd' | b'c' | b'f' | b'H') => self.skip_until(|_| true).await?,
                 Some(_) => return Ok(()),
                 None => self.receive_more().await?,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The type of the next message, once as much of it is there as is inspected.
+    /// Returns the type of the next message, once as much of the message has arrived as is inspected.
     fn next_kind(&self) -> Result<Option<u8>, SessionEnd> {
         let input = self.client.input.borrow();
         let header = header(&input)?;
@@ -136,9 +136,9 @@
             let body = input.get(HEADER_BYTES..HEADER_BYTES + header.length)?;
             Some((header, body))
         });
-        let text = message.and_then(|(header, body)| statement(header.kind, body));
+        let text = message.and_then(|(header, body)| statement_text(header.kind, body));
         let default = ClassId(settings.config.classes.len().saturating_sub(1));
-        let class = class(&self.rules, &self.identity, text, default);
+        let class = classify(&self.rules, &self.identity, text, default);
         let has_no_side_effects = settings.config.classes[class.0].side_effects == SideEffects::None;
         let may_replay = |(header, body): &(Header, &[u8])| {
             has_no_side_effects && header.length <= MAX_REPLAY_BYTES && is_repeatable(header.kind, body)
@@ -148,11 +148,11 @@
         Classified { class, replay }
     }
 
-    /// Runs one transaction through the core.
+    /// Submits one transaction to the core and waits for the answer.
     async fn run_transaction(&self) -> Answer {
         let settings = self.host.settings();
         let Classified { class, replay } = self.classify(&settings);
-        self.client.begin(replay);
+        self.client.begin_transaction(replay);
         let side_effects = settings.config.classes[class.0].side_effects;
         let time_left = settings.network.deadlines.get(class.0).copied().unwrap_or_default();
         let arrival = Arrival {
@@ -185,59 +185,63 @@
         }
     }
 
-    /// Reports to the client that its transaction has failed, in the order of its replies; returns whether the session goes
-    /// on.
+    /// Sends the client the error of its failed transaction in place of the pending replies; returns whether the
+    /// session continues.
     async fn report_error(&self, error: ClientError) -> bool {
         debug!(code = error.code, fatal = error.fatal, "transaction not served");
-        if !self.client.down.borrow().is_at_boundary() {
-            return false; // the client has received a part of a message: nothing can follow it
+        if !self.client.to_client.borrow().is_at_boundary() {
+            return false; // the client has received part of a message, which an error cannot follow
         }
-        let track = self.client.track.get();
-        let is_client_waiting = track.pending_ready() > 0 || track.needs_sync() || !self.client.sent.get();
+        let tracker = self.client.tracker.get();
+        let is_client_waiting =
+            tracker.pending_ready() > 0 || tracker.needs_sync() || !self.client.sent.get();
         if error.fatal || !is_client_waiting {
             ClientError { fatal: true, ..error }.put(&mut self.client.output.borrow_mut());
-            return false; // a transaction was open and the client is not waiting: it could not be told otherwise
+            // A client that waits for no reply learns only from the end of its session that its transaction was lost.
+            return false;
         }
         error.put(&mut self.client.output.borrow_mut());
-        // The client may wait for the error before it sends more.
+        // The client may wait for the error before it sends more messages.
         if drain(&self.client.output, &self.client.tcp).await.is_err() {
             return false;
         }
-        // One ReadyForQuery for each that is pending; without a Sync the client does not expect one yet.
+        // Each pending ReadyForQuery is sent. If none is pending, or a Sync is missing, the client expects one only
+        // after its next Query, FunctionCall or Sync.
         let is_end = |kind| matches!(kind, b'Q' | b'F' | b'S');
-        if (track.pending_ready() == 0 || track.needs_sync()) && self.skip_until(is_end).await.is_err() {
+        if (tracker.pending_ready() == 0 || tracker.needs_sync()) && self.skip_until(is_end).await.is_err() {
             return false;
         }
         put_ready(&mut self.client.output.borrow_mut());
         // Each pending part of a pipeline gets the error: a ReadyForQuery alone would mean an empty result.
-        for _ in 1..track.pending_ready() {
+        for _ in 1..tracker.pending_ready() {
             error.put(&mut self.client.output.borrow_mut());
             put_ready(&mut self.client.output.borrow_mut());
         }
-        self.client.track.set(Track::default());
+        self.client.tracker.set(ConnectionTracker::default());
         drain(&self.client.output, &self.client.tcp).await.is_ok()
     }
 
-    /// Skips the rest of a message that was forwarded in part.
+    /// Skips the rest of a partially forwarded message.
     async fn skip_rest(&self) -> Result<(), SessionEnd> {
-        while !self.client.up.borrow().is_at_boundary() {
-            let (mut input, mut sink) = (self.client.input.take(), BytesMut::new());
-            let passed = self.client.up.borrow_mut().forward(&mut input, &mut sink, |_, _| false);
+        while !self.client.to_server.borrow().is_at_boundary() {
+            let (mut input, mut discarded) = (self.client.input.take(), BytesMut::new());
+            let forwarded =
+                self.client.to_server.borrow_mut().forward(&mut input, &mut discarded, |_, _| false);
             self.client.input.replace(input);
-            passed?;
-            if !self.client.up.borrow().is_at_boundary() {
+            forwarded?;
+            if !self.client.to_server.borrow().is_at_boundary() {
                 self.receive_more().await?;
             }
         }
         Ok(())
     }
 
-    /// Skips all messages up to the first one for which `is_end` holds, which is skipped as well.
+    /// Skips all messages up to and including the first one for which `is_end` returns true.
     async fn skip_until(&self, is_end: impl Fn(u8) -> bool) -> Result<(), SessionEnd> {
         loop {
             self.skip_rest().await?;
-            let head = header(&self.client.input.borrow())?;
-            let Some(Header { kind, length }) = head else {
+            let next_header = header(&self.client.input.borrow())?;
+            let Some(Header { kind, length }) = next_header else {
                 self.receive_more().await?;
                 continue;
             };
@@ -245,14 +249,14 @@
                 return Err(SessionEnd::ClientLeft);
             }
             self.client.input.borrow_mut().advance(HEADER_BYTES);
-            self.client.up.borrow_mut().continue_message(length);
+            self.client.to_server.borrow_mut().continue_message(length);
             if is_end(kind) {
                 return self.skip_rest().await;
             }
         }
     }
 
-    /// Waits for more bytes of the client.
+    /// Waits for more bytes from the client.
     async fn receive_more(&self) -> Result<(), SessionEnd> {
         match fill(&self.client.tcp, &self.client.input).await {
             Ok(1..) => Ok(()),
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for servers of the PostgreSQL protocol, and a front before some of them.
+//! A stand-in for PostgreSQL servers, and a front that uses several of them.
 
 #![allow(dead_code)]
 
@@ -20,44 +20,50 @@
 use tokio::sync::Notify;
 
 thread_local! {
-    /// One of this test's stand-ins has died at `die once`.
+    /// Whether one of this test's stand-ins has received `die once` and closed the connection.
     static DIED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// What a stand-in has seen: statements in the order in which they ran, and cancels.
+/// What a stand-in has received and done.
 #[derive(Default)]
 pub(crate) struct Seen {
+    /// The statements, in the order in which they were executed.
     pub statements: RefCell<Vec<String>>,
+    /// The texts that were parsed successfully.
     pub parsed: RefCell<Vec<String>>,
     pub logins: RefCell<usize>,
-    /// Bytes of rows that clients copied in, and that were poured out to one.
-    pub copied: RefCell<usize>,
-    pub poured: RefCell<usize>,
-    /// Nothing more can be poured.
+    /// Bytes of rows that clients copied in.
+    pub copied_bytes: RefCell<usize>,
+    /// Bytes sent in answer to `pour`.
+    pub poured_bytes: RefCell<usize>,
+    /// Notified when the client of `pour` has not read for 500 ms.
     pub stalled: Notify,
-    /// The session that waits for rows dies.
-    pub dies: Notify,
-    /// A session's connection has ended.
+    /// Makes the session in copy-in mode close its connection.
+    pub close_copying_session: Notify,
+    /// Notified when a connection has ended.
     pub ended: Notify,
+    /// Process ids and secrets of the CancelRequests.
     pub cancels: RefCell<Vec<(i32, i32)>>,
+    /// Notified when a CancelRequest has arrived.
     pub cancelled: Notify,
 }
 
-/// Runs a stand-in: `die` ends the connection unanswered, `halt` after CommandComplete, `stall` never answers.
+/// Starts a stand-in. On `die` it closes the connection without an answer, on `halt` after CommandComplete; it never
+/// answers `stall`.
 pub(crate) async fn stand_in() -> (SocketAddr, Rc<Seen>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (at, seen) = (listener.local_addr().unwrap(), Rc::new(Seen::default()));
-    let log = seen.clone();
+    let (address, seen) = (listener.local_addr().unwrap(), Rc::new(Seen::default()));
+    let record = seen.clone();
     tokio::task::spawn_local(async move {
         while let Ok((tcp, _)) = listener.accept().await {
-            let log = log.clone();
+            let record = record.clone();
             tokio::task::spawn_local(async move {
-                session(tcp, log.clone()).await;
-                log.ended.notify_one();
+                session(tcp, record.clone()).await;
+                record.ended.notify_one();
             });
         }
     });
-    (at, seen)
+    (address, seen)
 }
 
 async fn session(mut tcp: TcpStream, seen: Rc<Seen>) {
@@ -83,7 +89,7 @@
     put(&mut out, b'S', b"server_version\09.6.1\0");
     put(&mut out, b'K', &[number.to_be_bytes(), 77i32.to_be_bytes()].concat());
     put(&mut out, b'Z', b"I");
-    let (mut status, mut text, mut failed, mut copying) = (b'I', String::new(), false, false);
+    let (mut status, mut text, mut skip_until_sync, mut is_copying) = (b'I', String::new(), false, false);
     let mut named: HashMap<String, String> = HashMap::new();
     loop {
         if tcp.write_all(&out).await.is_err() {
@@ -93,54 +99,54 @@
         let Some(Message { kind, body }) = message(&mut input, 1 << 20).unwrap() else {
             let read = tokio::select! {
                 read = tcp.read_buf(&mut input) => read.unwrap_or(0),
-                _ = seen.dies.notified(), if copying => 0,
+                _ = seen.close_copying_session.notified(), if is_copying => 0,
             };
             if read == 0 {
                 return;
             }
             continue;
         };
-        let words =
+        let first_text =
             |b: &[u8]| String::from_utf8_lossy(b.split(|b| *b == 0).next().unwrap_or(b"")).into_owned();
-        if failed && !matches!(kind, b'Q' | b'S') || copying && kind == b'S' {
+        if skip_until_sync && !matches!(kind, b'Q' | b'S') || is_copying && kind == b'S' {
             continue;
         }
-        copying &= kind == b'd';
-        failed = false;
-        // As PostgreSQL does: a name is prepared once, and used only where it was.
-        let mut fail = |out: &mut BytesMut, code: &str| {
+        is_copying &= kind == b'd';
+        skip_until_sync = false;
+        // As in PostgreSQL, preparing an existing name and using an unknown one fail.
+        let mut put_error = |out: &mut BytesMut, code: &str| {
             put(out, b'E', format!("SERROR\0C{code}\0Mstand-in\0\0").as_bytes());
-            failed = true;
+            skip_until_sync = true;
         };
-        let second = |b: &[u8]| words(&b[words(b).len() + 1..]);
+        let second_text = |b: &[u8]| first_text(&b[first_text(b).len() + 1..]);
         match kind {
-            b'Q' => text = words(&body),
-            b'P' => match (words(&body), second(&body)) {
-                (name, _) if !name.is_empty() && named.contains_key(&name) => fail(&mut out, "42P05"),
-                (_, new) if new == "nonsense" => fail(&mut out, "42601"),
+            b'Q' => text = first_text(&body),
+            b'P' => match (first_text(&body), second_text(&body)) {
+                (name, _) if !name.is_empty() && named.contains_key(&name) => put_error(&mut out, "42P05"),
+                (_, new) if new == "nonsense" => put_error(&mut out, "42601"),
                 (name, new) => {
                     seen.parsed.borrow_mut().push(new.clone());
                     named.insert(name, new);
                     put(&mut out, b'1', b"");
                 }
             },
-            b'B' => match named.get(&second(&body)) {
+            b'B' => match named.get(&second_text(&body)) {
                 Some(known) => {
                     text.clone_from(known);
                     put(&mut out, b'2', b"");
                 }
-                None => fail(&mut out, "26000"),
+                None => put_error(&mut out, "26000"),
             },
-            b'D' if body[0] == b'S' => match named.contains_key(&words(&body[1..])) {
+            b'D' if body[0] == b'S' => match named.contains_key(&first_text(&body[1..])) {
                 true => {
                     put(&mut out, b't', &[0, 0]);
-                    put(&mut out, b'T', &column());
+                    put(&mut out, b'T', &one_column());
                 }
-                false => fail(&mut out, "26000"),
+                false => put_error(&mut out, "26000"),
             },
-            b'D' => put(&mut out, b'T', &column()),
+            b'D' => put(&mut out, b'T', &one_column()),
             b'C' => put(&mut out, b'3', b""),
-            b'd' => *seen.copied.borrow_mut() += body.len(),
+            b'd' => *seen.copied_bytes.borrow_mut() += body.len(),
             b'c' => {
                 put(&mut out, b'C', b"COPY 1\0");
                 put(&mut out, b'Z', &[status]);
@@ -155,12 +161,12 @@
                 "stall" => std::future::pending().await,
                 "copy" => {
                     put(&mut out, b'G', &[0, 0, 0]);
-                    copying = true;
+                    is_copying = true;
                     continue;
                 }
-                "pour" => return pour(tcp, &seen).await,
+                "pour" => return send_endless_rows(tcp, &seen).await,
                 "fail" => {
-                    fail(&mut out, "22012");
+                    put_error(&mut out, "22012");
                     if kind == b'Q' {
                         put(&mut out, b'Z', &[status]);
                     }
@@ -171,9 +177,9 @@
                 _ => {}
             }
             if kind == b'Q' {
-                put(&mut out, b'T', &column());
+                put(&mut out, b'T', &one_column());
             }
-            row(&mut out, &text);
+            put_row(&mut out, &text);
             put(&mut out, b'C', b"SELECT 1\0");
             if text.ends_with("halt") {
                 let _ = tcp.write_all(&out).await;
@@ -186,23 +192,23 @@
     }
 }
 
-/// Rows without end, until nobody takes them any more.
-async fn pour(mut tcp: TcpStream, seen: &Seen) {
+/// Sends rows until the connection fails, and reports when the client stops reading.
+async fn send_endless_rows(mut tcp: TcpStream, seen: &Seen) {
     let mut out = BytesMut::new();
-    put(&mut out, b'T', &column());
-    row(&mut out, &"x".repeat(8000));
+    put(&mut out, b'T', &one_column());
+    put_row(&mut out, &"x".repeat(8000));
     loop {
-        let stuck = std::time::Duration::from_millis(500);
-        match tokio::time::timeout(stuck, tcp.write_all(&out)).await {
-            Ok(Ok(())) => *seen.poured.borrow_mut() += out.len(),
+        let stall_timeout = std::time::Duration::from_millis(500);
+        match tokio::time::timeout(stall_timeout, tcp.write_all(&out)).await {
+            Ok(Ok(())) => *seen.poured_bytes.borrow_mut() += out.len(),
             Ok(Err(_)) => return,
             Err(_) => seen.stalled.notify_one(),
         }
     }
 }
 
-/// RowDescription of one column of text.
-fn column() -> Vec<u8> {
+/// Returns the body of a RowDescription with one column of text.
+fn one_column() -> Vec<u8> {
     let mut body = BytesMut::new();
     body.put_u16(1);
     body.put_slice(b"echo\0");
@@ -215,8 +221,8 @@
     body.to_vec()
 }
 
-/// A DataRow that holds the statement itself.
-fn row(out: &mut BytesMut, text: &str) {
+/// Appends a DataRow with the text of the statement.
+fn put_row(out: &mut BytesMut, text: &str) {
     let mut body = BytesMut::new();
     body.put_u16(1);
     body.put_u32(text.len() as u32);
@@ -224,22 +230,24 @@
     put(out, b'D', &body);
 }
 
-/// A front before these servers.
+/// A front and its servers.
 pub(crate) struct Rig {
     pub host: Rc<Host>,
     pub servers: Rc<Servers>,
-    pub at: SocketAddr,
-    list: Vec<SocketAddr>,
+    pub address: SocketAddr,
+    addresses: Vec<SocketAddr>,
 }
 
 impl Rig {
-    /// At most so many connections to servers, and so much time for a transaction.
-    pub(crate) async fn start(list: &[SocketAddr], most: usize, deadline: Micros) -> Rig {
-        Rig::ruled(list, most, deadline, Vec::new()).await
+    /// Starts a front with at most `max_connections` server connections and a deadline for each transaction.
+    pub(crate) async fn start(addresses: &[SocketAddr], max_connections: usize, deadline: Micros) -> Rig {
+        Rig::start_with_rules(addresses, max_connections, deadline, Vec::new()).await
     }
 
-    /// With rules: class 0 may be repeated, class 1 may not.
-    pub(crate) async fn ruled(list: &[SocketAddr], most: usize, deadline: Micros, rules: Vec<Rule>) -> Rig {
+    /// Starts a front with rules: transactions of class 0 may be repeated, those of class 1 may not.
+    pub(crate) async fn start_with_rules(
+        addresses: &[SocketAddr], max_connections: usize, deadline: Micros, rules: Vec<Rule>,
+    ) -> Rig {
         let class = |effect| Class {
             side_effects: effect,
             latency_objective: deadline,
@@ -255,7 +263,7 @@
             deadlines: vec![deadline; 2],
         };
         let login = Login { user: "deck".into(), database: "scores".into(), password: None };
-        let servers = Servers::new(login, &network, most);
+        let servers = Servers::new(login, &network, max_connections);
         let settings = Settings { config: config.clone(), names: Names::default(), network };
         let cordon = Cordon::load(&std::env::temp_dir().join("lotusdeck-no-such-proxy"));
         let balancer = Balancer::new(config, 4).unwrap();
@@ -273,40 +281,40 @@
             FrontSettings { databases: vec!["scores".into()], users: vec![user], max_clients: 100, rules };
         let front = Front::new(host.clone(), servers.clone(), settings).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(front.run(listener));
-        let rig = Rig { host, servers, at, list: list.to_vec() };
-        (0..list.len()).for_each(|n| rig.tell(n, BackendState::Ready));
+        let rig = Rig { host, servers, address, addresses: addresses.to_vec() };
+        (0..addresses.len()).for_each(|n| rig.set_state(n, BackendState::Ready));
         rig
     }
 
-    /// The list says that of a server.
-    pub(crate) fn tell(&self, server: usize, state: BackendState) {
-        let (name, address) = (format!("pg-{server}"), self.list[server]);
+    /// Updates the state of a server in the endpoint list.
+    pub(crate) fn set_state(&self, server: usize, state: BackendState) {
+        let (name, address) = (format!("pg-{server}"), self.addresses[server]);
         let entry = Backend { state, ..Backend::default() };
         let row = EndpointRecord::new(&name, &address.to_string(), "", "", entry);
         self.host.update_endpoints(ListUpdate::Changes, vec![Endpoint { name, address, state, row }]);
     }
 
-    /// A real driver's session.
+    /// Opens a session with a real driver, as user `ann` on database `scores`.
     pub(crate) async fn driver(
         &self, password: &str,
     ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
-        self.driver_of("ann", password, "scores").await
+        self.driver_as("ann", password, "scores").await
     }
 
-    pub(crate) async fn driver_of(
+    pub(crate) async fn driver_as(
         &self, user: &str, password: &str, database: &str,
     ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
         let mut config = tokio_postgres::Config::new();
-        config.host("127.0.0.1").port(self.at.port()).user(user).password(password).dbname(database);
+        config.host("127.0.0.1").port(self.address.port()).user(user).password(password).dbname(database);
         let (client, connection) = config.connect(tokio_postgres::NoTls).await?;
         tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(client)
     }
 }
 
-/// The one value that a simple query brought.
+/// Returns the single value in the answer to a simple query.
 pub(crate) fn value(messages: &[tokio_postgres::SimpleQueryMessage]) -> String {
     let row = messages.iter().find_map(|m| match m {
         tokio_postgres::SimpleQueryMessage::Row(row) => row.get(0),
@@ -315,7 +323,7 @@
     row.unwrap_or_default().to_string()
 }
 
-/// The code of a server's error.
+/// Returns the SQLSTATE of an error; an empty text if there is none.
 pub(crate) fn code<T>(result: Result<T, tokio_postgres::Error>) -> String {
     result.err().and_then(|e| e.code().map(|c| c.code().to_string())).unwrap_or_default()
 }
