--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -82,5 +82,5 @@
     let soaked = lotusdeck_testbed::postgres::run(&args).unwrap();
     assert!(soaked.wrong.is_empty(), "{:?}", soaked.wrong);
     // How much was played depends on the machine; that it was played does not.
-    assert!(soaked.deaths > 0 && soaked.told[0] > 0, "{soaked:?}");
+    assert!(soaked.deaths > 0 && soaked.reported[0] > 0, "{soaked:?}");
 }
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -198,7 +198,7 @@
     let worth = |way: Way| {
         let experiment = fleet::experiment(Script::PowerLoss, way, 4, 5.0).unwrap();
         let (seed, back) = first_verdict(&experiment, 7..10, &format!("power-{way:?}"), |plan, outcome| {
-            fleet::judge(plan, outcome, restart_s).ok_or_else(|| "the lab was late".to_string())
+            fleet::evaluate(plan, outcome, restart_s).ok_or_else(|| "the lab was late".to_string())
         });
         println!("{way:?} seed {seed}: {back:?}");
         assert_eq!((back.broken, back.cold_over), (0, 0), "{way:?} seed {seed}");
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -8,7 +8,7 @@
 use crate::driver::run::play;
 use crate::experiment::{Effect, Experiment};
 use crate::oracle::{timeline, Broken};
-use crate::record::{How, What as Saw};
+use crate::record::{Observation, RequestEnd};
 use crate::report::figures::Figures;
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
@@ -85,21 +85,21 @@
     let count = |of: &mut BTreeMap<String, u64>, what: String| *of.entry(what).or_default() += 1;
     for r in &outcome.records {
         match &r.what {
-            Saw::Injured { injury, .. } => {
+            Observation::Injured { injury, .. } => {
                 if let Some(f) = e.injury.get(*injury) {
                     let kind = format!("{:?}", f.what);
                     let kind = kind.split([' ', '{']).next().unwrap_or_default();
                     count(&mut met.injuries, format!("{:?} {:?} {kind}", f.way, f.place.unwrap_or_default()));
                 }
             }
-            Saw::Ended { id, how, .. } => {
+            Observation::Ended { id, how, .. } => {
                 let class = plan.arrivals.get(id.arrival as usize).and_then(|a| e.class.get(a.class));
                 let once = class.is_some_and(|c| c.effect == Effect::SingleShot);
                 let how = match how {
-                    How::Served => "served",
-                    How::TurnedAway => "turned away",
-                    How::Withdrawn => "given up",
-                    How::Died => "its backend died",
+                    RequestEnd::Served => "served",
+                    RequestEnd::TurnedAway => "turned away",
+                    RequestEnd::Withdrawn => "given up",
+                    RequestEnd::Died => "its backend died",
                 };
                 count(&mut met.states, format!("{} {how}", if once { "once" } else { "free" }));
             }
--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -4,7 +4,7 @@
 use super::wire::Link;
 use super::{Clock, Log};
 use crate::experiment::Effect;
-use crate::record::{body, TryId, What, LISTEN_ON};
+use crate::record::{body, Observation, TryId, LISTEN_ON};
 use crate::world::dispatcher::RequestDispatcher;
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
@@ -126,7 +126,7 @@
         let (mut link, reused) = match self.connect(proxy).await {
             Some(got) => got,
             None => {
-                self.log.add(What::Unreached { id, proxy });
+                self.log.add(Observation::Unreached { id, proxy });
                 self.fronts.borrow_mut()[proxy].shunned =
                     self.clock.now() + Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
                 return Got::Unreached;
@@ -149,27 +149,32 @@
         .into_bytes();
         request.extend_from_slice(&sent);
         if link.write(&request).await.is_err() {
-            self.log.add(What::Unreached { id, proxy });
+            self.log.add(Observation::Unreached { id, proxy });
             return Got::Unreached;
         }
-        self.log.add(What::Asked { id, proxy, left: left.0 });
+        self.log.add(Observation::Asked { id, proxy, left: left.0 });
         // One who left early is gone; all others listen on for a while, to see what came late.
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
             Err(_) => {
-                self.log.add(What::Left { id });
+                self.log.add(Observation::Left { id });
                 return Got::Left;
             }
             Ok(Err(_)) => {
-                self.log.add(What::Broke { id, reused, begun: link.ahead() });
+                self.log.add(Observation::Broke { id, reused, begun: link.ahead() });
                 return Got::Failed;
             }
             Ok(Ok(answer)) => answer,
         };
         let own = answer.body == body(id, class.answer_bytes);
-        self.log.add(What::Answered { id, status: answer.status, retry_after: answer.retry_after, own });
+        self.log.add(Observation::Answered {
+            id,
+            status: answer.status,
+            retry_after: answer.retry_after,
+            own,
+        });
         if link.ahead() {
-            self.log.add(What::Extra { id });
+            self.log.add(Observation::Extra { id });
         } else if !answer.close {
             self.fronts.borrow_mut()[proxy].idle.push((self.clock.now(), link, id));
         }
@@ -192,7 +197,7 @@
             let Some((since, mut link, last)) = kept else { break };
             match link.poll_read() {
                 None if self.clock.now() - since < FRESH => return Some((link, true)),
-                Some(super::wire::ReadEvent::Bytes) => self.log.add(What::Extra { id: last }),
+                Some(super::wire::ReadEvent::Bytes) => self.log.add(Observation::Extra { id: last }),
                 _ => {}
             }
         }
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::wire::{listen, Link, ReadEvent};
 use super::{Clock, Log};
-use crate::record::What;
+use crate::record::Observation;
 use crate::world::discovery::{Discovery, Line, Status};
 use crate::world::plan::Plan;
 use std::cell::RefCell;
@@ -139,7 +139,7 @@
             for (backend, status) in told {
                 let before = self.told.borrow_mut().insert((proxy, backend), status);
                 if before != Some(status) {
-                    self.log.add(What::Told { proxy, backend, status });
+                    self.log.add(Observation::Told { proxy, backend, status });
                 }
             }
         }
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -3,7 +3,7 @@
 use super::wire::{listen, Link, ReadEvent, Request, Reserved};
 use super::{Clock, Log};
 use crate::experiment::Effect;
-use crate::record::{body, How, TryId, What};
+use crate::record::{body, Observation, RequestEnd, TryId};
 use crate::world::backend::{Backend, Health};
 use crate::world::plan::Plan;
 use crate::world::station::Ticket;
@@ -122,14 +122,14 @@
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
             let p = slot.model.pressure;
             if p.sent > 0.0 {
-                self.log.add(What::Pressure { backend, sent: p.sent, bears: p.bears });
+                self.log.add(Observation::Pressure { backend, sent: p.sent, bears: p.bears });
             }
         }
     }
 
     fn cut(&self, slot: &mut Slot, backend: usize, silent: bool) {
         for (_, (id, _)) in slot.open.drain() {
-            self.log.add(What::Ended { id, backend, how: How::Died });
+            self.log.add(Observation::Ended { id, backend, how: RequestEnd::Died });
         }
         slot.life.send_modify(|life| *life = (life.0 + 1, silent));
     }
@@ -169,7 +169,7 @@
         slots[b].model.due(now, &mut ended);
         for (_, ticket) in ended {
             if let Some((id, done)) = slots[b].open.remove(&ticket) {
-                self.log.add(What::Ended { id, backend: b, how: How::Served });
+                self.log.add(Observation::Ended { id, backend: b, how: RequestEnd::Served });
                 let _ = done.send(());
             }
         }
@@ -214,7 +214,7 @@
                 Ok(None) => return,
                 Err(e) => {
                     if let super::wire::Fault::Unreadable(what) = e {
-                        self.log.add(What::Foreign { backend: b, text: what.into() });
+                        self.log.add(Observation::Foreign { backend: b, text: what.into() });
                     }
                     return;
                 }
@@ -224,12 +224,12 @@
             }
             let Some((id, bytes, key, work)) = self.known(&request) else {
                 let text = format!("{} {}", request.method, request.target);
-                self.log.add(What::Foreign { backend: b, text });
+                self.log.add(Observation::Foreign { backend: b, text });
                 let _ = link.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             };
             let (ticket, now) = (self.ticket(), self.clock.now());
-            self.log.add(What::Began { id, backend: b });
+            self.log.add(Observation::Began { id, backend: b });
             self.settle(b, now);
             let (done, mut wait) = oneshot::channel();
             let taken = {
@@ -242,7 +242,7 @@
                 taken
             };
             if taken.is_err() {
-                self.log.add(What::Ended { id, backend: b, how: How::TurnedAway });
+                self.log.add(Observation::Ended { id, backend: b, how: RequestEnd::TurnedAway });
                 let away =
                     "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
                 if link.write(away.as_bytes()).await.is_err() {
@@ -302,7 +302,7 @@
         if let Some((id, _)) = slots[self.b].open.remove(&self.ticket) {
             slots[self.b].model.withdraw(now, self.ticket);
             slots[self.b].sooner.notify_one();
-            self.fleet.log.add(What::Ended { id, backend: self.b, how: How::Withdrawn });
+            self.fleet.log.add(Observation::Ended { id, backend: self.b, how: RequestEnd::Withdrawn });
         }
     }
 }
--- a/crates/testbed/src/driver/mod.rs
+++ b/crates/testbed/src/driver/mod.rs
@@ -9,7 +9,7 @@
 pub mod usage;
 pub mod wire;
 
-use crate::record::{Record, What};
+use crate::record::{Observation, Record};
 use lotusdeck_policy::Time;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -59,11 +59,11 @@
         Log { clock, records: Rc::default() }
     }
     /// Something happened now.
-    pub fn add(&self, what: What) {
+    pub fn add(&self, what: Observation) {
         self.records.borrow_mut().push(Record { at: self.clock.now(), what });
     }
     /// Something happened at `at`, which is past: records are put in order of time before they are judged.
-    pub fn add_at(&self, at: Time, what: What) {
+    pub fn add_at(&self, at: Time, what: Observation) {
         self.records.borrow_mut().push(Record { at, what });
     }
     /// All of it; the log is empty then.
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -9,7 +9,7 @@
 use crate::experiment::relayed;
 use crate::fault_proxy::run::Relay;
 use crate::fault_proxy::script::Script;
-use crate::record::{Record, Turn, What, LISTEN_ON};
+use crate::record::{Observation, ProxyEvent, Record, LISTEN_ON};
 use crate::world::discovery::Status;
 use crate::world::plan::{Act, Plan};
 use hdrhistogram::Histogram;
@@ -150,13 +150,13 @@
     let _ = ready.send(Ok(Standing { discovery, known: service.whole() }));
     while let Some(Order::Act(act)) = orders.recv().await {
         if let Err(e) = enact(&plan, &clock, &fleet, &service, &act) {
-            log.add(What::Act { text: format!("not done: {act:?}: {e}") });
+            log.add(Observation::Act { text: format!("not done: {act:?}: {e}") });
         }
     }
     fleet.report();
     for done in relay.iter().flat_map(Relay::done) {
         let backend = done.route.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or_default();
-        log.add(What::Injured { backend, injury: done.fault });
+        log.add(Observation::Injured { backend, injury: done.fault });
     }
     log.take()
 }
@@ -242,20 +242,20 @@
 
 impl Stage {
     async fn act(&mut self, act: &Act) -> Result<(), RunError> {
-        self.log.add(What::Act { text: describe_act(&self.plan, act) });
+        self.log.add(Observation::Act { text: describe_act(&self.plan, act) });
         match act {
             Act::KillProxy(p) => {
-                self.log.add(What::Proxy { proxy: *p, turn: Turn::Killed });
+                self.log.add(Observation::Proxy { proxy: *p, turn: ProxyEvent::Killed });
                 self.proxies[*p].kill().await;
             }
             Act::StopProxy(p) => {
-                self.log.add(What::Proxy { proxy: *p, turn: Turn::Stopping });
+                self.log.add(Observation::Proxy { proxy: *p, turn: ProxyEvent::Stopping });
                 self.proxies[*p].stop();
             }
             Act::StartProxy(p) => {
                 self.proxies[*p].ended(Duration::from_secs(5)).await;
                 self.proxies[*p].start().await?;
-                self.log.add(What::Proxy { proxy: *p, turn: Turn::Ready });
+                self.log.add(Observation::Proxy { proxy: *p, turn: ProxyEvent::Ready });
             }
             Act::Reload(p) => self.proxies[*p].reload(),
             Act::Cordon(which, out) => {
@@ -267,7 +267,7 @@
                             // A cordon binds once it is answered; a backend given back may be sent to as soon as
                             // the call is read, before its answer is.
                             let at = if *out { self.clock.now() } else { asked };
-                            self.log.add_at(at, What::Cordoned { proxy, backend, out: *out });
+                            self.log.add_at(at, Observation::Cordoned { proxy, backend, out: *out });
                         }
                     }
                 }
@@ -329,7 +329,7 @@
     };
     for (proxy, p) in stage.proxies.iter_mut().enumerate() {
         p.start().await?;
-        stage.log.add(What::Proxy { proxy, turn: Turn::Ready });
+        stage.log.add(Observation::Proxy { proxy, turn: ProxyEvent::Ready });
     }
     clock.start_in(LEAD);
     let (its, own) = (plan.clone(), clock.clone());
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -75,7 +75,7 @@
             if h.name.eq_ignore_ascii_case("content-length") {
                 fields.length = text.parse().map_err(|_| Fault::Unreadable("a length"))?;
             } else if h.name.eq_ignore_ascii_case("x-correlation-id") {
-                fields.id = TryId::read(h.value);
+                fields.id = TryId::parse(h.value);
             } else if h.name.eq_ignore_ascii_case("retry-after") {
                 fields.retry_after = text.parse().ok();
             } else if h.name.eq_ignore_ascii_case("connection") {
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -52,7 +52,7 @@
     let (seen, mut bytes) = (Seen::start(span), [7u8; BYTES]);
     if let Ok(mut tcp) = TcpStream::connect(to).await {
         let _ = tcp.set_nodelay(true);
-        while seen.goes_on() {
+        while seen.is_running() {
             let asked = Instant::now();
             let back = async {
                 tcp.write_all(&bytes).await?;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::driver::run::{play, Outcome};
 use crate::experiment::{Experiment, ExperimentError};
-use crate::record::What;
+use crate::record::Observation;
 use crate::report::figures::Figures;
 use crate::session::{self, SessionError};
 use crate::world::discovery::Status;
@@ -163,7 +163,7 @@
 
 /// What one play showed.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Return {
+pub struct PlayResult {
     /// Its seed.
     pub seed: u64,
     /// Worth earned of worth asked, of what was due in seconds 0 to 1, 1 to 5 and 5 to 30 after the last restart.
@@ -187,7 +187,7 @@
 }
 
 /// The figures of a play that counts, or `None` where the machine spoilt it.
-pub fn judge(plan: &Plan, outcome: &Outcome, restart_s: f64) -> Option<Return> {
+pub fn evaluate(plan: &Plan, outcome: &Outcome, restart_s: f64) -> Option<PlayResult> {
     let (figures, broken) = Figures::of(plan, outcome);
     if figures.void.is_some() {
         return None;
@@ -203,7 +203,7 @@
     let good = |s: usize| part(s as f64, s as f64 + 1.0).is_some_and(|w| w >= 0.9 * steady);
     let first = (at as usize..figures.seconds.len().saturating_sub(2)).find(|&s| (s..s + 3).all(good));
     let cold_over = figures.broken.iter().filter(|(name, _)| name == "cold budget kept").map(|b| b.1).sum();
-    Some(Return {
+    Some(PlayResult {
         seed: plan.seed,
         worth,
         steady,
@@ -217,8 +217,8 @@
 }
 
 fn cold_peak(outcome: &Outcome) -> f64 {
-    let part = |w: &What| match *w {
-        What::Pressure { sent, bears, .. } if bears > 0.0 => sent / bears,
+    let part = |w: &Observation| match *w {
+        Observation::Pressure { sent, bears, .. } if bears > 0.0 => sent / bears,
         _ => 0.0,
     };
     outcome.records.iter().map(|r| part(&r.what)).fold(0.0, f64::max)
@@ -232,17 +232,17 @@
     let mut latest: Option<f64> = None;
     for r in &outcome.records {
         match r.what {
-            What::Asked { id, proxy, .. } => {
+            Observation::Asked { id, proxy, .. } => {
                 sender.insert(id, proxy);
             }
-            What::Told { proxy, backend, status } if status != Status::Serving => {
+            Observation::Told { proxy, backend, status } if status != Status::Serving => {
                 barred.entry((proxy, backend)).or_insert(r.at);
                 latest = latest.or(Some(0.0));
             }
-            What::Told { proxy, backend, .. } => {
+            Observation::Told { proxy, backend, .. } => {
                 barred.remove(&(proxy, backend));
             }
-            What::Began { id, backend } => {
+            Observation::Began { id, backend } => {
                 let since = sender.get(&id).and_then(|p| barred.get(&(*p, backend)));
                 if let Some(since) = since {
                     let ms = (r.at - *since).0 as f64 / 1e3;
@@ -262,7 +262,7 @@
     let runtime = runtime.map_err(|e| SessionError::File("event loop".into(), e))?;
     let processes = usize::from(args.processes);
     let restart_s = last_restart(args.script, processes);
-    let mut all: HashMap<&'static str, Vec<Return>> = HashMap::new();
+    let mut all: HashMap<&'static str, Vec<PlayResult>> = HashMap::new();
     for &seed in &args.seeds {
         for way in [Way::Blank, Way::Kept] {
             let experiment = experiment(args.script, way, processes, AFTER_S)?;
@@ -271,7 +271,7 @@
             for attempt in 0..TRIES {
                 let folder = args.out.join(format!("{}-seed-{seed}-{attempt}", experiment.name));
                 let outcome = runtime.block_on(play(plan.clone(), &program, &folder, &|_| {}))?;
-                judged = judge(&plan, &outcome, restart_s);
+                judged = evaluate(&plan, &outcome, restart_s);
                 if judged.is_some() {
                     break;
                 }
@@ -305,7 +305,7 @@
 
 const HEAD: &str = "seed  0-1 s  1-5 s  5-30 s  steady  to 90 %  cold peak  cold over  broken  drain heeded";
 
-fn line(r: &Return) -> String {
+fn line(r: &PlayResult) -> String {
     let ninety = r.to_ninety_s.map_or("never".into(), |s| format!("{s:.1} s"));
     let drain = r.drain_heeded_ms.map_or("-".into(), |ms| format!("{ms:.0} ms"));
     format!(
@@ -315,14 +315,14 @@
 }
 
 /// The median of each figure on its own, the highest cold peak and the most cold windows over of any play, and all rules broken; the seed is 0.
-fn median(plays: &[Return]) -> Return {
+fn median(plays: &[PlayResult]) -> PlayResult {
     let mid = |mut v: Vec<f64>| {
         v.sort_by(f64::total_cmp);
         v.get(v.len() / 2).copied().unwrap_or(0.0)
     };
     // A play that never came back counts as the longest.
     let ninety = mid(plays.iter().map(|r| r.to_ninety_s.unwrap_or(f64::INFINITY)).collect());
-    Return {
+    PlayResult {
         seed: 0,
         worth: [0, 1, 2].map(|i| mid(plays.iter().map(|r| r.worth[i]).collect())),
         steady: mid(plays.iter().map(|r| r.steady).collect()),
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -3,7 +3,7 @@
 use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, What as Happens};
 use crate::oracle::{judge, timeline};
-use crate::record::{seconds, How, TryId, What};
+use crate::record::{seconds, Observation, RequestEnd, TryId};
 use crate::report::figures::Spread;
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
@@ -110,12 +110,12 @@
     let mut truth: HashMap<TryId, Seen> = HashMap::new();
     for r in &outcome.records {
         match r.what {
-            What::Asked { id, .. } => drop(truth.entry(id).or_default()),
-            What::Began { id, backend } => truth.entry(id).or_default().began.push(backend),
-            What::Ended { id, backend, how: How::Served } => {
+            Observation::Asked { id, .. } => drop(truth.entry(id).or_default()),
+            Observation::Began { id, backend } => truth.entry(id).or_default().began.push(backend),
+            Observation::Ended { id, backend, how: RequestEnd::Served } => {
                 truth.entry(id).or_default().served.push(backend)
             }
-            What::Ended { id, backend, how: How::TurnedAway } => {
+            Observation::Ended { id, backend, how: RequestEnd::TurnedAway } => {
                 truth.entry(id).or_default().away.push(backend)
             }
             _ => {}
--- a/crates/testbed/src/oracle/answers.rs
+++ b/crates/testbed/src/oracle/answers.rs
@@ -1,7 +1,7 @@
 //! One final answer for each request, and none late.
 
 use super::{Broken, Seen, Sent};
-use crate::record::{seconds, TryId, What};
+use crate::record::{seconds, Observation, TryId};
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
 
@@ -22,17 +22,17 @@
     for r in seen.records {
         let Some(id) = r.id() else { continue };
         match r.what {
-            What::Answered { .. } => {
+            Observation::Answered { .. } => {
                 let end = ends.entry(id).or_default();
                 end.answers += 1;
                 end.answered = end.answered.or(Some(r.at));
             }
-            What::Extra { .. } => ends.entry(id).or_default().extra = true,
+            Observation::Extra { .. } => ends.entry(id).or_default().extra = true,
             // A close between requests may cross one that was not read: no answer was begun.
-            What::Broke { reused, begun, .. } => {
+            Observation::Broke { reused, begun, .. } => {
                 ends.entry(id).or_default().broke = Some((r.at, reused && !begun))
             }
-            What::Left { .. } => ends.entry(id).or_default().left = Some(r.at),
+            Observation::Left { .. } => ends.entry(id).or_default().left = Some(r.at),
             _ => {}
         }
     }
--- a/crates/testbed/src/oracle/answers/tests.rs
+++ b/crates/testbed/src/oracle/answers/tests.rs
@@ -1,39 +1,43 @@
 use super::super::tests::*;
-use crate::record::{Turn, What};
+use crate::record::{Observation, ProxyEvent};
 
 #[test]
 fn two_answers_a_late_one_and_none_are_seen() {
     let two = [served(READ, 0), served(READ, 0)].concat();
     assert!(broken(&two)[0].1.contains("more than one"));
     let mut extra = served(READ, 0);
-    extra.push(at(30, What::Extra { id: READ }));
+    extra.push(at(30, Observation::Extra { id: READ }));
     assert!(broken(&extra)[0].1.contains("more than one"));
     let mut late = served(READ, 0);
     late[3] = at(600, late[3].what.clone());
     assert!(broken(&late)[0].1.contains("0.600 s after"));
-    let none = [at(0, What::Asked { id: READ, proxy: 0, left: 500_000 }), at(900, What::Left { id: READ })];
+    let none = [
+        at(0, Observation::Asked { id: READ, proxy: 0, left: 500_000 }),
+        at(900, Observation::Left { id: READ }),
+    ];
     assert!(broken(&none)[0].1.contains("never answered"));
     assert!(broken(&none[..1])[0].1.contains("never answered"), "the run ended before it");
-    let left = [none[0].clone(), at(100, What::Left { id: READ })];
+    let left = [none[0].clone(), at(100, Observation::Left { id: READ })];
     assert!(broken(&left).is_empty(), "an impatient client is owed nothing");
 }
 
 /// A broken connection is lost work, but for a proxy that was killed and a close that crossed the request.
 #[test]
 fn a_broken_connection_is_told_apart_from_a_killed_proxy() {
-    let broke = |reused, begun| at(50, What::Broke { id: READ, reused, begun });
-    let asked = at(0, What::Asked { id: READ, proxy: 1, left: 500_000 });
+    let broke = |reused, begun| at(50, Observation::Broke { id: READ, reused, begun });
+    let asked = at(0, Observation::Asked { id: READ, proxy: 1, left: 500_000 });
     for (reused, begun, lost) in [(false, false, true), (true, true, true), (true, false, false)] {
         let found = broken(&[asked.clone(), broke(reused, begun)]);
         assert_eq!(found.len(), usize::from(lost), "reused {reused} begun {begun}");
     }
-    let turn = |proxy, ms, turn| at(ms, What::Proxy { proxy, turn });
+    let turn = |proxy, ms, turn| at(ms, Observation::Proxy { proxy, turn });
     let with = |t| broken(&[asked.clone(), broke(false, false), t]).len();
-    assert_eq!(with(turn(1, 40, Turn::Killed)), 0);
-    let dead = [turn(1, 0, Turn::Killed), at(10, What::Asked { id: READ, proxy: 1, left: 500_000 })];
+    assert_eq!(with(turn(1, 40, ProxyEvent::Killed)), 0);
+    let dead =
+        [turn(1, 0, ProxyEvent::Killed), at(10, Observation::Asked { id: READ, proxy: 1, left: 500_000 })];
     let asked_of_the_dead = [dead[0].clone(), dead[1].clone(), broke(false, false)];
     assert_eq!(broken(&asked_of_the_dead).len(), 0, "its socket outlives it by a moment");
-    assert_eq!(with(turn(0, 40, Turn::Killed)), 1, "another proxy");
-    assert_eq!(with(turn(1, 400, Turn::Killed)), 1, "later");
-    assert_eq!(with(turn(1, 0, Turn::Stopping)), 1, "what comes just after a signal is answered");
+    assert_eq!(with(turn(0, 40, ProxyEvent::Killed)), 1, "another proxy");
+    assert_eq!(with(turn(1, 400, ProxyEvent::Killed)), 1, "later");
+    assert_eq!(with(turn(1, 0, ProxyEvent::Stopping)), 1, "what comes just after a signal is answered");
 }
--- a/crates/testbed/src/oracle/cold.rs
+++ b/crates/testbed/src/oracle/cold.rs
@@ -1,7 +1,7 @@
 //! A backend that has just started is not pushed over.
 
 use super::{Broken, Seen};
-use crate::record::What;
+use crate::record::Observation;
 
 const NAME: &str = "cold budget kept";
 /// Requests of mean work that chance may bring on top.
@@ -10,7 +10,7 @@
 pub(super) fn check(seen: &Seen) -> Vec<Broken> {
     let slack = SLACK * seen.plan.experiment.mean_work();
     let over = seen.records.iter().filter_map(|r| match r.what {
-        What::Pressure { backend, sent, bears } if sent > bears + slack => {
+        Observation::Pressure { backend, sent, bears } if sent > bears + slack => {
             let text = format!(
                 "backend {backend} was sent {sent:.3} core-s in a window in which it bears {bears:.3}"
             );
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,7 +1,7 @@
 //! Nothing new for a backend that drains, has left, or was taken out by operators, once the grace is over.
 
 use super::{Broken, Seen};
-use crate::record::{seconds, What};
+use crate::record::{seconds, Observation};
 use crate::world::discovery::Status;
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
@@ -17,9 +17,11 @@
     let mut out = Vec::new();
     for r in seen.records {
         let (key, bar) = match r.what {
-            What::Told { proxy, backend, status } => ((proxy, backend, false), status != Status::Serving),
-            What::Cordoned { proxy, backend, out } => ((proxy, backend, true), out),
-            What::Began { id, backend } => {
+            Observation::Told { proxy, backend, status } => {
+                ((proxy, backend, false), status != Status::Serving)
+            }
+            Observation::Cordoned { proxy, backend, out } => ((proxy, backend, true), out),
+            Observation::Began { id, backend } => {
                 let Some(sent) = seen.asked.get(&id) else { continue };
                 for by_operators in [false, true] {
                     let Some(since) = barred.get(&(sent.proxy, backend, by_operators)) else { continue };
--- a/crates/testbed/src/oracle/drains/tests.rs
+++ b/crates/testbed/src/oracle/drains/tests.rs
@@ -1,5 +1,5 @@
 use super::super::tests::*;
-use crate::record::{Record, What};
+use crate::record::{Observation, Record};
 use crate::world::discovery::Status;
 
 fn with(before: Vec<Record>) -> usize {
@@ -8,12 +8,12 @@
 
 #[test]
 fn what_is_sent_after_the_grace_is_seen() {
-    let told = |ms, proxy, status| at(ms, What::Told { proxy, backend: 0, status });
+    let told = |ms, proxy, status| at(ms, Observation::Told { proxy, backend: 0, status });
     assert_eq!(with(vec![told(100, 0, Status::Draining)]), 1);
     assert_eq!(with(vec![told(600, 0, Status::Draining)]), 0, "inside the grace");
     assert_eq!(with(vec![told(100, 1, Status::Draining)]), 0, "another proxy was told");
     assert_eq!(with(vec![told(100, 0, Status::Deleted), told(200, 0, Status::Serving)]), 0, "it is back");
-    let cordon = |ms, out| at(ms, What::Cordoned { proxy: 0, backend: 0, out });
+    let cordon = |ms, out| at(ms, Observation::Cordoned { proxy: 0, backend: 0, out });
     assert_eq!(with(vec![cordon(100, true), told(200, 0, Status::Serving)]), 1, "the list lifts no ban");
     assert_eq!(with(vec![cordon(100, true), cordon(200, false)]), 0);
 }
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -6,7 +6,7 @@
 mod repeats;
 mod unaltered;
 
-use crate::record::{seconds, Record, TryId, Turn, What};
+use crate::record::{seconds, Observation, ProxyEvent, Record, TryId};
 use crate::world::plan::Plan;
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
     /// When and to which proxy each try was sent.
     asked: HashMap<TryId, Sent>,
     /// The turns of each proxy's life.
-    turns: Vec<(Time, usize, Turn)>,
+    turns: Vec<(Time, usize, ProxyEvent)>,
 }
 
 impl<'a> Seen<'a> {
@@ -40,10 +40,10 @@
         let (mut asked, mut turns) = (HashMap::new(), Vec::new());
         for r in records {
             match r.what {
-                What::Asked { id, proxy, left } => {
+                Observation::Asked { id, proxy, left } => {
                     asked.insert(id, Sent { at: r.at, proxy, left: Micros(left) });
                 }
-                What::Proxy { proxy, turn } => turns.push((r.at, proxy, turn)),
+                Observation::Proxy { proxy, turn } => turns.push((r.at, proxy, turn)),
                 _ => {}
             }
         }
@@ -63,11 +63,11 @@
         let mut over = false;
         for (at, _, turn) in turns {
             match turn {
-                Turn::Killed if *at + near >= from && *at <= to + near => return true,
+                ProxyEvent::Killed if *at + near >= from && *at <= to + near => return true,
                 // A process that dies still holds its socket for some milliseconds.
-                Turn::Killed => over = from >= *at,
-                Turn::Stopping => over = from >= *at + Micros(700_000),
-                Turn::Ready if *at <= from => over = false,
+                ProxyEvent::Killed => over = from >= *at,
+                ProxyEvent::Stopping => over = from >= *at + Micros(700_000),
+                ProxyEvent::Ready if *at <= from => over = false,
                 _ => {}
             }
         }
@@ -109,7 +109,9 @@
 pub fn lost_with_proxies(plan: &Plan, records: &[Record]) -> usize {
     let seen = Seen::new(plan, records);
     let broke = |r: &&Record| match r.what {
-        What::Broke { id, .. } => seen.asked.get(&id).is_some_and(|s| seen.excused(s.proxy, s.at, r.at)),
+        Observation::Broke { id, .. } => {
+            seen.asked.get(&id).is_some_and(|s| seen.excused(s.proxy, s.at, r.at))
+        }
         _ => false,
     };
     records.iter().filter(broke).count()
--- a/crates/testbed/src/oracle/repeats.rs
+++ b/crates/testbed/src/oracle/repeats.rs
@@ -2,7 +2,7 @@
 
 use super::{Broken, Seen};
 use crate::experiment::Effect;
-use crate::record::{How, TryId, What};
+use crate::record::{Observation, RequestEnd, TryId};
 use std::collections::HashMap;
 
 const NAME: &str = "nothing runs twice";
@@ -16,15 +16,15 @@
         let Some(id) = r.id().filter(|id| single(*id)) else { continue };
         let count = ran.entry(id).or_default();
         match r.what {
-            What::Began { backend, .. } => {
+            Observation::Began { backend, .. } => {
                 *count += 1;
                 if *count > 1 {
                     let text = format!("sent to backend {backend} after it may have run");
                     out.push(Broken { oracle: NAME, id: Some(id), text });
                 }
             }
-            What::Ended { how: How::TurnedAway, .. } => *count = count.saturating_sub(1),
-            What::Answered { status: status @ (429 | 503), .. } if *count > 0 => {
+            Observation::Ended { how: RequestEnd::TurnedAway, .. } => *count = count.saturating_sub(1),
+            Observation::Answered { status: status @ (429 | 503), .. } if *count > 0 => {
                 let text = format!("answered {status} though it may have run");
                 out.push(Broken { oracle: NAME, id: Some(id), text });
             }
--- a/crates/testbed/src/oracle/tests.rs
+++ b/crates/testbed/src/oracle/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::experiment::Experiment;
-use crate::record::How;
+use crate::record::RequestEnd;
 
 /// A plan of two classes, `read` (free) and `order` (single-shot), whose arrivals 0 and 1 are of each.
 pub fn plan() -> Plan {
@@ -25,17 +25,17 @@
 pub const READ: TryId = TryId { arrival: 0, no: 0 };
 pub const ORDER: TryId = TryId { arrival: 1, no: 0 };
 
-pub fn at(ms: u64, what: What) -> Record {
+pub fn at(ms: u64, what: Observation) -> Record {
     Record { at: Time(ms * 1000), what }
 }
 
 /// A sound life of a request: asked, begun, ended, answered.
 pub fn served(id: TryId, from: u64) -> Vec<Record> {
     vec![
-        at(from, What::Asked { id, proxy: 0, left: 500_000 }),
-        at(from + 1, What::Began { id, backend: 0 }),
-        at(from + 20, What::Ended { id, backend: 0, how: How::Served }),
-        at(from + 21, What::Answered { id, status: 200, retry_after: None, own: true }),
+        at(from, Observation::Asked { id, proxy: 0, left: 500_000 }),
+        at(from + 1, Observation::Began { id, backend: 0 }),
+        at(from + 20, Observation::Ended { id, backend: 0, how: RequestEnd::Served }),
+        at(from + 21, Observation::Answered { id, status: 200, retry_after: None, own: true }),
     ]
 }
 
--- a/crates/testbed/src/oracle/unaltered.rs
+++ b/crates/testbed/src/oracle/unaltered.rs
@@ -1,16 +1,16 @@
 //! Backends get what clients sent and clients what backends answered: nothing hidden, nothing altered.
 
 use super::{Broken, Seen};
-use crate::record::What;
+use crate::record::Observation;
 
 const NAME: &str = "nothing altered";
 
 pub(super) fn check(seen: &Seen) -> Vec<Broken> {
     let altered = seen.records.iter().filter_map(|r| {
         let text = match &r.what {
-            What::Foreign { backend, text } => format!("backend {backend} was sent {text}"),
-            What::Answered { status: 200, own: false, .. } => "served with another body".to_string(),
-            What::Began { id, .. } if !seen.asked.contains_key(id) => {
+            Observation::Foreign { backend, text } => format!("backend {backend} was sent {text}"),
+            Observation::Answered { status: 200, own: false, .. } => "served with another body".to_string(),
+            Observation::Began { id, .. } if !seen.asked.contains_key(id) => {
                 "it reached a backend, but no client sent it".into()
             }
             _ => return None,
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -132,7 +132,7 @@
         let (seen, number, at) = (seen.clone(), number.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
             let mut link: Option<Link> = None;
-            while seen.goes_on() {
+            while seen.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
                 let served = ask(&mut link, at, number.get(), post).await;
@@ -209,7 +209,7 @@
         Rc::new(Seen { latency: latency.into(), failed: Cell::new(0), began: Instant::now(), span })
     }
 
-    pub(crate) fn goes_on(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.began.elapsed() < self.span
     }
 
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -56,7 +56,7 @@
         tasks.push(tokio::task::spawn_local(async move {
             let Ok(client) = driver(at).await else { return seen.count(Instant::now(), false) };
             let statement = if prepared { client.prepare("select").await.ok() } else { None };
-            while seen.goes_on() {
+            while seen.is_running() {
                 let asked = Instant::now();
                 let done = match &statement {
                     Some(statement) => client.execute(statement, &[]).await.is_ok(),
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -61,7 +61,7 @@
 
 /// What a client may believe of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Reported {
     Done,
     /// With the code that says so; `None` where its commit was never sent.
     NotDone,
@@ -70,11 +70,11 @@
 
 /// What came of a soak.
 #[derive(Debug, Default)]
-pub struct Soaked {
+pub struct SoakResult {
     /// Writes that clients tried.
     pub writes: usize,
     /// Told as done, as not done, and as unknown.
-    pub told: [usize; 3],
+    pub reported: [usize; 3],
     /// Unknown ones that were committed.
     pub unknown_done: usize,
     /// How often servers died.
@@ -91,7 +91,7 @@
     at: SocketAddr,
     until: Instant,
     next: Cell<u64>,
-    told: RefCell<HashMap<u64, Told>>,
+    reported: RefCell<HashMap<u64, Reported>>,
     codes: RefCell<BTreeMap<String, usize>>,
     sessions: Cell<usize>,
 }
@@ -110,8 +110,8 @@
             while Instant::now() < self.until && !client.is_closed() {
                 let number = self.next.get();
                 self.next.set(number + 1);
-                let told = self.write(&client, number).await;
-                self.told.borrow_mut().insert(number, told);
+                let reported = self.write(&client, number).await;
+                self.reported.borrow_mut().insert(number, reported);
             }
             drop(client);
             let _ = driven.await;
@@ -119,14 +119,15 @@
     }
 
     /// What an error lets a client believe of a statement that commits.
-    fn judge(&self, e: &tokio_postgres::Error) -> Told {
+    fn judge(&self, e: &tokio_postgres::Error) -> Reported {
         let code = e.code().map_or("connection lost", |c| c.code()).to_string();
-        let told = if matches!(code.as_str(), "53300" | "08006") { Told::NotDone } else { Told::Unknown };
+        let reported =
+            if matches!(code.as_str(), "53300" | "08006") { Reported::NotDone } else { Reported::Unknown };
         *self.codes.borrow_mut().entry(code).or_default() += 1;
-        told
+        reported
     }
 
-    async fn write(&self, client: &Client, number: u64) -> Told {
+    async fn write(&self, client: &Client, number: u64) -> Reported {
         let insert = format!("insert {number}");
         let ended = match number % 3 {
             0 => client.simple_query(&insert).await.map(|_| ()),
@@ -134,7 +135,7 @@
                 Ok(statement) => client.execute(&statement, &[]).await.map(|_| ()),
                 Err(e) => {
                     self.judge(&e);
-                    return Told::NotDone; // it was never asked to run
+                    return Reported::NotDone; // it was never asked to run
                 }
             },
             _ => {
@@ -143,39 +144,41 @@
                         self.judge(&e);
                         // The transaction is gone with its server, or the client ends it.
                         let _ = client.simple_query("rollback").await;
-                        return Told::NotDone;
+                        return Reported::NotDone;
                     }
                 }
                 client.simple_query("commit").await.map(|_| ())
             }
         };
-        ended.map_or_else(|e| self.judge(&e), |()| Told::Done)
+        ended.map_or_else(|e| self.judge(&e), |()| Reported::Done)
     }
 }
 
 /// What is wrong with what clients were told.
-fn compare(told: &HashMap<u64, Told>, committed: &[(u64, usize)], out: &mut Soaked) {
+fn compare(reported: &HashMap<u64, Reported>, committed: &[(u64, usize)], out: &mut SoakResult) {
     let mut ran: HashMap<u64, Vec<usize>> = HashMap::new();
     committed.iter().for_each(|(number, server)| ran.entry(*number).or_default().push(*server));
-    let mut numbers: Vec<&u64> = told.keys().collect();
+    let mut numbers: Vec<&u64> = reported.keys().collect();
     numbers.sort();
     for number in numbers {
         let there = ran.get(number).map_or(&[][..], Vec::as_slice);
         if there.len() > 1 {
             out.wrong.push(format!("write {number} was committed by servers {there:?}"));
         }
-        match (told[number], there.is_empty()) {
-            (Told::Done, true) => out.wrong.push(format!("write {number} was told as done and is nowhere")),
-            (Told::NotDone, false) => {
+        match (reported[number], there.is_empty()) {
+            (Reported::Done, true) => {
+                out.wrong.push(format!("write {number} was told as done and is nowhere"))
+            }
+            (Reported::NotDone, false) => {
                 out.wrong
                     .push(format!("write {number} was told as not done, and server {} has it", there[0]));
             }
             _ => {}
         }
-        out.told[told[number] as usize] += 1;
-        out.unknown_done += usize::from(told[number] == Told::Unknown && !there.is_empty());
+        out.reported[reported[number] as usize] += 1;
+        out.unknown_done += usize::from(reported[number] == Reported::Unknown && !there.is_empty());
     }
-    out.writes = told.len();
+    out.writes = reported.len();
 }
 
 /// A real proxy before some servers.
@@ -223,7 +226,7 @@
     Ok(Front { proxy, at, _held: held, _discovery: discovery })
 }
 
-async fn play(args: &Soak, own: &Path) -> Result<Soaked, SessionError> {
+async fn play(args: &Soak, own: &Path) -> Result<SoakResult, SessionError> {
     let io = RunError::Io;
     let chance = Chance { before: 0.002, after: 0.002, halfway: 0.001, away: 0.3 };
     let committed = Committed::default();
@@ -240,7 +243,7 @@
         at,
         until: Instant::now() + Duration::from_secs_f64(args.seconds),
         next: Cell::new(0),
-        told: RefCell::default(),
+        reported: RefCell::default(),
         codes: RefCell::default(),
         sessions: Cell::new(0),
     });
@@ -256,13 +259,13 @@
     }
     bar.finish_and_clear();
     proxy.kill().await;
-    let mut out = Soaked {
+    let mut out = SoakResult {
         deaths: servers.iter().map(|s| s.deaths()).sum(),
         sessions: play.sessions.get(),
         codes: play.codes.take(),
-        ..Soaked::default()
+        ..SoakResult::default()
     };
-    compare(&play.told.borrow(), &committed.borrow(), &mut out);
+    compare(&play.reported.borrow(), &committed.borrow(), &mut out);
     Ok(out)
 }
 
@@ -270,7 +273,7 @@
 ///
 /// # Errors
 /// Where no proxy can be started.
-pub fn run(args: &Soak) -> Result<Soaked, SessionError> {
+pub fn run(args: &Soak) -> Result<SoakResult, SessionError> {
     let own = program(args.proxy.as_deref())?;
     let file = |e| SessionError::File(args.out.display().to_string(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
@@ -291,12 +294,12 @@
     let _ = writeln!(
         out,
         "told as done {} ({:.2} %), as not done {} ({:.2} %), as unknown {} ({:.2} %), of which {} were done; {} wrong",
-        s.told[0],
-        part(s.told[0]),
-        s.told[1],
-        part(s.told[1]),
-        s.told[2],
-        part(s.told[2]),
+        s.reported[0],
+        part(s.reported[0]),
+        s.reported[1],
+        part(s.reported[1]),
+        s.reported[2],
+        part(s.reported[2]),
         s.unknown_done,
         s.wrong.len()
     );
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -16,7 +16,7 @@
 
 impl TryId {
     /// The id that the client gives it.
-    pub fn read(text: &[u8]) -> Option<TryId> {
+    pub fn parse(text: &[u8]) -> Option<TryId> {
         let text = std::str::from_utf8(text).ok().filter(|t| t.len() == 16)?;
         let part = |range: std::ops::Range<usize>| u32::from_str_radix(&text[range], 16).ok();
         Some(TryId { arrival: part(0..8)?, no: part(8..16)? })
@@ -38,7 +38,7 @@
 /// How a request ended at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum RequestEnd {
     /// Its answer was written.
     Served,
     /// It was turned away unseen.
@@ -52,7 +52,7 @@
 /// One thing that a stand-in saw.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "saw", rename_all = "snake_case")]
-pub enum What {
+pub enum Observation {
     /// A client wrote the last byte of a request; it said that it waits so many microseconds.
     Asked { id: TryId, proxy: usize, left: u64 },
     /// A client could not connect or write.
@@ -68,7 +68,7 @@
     /// A backend has the whole of a request.
     Began { id: TryId, backend: usize },
     /// It is over there.
-    Ended { id: TryId, backend: usize, how: How },
+    Ended { id: TryId, backend: usize, how: RequestEnd },
     /// A backend was sent what no client sent in this form.
     Foreign { backend: usize, text: String },
     /// Discovery told a proxy.
@@ -76,7 +76,7 @@
     /// Operators' call was answered yes.
     Cordoned { proxy: usize, backend: usize, out: bool },
     /// A proxy was killed, told to stop, or takes clients.
-    Proxy { proxy: usize, turn: Turn },
+    Proxy { proxy: usize, turn: ProxyEvent },
     /// The worst that a cold backend was sent, and what it bears.
     Pressure { backend: usize, sent: f64, bears: f64 },
     /// A relay did what an injury says, on a connection to that backend.
@@ -88,7 +88,7 @@
 /// A turn in a proxy's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Turn {
+pub enum ProxyEvent {
     /// It takes clients.
     Ready,
     /// It was told to stop.
@@ -105,7 +105,7 @@
     pub at: Time,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub what: Observation,
 }
 
 fn micros<S: serde::Serializer>(at: &Time, to: S) -> Result<S::Ok, S::Error> {
@@ -116,14 +116,14 @@
     /// The try that it is about.
     pub fn id(&self) -> Option<TryId> {
         match &self.what {
-            What::Asked { id, .. }
-            | What::Unreached { id, .. }
-            | What::Answered { id, .. }
-            | What::Broke { id, .. }
-            | What::Left { id }
-            | What::Extra { id }
-            | What::Began { id, .. }
-            | What::Ended { id, .. } => Some(*id),
+            Observation::Asked { id, .. }
+            | Observation::Unreached { id, .. }
+            | Observation::Answered { id, .. }
+            | Observation::Broke { id, .. }
+            | Observation::Left { id }
+            | Observation::Extra { id }
+            | Observation::Began { id, .. }
+            | Observation::Ended { id, .. } => Some(*id),
             _ => None,
         }
     }
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn ids_survive_the_way() {
     let id = TryId { arrival: 77, no: 2 };
-    assert_eq!(TryId::read(id.to_string().as_bytes()), Some(id));
+    assert_eq!(TryId::parse(id.to_string().as_bytes()), Some(id));
     for bad in ["", "0000004d0000000", "0000004d0000000x", "é000004d000000x"] {
-        assert_eq!(TryId::read(bad.as_bytes()), None, "{bad}");
+        assert_eq!(TryId::parse(bad.as_bytes()), None, "{bad}");
     }
     assert_eq!(body(id, 20), b"0000004d000000020000");
 }
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -1,7 +1,7 @@
 //! Where worth is lost: each arrival that earned less than its worth, by cause, from what the stand-ins saw.
 
 use crate::driver::run::Outcome;
-use crate::record::{How, What};
+use crate::record::{Observation, RequestEnd};
 use crate::world::backend::Health;
 use crate::world::plan::{Act, Plan};
 use lotusdeck_policy::Time;
@@ -96,24 +96,25 @@
             let Some(id) = r.id() else { continue };
             let Some(fate) = fates.get_mut(id.arrival as usize) else { continue };
             match r.what {
-                What::Asked { .. } => fate.asked = fate.asked.or(Some(r.at)),
-                What::Began { backend, .. } => {
+                Observation::Asked { .. } => fate.asked = fate.asked.or(Some(r.at)),
+                Observation::Began { backend, .. } => {
                     *there.entry((id.arrival, id.no, backend)).or_default() += 1;
                     (held, reached) = (held + 1, reached + 1);
                     fate.began = Some(r.at);
                 }
-                What::Ended { backend, how, .. } => {
+                Observation::Ended { backend, how, .. } => {
                     if there.remove(&(id.arrival, id.no, backend)).is_some() {
                         held = held.saturating_sub(1);
                     }
-                    fate.hurt |= matches!(how, How::Died | How::TurnedAway | How::Withdrawn);
-                    reached -= u64::from(how == How::TurnedAway && reached > 0);
+                    fate.hurt |=
+                        matches!(how, RequestEnd::Died | RequestEnd::TurnedAway | RequestEnd::Withdrawn);
+                    reached -= u64::from(how == RequestEnd::TurnedAway && reached > 0);
                 }
-                What::Answered { status: 200, own: true, .. } => {
+                Observation::Answered { status: 200, own: true, .. } => {
                     used += u64::from(fate.served.is_none());
                     fate.served = fate.served.or(Some(r.at));
                 }
-                What::Answered { status, .. } => {
+                Observation::Answered { status, .. } => {
                     let room = (held as f64) < cores.serving;
                     fate.refused = matches!(status, 429 | 503).then_some(room);
                 }
--- a/crates/testbed/src/report/causes/tests.rs
+++ b/crates/testbed/src/report/causes/tests.rs
@@ -19,7 +19,7 @@
     };
     let refused = |arrival, at| Record {
         at: Time(at),
-        what: What::Answered { id: id(arrival), status: 503, retry_after: None, own: false },
+        what: Observation::Answered { id: id(arrival), status: 503, retry_after: None, own: false },
     };
     // Nothing is anywhere: the second one finds room and is refused all the same.
     assert_eq!(
@@ -31,7 +31,7 @@
     let cores: f64 = plan.fleet.iter().map(|b| b.build.cores).sum();
     let out = (0..cores.ceil() as u32).map(|no| Record {
         at: Time(1),
-        what: What::Began { id: TryId { arrival: read.arrival, no }, backend: 0 },
+        what: Observation::Began { id: TryId { arrival: read.arrival, no }, backend: 0 },
     });
     let full: Vec<Record> = out.chain([refused(order.arrival, 300)]).collect();
     assert!(cause(full).contains(&Cause::RefusedFull));
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::run::{Outcome, Sample};
 use crate::oracle::{judge, lost_with_proxies, Broken};
-use crate::record::{How, What};
+use crate::record::{Observation, RequestEnd};
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
 use lotusdeck_policy::Time;
@@ -158,10 +158,10 @@
         for r in &outcome.records {
             let Some(fate) = r.id().and_then(|id| fates.get_mut(id.arrival as usize)) else { continue };
             match r.what {
-                What::Asked { .. } => sent += 1,
-                What::Ended { how: How::TurnedAway, .. } => {}
-                What::Began { .. } => reached += 1,
-                What::Answered { status, own, .. } => {
+                Observation::Asked { .. } => sent += 1,
+                Observation::Ended { how: RequestEnd::TurnedAway, .. } => {}
+                Observation::Began { .. } => reached += 1,
+                Observation::Answered { status, own, .. } => {
                     if status == 200 && own {
                         fate.served = fate.served.or(Some(r.at));
                     }
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -1,7 +1,7 @@
 //! Whether proxies swing together: how a kind's share of the traffic moves, beyond chance, and in what period.
 
 use crate::driver::run::Outcome;
-use crate::record::What;
+use crate::record::Observation;
 use crate::world::plan::Plan;
 use lotusdeck_policy::Micros;
 use std::collections::HashMap;
@@ -68,8 +68,8 @@
     let mut asked: HashMap<_, usize> = HashMap::new();
     for r in &outcome.records {
         match &r.what {
-            What::Asked { id, proxy, .. } => drop(asked.insert(*id, *proxy)),
-            What::Began { id, backend } => {
+            Observation::Asked { id, proxy, .. } => drop(asked.insert(*id, *proxy)),
+            Observation::Began { id, backend } => {
                 let at = (r.at.0 as f64 / 1e6 - from_s) / BIN.secs();
                 if let (true, Some(proxy)) = (at >= 0.0, asked.get(id)) {
                     if let Some(bin) = counts.get_mut(at as usize) {
--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -4,7 +4,7 @@
 use super::proxy::Proxy;
 use super::{Simulation, VirtualError, ONE_WAY};
 use crate::driver::run::describe_act;
-use crate::record::{Turn, What};
+use crate::record::{Observation, ProxyEvent};
 use crate::world::backend::Health;
 use crate::world::discovery::Status;
 use crate::world::plan::Act;
@@ -18,7 +18,7 @@
     pub(super) fn act(&mut self, number: usize) -> Result<(), VirtualError> {
         let plan = self.plan;
         let act = &plan.acts[number].1;
-        self.record(What::Act { text: describe_act(plan, act) });
+        self.record(Observation::Act { text: describe_act(plan, act) });
         match act {
             Act::Kill(which) => self.kill(which, false),
             Act::Remove(which) => self.kill(which, true),
@@ -112,7 +112,7 @@
         for proxy in 0..self.proxies.len() {
             self.proxies[proxy].cordon(&ids, out);
             for &backend in which {
-                self.record(What::Cordoned { proxy, backend, out });
+                self.record(Observation::Cordoned { proxy, backend, out });
             }
             self.pump(proxy);
         }
@@ -120,7 +120,7 @@
 
     /// A proxy's process ends: its clients' connections break, and its attempts are given up.
     fn kill_proxy(&mut self, proxy: usize) {
-        self.record(What::Proxy { proxy, turn: Turn::Killed });
+        self.record(Observation::Proxy { proxy, turn: ProxyEvent::Killed });
         let (clients, sent) = self.proxies[proxy].die();
         for id in clients {
             self.after(ONE_WAY, Event::Broke(id));
@@ -134,7 +134,7 @@
     fn start_proxy(&mut self, proxy: usize) -> Result<(), VirtualError> {
         let life = self.proxies[proxy].life() + 1;
         self.proxies[proxy] = Proxy::new(proxy, &self.settings[proxy], self.plan, self.which, life)?;
-        self.record(What::Proxy { proxy, turn: Turn::Ready });
+        self.record(Observation::Proxy { proxy, turn: ProxyEvent::Ready });
         self.list(proxy, ListUpdate::Cached);
         self.call(proxy, self.plan.fleet.len()); // it asks for the whole list, as everyone does at a start
         Ok(())
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -2,7 +2,7 @@
 
 use super::event::{Event, SentAttempt};
 use super::{Simulation, ONE_WAY};
-use crate::record::{How, What};
+use crate::record::{Observation, RequestEnd};
 use crate::world::backend::Health;
 use crate::world::station::Ticket;
 use lotusdeck_policy::{Outcome, Time};
@@ -34,12 +34,12 @@
         }
         self.settle(backend);
         let id = attempt.id;
-        self.record(What::Began { id, backend });
+        self.record(Observation::Began { id, backend });
         let arrival = &self.plan.arrivals[id.arrival as usize];
         if self.backends[backend].arrive(self.now, ticket, arrival.key, arrival.work).is_ok() {
             self.held[backend].insert(ticket, attempt);
         } else {
-            self.record(What::Ended { id, backend, how: How::TurnedAway });
+            self.record(Observation::Ended { id, backend, how: RequestEnd::TurnedAway });
             self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Rejected });
         }
         self.schedule(backend);
@@ -51,7 +51,7 @@
         self.backends[backend].due(self.now, &mut ended);
         for (_, ticket) in ended {
             if let Some(attempt) = self.held[backend].remove(&ticket) {
-                self.record(What::Ended { id: attempt.id, backend, how: How::Served });
+                self.record(Observation::Ended { id: attempt.id, backend, how: RequestEnd::Served });
                 self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Success });
             }
         }
@@ -63,7 +63,7 @@
         self.settle(backend);
         if let Some(attempt) = self.held[backend].remove(&ticket) {
             self.backends[backend].withdraw(self.now, ticket);
-            self.record(What::Ended { id: attempt.id, backend, how: How::Withdrawn });
+            self.record(Observation::Ended { id: attempt.id, backend, how: RequestEnd::Withdrawn });
             self.schedule(backend);
         }
     }
@@ -83,7 +83,7 @@
         let mut lost: Vec<_> = self.held[backend].drain().collect();
         lost.sort_by_key(|(ticket, _)| *ticket);
         for (_, attempt) in lost {
-            self.record(What::Ended { id: attempt.id, backend, how: How::Died });
+            self.record(Observation::Ended { id: attempt.id, backend, how: RequestEnd::Died });
             self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Reset });
         }
         self.proxies.iter_mut().for_each(|proxy| proxy.forget_connections(backend));
@@ -94,7 +94,7 @@
         for backend in 0..self.backends.len() {
             let pressure = self.backends[backend].pressure;
             if pressure.sent > 0.0 {
-                self.record(What::Pressure { backend, sent: pressure.sent, bears: pressure.bears });
+                self.record(Observation::Pressure { backend, sent: pressure.sent, bears: pressure.bears });
             }
         }
     }
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::{Simulation, ONE_WAY};
 use crate::experiment::Effect;
-use crate::record::{TryId, What, LISTEN_ON};
+use crate::record::{Observation, TryId, LISTEN_ON};
 use lotusdeck_policy::{Micros, RequestId, Time};
 
 /// Kept of a client's time for the answer's way back, as the proxy does (`MARGIN` of the core's host).
@@ -43,7 +43,7 @@
             self.unreached(id, proxy);
             return;
         }
-        self.record(What::Asked { id, proxy, left: (deadline - self.now).0 });
+        self.record(Observation::Asked { id, proxy, left: (deadline - self.now).0 });
         self.waiting.insert(id, WaitingClient { proxy, request: None });
         let life = self.proxies[proxy].life();
         self.after(ONE_WAY, Event::AtProxy { id, proxy, life, deadline });
@@ -55,7 +55,7 @@
     fn unreached(&mut self, id: TryId, proxy: usize) {
         let shun = Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
         self.shunned[proxy] = self.now + shun;
-        self.record(What::Unreached { id, proxy });
+        self.record(Observation::Unreached { id, proxy });
         self.retry(id, true, None);
     }
 
@@ -80,7 +80,7 @@
             return;
         }
         let served = status == 200;
-        self.record(What::Answered { id, status, retry_after, own: served });
+        self.record(Observation::Answered { id, status, retry_after, own: served });
         if !served {
             self.retry(id, matches!(status, 429 | 503), retry_after);
         }
@@ -89,7 +89,7 @@
     /// The connection broke under a client, if that still waits.
     pub(super) fn broke(&mut self, id: TryId) {
         if self.waiting.remove(&id).is_some() {
-            self.record(What::Broke { id, reused: false, begun: false });
+            self.record(Observation::Broke { id, reused: false, begun: false });
             self.retry(id, false, None);
         }
     }
@@ -97,7 +97,7 @@
     /// A client leaves, if it still waits.
     pub(super) fn leave(&mut self, id: TryId) {
         let Some(waiting) = self.waiting.remove(&id) else { return };
-        self.record(What::Left { id });
+        self.record(Observation::Left { id });
         let Some((life, request)) = waiting.request else { return };
         if self.lives(waiting.proxy, life) {
             self.proxies[waiting.proxy].client_gone(request);
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::proxies::module_time;
 use super::{Simulation, ONE_WAY};
-use crate::record::What;
+use crate::record::Observation;
 use crate::world::discovery::{Line, Status};
 use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendId, BackendState, CellId, ListUpdate, Micros};
@@ -25,7 +25,7 @@
             _ => self.discovery.whole().map(|line| self.listed(line)).collect(),
         };
         for ListedBackend { id, status, .. } in &listed {
-            self.record(What::Told { proxy, backend: id.0 as usize, status: *status });
+            self.record(Observation::Told { proxy, backend: id.0 as usize, status: *status });
         }
         let rows = listed.into_iter().map(|listed| (listed.row, listed.id));
         self.proxies[proxy].members(update, rows, version);
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::driver::proxies::configuration;
 use crate::driver::run::Outcome as Ran;
-use crate::record::{Record, TryId, Turn, What, LISTEN_ON};
+use crate::record::{Observation, ProxyEvent, Record, TryId, LISTEN_ON};
 use crate::world::backend::Backend;
 use crate::world::discovery::Discovery;
 use crate::world::dispatcher::RequestDispatcher;
@@ -147,7 +147,7 @@
     }
 
     /// Records what happened now.
-    fn record(&mut self, what: What) {
+    fn record(&mut self, what: Observation) {
         self.records.push(Record { at: self.now, what });
     }
 
@@ -169,7 +169,7 @@
     /// Starts the proxies, and what goes on from the first moment.
     fn begin(&mut self) {
         for proxy in 0..self.proxies.len() {
-            self.record(What::Proxy { proxy, turn: Turn::Ready });
+            self.record(Observation::Proxy { proxy, turn: ProxyEvent::Ready });
             self.list(proxy, ListUpdate::Cached);
         }
         let plan = self.plan;
