--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -66,7 +66,7 @@
         let proxy = Proxy::operated_by(&known, &self.operators[n], &settings);
         let line = proxy.logged("fleet listening");
         let at = line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap();
-        self.links.member(n, at.parse().unwrap());
+        self.links.set_member_address(n, at.parse().unwrap());
         proxy
     }
 
@@ -286,7 +286,7 @@
     let line = stranger.logged("fleet listening");
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
-    fleet.links.member(3, at);
+    fleet.links.set_member_address(3, at);
     until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
         .logged("fleet datagram rejected")
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -6,7 +6,7 @@
 use super::proxies::{until, Proxy, ProxyError};
 use super::usage::Usage;
 use super::{Clock, Log};
-use crate::experiment::relayed;
+use crate::experiment::relay_script;
 use crate::fault_proxy::run::Relay;
 use crate::fault_proxy::script::Script;
 use crate::record::{Record, Turn, What, LISTEN_ON};
@@ -134,7 +134,7 @@
     let log = Log::new(clock.clone());
     let started = Fleet::start(plan.clone(), clock.clone(), log.clone()).and_then(|fleet| {
         let mut addresses = fleet.addresses();
-        let script = Script { seed: plan.seed, ..relayed(&plan.experiment, addresses.iter().copied()) };
+        let script = Script { seed: plan.seed, ..relay_script(&plan.experiment, addresses.iter().copied()) };
         let relay = (!plan.experiment.injury.is_empty()).then(|| Relay::start(script)).transpose()?;
         addresses = relay.as_ref().map_or(addresses, |r| r.addresses.clone());
         let (service, discovery) = Service::start(plan.clone(), clock.clone(), log.clone(), addresses)?;
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -22,7 +22,7 @@
 const MOST_BASES: usize = 8;
 
 /// The script of the relays before backends that listen there: `backend-0` and so on.
-pub fn relayed(experiment: &Experiment, backends: impl IntoIterator<Item = SocketAddr>) -> Script {
+pub fn relay_script(experiment: &Experiment, backends: impl IntoIterator<Item = SocketAddr>) -> Script {
     let route = |(number, to)| Route {
         name: format!("backend-{number}"),
         listen: ([127, 0, 0, 1], 0).into(),
@@ -79,7 +79,7 @@
 
     /// The experiment, where all its values make sense.
     fn checked(self, name: &str) -> Result<Experiment, ExperimentError> {
-        let script = relayed(&self, [([127, 0, 0, 1], 1).into()]);
+        let script = relay_script(&self, [([127, 0, 0, 1], 1).into()]);
         script.check(name).map_err(|e| match e {
             ScriptError::Value(at, what) => ScriptError::Value(at.replace("route[0].fault", "injury"), what),
             other => other,
--- a/crates/testbed/src/fault_proxy/links.rs
+++ b/crates/testbed/src/fault_proxy/links.rs
@@ -86,7 +86,7 @@
     }
 
     /// A member listens there from now on.
-    pub fn member(&self, number: usize, at: SocketAddr) {
+    pub fn set_member_address(&self, number: usize, at: SocketAddr) {
         let mut wires = self.wires();
         wires.members.retain(|_, n| *n != number);
         wires.members.insert(at, number);
--- a/crates/testbed/src/fault_proxy/links/tests.rs
+++ b/crates/testbed/src/fault_proxy/links/tests.rs
@@ -7,7 +7,7 @@
     let sockets: Vec<_> = (0..2).map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     for (n, socket) in sockets.iter().enumerate() {
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        links.member(n, socket.local_addr().unwrap());
+        links.set_member_address(n, socket.local_addr().unwrap());
     }
     let said = |from: usize, text: &str| {
         sockets[from].send_to(text.as_bytes(), links.addresses[1 - from]).unwrap();
