--- a/crates/core/src/host/answers.rs
+++ b/crates/core/src/host/answers.rs
@@ -22,7 +22,7 @@
     /// Notifies the journal and the fleet limiter that a request is over.
     pub(super) fn release_request(&self, id: RequestId, request: &OpenRequest) {
         if let Some(journal) = self.services.journal.as_ref().filter(|_| request.journaled) {
-            journal.request_finished(id);
+            journal.record_request_end(id);
         }
         if let (Some(limiter), Some(admission)) = (&self.services.fleet_limiter, &request.admission) {
             limiter.release(admission);
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -58,7 +58,7 @@
         // The journal writes while the connection is being established.
         let journal = self.services.journal.as_ref().filter(|_| request.journaled);
         let send_permit =
-            journal.map(|journal| journal.attempt_intended(key.request, key.attempt, &known.name, address));
+            journal.map(|journal| journal.record_intent(key.request, key.attempt, &known.name, address));
         Some(AttemptContext {
             attempt: key.attempt,
             backend,
@@ -129,7 +129,7 @@
     fn journal_end(&self, key: AttemptKey, outcome: Outcome, open: &OpenAttempt) {
         if let (Some(journal), Some(exchange)) = (&self.services.journal, &open.journaled) {
             let status = exchange.answer_status(key.attempt);
-            journal.attempt_ended(key.request, key.attempt, outcome, status);
+            journal.record_attempt_end(key.request, key.attempt, outcome, status);
         }
     }
 
--- a/crates/core/src/host/request.rs
+++ b/crates/core/src/host/request.rs
@@ -55,7 +55,7 @@
         if let Some(retry_after) = journal.unavailable_for() {
             return Err(retry_after);
         }
-        journal.request_taken(id, labels());
+        journal.record_request(id, labels());
         state.requests.entry(id).and_modify(|request| request.journaled = true);
         Ok(())
     }
--- a/crates/core/src/journal.rs
+++ b/crates/core/src/journal.rs
@@ -24,16 +24,18 @@
     /// Returns the time after which the client may retry, if no non-idempotent request can be admitted now.
     fn unavailable_for(&self) -> Option<Micros>;
     /// Records a request that was received.
-    fn request_taken(&self, request: RequestId, labels: RequestLabels);
+    fn record_request(&self, request: RequestId, labels: RequestLabels);
     /// Records that the request's next attempt is to be sent to that backend. The attempt is sent once the returned
     /// permit resolves to true, and not at all if it resolves to false.
-    fn attempt_intended(
+    fn record_intent(
         &self, request: RequestId, attempt: AttemptNo, backend: &str, address: SocketAddr,
     ) -> SendPermit;
     /// Records that an attempt ended; `status` is that of its answer, if there was one.
-    fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>);
+    fn record_attempt_end(
+        &self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>,
+    );
     /// Records that the client has its final answer or has disconnected: no further attempt follows.
-    fn request_finished(&self, request: RequestId);
+    fn record_request_end(&self, request: RequestId);
     /// Returns the current state, for operators.
     fn status(&self) -> LedgerStatus;
 }
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -115,7 +115,7 @@
         (!self.ledger.sends_unrecorded() && self.ledger.status().is_failing).then_some(RETRY_AFTER)
     }
 
-    fn request_taken(&self, request: RequestId, labels: RequestLabels) {
+    fn record_request(&self, request: RequestId, labels: RequestLabels) {
         let id = Ledger::truncate_text(&labels.id);
         self.request_ids.borrow_mut().insert(request, id.clone());
         let class = Ledger::truncate_text(&labels.class);
@@ -123,7 +123,7 @@
         self.ledger.record(Record::Taken { request: request.0, at: now_ms(), id, class, key });
     }
 
-    fn attempt_intended(
+    fn record_intent(
         &self, request: RequestId, attempt: AttemptNo, backend: &str, address: SocketAddr,
     ) -> SendPermit {
         let id = self.request_ids.borrow().get(&request).cloned().unwrap_or_default();
@@ -139,7 +139,9 @@
         })
     }
 
-    fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>) {
+    fn record_attempt_end(
+        &self, request: RequestId, attempt: AttemptNo, outcome: Outcome, status: Option<u16>,
+    ) {
         let end = match (outcome, status) {
             (outcome, _) if outcome.never_ran() => End::NeverSent,
             (_, Some(status)) => End::Answered(status),
@@ -148,7 +150,7 @@
         self.ledger.record(Record::Ended { request: request.0, attempt: attempt.0, at: now_ms(), end });
     }
 
-    fn request_finished(&self, request: RequestId) {
+    fn record_request_end(&self, request: RequestId) {
         self.request_ids.borrow_mut().remove(&request);
         self.ledger.record(Record::Settled { request: request.0 });
     }
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -133,7 +133,7 @@
         let pool =
             Rc::new(ConnectionPool::new(&node.settings.network, body_budget.clone(), stall_timeouts.clone()));
         let balancer =
-            Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeConfigError::Unsound)?;
+            Balancer::new(node.settings.config.clone(), node.seed).map_err(NodeConfigError::OutOfRange)?;
         let ledger =
             LedgerJournal::start(&operator.ledger, &node.name, node.seed).map_err(ServeError::Ledger)?;
         let descriptors = left_for_http(node.max_descriptors, &operator.postgres)?;
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -25,9 +25,9 @@
     /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] Faults),
-    /// The policy rejects the settings.
+    /// A setting is outside the range that the decision module accepts.
     #[error("settings: {0}")]
-    Unsound(#[from] lotusdeck_policy::ConfigError),
+    OutOfRange(#[from] lotusdeck_policy::ConfigError),
     /// The seed is not a number.
     #[error("seed: expected a number or up to 16 hex digits")]
     Seed,
