--- a/crates/testbed/src/world/backend.rs
+++ b/crates/testbed/src/world/backend.rs
@@ -1,81 +1,81 @@
-//! A backend: a station behind a door that counts connections, knows keys and may be ill.
+//! A backend: a station, with a connection limit, a cache of known keys, a health state and slowdowns.
 
 use super::station::{Build, Station, Ticket};
 use lotusdeck_policy::{Micros, Time};
 use std::collections::{HashSet, VecDeque};
 
-/// How a backend is built.
+/// The fixed properties of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// What discovery calls it.
+    /// Its name in discovery.
     pub name: String,
     /// Its kind of machine.
     pub kind: String,
     /// Its zone.
     pub zone: String,
-    /// Its cell: backends that share which keys they have seen.
+    /// Its cell, which discovery reports as its group.
     pub cell: u64,
-    /// Its machine.
+    /// The station that runs its work.
     pub build: Build,
-    /// Connections that it holds at most.
+    /// Most connections it accepts requests with; beyond that, it rejects them.
     pub connections: u32,
-    /// Work that a new connection costs it, core-seconds.
+    /// Work of a new connection, in core-seconds.
     pub handshake: f64,
-    /// Keys that it remembers.
+    /// Number of keys it remembers.
     pub keys: usize,
-    /// A key that it has not met multiplies the work by this.
+    /// Factor on the work of a request whose key it does not remember.
     pub miss: f64,
 }
 
-/// What it is good for.
+/// The state of a backend's process or machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It serves.
+    /// It serves requests.
     Up,
-    /// It finishes what it has and turns away what is new.
+    /// It finishes the requests it holds and rejects new ones.
     Draining,
-    /// Its machine is silent: nothing is answered, nothing is closed.
+    /// Its machine hangs: it answers nothing and closes nothing.
     Hung,
-    /// No process listens.
+    /// Its process is not running.
     Down,
 }
 
-/// Why a request was turned away unseen.
+/// Why a request was rejected before any work on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// No slot and no room.
+    /// All slots and all places in the queue are taken.
     Full,
-    /// It drains.
+    /// The backend is draining.
     Draining,
-    /// Too many connections.
+    /// More connections are open than the backend allows.
     Connections,
 }
 
-/// How much a cold backend was sent against what it bears: the worst window so far.
+/// Work sent to a cold backend against its limit, in the worst window so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pressure {
-    /// Work sent inside the window, core-seconds.
+    /// Work sent within the window, in core-seconds.
     pub sent: f64,
-    /// What it bears in that window.
+    /// Limit for the window, in core-seconds.
     pub bears: f64,
 }
 
-/// The bound on what a cold backend may be sent.
+/// The limit on the work that a cold backend may be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FallRule {
-    /// Of its present capacity ...
+    /// Multiple of the backend's current capacity.
     pub multiple: f64,
-    /// ... over this time.
+    /// Window over which the work is summed.
     pub window: Micros,
 }
 
-/// One backend's state.
+/// A backend's state.
 pub struct Backend {
-    /// How it is built.
+    /// Its fixed properties.
     pub spec: Spec,
-    /// What it is good for.
+    /// The state of its process or machine.
     pub health: Health,
-    /// When it last started; `None` means long ago.
+    /// When its process last started; `None` means so long ago that it is warm.
     pub booted: Option<Time>,
     station: Station,
     own: f64,
@@ -85,12 +85,12 @@
     order: VecDeque<u64>,
     rule: FallRule,
     recent: VecDeque<(Time, f64)>,
-    /// The worst window while it was cold.
+    /// The worst window while it was cold, over the whole run.
     pub pressure: Pressure,
 }
 
 impl Backend {
-    /// A warm one that serves.
+    /// Creates a warm backend that serves requests.
     pub fn new(spec: Spec, rule: FallRule, now: Time) -> Backend {
         Backend {
             station: Station::new(spec.build.clone(), None, now),
@@ -108,33 +108,35 @@
         }
     }
 
-    /// How many requests it holds, and how many of them wait.
+    /// Returns how many requests it holds, and how many of these are queued.
     pub fn held(&self) -> (usize, usize) {
         (self.station.held(), self.station.waiting())
     }
 
-    /// Core-seconds a second that it can do now, warmth included and slowness left out.
+    /// Returns the work it can do per second now, in core-seconds, counting warm-up and slowdowns but neither a
+    /// hang nor the drag of a full queue.
     pub fn capacity(&self, now: Time) -> f64 {
         self.station.capacity(now) * self.own * self.shared
     }
 
-    /// Core-seconds done by the present process.
+    /// Returns the core-seconds done by the current process.
     pub fn done(&self) -> f64 {
         self.station.done()
     }
 
-    /// A connection came up. It costs work at once, as a TLS handshake would; that work is nobody's.
+    /// Counts a new connection and queues its handshake, as TLS would. The handshake takes up capacity like a
+    /// request, but belongs to none.
     pub fn opened(&mut self, now: Time, ticket: Ticket) {
         self.connections += 1;
         let _ = self.station.submit(now, ticket, self.spec.handshake);
     }
 
-    /// A connection ended.
+    /// Counts a closed connection.
     pub fn closed(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// A whole request has come. Call [`Backend::due`] before.
+    /// Takes a request that has arrived completely, or rejects it. Call [`Backend::due`] first.
     pub fn arrive(&mut self, now: Time, ticket: Ticket, key: u64, work: f64) -> Result<(), Why> {
         let work = if self.meet(key) { work } else { work * self.spec.miss };
         self.weigh(now, work);
@@ -147,34 +149,35 @@
         self.station.submit(now, ticket, work).then_some(()).ok_or(Why::Full)
     }
 
-    /// The caller has gone.
+    /// Removes a request whose caller has given it up.
     pub fn withdraw(&mut self, now: Time, ticket: Ticket) {
         self.station.withdraw(now, ticket);
     }
 
-    /// When to call [`Backend::due`] next.
+    /// Returns when to call [`Backend::due`] next.
     pub fn next(&self) -> Option<Time> {
         self.station.next()
     }
 
-    /// Adds what has ended by `now`.
+    /// Adds the work that has ended by `now` to `ended`.
     pub fn due(&mut self, now: Time, ended: &mut Vec<(Time, Ticket)>) {
         self.station.due(now, ended);
     }
 
-    /// Its own slowness: the part of its speed that it keeps.
+    /// Sets this backend's own slowdown: the part of its speed that remains.
     pub fn slow(&mut self, now: Time, factor: f64) {
         self.own = factor;
         self.apply(now);
     }
 
-    /// What a shared dependency leaves of its speed.
+    /// Sets the slowdown from a dependency that all backends share: the part of the speed that remains.
     pub fn slow_shared(&mut self, now: Time, factor: f64) {
         self.shared = factor;
         self.apply(now);
     }
 
-    /// Another state. A process that ends loses what it held; one that starts is cold and knows no key.
+    /// Changes the health state. A process that ends loses its requests; one that starts is cold and knows no
+    /// keys.
     pub fn turn(&mut self, now: Time, health: Health) {
         if health == Health::Down {
             self.station.clear(now);
@@ -196,7 +199,7 @@
         self.station.slow(now, factor);
     }
 
-    /// Whether the key is known; it is from now on.
+    /// Returns whether the key was known, and remembers it. The oldest key goes when there are too many.
     fn meet(&mut self, key: u64) -> bool {
         let new = self.known.insert(key);
         if new {
@@ -208,7 +211,8 @@
         !new
     }
 
-    /// Keeps the worst window of what reached it while cold; turned away or not, it weighs.
+    /// Updates the worst window with a request that arrived. Rejected requests count too. Does nothing for a
+    /// backend that was already warm when the window began.
     fn weigh(&mut self, now: Time, work: f64) {
         let began = now - self.rule.window;
         if self.station.warmth(began) >= 1.0 {
--- a/crates/testbed/src/world/backend/tests.rs
+++ b/crates/testbed/src/world/backend/tests.rs
@@ -52,7 +52,7 @@
     assert_eq!(b.arrive(Time(0), 3, 1, 0.1), Err(Why::Draining));
 }
 
-/// It starts cold, and what reaches it then is weighed against what it bears.
+/// A restarted backend is cold, and the work that reaches it then is compared with its limit.
 #[test]
 fn a_restart_is_cold_and_weighed() {
     let mut b = backend();
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -1,46 +1,46 @@
-//! Discovery: it hears of changes late, tells them by version, and is sometimes down.
+//! Discovery: an endpoint list with versions, to which changes come with a delay, and which may be down.
 
 use lotusdeck_policy::{Micros, Time};
 use std::collections::VecDeque;
 
-/// What the list says of a backend.
+/// The status of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// Send it requests.
+    /// It takes requests.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests it holds and takes no new ones.
     Draining,
-    /// It has left.
+    /// It is no longer in the list.
     Deleted,
 }
 
 /// A line of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Number of the backend.
+    /// Index of the backend.
     pub backend: usize,
-    /// What it is good for.
+    /// Its status.
     pub status: Status,
-    /// When it last started; `None` means long ago.
+    /// When its process last started; `None` means before the run.
     pub since: Option<Time>,
-    /// The version with which this line came.
+    /// The list's version when this line last changed.
     pub version: u64,
 }
 
-/// The list as it is told.
+/// The endpoint list, and the changes that have not reached it yet.
 pub struct Discovery {
     lines: Vec<Line>,
     version: u64,
-    /// How late changes are heard of.
+    /// Delay of changes.
     pub lag: Micros,
-    /// Every call fails.
+    /// Whether every call fails.
     pub down: bool,
     coming: VecDeque<(Time, Line)>,
 }
 
 impl Discovery {
-    /// So many backends, all serving since long ago.
+    /// Creates a list of that many backends, all serving since before the run.
     pub fn new(backends: usize, lag: Micros) -> Discovery {
         let line = |backend| Line { backend, status: Status::Serving, since: None, version: 1 };
         Discovery {
@@ -52,18 +52,19 @@
         }
     }
 
-    /// A backend has changed; the list hears of it later, and never of an earlier change after a later one.
+    /// Schedules a change of a backend's line after the delay. Changes never overtake each other, even where the
+    /// delay has shrunk.
     pub fn change(&mut self, now: Time, backend: usize, status: Status, since: Option<Time>) {
         let at = self.coming.back().map_or(now + self.lag, |last| last.0.max(now + self.lag));
         self.coming.push_back((at, Line { backend, status, since, version: 0 }));
     }
 
-    /// When the list changes next.
+    /// Returns when the list changes next.
     pub fn next(&self) -> Option<Time> {
         self.coming.front().map(|c| c.0)
     }
 
-    /// Takes in what is heard by `now`; whether the version rose.
+    /// Applies the changes due by `now` and returns whether the version rose.
     pub fn due(&mut self, now: Time) -> bool {
         let before = self.version;
         while let Some((_, line)) = self.coming.front().copied().filter(|c| c.0 <= now) {
@@ -74,17 +75,17 @@
         self.version > before
     }
 
-    /// The present version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The whole list: those that left are absent.
+    /// Returns the whole list, without deleted backends.
     pub fn whole(&self) -> impl Iterator<Item = &Line> {
         self.lines.iter().filter(|l| l.status != Status::Deleted)
     }
 
-    /// What came after that version.
+    /// Returns the lines that changed after that version, deleted backends included.
     pub fn since(&self, version: u64) -> impl Iterator<Item = &Line> {
         self.lines.iter().filter(move |l| l.version > version)
     }
--- a/crates/testbed/src/world/discovery/tests.rs
+++ b/crates/testbed/src/world/discovery/tests.rs
@@ -4,7 +4,7 @@
 fn changes_come_late_in_order_and_by_version() {
     let mut d = Discovery::new(3, Micros(100));
     d.change(Time(0), 1, Status::Draining, None);
-    d.lag = Micros(10); // what comes later may not overtake
+    d.lag = Micros(10); // a shorter delay must not let the next change overtake
     d.change(Time(1), 1, Status::Deleted, None);
     assert!(!d.due(Time(99)) && d.next() == Some(Time(100)));
     assert!(d.due(Time(100)) && d.version() == 3);
--- a/crates/testbed/src/world/dispatcher.rs
+++ b/crates/testbed/src/world/dispatcher.rs
@@ -1,11 +1,11 @@
-//! The front that deals clients' requests out among the proxies: in turn, or unevenly by weight, past those that are
-//! held for dead.
+//! The dispatcher that distributes clients' requests over the proxies: in turn, or at random by weight, skipping
+//! proxies that clients avoid as dead.
 
 use super::rng::Rng;
 
-/// Whose turn it is.
+/// Chooses the proxy for each request.
 pub struct RequestDispatcher {
-    /// A proxy's part of the arrivals; empty where all get the same.
+    /// Weight of each proxy; empty where all get the same share.
     weights: Vec<f64>,
     proxies: usize,
     turn: usize,
@@ -13,14 +13,16 @@
 }
 
 impl RequestDispatcher {
-    /// Among so many proxies: the part of each falls with its number, from 1, to the power of `skew`; 0 deals evenly.
+    /// Creates a dispatcher over that many proxies. The weight of proxy number n, counted from 1, is n to the
+    /// power of `-skew`; with 0, the proxies take turns.
     pub fn new(proxies: usize, skew: f64, seed: u64) -> RequestDispatcher {
         let weight = |p: usize| ((p + 1) as f64).powf(-skew);
         let weights = if skew > 0.0 { (0..proxies).map(weight).collect() } else { Vec::new() };
         RequestDispatcher { weights, proxies: proxies.max(1), turn: 0, rng: Rng::new(seed, "deal") }
     }
 
-    /// The next one's proxy; where all are shunned it is tried all the same.
+    /// Returns the proxy for the next request. Where the chosen proxy is shunned, the next one that is not takes
+    /// its place; where all are, the chosen one is tried anyway.
     pub fn next(&mut self, shunned: impl Fn(usize) -> bool) -> usize {
         let from = match self.weights.is_empty() {
             true => self.turn % self.proxies,
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The model of what stands around a proxy. No sockets and no clocks: whoever drives it says what time it is,
-//! so that one model serves real sockets and virtual time alike. Time counts from the start of the run.
+//! The model of a proxy's surroundings: backends, discovery, arrivals and planned troubles. It has no sockets and
+//! no clock: the driver passes the time in, so the same model serves real sockets and virtual time. Time counts
+//! from the start of the run.
 
 pub mod backend;
 pub mod discovery;
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a run: all that is drawn by chance, before it begins. The same experiment and seed give the same
-//! plan on every machine, and its hash tells.
+//! The plan of a run: everything random, drawn before the run begins. The same experiment and seed give the same
+//! plan on every machine, which its hash shows.
 
 use super::backend::{FallRule, Spec};
 use super::rng::{Rng, Zipf};
@@ -8,73 +8,73 @@
 use lotusdeck_policy::{Micros, Time};
 use xxhash_rust::xxh3::Xxh3;
 
-/// One thing that a client wants.
+/// One thing that a client wants, for which it makes one or more tries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When its first try is due, from the start of the run.
+    /// When its first try is due.
     pub at: Time,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// What it concerns.
+    /// The key it asks for.
     pub key: u64,
-    /// Work of it, core-seconds on a standard core.
+    /// Its work, in core-seconds of a standard core.
     pub work: f64,
-    /// Its client leaves after this time, if that is before the deadline.
+    /// The client leaves this long after `at`, if that is before the deadline.
     pub patience: Micros,
 }
 
-/// What happens at one moment.
+/// Something that happens to backends, discovery or proxies at one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// Backends die.
+    /// Processes of backends die.
     Kill(Vec<usize>),
     /// Backends begin to drain.
     Drain(Vec<usize>),
-    /// Backends leave: drained or dead, they are off the list.
+    /// Backends are removed from the list; processes that still run end.
     Remove(Vec<usize>),
-    /// Backends start.
+    /// Backends start, cold.
     Start(Vec<usize>),
-    /// Backends keep that part of their speed.
+    /// Backends run at that part of their speed.
     Slow(Vec<usize>, f64),
-    /// All backends keep that part of their speed.
+    /// All backends run at that part of their speed, as a shared dependency is slow.
     SharedSlow(f64),
-    /// Machines go silent, or come back.
+    /// Machines hang, or come back.
     Hang(Vec<usize>, bool),
-    /// Operators take backends out, or give them back.
+    /// Operators cordon backends, or uncordon them.
     Cordon(Vec<usize>, bool),
-    /// Discovery fails, or works again.
+    /// Discovery goes down, or comes back.
     DiscoveryDown(bool),
-    /// Discovery hears so much later.
+    /// Discovery's delay is that multiple of the usual one.
     DiscoveryLag(f64),
     /// A proxy is killed.
     KillProxy(usize),
-    /// A proxy is told to stop.
+    /// A proxy is stopped in order, by a signal.
     StopProxy(usize),
     /// A proxy is started.
     StartProxy(usize),
-    /// A proxy reads its configuration anew.
+    /// A proxy reloads its configuration.
     Reload(usize),
 }
 
-/// All that is drawn.
+/// Everything drawn for a run.
 pub struct Plan {
-    /// What it was drawn from.
+    /// The experiment it was drawn from.
     pub experiment: Experiment,
     /// Seed of the draws.
     pub seed: u64,
-    /// In the order of time.
+    /// The arrivals, ordered by time.
     pub arrivals: Vec<Arrival>,
-    /// In the order of time.
+    /// The acts, ordered by time.
     pub acts: Vec<(Time, Act)>,
-    /// The fleet.
+    /// The backends.
     pub fleet: Vec<Spec>,
-    /// Of arrivals, acts and fleet.
+    /// Hash of the arrivals, acts and fleet.
     pub hash: u64,
 }
 
-/// A killed or restarted proxy comes back after this time where the experiment names none, s.
+/// Seconds until a killed or stopped proxy starts again, where the experiment names no time.
 const PROXY_BACK: f64 = 1.0;
-/// A drained backend leaves the list after this time, s.
+/// Seconds until a draining backend is removed from the list.
 const DRAIN_TIME: f64 = 2.0;
 
 fn time(seconds: f64) -> Time {
@@ -82,7 +82,7 @@
 }
 
 impl Plan {
-    /// Draws it.
+    /// Draws the plan of an experiment with a seed.
     pub fn draw(experiment: &Experiment, seed: u64) -> Plan {
         let fleet = fleet(experiment);
         let arrivals = arrivals(experiment, seed);
@@ -98,13 +98,13 @@
         Plan { experiment: experiment.clone(), seed, arrivals, acts, fleet, hash: hash.digest() }
     }
 
-    /// The bound on what a cold backend is sent.
+    /// Returns the limit on the work that a cold backend may be sent.
     pub fn fall_rule(&self) -> FallRule {
         let rules = &self.experiment.rules;
         FallRule { multiple: rules.fall_multiple, window: Micros::from_secs(rules.fall_window_ms / 1e3) }
     }
 
-    /// When the last request arrives at the latest.
+    /// Returns the time at which arrivals end.
     pub fn end(&self) -> Time {
         time(self.experiment.duration_s)
     }
@@ -135,7 +135,7 @@
     of_kind.enumerate().map(spec).collect()
 }
 
-/// A Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
+/// Draws arrivals from a Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
 fn arrivals(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
     let (mut when, mut what) = (Rng::new(seed, "arrivals"), Rng::new(seed, "requests"));
     let zipf = Zipf::new(experiment.clients.keys, experiment.clients.zipf);
--- a/crates/testbed/src/world/plan/tests.rs
+++ b/crates/testbed/src/world/plan/tests.rs
@@ -29,7 +29,7 @@
     let (a, b, c) = (Plan::draw(&e, 7), Plan::draw(&e, 7), Plan::draw(&e, 8));
     assert_eq!((a.hash, &a.arrivals, &a.acts), (b.hash, &b.arrivals, &b.acts));
     assert_ne!(a.hash, c.hash);
-    // A change of the troubles leaves the arrivals as they were.
+    // Without the troubles the arrivals are the same, as each purpose has its own random stream.
     let calm = Experiment::parse("t", TEXT.split("[[trouble]]").next().unwrap()).unwrap();
     let calm = Plan::draw(&calm, 7);
     assert!(calm.arrivals == a.arrivals && calm.hash != a.hash);
--- a/crates/testbed/src/world/station.rs
+++ b/crates/testbed/src/world/station.rs
@@ -1,55 +1,59 @@
-//! A processor-sharing station (Kleinrock, Queueing Systems vol. II, ch. 4): all that run share its cores evenly,
-//! some wait for a slot, and more than that is turned away.
+//! A processor-sharing station (Kleinrock, Queueing Systems vol. II, ch. 4): running pieces of work share its
+//! cores equally, a bounded number of others wait for a slot, and any more are rejected.
 
 use lotusdeck_policy::{Micros, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Names a piece of work to whoever brought it.
+/// Identifies a piece of work to the caller that submitted it.
 pub type Ticket = u64;
 
-/// How a station is built.
+/// The fixed properties of a station.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Build {
-    /// Cores; a piece of work uses one at most.
+    /// Number of cores; a piece of work uses at most one.
     pub cores: f64,
-    /// Speed of a core against a standard one.
+    /// Speed of a core relative to a standard one.
     pub speed: f64,
-    /// Pieces that run at once.
+    /// Most pieces that run at once.
     pub slots: usize,
-    /// Pieces that wait for a slot.
+    /// Most pieces that wait for a slot.
     pub room: usize,
-    /// Part of its speed that it loses when the room is full.
+    /// Part of its speed that it loses when its queue is full; less in proportion when it is not.
     pub drag: f64,
-    /// Part of its speed with which it starts.
+    /// Part of its speed that it has when it starts.
     pub cold_from: f64,
-    /// It is warm after this time.
+    /// Time from its start until it is warm, over which its speed rises linearly.
     pub ramp: Micros,
 }
 
-/// While it warms up, a finishing time holds for so long and is then reckoned anew, s.
+/// Seconds after which a predicted end of work is recomputed during warm-up, when the speed still changes.
 const WARM_STEP: f64 = 0.02;
-/// Work smaller than this is done, core-seconds: below the clock's microsecond.
+/// Remaining work, in core-seconds, at which a piece counts as done: less than the clock's resolution of a
+/// microsecond.
 const DONE: f64 = 1e-7;
 
-/// Work attained by whoever has run since the start of the busy period; with even sharing a piece ends when that
-/// reaches its mark, so that an arrival or a departure costs a look-up, however many run.
+/// A processor-sharing station.
+///
+/// `attained` is the work that a piece would have received had it run since the start of the busy period. As all
+/// pieces share equally, a piece ends when `attained` reaches its mark, set when it started. So an arrival or a
+/// departure costs a lookup and no pass over all running pieces.
 pub struct Station {
     build: Build,
-    /// When it started; `None` means long ago.
+    /// When it started; `None` means so long ago that it is warm.
     booted: Option<Time>,
-    /// What slows it from outside; 0 stands still.
+    /// Factor on its speed from outside; 0 stops it.
     factor: f64,
     at: Time,
     attained: f64,
     running: BTreeSet<(u64, Ticket)>,
     marks: HashMap<Ticket, u64>,
     waiting: VecDeque<(Ticket, f64)>,
-    /// Core-seconds done in all.
+    /// Total core-seconds done.
     done: f64,
 }
 
 impl Station {
-    /// An idle one.
+    /// Creates an idle station.
     pub fn new(build: Build, booted: Option<Time>, now: Time) -> Station {
         Station {
             build,
@@ -64,7 +68,7 @@
         }
     }
 
-    /// The part of its speed that it has at `now`, from `cold_from` to 1.
+    /// Returns the part of its speed that it has reached at `now`, from `cold_from` to 1.
     pub fn warmth(&self, now: Time) -> f64 {
         let ramp = self.build.ramp.secs();
         let age = self.booted.map_or(f64::MAX, |boot| (now - boot).secs());
@@ -72,33 +76,35 @@
         self.build.cold_from + (1.0 - self.build.cold_from) * part
     }
 
-    /// Work that it can do in a second at `now`, core-seconds of a standard core.
+    /// Returns the work it can do per second at `now`, in core-seconds of a standard core, leaving out the outside
+    /// factor and the drag.
     pub fn capacity(&self, now: Time) -> f64 {
         self.build.cores * self.build.speed * self.warmth(now)
     }
 
-    /// How many it holds, running and waiting.
+    /// Returns how many pieces it holds, running and waiting.
     pub fn held(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// How many wait.
+    /// Returns how many pieces wait.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Core-seconds done in all.
+    /// Returns the total core-seconds done.
     pub fn done(&self) -> f64 {
         self.done
     }
 
-    /// Another part of its speed from `now` on; 0 stands still.
+    /// Sets the outside factor on its speed from `now` on; 0 stops it.
     pub fn slow(&mut self, now: Time, factor: f64) {
         self.pass(now);
         self.factor = factor.max(0.0);
     }
 
-    /// Brings work of so many core-seconds; false when there is no place for it. Call [`Station::due`] before.
+    /// Adds a piece of `work` core-seconds; returns false when all slots and queue places are taken. Call
+    /// [`Station::due`] first.
     pub fn submit(&mut self, now: Time, ticket: Ticket, work: f64) -> bool {
         self.pass(now);
         if self.running.len() < self.build.slots {
@@ -111,7 +117,7 @@
         true
     }
 
-    /// Takes a piece of work back; false when it is not here.
+    /// Removes a piece of work; returns false when the station does not hold it.
     pub fn withdraw(&mut self, now: Time, ticket: Ticket) -> bool {
         self.pass(now);
         if let Some(mark) = self.marks.remove(&ticket) {
@@ -124,7 +130,8 @@
         self.waiting.len() < before
     }
 
-    /// When the next piece ends, or when to ask again.
+    /// Returns when to call [`Station::due`] next: at the predicted end of a piece, or earlier during warm-up.
+    /// `None` when nothing runs or the station is stopped.
     pub fn next(&self) -> Option<Time> {
         let (mark, _) = self.running.first()?;
         let rate = self.rate(self.at, self.at);
@@ -138,7 +145,7 @@
         Some(Time(self.at.0 + (span * 1e6).ceil() as u64))
     }
 
-    /// Adds what has ended by `now`, in its order and with its time.
+    /// Adds the pieces that have ended by `now` to `ended`, in order and with their times.
     pub fn due(&mut self, now: Time, ended: &mut Vec<(Time, Ticket)>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             self.pass(at);
@@ -159,7 +166,7 @@
         self.pass(now);
     }
 
-    /// Empties it; what it held.
+    /// Removes all pieces and returns their tickets.
     pub fn clear(&mut self, now: Time) -> Vec<Ticket> {
         self.pass(now);
         self.running.clear();
@@ -168,9 +175,9 @@
 
     fn run(&mut self, ticket: Ticket, work: f64) {
         if self.running.is_empty() {
-            self.attained = 0.0; // a new busy period: the marks stay small and exact
+            self.attained = 0.0; // a new busy period: starting from 0 keeps the marks small and exact
         }
-        // Positive floats sort as their bits do.
+        // The bit patterns of positive floats sort in the same order as their values.
         let mark = (self.attained + work.max(DONE)).to_bits();
         self.running.insert((mark, ticket));
         self.marks.insert(ticket, mark);
@@ -183,7 +190,7 @@
         }
     }
 
-    /// Work a second for each that runs, as it is on average from `from` to `to`.
+    /// Returns the work per second that each running piece receives, averaged from `from` to `to`.
     fn rate(&self, from: Time, to: Time) -> f64 {
         let n = self.running.len() as f64;
         if n == 0.0 {
--- a/crates/testbed/src/world/station/tests.rs
+++ b/crates/testbed/src/world/station/tests.rs
@@ -10,8 +10,8 @@
     ended.into_iter().map(|(at, ticket)| (at.0, ticket)).collect()
 }
 
-/// Two of equal work on one core of double speed end together, at the work of both over the speed; the third
-/// waits for a slot and the fourth is turned away.
+/// Two equal pieces on one core of double speed end together, after their total work divided by the speed. A third
+/// waits for a slot, and a fourth is rejected.
 #[test]
 fn cores_are_shared_evenly_and_the_bounds_hold() {
     let mut s = Station::new(build(), None, Time(0));
@@ -24,7 +24,7 @@
     assert!((s.done() - 0.3).abs() < 1e-4, "{}", s.done());
 }
 
-/// What is withdrawn leaves its share to the other; what stands still ends nothing.
+/// The other piece gets the share of a withdrawn one, and nothing ends while the station is stopped.
 #[test]
 fn withdrawn_work_frees_its_share_and_a_hang_ends_nothing() {
     let mut s = Station::new(build(), None, Time(0));
@@ -37,7 +37,7 @@
     assert!(ended.len() == 1 && ended[0].0.abs_diff(915_000) <= 2, "{ended:?}");
 }
 
-/// From half of its speed to all of it in one second: what takes 0.75 core-seconds takes that second.
+/// The speed rises from half to full within one second, so 0.75 core-seconds of work take that second.
 #[test]
 fn a_cold_one_gains_speed() {
     let mut s = Station::new(Build { speed: 1.0, ..build() }, Some(Time(0)), Time(0));
