--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -1,4 +1,4 @@
-//! The plan's acts: what happens to backends, discovery and proxies.
+//! Acts of the plan: what happens to backends, discovery and proxies.
 
 use super::event::Event;
 use super::proxy::Proxy;
@@ -11,10 +11,10 @@
 use lotusdeck_policy::{BackendId, ListUpdate, Micros};
 
 impl Simulation<'_> {
-    /// Carries out an act of the plan, by its number.
+    /// Carries out the act of the plan with this index.
     ///
     /// # Errors
-    /// The module of a proxy that is started does not take its settings.
+    /// When the decision module of a started proxy rejects its settings.
     pub(super) fn act(&mut self, number: usize) -> Result<(), VirtualError> {
         let plan = self.plan;
         let act = &plan.acts[number].1;
@@ -32,16 +32,17 @@
                 self.discovery.lag = Micros::from_secs(plan.experiment.discovery.lag_ms / 1e3 * factor);
             }
             Act::Cordon(which, out) => self.cordon(which, *out),
-            // A stop in order is, for decisions, a start of one that knows nothing: sockets are not played here.
+            // A stop in order is played like a kill: the draining of sockets is not modelled, and what matters to
+            // decisions is that the next process starts without knowledge.
             Act::KillProxy(proxy) | Act::StopProxy(proxy) => self.kill_proxy(*proxy),
             Act::StartProxy(proxy) => self.start_proxy(*proxy)?,
-            Act::Reload(_) => {} // the same settings again
+            Act::Reload(_) => {} // the settings are the same, so nothing changes
         }
         self.follow_news();
         Ok(())
     }
 
-    /// Backends die; `removed` ones leave the list at once.
+    /// Ends the processes of backends; with `removed`, also removes them from the list.
     fn kill(&mut self, which: &[usize], removed: bool) {
         for &backend in which {
             self.settle(backend);
@@ -55,7 +56,7 @@
         self.schedule_all(which);
     }
 
-    /// Backends drain or start, and the list says so.
+    /// Changes the health of backends and their status in the list.
     fn turn(&mut self, which: &[usize], health: Health, status: Status) {
         for &backend in which {
             self.settle(backend);
@@ -66,7 +67,7 @@
         self.schedule_all(which);
     }
 
-    /// Backends keep that part of their speed.
+    /// Slows backends to that part of their speed.
     fn slow(&mut self, which: &[usize], factor: f64) {
         for &backend in which {
             self.settle(backend);
@@ -75,7 +76,7 @@
         self.schedule_all(which);
     }
 
-    /// What all backends share keeps that part of its speed.
+    /// Slows all backends to that part of their speed, as a shared dependency does.
     fn slow_shared(&mut self, factor: f64) {
         let all: Vec<usize> = (0..self.backends.len()).collect();
         for &backend in &all {
@@ -85,7 +86,7 @@
         self.schedule_all(&all);
     }
 
-    /// Machines go silent, or come back without what they held.
+    /// Hangs machines, or brings them back without the requests they held.
     fn hang(&mut self, which: &[usize], silent: bool) {
         let health = if silent { Health::Hung } else { Health::Up };
         for &backend in which {
@@ -98,7 +99,7 @@
         self.schedule_all(which);
     }
 
-    /// Discovery answers no call, or does so again.
+    /// Takes discovery down, or brings it back and answers all proxies.
     fn discovery_down(&mut self, down: bool) {
         self.discovery.down = down;
         if !down {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Operators take backends out, or give them back, at every proxy.
+    /// Cordons or uncordons backends at every proxy.
     fn cordon(&mut self, which: &[usize], out: bool) {
         let ids: Vec<BackendId> = which.iter().map(|backend| BackendId(*backend as u32)).collect();
         for proxy in 0..self.proxies.len() {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A proxy's process ends: its clients' connections break, and its attempts are given up.
+    /// Ends a proxy's process: its clients' connections break, and its attempts are withdrawn from the backends.
     fn kill_proxy(&mut self, proxy: usize) {
         self.record(What::Proxy { proxy, turn: Turn::Killed });
         let (clients, sent) = self.proxies[proxy].die();
@@ -130,13 +131,13 @@
         }
     }
 
-    /// A proxy starts again, knowing the list that the platform hands it.
+    /// Starts a proxy again with the current list, as its platform hands it over.
     fn start_proxy(&mut self, proxy: usize) -> Result<(), VirtualError> {
         let life = self.proxies[proxy].life() + 1;
         self.proxies[proxy] = Proxy::new(proxy, &self.settings[proxy], self.plan, self.which, life)?;
         self.record(What::Proxy { proxy, turn: Turn::Ready });
         self.list(proxy, ListUpdate::Cached);
-        self.call(proxy, self.plan.fleet.len()); // it asks for the whole list, as everyone does at a start
+        self.call(proxy, self.plan.fleet.len()); // it also asks for the whole list, as at every start
         Ok(())
     }
 
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: they take attempts in, work, end them, and lose them.
+//! Backends: attempts arrive there, are served, withdrawn or lost.
 
 use super::event::{Event, SentAttempt};
 use super::{Simulation, ONE_WAY};
@@ -8,13 +8,13 @@
 use lotusdeck_policy::{Outcome, Time};
 
 impl Simulation<'_> {
-    /// A ticket that was not given before.
+    /// Returns a new ticket.
     pub(super) fn next_ticket(&mut self) -> Ticket {
         self.last_ticket += 1;
         self.last_ticket
     }
 
-    /// A backend works on a new connection.
+    /// Adds the work of a new connection's handshake to a backend.
     pub(super) fn handshake(&mut self, backend: usize) {
         self.settle(backend);
         let ticket = self.next_ticket();
@@ -22,10 +22,10 @@
         self.schedule(backend);
     }
 
-    /// An attempt has reached its backend.
+    /// Handles the arrival of an attempt at its backend.
     pub(super) fn reach(&mut self, attempt: SentAttempt, backend: usize, ticket: Ticket) {
         match self.backends[backend].health {
-            Health::Hung => return, // nothing is heard of it again
+            Health::Hung => return, // no answer ever comes back
             Health::Down => {
                 self.after(ONE_WAY, Event::Back { attempt, outcome: Outcome::Reset });
                 return;
@@ -45,7 +45,7 @@
         self.schedule(backend);
     }
 
-    /// Ends what a backend is through with by now.
+    /// Ends the attempts that a backend has finished by now.
     pub(super) fn settle(&mut self, backend: usize) {
         let mut ended = Vec::new();
         self.backends[backend].due(self.now, &mut ended);
@@ -58,7 +58,7 @@
         self.schedule(backend);
     }
 
-    /// A backend hears that an attempt was given up, if it still holds it.
+    /// Withdraws an attempt that its proxy gave up, if the backend still holds it.
     pub(super) fn withdraw(&mut self, backend: usize, ticket: Ticket) {
         self.settle(backend);
         if let Some(attempt) = self.held[backend].remove(&ticket) {
@@ -68,17 +68,18 @@
         }
     }
 
-    /// Sets the backend's next moment, in place of the one that was set before.
+    /// Schedules the backend's next [`Event::Due`], which replaces the previous one.
     pub(super) fn schedule(&mut self, backend: usize) {
         self.stamps[backend] += 1;
         if let Some(at) = self.backends[backend].next() {
             let stamp = self.stamps[backend];
-            // Never at this very moment again: a microsecond is the clock's step.
+            // At least a microsecond from now, the clock's step: otherwise it could be due at the same time
+            // without end.
             self.at(at.max(Time(self.now.0 + 1)), Event::Due { backend, stamp });
         }
     }
 
-    /// A process or a machine takes down what it held.
+    /// Resets all attempts at a backend whose process or machine went down, and drops the idle connections to it.
     pub(super) fn drop_held(&mut self, backend: usize) {
         let mut lost: Vec<_> = self.held[backend].drain().collect();
         lost.sort_by_key(|(ticket, _)| *ticket);
@@ -89,7 +90,7 @@
         self.proxies.iter_mut().for_each(|proxy| proxy.forget_connections(backend));
     }
 
-    /// Records how hard each backend was pressed while it was cold.
+    /// Records for each backend the worst window of work sent while it was cold.
     pub(super) fn record_pressure(&mut self) {
         for backend in 0..self.backends.len() {
             let pressure = self.backends[backend].pressure;
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -1,24 +1,24 @@
-//! Textbook policies, to be played against the module on the same arrivals and troubles. They keep the rules on
-//! repeats and drains, and know nothing of ramps, crowds or worth.
+//! Textbook policies, to compare with the decision module on the same arrivals and troubles. They keep the rules
+//! on retries and draining, and take no account of warm-up, overload or worth.
 
 use super::policy::{GlobalView, Policy};
 use crate::world::rng::Rng;
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// Weight of the newest latency in a peak-EWMA that falls.
+/// Weight of the newest latency in the peak-EWMA when it is lower than the average.
 const EWMA_STEP: f64 = 0.1;
-/// Before anything is known of a backend's latency, s.
+/// Latency, in seconds, assumed for a backend without any measurement; also the least one that counts.
 const EWMA_START: f64 = 0.01;
 
-/// How a backend is chosen.
+/// How a policy chooses a backend.
 pub(super) enum Choice {
     Random,
     RoundRobin,
     LeastOutstanding,
     TwoChoices,
     PeakEwma,
-    /// In proportion to these weights, by the backend's number.
+    /// At random in proportion to these weights, indexed by backend.
     Weighted(Vec<f64>),
     Oracle,
 }
@@ -32,11 +32,11 @@
 struct Open {
     class: usize,
     tried: Vec<(BackendId, Time, bool)>,
-    /// An attempt that ended may have run.
+    /// Whether an ended attempt may have run.
     ran: bool,
 }
 
-/// One proxy's rival policy.
+/// The baseline policy of one proxy.
 pub(super) struct BaselinePolicy {
     choice: Choice,
     config: Config,
@@ -50,7 +50,7 @@
 }
 
 impl BaselinePolicy {
-    /// One that knows nothing yet.
+    /// Creates a policy with an empty list of backends.
     pub(super) fn new(choice: Choice, config: Config, seed: u64) -> BaselinePolicy {
         let rng = Rng::new(seed, "rival");
         let (ready, listed, cordoned) = (Vec::new(), BTreeMap::new(), Vec::new());
@@ -88,7 +88,7 @@
                 from[self.turn % from.len()]
             }
             Choice::LeastOutstanding => {
-                // Ties are broken at random, or all proxies would go the same way.
+                // Ties are broken at random, or all proxies would choose the same backend.
                 let start = self.rng.below(from.len());
                 let order = (0..from.len()).map(|i| from[(start + i) % from.len()]);
                 order.min_by_key(held)?
@@ -119,7 +119,8 @@
         })
     }
 
-    /// Sends a request, or ends it where it may not or cannot be sent again.
+    /// Sends a request to a backend not tried yet, or ends it where no attempt is allowed or no such backend is
+    /// left.
     fn send(&mut self, now: Time, id: RequestId, global_view: GlobalView, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they ask, wait, leave, and try again.
+//! Clients: they send requests, wait, leave, and try again.
 
 use super::event::Event;
 use super::{Simulation, ONE_WAY};
@@ -6,25 +6,25 @@
 use crate::record::{TryId, What, LISTEN_ON};
 use lotusdeck_policy::{Micros, RequestId, Time};
 
-/// Kept of a client's time for the answer's way back, as the proxy does (`MARGIN` of the core's host).
+/// Part of a client's time that the proxy keeps for the way back of the answer (`MARGIN` of the core's host).
 const MARGIN: Micros = Micros(3_000);
 
-/// A client whose try is at a proxy or on its way there.
+/// A client with a try at a proxy or on its way there.
 pub(super) struct WaitingClient {
     proxy: usize,
-    /// The life of the proxy that took the request, and its number there.
+    /// The life of the proxy that took the request, and the request's id there.
     request: Option<(u32, RequestId)>,
 }
 
 impl Simulation<'_> {
-    /// Lets an arrival of the plan happen, if there is one of that number.
+    /// Schedules the arrival of the plan with this index, if there is one.
     pub(super) fn next_arrival(&mut self, number: usize) {
         if let Some(arrival) = self.plan.arrivals.get(number) {
             self.at(arrival.at, Event::Ask(TryId { arrival: number as u32, no: 0 }));
         }
     }
 
-    /// A try is due; the first of an arrival calls the next arrival.
+    /// Starts a try that is due; the first try of an arrival also schedules the next arrival.
     pub(super) fn ask_due(&mut self, id: TryId) {
         if id.no == 0 {
             self.next_arrival(id.arrival as usize + 1);
@@ -51,7 +51,7 @@
         self.at(until, Event::Leave(id));
     }
 
-    /// No connection to the proxy comes up: clients shun it for a while.
+    /// Handles a connection to a proxy that cannot be opened: clients avoid the proxy for a while.
     fn unreached(&mut self, id: TryId, proxy: usize) {
         let shun = Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
         self.shunned[proxy] = self.now + shun;
@@ -59,7 +59,7 @@
         self.retry(id, true, None);
     }
 
-    /// A try has reached its proxy.
+    /// Handles the arrival of a try at its proxy.
     pub(super) fn arrive(&mut self, id: TryId, proxy: usize, life: u32, deadline: Time) {
         if !self.lives(proxy, life) {
             self.after(ONE_WAY, Event::Broke(id));
@@ -74,7 +74,7 @@
         self.pump(proxy);
     }
 
-    /// An answer has reached its client, if that still waits.
+    /// Handles an answer that has reached its client, if the client still waits.
     pub(super) fn answered(&mut self, id: TryId, status: u16, retry_after: Option<f64>) {
         if self.waiting.remove(&id).is_none() {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The connection broke under a client, if that still waits.
+    /// Handles a broken connection of a client that still waits.
     pub(super) fn broke(&mut self, id: TryId) {
         if self.waiting.remove(&id).is_some() {
             self.record(What::Broke { id, reused: false, begun: false });
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A client leaves, if it still waits.
+    /// Lets a client leave, if it still waits.
     pub(super) fn leave(&mut self, id: TryId) {
         let Some(waiting) = self.waiting.remove(&id) else { return };
         self.record(What::Left { id });
@@ -105,8 +105,8 @@
         }
     }
 
-    /// A further try after one that was not served, where the client makes one: the class or the answer says that it
-    /// does no harm, and there is time.
+    /// Schedules another try after one that was not served, if the class or the answer says that a repeat is
+    /// harmless, a try is left and the client still has patience.
     fn retry(&mut self, id: TryId, harmless: bool, retry_after: Option<f64>) {
         let arrival = &self.plan.arrivals[id.arrival as usize];
         let habits = &self.plan.experiment.clients;
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: proxies are told the list of backends, and changes to it.
+//! Discovery: sends proxies the endpoint list and its changes.
 
 use super::event::Event;
 use super::proxies::module_time;
@@ -8,7 +8,7 @@
 use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendId, BackendState, CellId, ListUpdate, Micros};
 
-/// A line of the list as a proxy reads it.
+/// A line of the list in the form that a proxy reads.
 struct ListedBackend {
     row: EndpointRecord,
     id: BackendId,
@@ -16,7 +16,7 @@
 }
 
 impl Simulation<'_> {
-    /// Tells a proxy the whole list, or what has changed since it was told last.
+    /// Sends a proxy the whole list, or what has changed since its version.
     pub(super) fn list(&mut self, proxy: usize, update: ListUpdate) {
         let known = self.proxies[proxy].version();
         let version = self.discovery.version();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The list may have changed.
+    /// Applies changes that have reached discovery, and answers all proxies if there are any.
     pub(super) fn news(&mut self) {
         if self.discovery.due(self.now) {
             self.spread();
@@ -56,7 +56,7 @@
         self.follow_news();
     }
 
-    /// Every proxy is told, in turn.
+    /// Answers the call of every proxy, in turn.
     pub(super) fn spread(&mut self) {
         for proxy in 0..self.proxies.len() {
             let lines = self.discovery.since(self.proxies[proxy].version()).count();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Discovery tells a proxy so many lines once it is through with the calls before.
+    /// Schedules an answer of `lines` lines to a proxy, after the calls that are queued before it.
     pub(super) fn call(&mut self, proxy: usize, lines: usize) {
         let spec = &self.plan.experiment.discovery;
         let took = Micros::from_secs(spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64);
@@ -73,7 +73,7 @@
         self.at(self.calls_end + ONE_WAY, Event::Tell { proxy, life });
     }
 
-    /// Looks again when discovery next hears of a change.
+    /// Schedules the next change of the list.
     pub(super) fn follow_news(&mut self) {
         if let Some(at) = self.discovery.next() {
             self.at(at, Event::News);
--- a/crates/testbed/src/virtual_time/event.rs
+++ b/crates/testbed/src/virtual_time/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, and the queue that brings it in the order of its time.
+//! The events of a run, and a queue that orders them by time.
 
 use crate::record::TryId;
 use crate::world::station::Ticket;
@@ -6,29 +6,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// An attempt of a request, as its proxy numbers them.
+/// An attempt of a request, by the ids that its proxy gave them.
 pub(super) type AttemptKey = (RequestId, AttemptNo);
 
-/// Something that happens. What concerns a proxy names the life of it (how often it was started again): it is passed
-/// over where the proxy has died since.
+/// An event of a run. Events that concern a proxy hold its life, which is how often it has been restarted; they
+/// are ignored when that life has ended.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// An act of the plan, by its number, is due.
+    /// The act of the plan with this index is due.
     Act(usize),
-    /// A client's try is due.
+    /// A try of a client is due.
     Ask(TryId),
-    /// A try has reached a proxy.
+    /// A try reaches a proxy.
     AtProxy {
-        /// Which try.
+        /// The try.
         id: TryId,
-        /// The proxy, and its life.
+        /// The proxy.
         proxy: usize,
-        /// The life in which it was asked.
+        /// The life to which the try was sent.
         life: u32,
-        /// When the client gives up.
+        /// The client's deadline.
         deadline: Time,
     },
-    /// A request's time is up at its proxy.
+    /// The deadline of a request passes at its proxy.
     Deadline {
         /// The proxy.
         proxy: usize,
@@ -37,102 +37,103 @@
         /// The request.
         request: RequestId,
     },
-    /// A timer of a proxy's module is due.
+    /// A timer of a proxy's decision module is due.
     Timer {
         /// The proxy.
         proxy: usize,
         /// The life that set it.
         life: u32,
-        /// The module's name for it.
+        /// The module's token for the timer.
         token: TimerToken,
     },
-    /// An attempt's connection is up, or is not.
+    /// A connection for an attempt is open, or could not be opened.
     Connected {
         /// The proxy.
         proxy: usize,
-        /// The life that sends the attempt.
+        /// The life that opened the connection.
         life: u32,
         /// The attempt.
         key: AttemptKey,
-        /// The connection is up.
+        /// Whether the connection is open.
         up: bool,
     },
-    /// An attempt has reached its backend.
+    /// An attempt reaches its backend.
     Reach {
         /// The attempt.
         attempt: SentAttempt,
         /// The backend.
         backend: usize,
-        /// The backend's name for it.
+        /// The attempt's ticket at the backend.
         ticket: Ticket,
     },
-    /// A backend may be through with something.
+    /// A backend may have finished work.
     Due {
         /// The backend.
         backend: usize,
-        /// How often the backend's next moment was set when this was: an older event is passed over.
+        /// How often the backend's next event had been scheduled by then: an event with an older stamp is ignored.
         stamp: u64,
     },
-    /// An attempt's end has reached its proxy.
+    /// The end of an attempt reaches its proxy.
     Back {
         /// The attempt.
         attempt: SentAttempt,
         /// How it ended.
         outcome: Outcome,
     },
-    /// A backend hears that a proxy has given an attempt up.
+    /// The withdrawal of an attempt reaches its backend.
     Withdraw {
         /// The backend.
         backend: usize,
-        /// The backend's name for the attempt.
+        /// The attempt's ticket at the backend.
         ticket: Ticket,
     },
-    /// An answer has reached its client.
+    /// An answer reaches its client.
     ToClient {
-        /// The try that it answers.
+        /// The answered try.
         id: TryId,
         /// HTTP status.
         status: u16,
-        /// When the client had better come again, s.
+        /// Advised time until another try, in seconds.
         retry_after: Option<f64>,
     },
-    /// A connection broke under a client.
+    /// The connection of a client breaks.
     Broke(TryId),
     /// A client leaves, if it still waits.
     Leave(TryId),
     /// The list of backends may have changed.
     News,
-    /// Proxies tell each other what they hold.
+    /// Proxies tell each other how many attempts they have in flight.
     Gossip,
-    /// Discovery's answer reaches a proxy.
+    /// An answer of discovery reaches a proxy.
     Tell {
         /// The proxy.
         proxy: usize,
-        /// The life that is told.
+        /// The life that the answer is for.
         life: u32,
     },
 }
 
-/// An attempt on its way to a backend, there, or on its way back.
+/// An attempt that is on its way to a backend, at the backend, or on its way back.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentAttempt {
     /// The proxy that sent it.
     pub proxy: usize,
     /// The life of the proxy that sent it.
     pub life: u32,
-    /// Its number there.
+    /// The attempt's key at that proxy.
     pub key: AttemptKey,
-    /// The client's try that it serves.
+    /// The client's try it belongs to.
     pub id: TryId,
 }
 
-/// Events by their time; of those at the same time, the one that was pushed first comes first.
+/// Events ordered by time, and at the same time in the order in which they were pushed.
 #[derive(Default)]
 pub(super) struct EventQueue {
-    /// Time, order of pushing and slot of each: small, as a heap moves its entries about.
+    /// Time, push number and slot of each event. The events themselves lie in `slots`, as a heap moves its
+    /// entries.
     heap: BinaryHeap<Reverse<(Time, u64, usize)>>,
     slots: Vec<Option<Event>>,
-    /// Slots that are empty.
+    /// Empty slots.
     free: Vec<usize>,
     pushed: u64,
 }
@@ -149,7 +150,7 @@
         self.heap.push(Reverse((at, self.pushed, slot)));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub(super) fn pop(&mut self) -> Option<(Time, Event)> {
         let Reverse((at, _, slot)) = self.heap.pop()?;
         self.free.push(slot);
--- a/crates/testbed/src/virtual_time/gossip.rs
+++ b/crates/testbed/src/virtual_time/gossip.rs
@@ -1,11 +1,11 @@
-//! Proxies tell each other how many attempts they have out.
+//! Gossip: proxies tell each other how many attempts they have in flight.
 
 use super::event::Event;
 use super::Simulation;
 use lotusdeck_policy::Micros;
 
 impl Simulation<'_> {
-    /// Every proxy is told what the others had out some rounds ago.
+    /// Runs a round: sends each proxy what the others had in flight some rounds ago, and schedules the next round.
     pub(super) fn gossip(&mut self) {
         let talk = &self.plan.experiment.talk;
         let every = Micros::from_secs(talk.every_ms / 1e3);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Tells each proxy that is alive the sum of what the others had out.
+    /// Sends each live proxy the number of attempts that all others had in flight.
     fn tell_others(&mut self, out: &[f64]) {
         let all: f64 = out.iter().sum();
         for (proxy, own) in out.iter().enumerate() {
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,9 +1,9 @@
-//! The driver in virtual time: the same model, plans, records and verdicts as on sockets, with the decision module
-//! itself (one instance for each proxy, sharing nothing) and no socket, thread or clock.
-//!
-//! `event` is what happens and the queue of it. The simulation lies here; what it does about clients, proxies, backends,
-//! discovery and the plan's acts is in the module of that name, and `gossip` lets proxies tell each other what they
-//! hold. `proxy` is the model of one proxy, `policy` and `rivals` are what chooses in it.
+//! The driver in virtual time: the same model, plans, records and verdicts as on sockets, with the real decision
+//! module (one instance for each proxy, sharing nothing), but without sockets, threads or a clock.
+//! `event` defines the events and their queue. This module holds the simulation; the handling of clients, proxies,
+//! backends, discovery and the plan's acts is in the module of that name, and `gossip` lets proxies tell each
+//! other how many attempts they have in flight. `proxy` is the model of one proxy; `policy`, `policy_choice` and
+//! `baseline_policies` choose the backends in it.
 
 mod acts;
 mod backends;
@@ -38,56 +38,57 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// One way between two machines of the same site.
+/// Network delay in one direction, between two machines of the same site.
 const ONE_WAY: Micros = Micros(100);
 
-/// Why nothing was played.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum VirtualError {
-    /// The experiment's settings are none for a proxy.
+    /// The experiment does not result in valid settings for a proxy.
     #[error("settings: {0}")]
     Settings(#[from] Faults),
-    /// The module does not take them.
+    /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Unsound(#[from] ConfigError),
 }
 
-/// All that there is in a run.
+/// The state of a run.
 struct Simulation<'a> {
     plan: &'a Plan,
-    /// Each proxy's own.
+    /// The settings of each proxy.
     settings: Vec<Settings>,
     now: Time,
     queue: EventQueue,
     backends: Vec<Backend>,
-    /// How often the next moment of each backend was set: of its [`Event::Due`] the newest counts.
+    /// How often the next event of each backend was scheduled: only its newest [`Event::Due`] counts.
     stamps: Vec<u64>,
-    /// The attempts that each backend holds.
+    /// The attempts at each backend, by ticket.
     held: Vec<HashMap<Ticket, SentAttempt>>,
-    /// The last ticket that was given.
+    /// The last ticket issued.
     last_ticket: Ticket,
     discovery: Discovery,
-    /// When discovery is through with the calls that it has.
+    /// When discovery has finished all calls so far.
     calls_end: Time,
     proxies: Vec<Proxy>,
     which: PolicyChoice,
-    /// Clients whose try is at a proxy.
+    /// Clients with a try at a proxy or on its way there.
     waiting: HashMap<TryId, WaitingClient>,
     deal: RequestDispatcher,
-    /// Until when clients open no connection to each proxy.
+    /// Time until which clients avoid each proxy.
     shunned: Vec<Time>,
     records: Vec<Record>,
     rng: Rng,
-    /// What a policy that sees everything looks at: see [`policy::GlobalView`].
+    /// The true state of all backends: see [`policy::GlobalView`].
     global_view: Vec<f64>,
-    /// Attempts out at each proxy, round by round, the oldest first: what is told is so old.
+    /// Attempts in flight at each proxy in the latest rounds of gossip, oldest first; a round is sent once it is
+    /// old enough.
     gossip: VecDeque<Vec<f64>>,
 }
 
-/// Plays a plan; the same plan and policy give the same records, always.
+/// Plays a plan. The same plan and policy always give the same records.
 ///
 /// # Errors
-/// Where the experiment makes no settings for a proxy.
+/// When the experiment does not result in valid settings for a proxy, or the decision module rejects them.
 pub fn play(plan: &Arc<Plan>, which: PolicyChoice) -> Result<Ran, VirtualError> {
     let mut simulation = Simulation::new(plan, which)?;
     simulation.run()?;
@@ -95,7 +96,7 @@
     Ok(Ran { records: simulation.records, samples: Vec::new(), late, cut: None })
 }
 
-/// The settings of each proxy. No address in them is ever used.
+/// Returns the settings of each proxy. The addresses in them are never used.
 fn proxy_settings(plan: &Plan) -> Result<Vec<Settings>, Faults> {
     let unused = SocketAddr::from(([127, 0, 0, 1], 1));
     let read = |proxy| Settings::read(&configuration(plan, proxy, unused, unused, unused, "{}")["settings"]);
@@ -103,7 +104,7 @@
 }
 
 impl Simulation<'_> {
-    /// All as it is before anything happens.
+    /// Creates the state before the first event.
     fn new(plan: &Plan, which: PolicyChoice) -> Result<Simulation<'_>, VirtualError> {
         let settings = proxy_settings(plan)?;
         let mut proxies = Vec::new();
@@ -136,22 +137,22 @@
         })
     }
 
-    /// Lets an event happen after that time.
+    /// Schedules an event after that time.
     fn after(&mut self, span: Micros, event: Event) {
         self.at(self.now + span, event);
     }
 
-    /// Lets an event happen at that time, or now where that is over.
+    /// Schedules an event at that time, or now if that has passed.
     fn at(&mut self, at: Time, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Records what happened now.
+    /// Records an observation at the current time.
     fn record(&mut self, what: What) {
         self.records.push(Record { at: self.now, what });
     }
 
-    /// Plays from the beginning to the end.
+    /// Plays the whole run.
     fn run(&mut self) -> Result<(), VirtualError> {
         self.begin();
         let end = self.plan.end() + self.longest_deadline() + LISTEN_ON + LISTEN_ON;
@@ -166,7 +167,7 @@
         Ok(())
     }
 
-    /// Starts the proxies, and what goes on from the first moment.
+    /// Starts the proxies, and schedules the acts, the gossip and the first arrival.
     fn begin(&mut self) {
         for proxy in 0..self.proxies.len() {
             self.record(What::Proxy { proxy, turn: Turn::Ready });
@@ -179,17 +180,17 @@
         if plan.experiment.talk.every_ms > 0.0 {
             self.at(Time(0), Event::Gossip);
         }
-        // One arrival calls the next, so that the queue stays small.
+        // Each arrival schedules the next, which keeps the queue small.
         self.next_arrival(0);
     }
 
-    /// The longest that a client waits.
+    /// Returns the longest deadline of all classes.
     fn longest_deadline(&self) -> Micros {
         let deadlines = self.plan.experiment.class.iter().map(|class| class.deadline_ms / 1e3);
         Micros::from_secs(deadlines.fold(0.0, f64::max))
     }
 
-    /// Lets an event happen; one of a proxy's earlier life, or that was overtaken, is passed over.
+    /// Handles an event; ignores those for an earlier life of a proxy, and those that a newer one replaced.
     fn handle(&mut self, event: Event) -> Result<(), VirtualError> {
         match event {
             Event::Act(number) => self.act(number)?,
@@ -230,7 +231,7 @@
         Ok(())
     }
 
-    /// Whether a proxy is alive, and was not started again since.
+    /// Returns whether a proxy is alive and still in that life.
     fn lives(&self, proxy: usize, life: u32) -> bool {
         self.proxies[proxy].lives(life)
     }
--- a/crates/testbed/src/virtual_time/policy.rs
+++ b/crates/testbed/src/virtual_time/policy.rs
@@ -1,16 +1,16 @@
-//! What a policy in a run in virtual time has to do: the real decision module is one, textbook policies are others.
+//! The interface of policies in virtual time: the decision module and the textbook policies implement it.
 
 use lotusdeck_policy::{Action, Balancer, Event, Time};
 
-/// What a policy that sees everything may look at: for each backend the seconds of work that it holds, over its
-/// present speed; infinite where it serves nothing.
+/// The true state of all backends, for policies that use it: for each backend the requests it holds plus one,
+/// divided by its current speed; infinite where it serves nothing.
 pub type GlobalView<'a> = &'a [f64];
 
-/// One proxy's decisions.
+/// The decisions of one proxy.
 pub trait Policy {
-    /// Takes one event and adds the actions it calls for.
+    /// Handles one event and adds the resulting actions.
     fn handle(&mut self, now: Time, event: Event, global_view: GlobalView, actions: &mut Vec<Action>);
-    /// It looks at the sight: reckoning that costs a walk over the fleet.
+    /// Returns whether the policy uses the global view, which costs a pass over all backends to compute.
     fn sees(&self) -> bool {
         false
     }
--- a/crates/testbed/src/virtual_time/policy_choice.rs
+++ b/crates/testbed/src/virtual_time/policy_choice.rs
@@ -1,4 +1,5 @@
-//! Which policy plays in a run in virtual time: the real decision module, or one that the product never contains.
+//! The choice of the policy for a run in virtual time: the decision module, or a baseline policy that the product
+//! does not contain.
 
 use super::baseline_policies::{BaselinePolicy, Choice};
 use super::policy::Policy;
@@ -7,36 +8,37 @@
 use lotusdeck_policy::{Balancer, ConfigError};
 use serde::{Deserialize, Serialize};
 
-/// Which policy plays.
+/// The policy of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyChoice {
-    /// The product's own module: HALB, learning as it goes.
+    /// The product's decision module: HALB from what it learns during the run.
     #[default]
     Halb,
     /// Any ready backend, evenly.
     Random,
-    /// One after the other.
+    /// The ready backends in turn.
     RoundRobin,
-    /// The one on which this proxy holds least.
+    /// The backend with the fewest attempts of this proxy in flight.
     LeastOutstanding,
-    /// The one of two drawn at random on which this proxy holds less (Mitzenmacher, 2001).
+    /// Of two backends drawn at random, the one with fewer attempts of this proxy in flight (Mitzenmacher, 2001).
     TwoChoices,
-    /// The one of two drawn at random with the lower peak-EWMA of latency times what is held.
+    /// Of two backends drawn at random, the one with the lower peak-EWMA of latency times attempts in flight.
     PeakEwma,
-    /// At random in proportion to true speed.
+    /// Any ready backend, at random in proportion to its true speed.
     TrueSpeed,
-    /// HALB's shares from true speeds and the true arrival rate, nothing learned, no care for trouble.
+    /// HALB's shares from the true speeds and the true arrival rate, without learning and without reaction to
+    /// troubles.
     TrueHalb,
-    /// The backend that is through first, as it truly stands.
+    /// The backend with the least load for its true speed.
     Oracle,
 }
 
 impl PolicyChoice {
-    /// One proxy's instance.
+    /// Creates the policy of one proxy.
     ///
     /// # Errors
-    /// Where the module does not take the settings.
+    /// When the decision module rejects the settings.
     pub fn build(self, settings: &Settings, plan: &Plan, seed: u64) -> Result<Box<dyn Policy>, ConfigError> {
         let choice = match self {
             PolicyChoice::Halb => return Ok(Box::new(Balancer::new(settings.config.clone(), seed)?)),
@@ -55,7 +57,8 @@
     }
 }
 
-/// HALB's share of each backend from what is true: servers of one speed are a kind.
+/// Computes HALB's share of each backend from true speeds, at the arrival rate of the run's start. All backends of
+/// a kind have the same speed.
 fn true_halb(plan: &Plan) -> Vec<f64> {
     let (e, mean) = (&plan.experiment, plan.experiment.mean_work());
     let speed = |b: &crate::world::backend::Spec| b.build.cores * b.build.speed / mean;
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: their modules' events, and what they send.
+//! Proxies: events for their policies, and the actions that follow.
 
 use super::event::{AttemptKey, Event, SentAttempt};
 use super::proxy::{Answer, Flight, Stage};
@@ -6,20 +6,20 @@
 use crate::world::backend::Health;
 use lotusdeck_policy::{Micros, Outcome, RequestId, Time};
 
-/// A connection that does not come up is given up after this time.
+/// Time after which opening a connection to a hung backend fails.
 const CONNECT_TIMEOUT: Micros = Micros(300_000);
-/// A new connection is up after a way there and back.
+/// Time to open a connection, or to learn that it is refused.
 const ROUND_TRIP: Micros = Micros(2 * ONE_WAY.0);
-/// The module's clock at the run's beginning: far enough from zero for any ramp.
+/// The policies' clock at the start of the run: further from zero than any warm-up time.
 const MODULE_START: Time = Time(1_000_000_000);
 
-/// The time of a run on the modules' clock.
+/// Converts a time of the run to the policies' clock.
 pub(super) fn module_time(at: Time) -> Time {
     Time(MODULE_START.0 + at.0)
 }
 
 impl Simulation<'_> {
-    /// Passes events on to a proxy's policy until it is quiet, and carries out what it asks for.
+    /// Passes pending events to a proxy's policy until none is left, and carries out the resulting steps.
     pub(super) fn pump(&mut self, proxy: usize) {
         if self.proxies[proxy].sees() {
             self.look();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Brings what policies may look at up to now.
+    /// Updates the global view to the current time.
     fn look(&mut self) {
         for (global_view, backend) in self.global_view.iter_mut().zip(&self.backends) {
             let serves = backend.health == Health::Up;
@@ -65,7 +65,8 @@
         }
     }
 
-    /// A request's time is up: its attempts have timed out, and should the module stay silent it still has an answer.
+    /// Ends a request at its deadline: its attempts time out, and where the policy does not end the request, the
+    /// client is answered 504.
     pub(super) fn deadline(&mut self, proxy: usize, request: RequestId) {
         for key in self.proxies[proxy].out_of(request) {
             self.end_attempt(proxy, key, Outcome::TimedOut);
@@ -77,7 +78,8 @@
         }
     }
 
-    /// An attempt's connection is up, or is not.
+    /// Sends an attempt over its connection, or ends it where the connection could not be opened or the backend
+    /// may no longer receive requests.
     pub(super) fn connected(&mut self, proxy: usize, key: AttemptKey, up: bool) {
         let Some((flight, id, may)) = self.proxies[proxy].ready(key) else { return };
         let Flight { backend, warm, .. } = flight;
@@ -98,7 +100,7 @@
         self.after(Micros(ONE_WAY.0 + jitter.0), Event::Reach { attempt, backend, ticket });
     }
 
-    /// Ends an attempt at its proxy; where it timed out its backend hears that it is given up.
+    /// Ends an attempt at its proxy; one that timed out is also withdrawn from its backend.
     pub(super) fn end_attempt(&mut self, proxy: usize, key: AttemptKey, outcome: Outcome) {
         let gone = self.proxies[proxy].attempt_ended(module_time(self.now), key, outcome);
         if let Some((backend, ticket)) = gone.filter(|_| outcome == Outcome::TimedOut) {
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in virtual time: what the core does on sockets, without them.
+//! A proxy in virtual time: does what the core does, but without sockets.
 
 use super::policy::{GlobalView, Policy};
 use super::policy_choice::PolicyChoice;
@@ -9,7 +9,7 @@
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     Served,
@@ -17,7 +17,7 @@
     Failed,
 }
 
-/// What a proxy asks of the world.
+/// A step that a proxy asks the simulation to carry out.
 pub(super) enum Stage {
     Answer { id: TryId, answer: Answer },
     Timer { token: TimerToken, after: Micros },
@@ -25,11 +25,11 @@
     Withdraw { backend: usize, ticket: Ticket },
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
 pub(super) struct Flight {
     pub backend: usize,
-    /// On a connection that stood already.
+    /// Whether it uses an idle connection.
     pub warm: bool,
     since: Time,
     ticket: Option<Ticket>,
@@ -40,7 +40,7 @@
     attempts: u32,
 }
 
-/// One proxy.
+/// The state of one proxy.
 pub(super) struct Proxy {
     policy: Box<dyn Policy>,
     names: Names,
@@ -48,12 +48,12 @@
     life: u32,
     requests: HashMap<RequestId, Live>,
     flights: BTreeMap<(RequestId, AttemptNo), Flight>,
-    /// Idle connections by backend.
+    /// Number of idle connections by backend.
     idle: HashMap<usize, u32>,
     serving: HashMap<usize, bool>,
     cordoned: BTreeSet<BackendId>,
     events: VecDeque<Event>,
-    /// Requests whose answer goes out next.
+    /// Requests whose served answer goes out at the next [`Proxy::pump`].
     served: Vec<RequestId>,
     last: u64,
     version: u64,
@@ -91,7 +91,7 @@
     pub(super) fn lives(&self, life: u32) -> bool {
         self.alive && self.life == life
     }
-    /// Attempts that are out.
+    /// Returns the number of attempts in flight.
     pub(super) fn out(&self) -> usize {
         self.flights.len()
     }
@@ -105,7 +105,7 @@
         self.events.push_back(event);
     }
 
-    /// Takes a client's request.
+    /// Takes a client's request and passes it to the policy.
     pub(super) fn take(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
         self.last += 1;
         let request = RequestId(self.last);
@@ -124,13 +124,13 @@
         request
     }
 
-    /// The attempts of a request that are out.
+    /// Returns the attempts of a request that are in flight.
     pub(super) fn out_of(&self, request: RequestId) -> Vec<(RequestId, AttemptNo)> {
         let range = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
         self.flights.range(range).map(|(key, _)| *key).collect()
     }
 
-    /// The module stayed silent to the deadline: the request is over, and whose it was is told so.
+    /// Ends a request that the policy has not ended by its deadline, and returns the try to answer.
     pub(super) fn give_up(&mut self, request: RequestId) -> Option<TryId> {
         let live = self.requests.remove(&request)?;
         self.push(Event::ClientDisconnected { request });
@@ -174,7 +174,8 @@
         self.idle.remove(&backend);
     }
 
-    /// An attempt whose connection is up: where it goes, whose it is, and whether it may.
+    /// Returns an attempt whose connection is ready, the try it belongs to, and whether it may still be sent: its
+    /// request is open, and its backend listed as ready and not cordoned.
     pub(super) fn ready(&self, key: (RequestId, AttemptNo)) -> Option<(Flight, TryId, bool)> {
         let flight = *self.flights.get(&key)?;
         let live = self.requests.get(&key.0);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// An attempt ended; where it was, if it had been sent.
+    /// Ends an attempt and passes its outcome to the policy. Returns its backend and ticket if it had been sent.
     pub(super) fn attempt_ended(
         &mut self, now: Time, key: (RequestId, AttemptNo), outcome: Outcome,
     ) -> Option<(usize, Ticket)> {
@@ -198,7 +199,7 @@
             *self.idle.entry(flight.backend).or_default() += 1;
         }
         let (request, attempt) = key;
-        // The answer goes out before the module hears of it, as in the core.
+        // The client is answered before the policy handles the end, as in the core.
         let served = outcome == Outcome::Success && self.requests.contains_key(&request);
         let settled = served || !self.requests.contains_key(&request);
         let latency = now - flight.since;
@@ -217,7 +218,7 @@
         flight.ticket.map(|t| (flight.backend, t))
     }
 
-    /// Passes all events on and tells what is asked for.
+    /// Passes all pending events to the policy and adds the resulting steps to `wishes`.
     pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, wishes: &mut Vec<Stage>) {
         for request in std::mem::take(&mut self.served) {
             self.finish(request, Answer::Served, wishes);
@@ -275,7 +276,7 @@
         }
     }
 
-    /// The process ends: whom it leaves without an answer, and what it had sent.
+    /// Ends the process. Returns the tries without an answer, and the attempts it had sent.
     pub(super) fn die(&mut self) -> (Vec<TryId>, Vec<(usize, Ticket)>) {
         self.alive = false;
         let mut clients: Vec<TryId> = self.requests.drain().map(|(_, l)| l.id).collect();
