--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -1,5 +1,5 @@
-//! Clients on sockets: arrivals at their times whatever became of earlier ones, tries, patience, and the front
-//! that deals them out among the proxies.
+//! Clients on sockets. They start arrivals at their planned times, however earlier ones go, make tries while they
+//! have patience, and distribute them over the proxies.
 
 use super::wire::Link;
 use super::{Clock, Log};
@@ -18,15 +18,15 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 
-/// A kept connection is used again if it rested for less: proxies close theirs after two seconds.
+/// Longest idle time after which a connection is reused; proxies close idle ones after two seconds.
 const FRESH: Micros = Micros(1_500_000);
-/// A connection is up after this time, or never.
+/// Time limit for opening a connection.
 const CONNECT: Duration = Duration::from_millis(300);
 
 struct Front {
     address: SocketAddr,
     idle: Vec<(Time, Link, TryId)>,
-    /// It was found dead and gets no new connections until then.
+    /// Time until which it gets no requests, after it could not be reached.
     shunned: Time,
 }
 
@@ -39,23 +39,23 @@
     deal: RefCell<RequestDispatcher>,
     open: Cell<usize>,
     idle: Notify,
-    /// How late first tries were sent, in microseconds.
+    /// Delay of first tries behind their planned time, in microseconds.
     late: RefCell<Histogram<u64>>,
 }
 
-/// How a try ended for its client.
+/// The result of a try, for its client.
 enum Got {
     Served,
-    /// With the advice on when to come again.
+    /// Holds the advised pause before another try, in seconds.
     Refused(Option<f64>),
     Failed,
-    /// The proxy was not reached: nothing was sent.
+    /// The proxy could not be reached: the request was not sent.
     Unreached,
     Left,
 }
 
 impl Clients {
-    /// Clients of the proxies at these addresses.
+    /// Creates the clients of the proxies at these addresses.
     pub fn new(plan: Arc<Plan>, clock: Clock, log: Log, proxies: &[SocketAddr]) -> Rc<Clients> {
         let front = |address: &SocketAddr| Front { address: *address, idle: Vec::new(), shunned: Time(0) };
         let late = Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds in order");
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Plays all arrivals and waits for the last of them.
+    /// Starts all arrivals, waits until all have ended, and returns the delays of first tries.
     pub async fn play(self: Rc<Self>) -> Histogram<u64> {
         for (n, arrival) in self.plan.arrivals.iter().enumerate() {
             if arrival.at > self.clock.now() {
@@ -94,7 +94,7 @@
         self.late.borrow().clone()
     }
 
-    /// One thing that a client wants, with all its tries.
+    /// Makes the tries of one arrival.
     async fn want(&self, arrival: u32) {
         let a = &self.plan.arrivals[arrival as usize];
         let class = &self.plan.experiment.class[a.class];
@@ -153,7 +153,7 @@
             return Got::Unreached;
         }
         self.log.add(What::Asked { id, proxy, left: left.0 });
-        // One who left early is gone; all others listen on for a while, to see what came late.
+        // An impatient client leaves at once; all others listen beyond the deadline, to see late answers.
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
             Err(_) => {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The next proxy that is not held for dead; any, where all are.
+    /// Returns the proxy for the next try, skipping shunned ones unless all are.
     fn deal(&self) -> usize {
         let (fronts, now) = (self.fronts.borrow(), self.clock.now());
         self.deal.borrow_mut().next(|p| fronts[p].shunned > now)
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery on sockets: a listener for each proxy, whole lists and watches, calls handled in turn.
+//! Discovery on sockets: a listener for each proxy, which serves whole lists and watches; calls are handled one at
+//! a time.
 
 use super::wire::{listen, Link, ReadEvent};
 use super::{Clock, Log};
@@ -13,26 +14,27 @@
 use std::time::Duration;
 use tokio::sync::{watch, Mutex, Notify};
 
-/// The longest that a call may wait.
+/// Longest time that a watch may wait for a change.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// The list of a run and those who ask for it.
+/// The discovery service of a run.
 pub struct Service {
     plan: Arc<Plan>,
     clock: Clock,
     log: Log,
     backends: Vec<SocketAddr>,
     model: RefCell<Discovery>,
-    /// Version, and whether it is down.
+    /// The list's version, and whether discovery is down.
     news: watch::Sender<(u64, bool)>,
     sooner: Notify,
     turn: Mutex<()>,
-    /// What each proxy was last told.
+    /// The status last sent, by proxy and backend.
     told: RefCell<HashMap<(usize, usize), Status>>,
 }
 
 impl Service {
-    /// Binds a port for each proxy; `backends` are the fleet's addresses.
+    /// Starts the service with a port for each proxy, and returns it with these addresses. `backends` are the
+    /// fleet's addresses.
     pub fn start(
         plan: Arc<Plan>, clock: Clock, log: Log, backends: Vec<SocketAddr>,
     ) -> std::io::Result<(Rc<Service>, Vec<SocketAddr>)> {
@@ -66,7 +68,7 @@
         Ok((service, addresses))
     }
 
-    /// Changes the model.
+    /// Changes the model. Where it goes down, waiting calls fail at once.
     pub fn change(&self, change: impl FnOnce(&mut Discovery)) {
         let mut model = self.model.borrow_mut();
         change(&mut model);
@@ -74,7 +76,7 @@
         self.sooner.notify_one();
     }
 
-    /// The whole list as JSON, as it stands at the start.
+    /// Returns the whole list as JSON.
     pub fn whole(&self) -> String {
         let model = self.model.borrow();
         self.json(model.version(), true, model.whole())
@@ -128,7 +130,7 @@
                 answered = self.answer(proxy, after, wait) => answered,
                 event = link.wait_read() => match event {
                     ReadEvent::End => return,
-                    ReadEvent::Bytes => None, // no call is sent ahead: what came is no call
+                    ReadEvent::Bytes => None, // proxies do not pipeline calls: answered 503
                 },
             };
             let (status, body, told) = answered.unwrap_or((503, String::new(), Vec::new()));
@@ -145,7 +147,8 @@
         }
     }
 
-    /// `None` when it is down.
+    /// Answers a call, for which it returns the HTTP status, the body and the backends' statuses in it; `None`
+    /// when discovery is down. With `after`, waits up to `wait` for a newer version.
     async fn answer(
         &self, proxy: usize, after: Option<u64>, wait: Duration,
     ) -> Option<(u16, String, Vec<(usize, Status)>)> {
@@ -169,7 +172,7 @@
         if model.down {
             return None;
         }
-        // A caller that is ahead of the list knows another discovery's: it is told all.
+        // A caller with a higher version than the list's got it from another discovery, so it gets the whole list.
         if let Some(after) = after.filter(|after| *after <= model.version()) {
             let told = model.since(after).map(|l| (l.backend, l.status)).collect();
             return Some((200, self.json(model.version(), false, model.since(after)), told));
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet on sockets: every backend listens, reads requests and answers when its station is through with them.
+//! The fleet on sockets: every backend listens, reads requests, and answers each when its station has finished the
+//! work.
 
 use super::wire::{listen, Link, ReadEvent, Request, Reserved};
 use super::{Clock, Log};
@@ -16,18 +17,18 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::task::AbortHandle;
 
-/// A machine that is silent, or a process that ends: its connections go with it.
+/// How often a backend's connections have been reset, and whether its machine hangs.
 type Life = (u64, bool);
 
 struct Slot {
     model: Backend,
     address: SocketAddr,
-    /// Requests that it holds, and who waits for their end.
+    /// Requests that it holds, with the channel that signals their end.
     open: HashMap<Ticket, (TryId, oneshot::Sender<()>)>,
     life: watch::Sender<Life>,
     sooner: Rc<Notify>,
     accepting: Option<AbortHandle>,
-    /// Its port: nobody gets it while it is dead.
+    /// Keeps its port reserved while the process is down.
     _held: Reserved,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Fleet {
-    /// Binds a port for each.
+    /// Starts all backends, each on a port of its own.
     pub fn start(plan: Arc<Plan>, clock: Clock, log: Log) -> std::io::Result<Rc<Fleet>> {
         let mut slots = Vec::new();
         let mut listeners = Vec::new();
@@ -67,17 +68,17 @@
         Ok(fleet)
     }
 
-    /// Where they listen.
+    /// Returns the backends' addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.slots.borrow().iter().map(|s| s.address).collect()
     }
 
-    /// When a backend last started.
+    /// Returns when a backend last started; `None` means before the run.
     pub fn booted(&self, b: usize) -> Option<Time> {
         self.slots.borrow()[b].model.booted
     }
 
-    /// Changes the model of some backends.
+    /// Changes the model of some backends, after ending the work that they have finished.
     pub fn change(&self, which: &[usize], change: impl Fn(&mut Backend, Time)) {
         let now = self.clock.now();
         for &b in which {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The process ends: its connections are reset, new ones refused.
+    /// Ends the process: its connections are reset, and new ones refused.
     pub fn kill(&self, b: usize) {
         self.change(&[b], |model, now| model.turn(now, Health::Down));
         let mut slots = self.slots.borrow_mut();
@@ -96,7 +97,7 @@
         self.cut(&mut slots[b], b, false);
     }
 
-    /// A process starts where one had ended.
+    /// Starts the process again, on the same address.
     pub fn revive(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
         let address = self.slots.borrow()[b].address;
         let listener = listen(Some(address))?;
@@ -105,7 +106,7 @@
         Ok(())
     }
 
-    /// The machine goes silent, or is back: then the connections that it had are reset.
+    /// Hangs the machine, or brings it back, which resets the connections that it had.
     pub fn hang(&self, b: usize, silent: bool) {
         let health = if silent { Health::Hung } else { Health::Up };
         self.change(&[b], |model, now| model.turn(now, health));
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Writes down the worst that each was sent while cold.
+    /// Records for each backend the worst window of work sent while it was cold.
     pub fn report(&self) {
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
             let p = slot.model.pressure;
@@ -147,7 +148,7 @@
         self.slots.borrow_mut()[b].accepting = Some(task.abort_handle());
     }
 
-    /// Ends what is through, for as long as the run lasts.
+    /// Ends finished requests, for as long as the run lasts.
     async fn work(self: Rc<Self>, b: usize) {
         let sooner = self.slots.borrow()[b].sooner.clone();
         loop {
@@ -195,7 +196,7 @@
         tokio::select! {
             _ = self.talk(b, &mut link) => {}
             _ = died => {
-                // A process that ends resets what it had open.
+                // A process that ends resets its connections.
                 let _ = socket2::SockRef::from(&link.tcp).set_linger(Some(std::time::Duration::ZERO));
                 return;
             }
@@ -253,7 +254,7 @@
             let held = Held { fleet: self, b, ticket };
             tokio::select! {
                 served = &mut wait => if served.is_err() { return },
-                _ = closed(link) => return, // `held` takes the work back
+                _ = closed(link) => return, // dropping `held` withdraws the request
             }
             drop(held);
             let text = body(id, bytes);
@@ -266,7 +267,8 @@
         }
     }
 
-    /// The request that a client of this run sent, unchanged: its id, the bytes of its answer, key and work.
+    /// Returns the id, answer size, key and work of a request, if a client of this run sent it in exactly this
+    /// form.
     fn known(&self, request: &Request) -> Option<(TryId, usize, u64, f64)> {
         let id = request.id?;
         let arrival = self.plan.arrivals.get(id.arrival as usize)?;
@@ -284,11 +286,11 @@
 
 async fn closed(link: &mut Link) {
     if link.wait_read().await == ReadEvent::Bytes {
-        std::future::pending().await // the next request, sent ahead: it waits its turn
+        std::future::pending().await // a pipelined request, which is read later
     }
 }
 
-/// Takes a request back from its backend when its connection ends before its answer.
+/// Withdraws a request from its backend when dropped before the request has ended, as when its connection closes.
 struct Held<'a> {
     fleet: &'a Fleet,
     b: usize,
--- a/crates/testbed/src/driver/mod.rs
+++ b/crates/testbed/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The driver on real sockets: it plays the model around real processes of lotusdeck, on loopback.
+//! The driver on real sockets: runs the model around real lotusdeck processes, on loopback.
 
 pub mod clients;
 pub mod discovery;
@@ -16,37 +16,37 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The run's time: it begins at zero when the first request may arrive, and stands at zero before. All threads of
-/// a run share one.
+/// The run's clock, shared by all its threads. It is zero until the start, when the first request may arrive.
 #[derive(Clone, Default)]
 pub struct Clock(Arc<OnceLock<(Instant, u64)>>);
 
-/// Before the start a moment of the run is as far away as this.
+/// How long [`Clock::instant`] lets a caller wait before it asks again, while the start is unknown.
 const NOT_YET: Duration = Duration::from_millis(50);
 
 impl Clock {
-    /// The run starts so much from now. Only the first call counts.
+    /// Sets the start to `span` from now. Only the first call has an effect.
     pub fn start_in(&self, span: Duration) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + span;
         self.0.get_or_init(|| (Instant::now() + span, unix.as_micros() as u64));
     }
-    /// Since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Time {
         let since = self.0.get().map(|(start, _)| Instant::now().saturating_duration_since(*start));
         Time(since.unwrap_or_default().as_micros() as u64)
     }
-    /// When the machine's clock shows that time; soon, where the start is not known yet, to ask again.
+    /// Returns the instant of a time of the run. Where the start is not known yet, returns one shortly from now,
+    /// at which the caller should ask again.
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
         let start = self.0.get().map(|(start, _)| *start + Duration::from_micros(at.0));
         start.unwrap_or_else(|| Instant::now() + NOT_YET).into()
     }
-    /// That time in Unix milliseconds.
+    /// Converts a time of the run to Unix milliseconds; 0 where the start is not known yet.
     pub fn unix_ms(&self, at: Time) -> u64 {
         self.0.get().map_or(0, |(_, unix_us)| (unix_us + at.0) / 1000)
     }
 }
 
-/// Where one thread writes down what it sees.
+/// The records of one thread.
 #[derive(Clone)]
 pub struct Log {
     clock: Clock,
@@ -54,19 +54,19 @@
 }
 
 impl Log {
-    /// An empty one.
+    /// Creates an empty log.
     pub fn new(clock: Clock) -> Log {
         Log { clock, records: Rc::default() }
     }
-    /// Something happened now.
+    /// Records an observation at the current time.
     pub fn add(&self, what: What) {
         self.records.borrow_mut().push(Record { at: self.clock.now(), what });
     }
-    /// Something happened at `at`, which is past: records are put in order of time before they are judged.
+    /// Records an observation at the past time `at`. Records are sorted by time before they are judged.
     pub fn add_at(&self, at: Time, what: What) {
         self.records.borrow_mut().push(Record { at, what });
     }
-    /// All of it; the log is empty then.
+    /// Removes and returns all records.
     pub fn take(&self) -> Vec<Record> {
         self.records.take()
     }
--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -1,4 +1,4 @@
-//! The real processes: their configuration, start, signals and what they use.
+//! The real proxy processes: their configuration, start, signals and resource usage.
 
 use super::usage::Usage;
 use super::wire::{Link, Reserved};
@@ -15,44 +15,44 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-/// A proxy takes clients so soon after its start, or it has failed.
+/// Time limit for a proxy to accept clients after its start.
 const START: Duration = Duration::from_secs(10);
-/// An operators' call is over by then.
+/// Time limit for a call to a proxy.
 const CALL: Duration = Duration::from_secs(3);
 
-/// Why a proxy does not run.
+/// Why a proxy could not be prepared or started.
 #[derive(Debug, Error)]
 pub enum ProxyError {
-    /// A file or the process could not be made.
+    /// A file or the process could not be created.
     #[error("proxy {0}: {1}")]
     Io(usize, std::io::Error),
-    /// Somebody else listens there.
+    /// Another process uses the port.
     #[error("proxy {0}: the port of {1} is taken: choose another base_port, or none")]
     Taken(usize, SocketAddr),
-    /// It ended, or never took clients.
+    /// The process ended, or did not accept clients in time.
     #[error("proxy {0} did not take clients within {1} s of its start; its last line: {2}")]
     Start(usize, u64, String),
 }
 
-/// One proxy and the process that plays it now.
+/// A proxy and its current process.
 pub struct Proxy {
     number: usize,
     program: PathBuf,
     folder: PathBuf,
     descriptors: usize,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where operators call.
+    /// Address for operators.
     pub admin: SocketAddr,
     child: Option<Child>,
     starts: u32,
-    /// What earlier processes of it used.
+    /// Processor time of its earlier processes.
     before: Duration,
-    /// Its ports: nobody gets them between two of its processes.
+    /// Keeps its ports reserved between two of its processes.
     _held: [Reserved; 2],
 }
 
-/// A port of the kernel's choice, or the one asked for, held for as long as the proxy is played.
+/// Reserves the given port, or one that the kernel chooses, for as long as the proxy exists.
 fn reserve(number: usize, port: Option<u16>) -> Result<Reserved, ProxyError> {
     Reserved::take(port).map_err(|e| match e.kind() {
         std::io::ErrorKind::AddrInUse => {
@@ -63,7 +63,7 @@
 }
 
 impl Proxy {
-    /// Prepares the folder and configuration of a proxy; nothing runs yet.
+    /// Prepares the folder and configuration of a proxy, without starting it.
     pub fn prepare(
         number: usize, plan: &Plan, program: &Path, folder: &Path, discovery: SocketAddr, known: &str,
     ) -> Result<Proxy, ProxyError> {
@@ -93,7 +93,7 @@
         Ok(Proxy { number, program, folder, descriptors, address, admin, child, starts, before, _held: held })
     }
 
-    /// Starts the process and waits until it takes clients.
+    /// Starts the process and waits until it accepts clients.
     pub async fn start(&mut self) -> Result<(), ProxyError> {
         let io = |e| ProxyError::Io(self.number, e);
         self.starts += 1;
@@ -111,7 +111,7 @@
             command.env("NODE_OPERATOR", operator);
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(err).kill_on_drop(true);
-        command.process_group(0); // an interrupt at the terminal is the lab's to handle
+        command.process_group(0); // an interrupt at the terminal must reach only the testbed
         self.child = Some(command.spawn().map_err(io)?);
         let end = tokio::time::Instant::now() + START;
         while tokio::time::Instant::now() < end {
@@ -131,13 +131,13 @@
     fn signal(&mut self, signal: Signal) {
         let pid = self.child.as_ref().and_then(|c| c.id()).and_then(|id| Pid::from_raw(id as i32));
         if let Some(pid) = pid {
-            let _ = kill_process(pid, signal); // one that has ended already needs no signal
+            let _ = kill_process(pid, signal); // fails only where the process has already ended
         }
     }
 
-    /// Ends it without warning.
+    /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
-        let own = self.pid().and_then(Usage::of); // of this process alone
+        let own = self.pid().and_then(Usage::of); // usage of this process only
         self.before += own.map(|u| u.cpu).unwrap_or_default();
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
@@ -145,12 +145,12 @@
         }
     }
 
-    /// Tells it to stop.
+    /// Sends the process the signal to stop.
     pub fn stop(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end after [`Proxy::stop`], for so long at most.
+    /// Waits at most `within` for the process to end after [`Proxy::stop`], then kills it.
     pub async fn ended(&mut self, within: Duration) {
         if let Some(child) = &mut self.child {
             let _ = tokio::time::timeout(within, child.wait()).await;
@@ -158,22 +158,22 @@
         self.kill().await;
     }
 
-    /// Tells it to read its configuration anew.
+    /// Sends the process the signal to reload its configuration.
     pub fn reload(&mut self) {
         self.signal(Signal::HUP);
     }
 
-    /// An operators' call; whether the answer was yes.
+    /// Makes an operators' call and returns whether it succeeded.
     pub async fn call(&self, method: &str, path: &str, body: &str) -> bool {
         call(self.admin, method, path, body).await.is_some_and(|status| (200..300).contains(&status))
     }
 
-    /// The process that plays it now.
+    /// Returns the id of its current process.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref()?.id()
     }
 
-    /// What it uses; its processor time includes that of earlier processes.
+    /// Returns the usage of its current process, with the processor time of earlier ones added.
     pub fn usage(&self) -> Option<Usage> {
         let now = Usage::of(self.pid()?)?;
         Some(Usage { cpu: now.cpu + self.before, ..now })
@@ -190,7 +190,7 @@
     tokio::time::timeout(CALL, ask).await.ok()?
 }
 
-/// The node configuration of a proxy.
+/// Returns the node configuration of a proxy.
 pub fn configuration(
     plan: &Plan, number: usize, listen: SocketAddr, admin: SocketAddr, discovery: SocketAddr, known: &str,
 ) -> Value {
@@ -231,7 +231,7 @@
     })
 }
 
-/// Waits for the moment that the plan names.
+/// Waits until a time of the run.
 pub async fn until(clock: &Clock, at: lotusdeck_policy::Time) {
     if at > clock.now() {
         tokio::time::sleep_until(clock.instant(at)).await;
--- a/crates/testbed/src/driver/relay.rs
+++ b/crates/testbed/src/driver/relay.rs
@@ -1,4 +1,4 @@
-//! A plain byte relay: the least that anything between two sockets can cost.
+//! A plain byte relay, whose cost is the least that anything between two sockets can have.
 
 use super::wire::listen;
 use std::cell::Cell;
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Copies bytes between each connection to `at` and one to the next of `to`, for as long as the process runs.
+/// Copies bytes between each connection to `at` and one to the next of `to`, in turn, for as long as the process
+/// runs.
 pub async fn run(at: SocketAddr, to: Vec<SocketAddr>) -> std::io::Result<()> {
     let listener = listen(Some(at))?;
     let (to, turn) = (Rc::new(to), Rc::new(Cell::new(0)));
@@ -17,7 +18,7 @@
             let next = to[turn.replace(turn.get() + 1) % to.len()];
             let Ok(mut there) = TcpStream::connect(next).await else { return };
             let _ = (here.set_nodelay(true), there.set_nodelay(true));
-            let _ = tokio::io::copy_bidirectional(&mut here, &mut there).await; // an end is an end
+            let _ = tokio::io::copy_bidirectional(&mut here, &mut there).await; // an error ends the pair like a close
         });
     }
 }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -1,4 +1,4 @@
-//! One run: stand-ins on their threads, real processes, the plan's acts, and what came of it.
+//! A run on sockets: stand-ins on their threads, real processes, the plan's acts, and the outcome.
 
 use super::clients::Clients;
 use super::discovery::Service;
@@ -23,66 +23,67 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// Between the proxies' start and the first request.
+/// Time between the proxies' start and the first request.
 const LEAD: Duration = Duration::from_millis(200);
-/// How often the processes are looked at.
+/// Interval at which the processes' usage is sampled.
 const LOOK: Duration = Duration::from_millis(250);
-/// Descriptors that the lab needs beside its connections.
+/// Descriptors that the testbed needs besides its connections.
 const OWN: usize = 64;
 
-/// Why a run was not played.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A proxy does not run.
+    /// A proxy could not be prepared or started.
     #[error(transparent)]
     Proxy(#[from] ProxyError),
     /// A stand-in could not be set up.
     #[error("stand-ins: {0}")]
     Io(#[from] std::io::Error),
-    /// The limits of this machine are too tight.
+    /// The limit on open descriptors is too low.
     #[error("the experiment needs {need} descriptors and this process may have {have}: raise `ulimit -n`")]
     Descriptors { need: usize, have: usize },
-    /// A thread of the lab ended before its time.
+    /// A thread of the testbed ended unexpectedly.
     #[error("a thread of the stand-ins ended before its time")]
     Thread,
 }
 
-/// What a process used, and when.
+/// The usage of a process at one point in time.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct Sample {
-    /// Since the start, s.
+    /// Seconds since the start of the run.
     pub at_s: f64,
-    /// Which proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// What it used by then.
+    /// Its usage up to then.
     pub usage: Usage,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 pub struct Outcome {
-    /// In the order of time.
+    /// The records, ordered by time.
     pub records: Vec<Record>,
-    /// What the proxies used.
+    /// Samples of the proxies' usage.
     pub samples: Vec<Sample>,
-    /// How late first tries were sent, in microseconds.
+    /// Delay of first tries behind their planned time, in microseconds.
     pub late: Histogram<u64>,
-    /// It was ended by hand at that time.
+    /// When the run was interrupted by hand; `None` where it was not.
     pub cut: Option<Time>,
 }
 
-/// How far a run is, for those who watch.
+/// Receives the current time of the run, to show its progress.
 pub type Progress<'a> = &'a dyn Fn(Time);
 
-/// Descriptors that the run may need: each proxy holds its own, the stand-ins the other end of each.
+/// Returns how many descriptors the run may need: each proxy's own, the stand-ins' end of each of them, the
+/// backends' listeners and the testbed's other ones.
 fn descriptors(plan: &Plan) -> usize {
     let e = &plan.experiment;
     e.proxies * e.limits.sockets * 2 + plan.fleet.len() + OWN
 }
 
-/// Sees to it that this process may hold so many descriptors.
+/// Raises this process's soft limit on open descriptors to the hard limit, if it is below `need`.
 ///
 /// # Errors
-/// It may not.
+/// When the hard limit is below `need`, or the soft limit cannot be raised.
 pub fn raise_descriptor_limit(need: usize) -> Result<(), RunError> {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
@@ -97,7 +98,7 @@
     Ok(())
 }
 
-/// Runs an event loop on a thread of its own.
+/// Runs an event loop on a new thread and returns the receiver of its result.
 pub fn thread<T, F>(name: &str, work: impl FnOnce() -> F + Send + 'static) -> std::io::Result<Joined<T>>
 where
     T: Send + 'static,
@@ -112,10 +113,10 @@
     Ok(wait)
 }
 
-/// What a thread will have returned.
+/// Receives the result of a thread.
 pub type Joined<T> = oneshot::Receiver<T>;
 
-/// What the stand-ins' thread is told.
+/// A command to the stand-ins' thread.
 enum Order {
     Act(Act),
     End,
@@ -126,7 +127,7 @@
     known: String,
 }
 
-/// The thread of backends and discovery.
+/// Runs the backends and discovery until [`Order::End`], and returns their records.
 async fn stand_in(
     plan: Arc<Plan>, clock: Clock, ready: oneshot::Sender<std::io::Result<Standing>>,
     mut orders: mpsc::UnboundedReceiver<Order>,
@@ -193,13 +194,13 @@
             let lag = plan.experiment.discovery.lag_ms / 1e3 * factor;
             service.change(|d| d.lag = Micros::from_secs(lag));
         }
-        // These are the driver's own.
+        // Acts on proxies are carried out by the thread that runs them.
         Act::Cordon(..) | Act::KillProxy(_) | Act::StopProxy(_) | Act::StartProxy(_) | Act::Reload(_) => {}
     }
     Ok(())
 }
 
-/// What happens, for people.
+/// Describes an act in words.
 pub fn describe_act(plan: &Plan, act: &Act) -> String {
     let some = |which: &Vec<usize>| {
         let names: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
@@ -231,7 +232,7 @@
     }
 }
 
-/// The proxies' side of the run.
+/// The part of a run that handles the proxies.
 struct Stage {
     plan: Arc<Plan>,
     clock: Clock,
@@ -264,8 +265,9 @@
                     for &backend in which {
                         let asked = self.clock.now();
                         if p.call("PUT", path, &self.plan.fleet[backend].name).await {
-                            // A cordon binds once it is answered; a backend given back may be sent to as soon as
-                            // the call is read, before its answer is.
+                            // A cordon counts from its answer on. After an uncordon the proxy may send requests as
+                            // soon as it has read the call, before its answer arrives, so that counts from when
+                            // the call was made.
                             let at = if *out { self.clock.now() } else { asked };
                             self.log.add_at(at, What::Cordoned { proxy, backend, out: *out });
                         }
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Plays the acts in their order, looking at the processes all the while.
+    /// Carries out the acts in order and samples the processes' usage. Returns only on an error.
     async fn play(
         &mut self, orders: &mpsc::UnboundedSender<Order>, progress: Progress<'_>,
     ) -> Result<(), RunError> {
@@ -304,7 +306,7 @@
     }
 }
 
-/// Plays a plan with `program` as the proxy; logs and configurations lie in `folder`.
+/// Plays a plan with `program` as the proxy; logs and configurations are written to `folder`.
 pub async fn play(
     plan: Arc<Plan>, program: &Path, folder: &Path, progress: Progress<'_>,
 ) -> Result<Outcome, RunError> {
@@ -349,7 +351,7 @@
         played = &mut clients => played.map_err(|_| RunError::Thread)?,
         ended = stage.play(&orders, progress) => {
             ended?;
-            return Err(RunError::Thread); // it goes on for ever, but for an error
+            return Err(RunError::Thread); // without an error it never ends
         }
         _ = tokio::signal::ctrl_c() => {
             cut = Some(clock.now());
@@ -359,7 +361,7 @@
     };
     stage.look();
     if cut.is_none() {
-        // What is late or extra still has the time to show.
+        // Wait for late and extra answers.
         until(&clock, plan.end() + LISTEN_ON).await;
     }
     for p in &mut stage.proxies {
--- a/crates/testbed/src/driver/usage.rs
+++ b/crates/testbed/src/driver/usage.rs
@@ -1,23 +1,23 @@
-//! What a process uses, as proc(5) tells.
+//! Resource usage of a process, from proc(5).
 
 use std::time::Duration;
 
-/// One look at a process.
+/// The resource usage of a process at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Usage {
-    /// Time on processors since its start.
+    /// Processor time since its start.
     pub cpu: Duration,
-    /// Bytes in memory.
+    /// Resident memory, in bytes.
     pub memory: u64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// `None` when there is no such process.
+    /// Reads the usage of a process; `None` when there is no such process.
     pub fn of(pid: u32) -> Option<Usage> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name may hold anything, so fields are counted from behind it.
+        // The process name may contain any character, so fields are counted from its closing parenthesis.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_ascii_whitespace().collect();
         let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages: u64 = fields.get(21)?.parse().ok()?;
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing (RFC 9112) as far as the stand-ins need it: lengths, one message at a time.
+//! HTTP/1.1 framing (RFC 9112) as far as the stand-ins need it: bodies with a length, one message at a time.
 
 use crate::record::TryId;
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,55 +6,55 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest head that is read.
+/// Longest head of a message, in bytes.
 const MAX_HEAD: usize = 32 * 1024;
-/// The longest body.
+/// Longest body of a message, in bytes.
 const MAX_BODY: usize = 64 * 1024;
-/// Headers of a message.
+/// Most headers of a message.
 const MAX_HEADERS: usize = 48;
 
-/// Why no message came.
+/// Why no message could be read.
 #[derive(Debug, Error)]
 pub enum Fault {
     /// The connection broke, or ended inside a message.
     #[error("connection: {0}")]
     Broken(#[from] std::io::Error),
-    /// What came is no message.
+    /// The bytes are not a message in the supported form.
     #[error("not HTTP/1.1: {0}")]
     Unreadable(&'static str),
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
     pub method: String,
     pub target: String,
-    /// Its `X-Correlation-Id`, where the lab gave it.
+    /// Its `X-Correlation-Id`, if a client of the testbed set it.
     pub id: Option<TryId>,
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
-    /// Seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<f64>,
-    /// The connection ends with it.
+    /// Whether the connection closes after it.
     pub close: bool,
     pub body: Bytes,
 }
 
-/// What came first of the next message, or instead of it.
+/// What a read for the next message returned first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEvent {
-    /// Bytes.
+    /// Bytes arrived.
     Bytes,
-    /// The end of the connection.
+    /// The connection ended or failed.
     End,
 }
 
-/// A connection and what was read of it ahead.
+/// A connection, and the bytes read from it that belong to no message yet.
 pub struct Link {
     pub tcp: TcpStream,
     ahead: BytesMut,
@@ -92,23 +92,23 @@
 }
 
 impl Link {
-    /// Small messages go out at once.
+    /// Wraps a connection, and turns Nagle's algorithm off so that small messages are sent at once.
     pub fn new(tcp: TcpStream) -> Link {
         let _ = tcp.set_nodelay(true);
         Link { tcp, ahead: BytesMut::with_capacity(2048) }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.tcp.write_all(bytes).await
     }
 
-    /// Something was read that belongs to no message taken so far.
+    /// Returns whether bytes were read that belong to no message yet.
     pub fn ahead(&self) -> bool {
         !self.ahead.is_empty()
     }
 
-    /// Something came, or the connection ended, without waiting for either.
+    /// Returns whether bytes have arrived or the connection has ended, without waiting.
     pub fn poll_read(&mut self) -> Option<ReadEvent> {
         if self.ahead() {
             return Some(ReadEvent::Bytes);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Waits until something comes or the connection ends.
+    /// Waits until bytes arrive or the connection ends.
     pub async fn wait_read(&mut self) -> ReadEvent {
         if self.ahead() {
             return ReadEvent::Bytes;
@@ -147,7 +147,7 @@
         Ok(self.ahead.split_to(length).freeze())
     }
 
-    /// The next request; `None` where the connection ended between two.
+    /// Reads the next request; `None` where the connection ended between two requests.
     pub async fn request(&mut self) -> Result<Option<Request>, Fault> {
         if !self.ahead() && self.wait_read().await == ReadEvent::End {
             return Ok(None);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The answer to the request that was written.
+    /// Reads the answer to the request that was written.
     pub async fn answer(&mut self) -> Result<Answer, Fault> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -190,7 +190,7 @@
     }
 }
 
-/// A listening socket; `None` picks a free port of 127.0.0.1.
+/// Opens a listening socket; `None` picks a free port of 127.0.0.1.
 pub fn listen(at: Option<std::net::SocketAddr>) -> std::io::Result<tokio::net::TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -198,15 +198,15 @@
     socket.listen(1024)
 }
 
-/// A port that is held without listening: nobody else gets it, connections to it are refused, and whoever binds it
-/// with `SO_REUSEADDR` may listen there, again and again.
+/// A port that is bound without listening: the kernel gives it to no other socket, connections to it are refused,
+/// and a socket with `SO_REUSEADDR` can be bound to it to listen, any number of times.
 pub struct Reserved(socket2::Socket, std::net::SocketAddr);
 
 impl Reserved {
-    /// That port of 127.0.0.1, or one of the kernel's choice.
+    /// Reserves that port of 127.0.0.1, or one that the kernel chooses.
     ///
     /// # Errors
-    /// Where somebody else has it.
+    /// When another socket uses the port.
     pub fn take(port: Option<u16>) -> std::io::Result<Reserved> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -215,7 +215,7 @@
         Ok(Reserved(socket, at))
     }
 
-    /// Where it is.
+    /// Returns the reserved address.
     pub fn address(&self) -> std::net::SocketAddr {
         debug_assert!(self.0.local_addr().is_ok());
         self.1
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -1,5 +1,5 @@
 //! Textbook policies, to compare with the decision module on the same arrivals and troubles. They keep the rules
-//! on retries and draining, and take no account of warm-up, overload or worth.
+//! on retries and draining, and take no account of warm-up, other proxies or worth.
 
 use super::policy::{GlobalView, Policy};
 use crate::world::rng::Rng;
