--- a/crates/testbed/src/oracle/answers.rs
+++ b/crates/testbed/src/oracle/answers.rs
@@ -1,4 +1,4 @@
-//! One final answer for each request, and none late.
+//! Each request gets one final answer, in time.
 
 use super::{Broken, Seen, Sent};
 use crate::record::{seconds, TryId, What};
@@ -7,7 +7,7 @@
 
 const NAME: &str = "one final answer";
 
-/// How a try ended for its client.
+/// What the client saw at the end of a try.
 #[derive(Default)]
 struct End {
     answers: u32,
@@ -28,7 +28,8 @@
                 end.answered = end.answered.or(Some(r.at));
             }
             What::Extra { .. } => ends.entry(id).or_default().extra = true,
-            // A close between requests may cross one that was not read: no answer was begun.
+            // On a reused connection, the proxy's close between requests may cross a request that it has not read.
+            // Then no answer has begun, and the request counts as not lost.
             What::Broke { reused, begun, .. } => {
                 ends.entry(id).or_default().broke = Some((r.at, reused && !begun))
             }
--- a/crates/testbed/src/oracle/answers/tests.rs
+++ b/crates/testbed/src/oracle/answers/tests.rs
@@ -18,7 +18,8 @@
     assert!(broken(&left).is_empty(), "an impatient client is owed nothing");
 }
 
-/// A broken connection is lost work, but for a proxy that was killed and a close that crossed the request.
+/// A broken connection counts as a missing answer, except where the proxy was killed or its close crossed the
+/// request.
 #[test]
 fn a_broken_connection_is_told_apart_from_a_killed_proxy() {
     let broke = |reused, begun| at(50, What::Broke { id: READ, reused, begun });
--- a/crates/testbed/src/oracle/cold.rs
+++ b/crates/testbed/src/oracle/cold.rs
@@ -1,10 +1,10 @@
-//! A backend that has just started is not pushed over.
+//! A backend that has just started is not overloaded.
 
 use super::{Broken, Seen};
 use crate::record::What;
 
 const NAME: &str = "cold budget kept";
-/// Requests of mean work that chance may bring on top.
+/// Number of requests of mean work that are tolerated above the limit, as work is random.
 const SLACK: f64 = 4.0;
 
 pub(super) fn check(seen: &Seen) -> Vec<Broken> {
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,4 +1,4 @@
-//! Nothing new for a backend that drains, has left, or was taken out by operators, once the grace is over.
+//! A backend that drains, was removed from the list or is cordoned gets no new requests after the grace time.
 
 use super::{Broken, Seen};
 use crate::record::{seconds, What};
@@ -7,12 +7,12 @@
 use std::collections::HashMap;
 
 const NAME: &str = "drains are kept";
-/// What the way from the proxy's first byte to the backend's last may take.
+/// Time allowed from the first byte that the proxy sends to the last one that the backend reads.
 const WAY: Micros = Micros(50_000);
 
 pub(super) fn check(seen: &Seen) -> Vec<Broken> {
     let grace = Micros((seen.plan.experiment.rules.drain_grace_ms * 1e3) as u64 + WAY.0);
-    // Since when, for a proxy and a backend, the list and the operators have forbidden it.
+    // Since when the list (`false`) or the operators (`true`) forbid new requests, by proxy and backend.
     let mut barred: HashMap<(usize, usize, bool), Time> = HashMap::new();
     let mut out = Vec::new();
     for r in seen.records {
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -1,4 +1,4 @@
-//! Oracles: what must hold whatever happens, judged by what the stand-ins saw.
+//! Oracles: rules that must hold in every run, checked on the stand-ins' records.
 
 mod answers;
 mod cold;
@@ -11,31 +11,31 @@
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Broken {
-    /// Which oracle says so.
+    /// The name of the oracle.
     pub oracle: &'static str,
-    /// The try that it concerns.
+    /// The try concerned, if it is about one.
     pub id: Option<TryId>,
-    /// What happened.
+    /// Description of what happened.
     pub text: String,
 }
 
-/// What every oracle looks things up in.
+/// The input of all oracles: the plan, the records, and indexes of them.
 pub struct Seen<'a> {
-    /// What was to happen.
+    /// The plan of the run.
     pub plan: &'a Plan,
-    /// In the order of time.
+    /// The records, ordered by time.
     pub records: &'a [Record],
-    /// When and to which proxy each try was sent.
+    /// How each try was sent.
     asked: HashMap<TryId, Sent>,
-    /// The turns of each proxy's life.
+    /// The starts, stops and kills of proxies, ordered by time.
     turns: Vec<(Time, usize, Turn)>,
 }
 
 impl<'a> Seen<'a> {
-    /// `records` in the order of time.
+    /// Indexes `records`, which must be ordered by time.
     pub fn new(plan: &'a Plan, records: &'a [Record]) -> Seen<'a> {
         let (mut asked, mut turns) = (HashMap::new(), Vec::new());
         for r in records {
@@ -50,21 +50,22 @@
         Seen { plan, records, asked, turns }
     }
 
-    /// The class of a try; `None` for one that the plan does not hold.
+    /// Returns the class of a try; `None` if the plan does not contain its arrival.
     fn class(&self, id: TryId) -> Option<&crate::experiment::Class> {
         let arrival = self.plan.arrivals.get(id.arrival as usize)?;
         self.plan.experiment.class.get(arrival.class)
     }
 
-    /// Whether the proxy was killed in that time, or had been told to stop so long before that it owes nothing.
+    /// Returns whether a proxy need not answer a try sent at `from` whose client saw the end at `to`: it was
+    /// killed in between, or at `from` was dead or had been told to stop at least 700 ms earlier.
     fn excused(&self, proxy: usize, from: Time, to: Time) -> bool {
-        let near = Micros(5_000); // the two clocks of a kill: the driver's and the sockets'
+        let near = Micros(5_000); // between a kill's record by the driver and its effect on the sockets
         let turns = self.turns.iter().filter(|t| t.1 == proxy);
         let mut over = false;
         for (at, _, turn) in turns {
             match turn {
                 Turn::Killed if *at + near >= from && *at <= to + near => return true,
-                // A process that dies still holds its socket for some milliseconds.
+                // The socket of a killed process still accepts connections for some milliseconds.
                 Turn::Killed => over = from >= *at,
                 Turn::Stopping => over = from >= *at + Micros(700_000),
                 Turn::Ready if *at <= from => over = false,
@@ -75,26 +76,26 @@
     }
 }
 
-/// How many broken rules of one oracle are told one by one.
+/// Most violations that are listed one by one.
 pub const MAX_LISTED: usize = 20;
 
-/// How a try was sent.
+/// When, where and with how much time left a try was sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Sent {
     at: Time,
     proxy: usize,
-    /// How long its client said that it waits.
+    /// Time left that the client gave in the request.
     left: Micros,
 }
 
-/// All that was broken, oracle by oracle.
+/// Returns all violations, grouped by oracle.
 pub fn judge(plan: &Plan, records: &[Record]) -> Vec<Broken> {
     let seen = Seen::new(plan, records);
     let oracles = [answers::check, repeats::check, drains::check, cold::check, unaltered::check];
     oracles.iter().flat_map(|check| check(&seen)).collect()
 }
 
-/// Everything that was seen of an arrival, line by line.
+/// Lists all records of a try's arrival, one per line.
 pub fn timeline(plan: &Plan, records: &[Record], id: TryId) -> String {
     let Some(arrival) = plan.arrivals.get(id.arrival as usize) else { return String::new() };
     let class = &plan.experiment.class[arrival.class].name;
@@ -105,7 +106,8 @@
     out
 }
 
-/// How many requests were out at a proxy when it was killed: they are told apart from lost ones.
+/// Counts the requests whose connection broke because their proxy was killed or stopped. The oracles do not count
+/// them as lost.
 pub fn lost_with_proxies(plan: &Plan, records: &[Record]) -> usize {
     let seen = Seen::new(plan, records);
     let broke = |r: &&Record| match r.what {
--- a/crates/testbed/src/oracle/repeats.rs
+++ b/crates/testbed/src/oracle/repeats.rs
@@ -1,4 +1,5 @@
-//! What must never run twice is never sent again after it may have run, and is then not called harmless to repeat.
+//! A single-shot request is not sent again after it may have run, and is then not answered with a status that
+//! invites a repeat.
 
 use super::{Broken, Seen};
 use crate::experiment::Effect;
@@ -9,7 +10,7 @@
 
 pub(super) fn check(seen: &Seen) -> Vec<Broken> {
     let single = |id: TryId| seen.class(id).is_some_and(|c| c.effect == Effect::SingleShot);
-    // How often it may be running or have run, and whether a backend has just turned it away.
+    // How often a try has begun at a backend, without those that the backend rejected.
     let mut ran: HashMap<TryId, u32> = HashMap::new();
     let mut out = Vec::new();
     for r in seen.records {
--- a/crates/testbed/src/oracle/tests.rs
+++ b/crates/testbed/src/oracle/tests.rs
@@ -1,10 +1,11 @@
-//! Sound and broken lives of requests, for the tests of all oracles.
+//! Records of correct and incorrect requests, for the tests of all oracles.
 
 use super::*;
 use crate::experiment::Experiment;
 use crate::record::How;
 
-/// A plan of two classes, `read` (free) and `order` (single-shot), whose arrivals 0 and 1 are of each.
+/// Draws a plan with the classes `read` (free) and `order` (single-shot). Arrival 0 is a read and arrival 1 an
+/// order.
 pub fn plan() -> Plan {
     let text = r#"
         name = "t"
@@ -29,7 +30,7 @@
     Record { at: Time(ms * 1000), what }
 }
 
-/// A sound life of a request: asked, begun, ended, answered.
+/// Returns the records of a request that is sent, begun, ended and answered as it should be.
 pub fn served(id: TryId, from: u64) -> Vec<Record> {
     vec![
         at(from, What::Asked { id, proxy: 0, left: 500_000 }),
--- a/crates/testbed/src/oracle/unaltered.rs
+++ b/crates/testbed/src/oracle/unaltered.rs
@@ -1,4 +1,4 @@
-//! Backends get what clients sent and clients what backends answered: nothing hidden, nothing altered.
+//! Backends receive exactly the requests that clients sent, and clients exactly the answers that backends gave.
 
 use super::{Broken, Seen};
 use crate::record::What;
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -1,4 +1,4 @@
-//! Where worth is lost: each arrival that earned less than its worth, by cause, from what the stand-ins saw.
+//! Where worth is lost: the cause for each arrival that earned less than its worth, from the stand-ins' records.
 
 use crate::driver::run::Outcome;
 use crate::record::{How, What};
@@ -7,24 +7,26 @@
 use lotusdeck_policy::Time;
 use std::collections::HashMap;
 
-/// Why an arrival earned less than it could.
+/// Why an arrival earned less than its worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Its last word was a refusal, while fewer requests were at the backends than they have cores.
+    /// It reached no backend and its last answer was a refusal, while fewer requests were at the backends than
+    /// these have cores.
     RefusedWithRoom,
-    /// ... while the backends had as much as they have cores, or more.
+    /// It reached no backend and its last answer was a refusal, while at least as many requests were at the
+    /// backends as these have cores.
     RefusedFull,
-    /// Late, mostly because a proxy held it.
+    /// Served late, after more time before it reached the backend than there.
     Held,
-    /// Late, mostly because the backend was slow at it.
+    /// Served late, after at least as much time at the backend as before it.
     Slow,
-    /// A backend died or turned it away, or it was withdrawn from one, and no other served it.
+    /// Not served, though it reached a backend. The backend died or rejected it, for example, or it was withdrawn.
     LostAtBackend,
-    /// Its client left, or no proxy answered.
+    /// It reached no backend and was neither served nor refused: its client left, or got an error or no answer.
     Unanswered,
 }
 
-/// All of them, with their names.
+/// All causes with their names.
 pub const CAUSES: [(Cause, &str); 6] = [
     (Cause::RefusedWithRoom, "refused, room"),
     (Cause::RefusedFull, "refused, full"),
@@ -34,16 +36,16 @@
     (Cause::Unanswered, "unanswered"),
 ];
 
-/// The losses of a run.
+/// The worth and work lost in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Losses {
-    /// Worth lost by cause, as a part of all that was asked for, in the order of [`CAUSES`].
+    /// Worth lost by cause, as a part of all worth asked for, in the order of [`CAUSES`].
     pub by_cause: [f64; CAUSES.len()],
-    /// Work at backends that served nobody, as a part of all requests that reached one.
+    /// Requests that backends took without serving a client, as a part of all that backends took.
     pub wasted: f64,
 }
 
-/// What became of one arrival.
+/// The course of one arrival.
 #[derive(Clone, Copy, Default)]
 struct Fate {
     asked: Option<Time>,
@@ -54,7 +56,7 @@
     hurt: bool,
 }
 
-/// Cores that serve, as the plan's acts have it.
+/// The health of the backends and their cores in service, according to the plan's acts.
 struct Cores {
     health: Vec<Health>,
     serving: f64,
@@ -80,13 +82,13 @@
 }
 
 impl Losses {
-    /// Of a run.
+    /// Computes the losses of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> Losses {
         let mut fates = vec![Fate::default(); plan.arrivals.len()];
         let serving = plan.fleet.iter().map(|b| b.build.cores).sum();
         let mut cores = Cores { health: vec![Health::Up; plan.fleet.len()], serving };
         let mut acts = plan.acts.iter().peekable();
-        // What is at each backend, by try.
+        // Requests at backends, by arrival, try and backend.
         let mut there: HashMap<(u32, u32, usize), u32> = HashMap::new();
         let (mut held, mut reached, mut used) = (0u64, 0u64, 0u64);
         for r in &outcome.records {
@@ -135,13 +137,13 @@
     }
 }
 
-/// Why it earned less than its worth, and by how much.
+/// Returns why an arrival earned less than its worth, and the worth lost; `None` when it was served in time.
 fn judge(class: &crate::experiment::Class, due: Time, fate: &Fate) -> Option<(Cause, f64)> {
     if let Some(at) = fate.served {
         if (at - due).0 as f64 <= class.aim_ms * 1e3 {
             return None;
         }
-        // All before it reached the backend that served it was waiting, at clients and proxies.
+        // All the time before it reached the backend that served it was spent waiting at clients and proxies.
         let there = fate.began.map_or(0, |began| (at - began).0);
         let cause = if (at - due).0 > 2 * there { Cause::Held } else { Cause::Slow };
         return Some((cause, class.worth * (1.0 - class.late_worth)));
--- a/crates/testbed/src/report/causes/tests.rs
+++ b/crates/testbed/src/report/causes/tests.rs
@@ -21,13 +21,13 @@
         at: Time(at),
         what: What::Answered { id: id(arrival), status: 503, retry_after: None, own: false },
     };
-    // Nothing is anywhere: the second one finds room and is refused all the same.
+    // No request is at a backend, so the order is refused although there is room.
     assert_eq!(
         cause([served(read, 0), vec![refused(order.arrival, 300)]].concat()),
         [Cause::RefusedWithRoom]
     );
     assert_eq!(cause(served(read, 0)), [Cause::Unanswered]);
-    // As many requests as cores are out: full.
+    // As many requests as cores are at a backend, so it is refused as full.
     let cores: f64 = plan.fleet.iter().map(|b| b.build.cores).sum();
     let out = (0..cores.ceil() as u32).map(|no| Record {
         at: Time(1),
--- a/crates/testbed/src/report/compare.rs
+++ b/crates/testbed/src/report/compare.rs
@@ -1,4 +1,4 @@
-//! Two sets of runs side by side, with the interval in which their difference lies.
+//! Comparison of two sets of runs, with a confidence interval of their difference.
 
 use super::figures::Figures;
 use std::fmt::Write;
@@ -9,7 +9,8 @@
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
 
-/// A mean and the half-width of its 95 % interval; `None` with fewer than two samples.
+/// Returns the mean and the half-width of its 95 % confidence interval, which is `None` for fewer than two
+/// samples.
 pub fn interval(samples: &[f64]) -> (f64, Option<f64>) {
     let n = samples.len() as f64;
     let mean = samples.iter().sum::<f64>() / n.max(1.0);
@@ -33,7 +34,8 @@
     ]
 }
 
-/// A table of B against A. Repetitions of the same seed are paired, which takes their common chance out.
+/// Formats a table that compares B with A. Runs of the same seed and plan are paired, which removes the variance
+/// that they share; void runs are left out.
 pub fn compare(a: &[Figures], b: &[Figures]) -> String {
     let mut out = format!("{:<20} {:>12} {:>12} {:>12} {:>22}\n", "", "A", "B", "B - A", "95 % interval");
     let pairs: Vec<(&Figures, &Figures)> = a
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, from what the stand-ins saw.
+//! Figures of a run, from the stand-ins' records.
 
 use crate::driver::run::{Outcome, Sample};
 use crate::oracle::{judge, lost_with_proxies, Broken};
@@ -8,24 +8,24 @@
 use lotusdeck_policy::Time;
 use serde::{Deserialize, Serialize};
 
-/// A first try that the lab sent later than this, at the 99th percentile, makes the figures void, ms.
+/// Delay of first tries at the 99th percentile, in ms, above which the figures are void.
 const MOST_LATE_MS: f64 = 20.0;
 
-/// A spread of times, ms.
+/// Percentiles of a time, in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Half of them are no longer.
+    /// The median.
     pub p50: f64,
-    /// Nine tenths.
+    /// The 90th percentile.
     pub p90: f64,
-    /// All but one in a hundred.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Spread {
-    /// Of a histogram in microseconds.
+    /// Reads the percentiles of a histogram in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Spread {
         let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
         if histogram.is_empty() {
@@ -35,31 +35,31 @@
     }
 }
 
-/// What became of a set of arrivals.
+/// Results of a set of arrivals.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tally {
-    /// Its name: a class, or a second.
+    /// Name of the set: a class, a second of the run, or `all`.
     pub name: String,
-    /// Things that clients wanted.
+    /// Number of arrivals.
     pub arrivals: u64,
-    /// Served in time.
+    /// Number served within the latency objective.
     pub in_time: u64,
-    /// Served after the aim.
+    /// Number served after the latency objective.
     pub late: u64,
-    /// The last word was a refusal.
+    /// Number whose last answer was a refusal.
     pub refused: u64,
-    /// Neither served nor refused.
+    /// Number neither served nor refused.
     pub failed: u64,
     /// Worth asked for.
     pub asked: f64,
-    /// Worth of the answers.
+    /// Worth earned by the answers.
     pub earned: f64,
-    /// From the time at which it was due to the answer, of those served.
+    /// Latency of those served, from the planned time of the first try to the answer.
     pub latency_ms: Spread,
 }
 
 impl Tally {
-    /// Worth earned over worth asked.
+    /// Returns worth earned divided by worth asked for; 1 where none was asked for.
     pub fn part(&self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
@@ -69,47 +69,47 @@
     }
 }
 
-/// A quarter of a proxy's run.
+/// A proxy's usage over a quarter of the run.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Quarter {
-    /// Cores used on average.
+    /// Mean number of cores used.
     pub cores: f64,
-    /// The most memory, MB.
+    /// Highest memory use, in MB.
     pub memory_mb: f64,
-    /// The most descriptors.
+    /// Highest number of descriptors.
     pub descriptors: usize,
 }
 
-/// One run in figures.
+/// The figures of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Figures {
     /// Seed of the plan.
     pub seed: u64,
-    /// Of the plan, in hex.
+    /// Hash of the plan, in hexadecimal.
     pub plan_hash: String,
     /// All arrivals.
     pub whole: Tally,
-    /// By class.
+    /// Arrivals by class.
     pub classes: Vec<Tally>,
-    /// By the second in which they were due.
+    /// Arrivals by the second in which the first try was planned.
     pub seconds: Vec<Tally>,
-    /// Requests that reached backends, for each that a client sent.
+    /// Requests that reached backends, per request that a client sent.
     pub attempts: f64,
-    /// Microseconds of processor for each request that a client sent.
+    /// Processor time of the proxies per request that a client sent, in microseconds.
     pub cpu_us: f64,
-    /// Quarters of each proxy's run.
+    /// Usage of each proxy, by quarter of the run.
     pub proxies: Vec<Vec<Quarter>>,
-    /// Out at a proxy when that was killed.
+    /// Requests whose connection broke because their proxy was killed or stopped.
     pub lost_with_proxies: usize,
-    /// How late the lab itself sent first tries.
+    /// Delay of first tries behind their planned time, caused by the testbed itself.
     pub lab_late_ms: Spread,
-    /// Why these figures count for nothing.
+    /// Why these figures are void, if they are.
     pub void: Option<String>,
-    /// How many rules were broken, by oracle.
+    /// Number of violations, by oracle.
     pub broken: Vec<(String, usize)>,
 }
 
-/// What became of one arrival.
+/// The result of one arrival.
 #[derive(Clone, Copy, Default)]
 struct Fate {
     served: Option<Time>,
@@ -151,7 +151,7 @@
 }
 
 impl Figures {
-    /// Of a run, with what it broke.
+    /// Computes the figures and the violations of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Broken>) {
         let mut fates = vec![Fate::default(); plan.arrivals.len()];
         let (mut sent, mut reached) = (0u64, 0u64);
@@ -215,7 +215,7 @@
     }
 }
 
-/// Seconds of processor that a proxy used between two times.
+/// Returns the processor seconds that a proxy used between two times, by its samples.
 fn cpu(samples: &[Sample], proxy: usize, from: f64, to: f64) -> Option<f64> {
     let mut inside = samples.iter().filter(|s| s.proxy == proxy && s.at_s >= from && s.at_s < to);
     let first = inside.next()?;
--- a/crates/testbed/src/report/figures/tests.rs
+++ b/crates/testbed/src/report/figures/tests.rs
@@ -16,7 +16,7 @@
     assert!((f.whole.earned - 1.25).abs() < 1e-9 && f.attempts == 1.0, "{f:?}");
 }
 
-/// A lab that could not keep its schedule says so and gives no figure for a good one.
+/// A run in which the testbed fell behind its own schedule is void.
 #[test]
 fn a_slow_lab_voids_its_run() {
     let mut late = Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap();
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Results: figures, files, tables and pages.
+//! Results of runs: figures, comparisons, plots, tables and pages.
 
 pub mod causes;
 pub mod compare;
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -1,4 +1,4 @@
-//! One self-contained page for a run: plots as SVG, tables, the course of events.
+//! A self-contained HTML page about a run: plots as SVG, tables and the course of events.
 
 use super::figures::{Figures, Tally};
 use super::plot::COLORS;
@@ -8,13 +8,13 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Size of a plot, in pixels.
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 240);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
-/// One line of a plot: its name, colour and points.
+/// A line of a plot.
 struct Line {
     name: String,
     color: RGBColor,
@@ -64,7 +64,7 @@
     Line { name: name.into(), color: COLORS[i % COLORS.len()], points }
 }
 
-/// The page of one run.
+/// Formats the page of a run.
 pub fn page(plan: &Plan, f: &Figures, samples: &[Sample], stories: &[String]) -> String {
     let e = &plan.experiment;
     let (end, seconds) = (e.duration_s, &f.seconds);
--- a/crates/testbed/src/report/plot.rs
+++ b/crates/testbed/src/report/plot.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Colours that are told apart, in the order of their use.
+/// Distinct colours, in the order in which they are used.
 pub const COLORS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -15,32 +15,32 @@
     RGBColor(80, 80, 80),
 ];
 
-/// One line, with dots beside it.
+/// A series of a plot: a line, dots, or both.
 pub struct Line {
-    /// For the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Joined by a line.
+    /// Points joined by a line.
     pub points: Vec<(f64, f64)>,
-    /// Drawn as dots.
+    /// Points drawn as dots.
     pub dots: Vec<(f64, f64)>,
 }
 
-/// One field with its axes.
+/// One plot with its axes.
 pub struct Field {
-    /// What it shows.
+    /// Title above the plot.
     pub caption: String,
-    /// What runs to the right, and how far.
+    /// Label and range of the horizontal axis.
     pub x: (String, Range<f64>),
-    /// What runs up, and how far.
+    /// Label and range of the vertical axis.
     pub y: (String, Range<f64>),
-    /// The lines.
+    /// The series.
     pub lines: Vec<Line>,
 }
 
-/// Writes fields, one below the other, as one SVG file; its folder is made where there is none.
+/// Writes plots, one below the other, to an SVG file. Creates its folder if there is none.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// When the plots cannot be drawn or the file cannot be written.
 pub fn write(fields: &[Field], path: &Path) -> Result<(), SessionError> {
     let fault = |e: std::io::Error| SessionError::File(path.display().to_string(), e);
     if let Some(folder) = path.parent() {
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -1,4 +1,5 @@
-//! Whether proxies swing together: how a kind's share of the traffic moves, beyond chance, and in what period.
+//! Oscillation of the proxies' decisions: how much a kind's share of the traffic varies beyond chance, whether the
+//! proxies move together, and with what period.
 
 use crate::driver::run::Outcome;
 use crate::record::What;
@@ -6,39 +7,42 @@
 use lotusdeck_policy::Micros;
 use std::collections::HashMap;
 
-/// Shares are taken over stretches of this length.
+/// Length of the intervals over which shares are computed.
 pub const BIN: Micros = Micros(100_000);
 
-/// One kind's share over a run.
+/// The course of a kind's share over a run.
 #[derive(Clone, Debug)]
 pub struct Swing {
-    /// The kind.
+    /// Name of the kind.
     pub kind: String,
-    /// Its share in each stretch of [`BIN`].
+    /// Its share in each interval of [`BIN`].
     pub shares: Vec<f64>,
-    /// Mean of them.
+    /// Its share of the requests of all intervals together.
     pub mean: f64,
-    /// Standard deviation of the share.
+    /// Standard deviation of the shares.
     pub deviation: f64,
-    /// ... and what chance alone makes of it, each request going its own way.
+    /// Standard deviation that chance alone would cause, if each request were sent independently.
     pub chance: f64,
-    /// Variance of the kind's requests over the sum of the proxies' own variances: 1 where each goes its own way, the
-    /// number of proxies where all go together.
+    /// Variance of the kind's requests divided by the sum of the single proxies' variances: 1 if the proxies are
+    /// independent, the number of proxies if all move together.
     pub in_step: f64,
-    /// The period, s, that stands out of the spectrum, with its power over the mean; `None` where none does.
+    /// The period, in seconds, that stands out of the spectrum, and its power relative to the mean; `None` where
+    /// none stands out.
     pub period: Option<(f64, f64)>,
 }
 
-/// The power, over the mean, that chance alone reaches in one run of twenty among so many periods (Fisher, 1929).
+/// Returns the power, relative to the mean, that the strongest of `periods` periods exceeds by chance alone in one
+/// run of twenty (Fisher, 1929).
 fn stands_out(periods: usize) -> f64 {
     (periods as f64 / 0.05).ln()
 }
 
-/// The strongest period of a series, with its power over the mean of all.
+/// Returns the strongest period of a series, in seconds, and its power relative to the mean; `None` where it does
+/// not exceed chance.
 fn strongest(series: &[f64]) -> Option<(f64, f64)> {
     let n = series.len();
     let mean = series.iter().sum::<f64>() / n.max(1) as f64;
-    // From two stretches to a third of the run: slower is a trend.
+    // Periods from two intervals to a third of the series; anything slower is a trend.
     let powers: Vec<(usize, f64)> = (3..n / 2)
         .map(|k| {
             let turn = std::f64::consts::TAU * k as f64 / n as f64;
@@ -56,14 +60,14 @@
     (power > stands_out(powers.len())).then(|| (n as f64 * BIN.secs() / k as f64, power))
 }
 
-/// The swings of each kind from `from_s` on.
+/// Computes the swing of each kind from `from_s` seconds on.
 pub fn swings(plan: &Plan, outcome: &Outcome, from_s: f64) -> Vec<Swing> {
     let kinds = &plan.experiment.kind;
     let bins = ((plan.experiment.duration_s - from_s) / BIN.secs()).max(0.0) as usize;
     let of: Vec<usize> =
         plan.fleet.iter().map(|b| kinds.iter().position(|k| k.name == b.kind).unwrap_or(0)).collect();
     let proxies = plan.experiment.proxies;
-    // Requests by stretch, proxy and kind.
+    // Requests by interval, proxy and kind.
     let mut counts = vec![vec![vec![0.0f64; kinds.len()]; proxies]; bins];
     let mut asked: HashMap<_, usize> = HashMap::new();
     for r in &outcome.records {
@@ -93,7 +97,7 @@
         let n = bins.max(1) as f64;
         let deviation = (shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / n).sqrt();
         let chance = totals.iter().map(|(_, all)| mean * (1.0 - mean) / all.max(1.0)).sum::<f64>() / n;
-        // How far each proxy is from its mean share, in requests.
+        // How far each proxy is from the mean share, in requests.
         let (mut together, mut apart) = (0.0, 0.0);
         for bin in &counts {
             let off = |p: &Vec<f64>| p[k] - mean * p.iter().sum::<f64>();
--- a/crates/testbed/src/report/swing/tests.rs
+++ b/crates/testbed/src/report/swing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::world::rng::Rng;
 
-/// A wave is found with its period; chance alone stays below the mark.
+/// The period of a wave within noise is found, and noise alone stays below the threshold.
 #[test]
 fn a_period_is_found_and_chance_is_not() {
     let mut rng = Rng::new(4, "swing");
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -1,4 +1,4 @@
-//! A run as a table on a terminal.
+//! A run as a table for the terminal.
 
 use super::figures::{Figures, Tally};
 use std::fmt::Write;
@@ -20,7 +20,8 @@
     )
 }
 
-/// What happened, in lines for people. `stretches`: names and bounds of parts of the run, s.
+/// Formats the figures as a table. `stretches` holds the names and bounds, in seconds, of parts of the run that
+/// get a line of their own.
 pub fn table(f: &Figures, stretches: &[(String, f64, f64)]) -> String {
     let mut out = format!(
         "{:<16} {:>8} {:>8} {:>7} {:>8} {:>7} {:>9} {:>8} {:>8} {:>8}\n",
