--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -59,7 +59,7 @@
     /// Returns whether a proxy need not answer a try sent at `from` whose client saw the end at `to`: it was
     /// killed in between, or at `from` was dead or had been told to stop at least 700 ms earlier.
     fn excused(&self, proxy: usize, from: Time, to: Time) -> bool {
-        let near = Micros(5_000); // between a kill's record by the driver and its effect on the sockets
+        let near = Micros(5_000); // tolerance between the driver's record of a kill and its effect on the sockets
         let turns = self.turns.iter().filter(|t| t.1 == proxy);
         let mut over = false;
         for (at, _, turn) in turns {
--- a/crates/testbed/src/report/causes/tests.rs
+++ b/crates/testbed/src/report/causes/tests.rs
@@ -27,7 +27,7 @@
         [Cause::RefusedWithRoom]
     );
     assert_eq!(cause(served(read, 0)), [Cause::Unanswered]);
-    // As many requests as cores are at a backend, so it is refused as full.
+    // As many requests are at a backend as there are cores, so the order is refused as full.
     let cores: f64 = plan.fleet.iter().map(|b| b.build.cores).sum();
     let out = (0..cores.ceil() as u32).map(|no| Record {
         at: Time(1),
