--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -30,7 +30,7 @@
     #[error("proxy {0}: the port of {1} is taken: choose another base_port, or none")]
     Taken(usize, SocketAddr),
     /// The process ended, or did not accept clients in time.
-    #[error("proxy {0} did not take clients within {1} s of its start; its last line: {2}")]
+    #[error("proxy {0} did not accept clients within {1} s of its start; its last log line: {2}")]
     Start(usize, u64, String),
 }
 
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -43,7 +43,7 @@
     #[error("the experiment needs {need} descriptors and this process may have {have}: raise `ulimit -n`")]
     Descriptors { need: usize, have: usize },
     /// A thread of the testbed ended unexpectedly.
-    #[error("a thread of the stand-ins ended before its time")]
+    #[error("a thread of the testbed ended unexpectedly")]
     Thread,
 }
 
