--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -91,7 +91,7 @@
 
     /// Ends the process: its connections are reset, and new ones refused.
     pub fn kill(&self, b: usize) {
-        self.change(&[b], |model, now| model.turn(now, Health::Down));
+        self.change(&[b], |model, now| model.set_health(now, Health::Down));
         let mut slots = self.slots.borrow_mut();
         slots[b].accepting.take().into_iter().for_each(|a| a.abort());
         self.cut(&mut slots[b], b, false);
@@ -101,7 +101,7 @@
     pub fn revive(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
         let address = self.slots.borrow()[b].address;
         let listener = listen(Some(address))?;
-        self.change(&[b], |model, now| model.turn(now, Health::Up));
+        self.change(&[b], |model, now| model.set_health(now, Health::Up));
         self.accept(b, listener);
         Ok(())
     }
@@ -109,7 +109,7 @@
     /// Hangs the machine, or brings it back, which resets the connections that it had.
     pub fn hang(&self, b: usize, silent: bool) {
         let health = if silent { Health::Hung } else { Health::Up };
-        self.change(&[b], |model, now| model.turn(now, health));
+        self.change(&[b], |model, now| model.set_health(now, health));
         let mut slots = self.slots.borrow_mut();
         if silent {
             slots[b].life.send_modify(|life| life.1 = true);
@@ -123,7 +123,7 @@
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
             let p = slot.model.pressure;
             if p.sent > 0.0 {
-                self.log.add(What::Pressure { backend, sent: p.sent, bears: p.bears });
+                self.log.add(What::Pressure { backend, sent: p.sent, bears: p.limit });
             }
         }
     }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -168,7 +168,7 @@
     match act {
         Act::Kill(which) => which.iter().for_each(|b| fleet.kill(*b)),
         Act::Drain(which) => {
-            fleet.change(which, |model, at| model.turn(at, crate::world::backend::Health::Draining));
+            fleet.change(which, |model, at| model.set_health(at, crate::world::backend::Health::Draining));
             which.iter().for_each(|b| tell(*b, Status::Draining));
         }
         Act::Remove(which) => {
--- a/crates/testbed/src/driver/usage/tests.rs
+++ b/crates/testbed/src/driver/usage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn this_process_uses_something() {
+fn reads_the_usage_of_this_process() {
     let used = Usage::of(std::process::id()).unwrap();
     assert!(used.memory > 100_000 && used.descriptors > 2, "{used:?}");
     assert_eq!(Usage::of(u32::MAX), None);
--- a/crates/testbed/src/oracle/answers/tests.rs
+++ b/crates/testbed/src/oracle/answers/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::{Turn, What};
 
 #[test]
-fn two_answers_a_late_one_and_none_are_seen() {
+fn two_answers_a_late_one_and_none_are_reported() {
     let two = [served(READ, 0), served(READ, 0)].concat();
     assert!(broken(&two)[0].1.contains("more than one"));
     let mut extra = served(READ, 0);
@@ -21,7 +21,7 @@
 /// A broken connection counts as a missing answer, except where the proxy was killed or its close crossed the
 /// request.
 #[test]
-fn a_broken_connection_is_told_apart_from_a_killed_proxy() {
+fn a_broken_connection_is_distinguished_from_a_killed_proxy() {
     let broke = |reused, begun| at(50, What::Broke { id: READ, reused, begun });
     let asked = at(0, What::Asked { id: READ, proxy: 1, left: 500_000 });
     for (reused, begun, lost) in [(false, false, true), (true, true, true), (true, false, false)] {
--- a/crates/testbed/src/oracle/drains/tests.rs
+++ b/crates/testbed/src/oracle/drains/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_sent_after_the_grace_is_seen() {
+fn requests_after_the_grace_time_are_reported() {
     let told = |ms, proxy, status| at(ms, What::Told { proxy, backend: 0, status });
     assert_eq!(with(vec![told(100, 0, Status::Draining)]), 1);
     assert_eq!(with(vec![told(600, 0, Status::Draining)]), 0, "inside the grace");
--- a/crates/testbed/src/oracle/repeats/tests.rs
+++ b/crates/testbed/src/oracle/repeats/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::{How, What};
 
 #[test]
-fn a_second_run_and_a_false_refusal_are_seen() {
+fn a_second_run_and_a_false_refusal_are_reported() {
     let mut twice = served(ORDER, 0);
     twice.insert(2, at(5, What::Began { id: ORDER, backend: 1 }));
     assert_eq!(broken(&twice)[0].0, "nothing runs twice");
--- a/crates/testbed/src/oracle/tests.rs
+++ b/crates/testbed/src/oracle/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_sound_run_breaks_nothing() {
+fn a_correct_run_has_no_violations() {
     let all: Vec<Record> = [served(READ, 10), served(ORDER, 200)].concat();
     assert!(broken(&all).is_empty());
     assert!(timeline(&plan(), &all, ORDER).lines().count() == 5);
--- a/crates/testbed/src/oracle/unaltered/tests.rs
+++ b/crates/testbed/src/oracle/unaltered/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::What;
 
 #[test]
-fn hidden_altered_and_foreign_requests_are_seen() {
+fn hidden_altered_and_foreign_requests_are_reported() {
     let mut altered = served(READ, 0);
     altered[3] = at(21, What::Answered { id: READ, status: 200, retry_after: None, own: false });
     assert!(broken(&altered)[0].1.contains("another body"));
--- a/crates/testbed/src/report/figures/tests.rs
+++ b/crates/testbed/src/report/figures/tests.rs
@@ -18,7 +18,7 @@
 
 /// A run in which the testbed fell behind its own schedule is void.
 #[test]
-fn a_slow_lab_voids_its_run() {
+fn a_slow_testbed_voids_its_run() {
     let mut late = Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap();
     (0..100).for_each(|_| late.record(80_000).unwrap());
     let outcome = Outcome { records: Vec::new(), samples: Vec::new(), late, cut: None };
--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -22,8 +22,8 @@
         match act {
             Act::Kill(which) => self.kill(which, false),
             Act::Remove(which) => self.kill(which, true),
-            Act::Drain(which) => self.turn(which, Health::Draining, Status::Draining),
-            Act::Start(which) => self.turn(which, Health::Up, Status::Serving),
+            Act::Drain(which) => self.set_status(which, Health::Draining, Status::Draining),
+            Act::Start(which) => self.set_status(which, Health::Up, Status::Serving),
             Act::Slow(which, factor) => self.slow(which, *factor),
             Act::SharedSlow(factor) => self.slow_shared(*factor),
             Act::Hang(which, silent) => self.hang(which, *silent),
@@ -46,7 +46,7 @@
     fn kill(&mut self, which: &[usize], removed: bool) {
         for &backend in which {
             self.settle(backend);
-            self.backends[backend].turn(self.now, Health::Down);
+            self.backends[backend].set_health(self.now, Health::Down);
             self.drop_held(backend);
             if removed {
                 let booted = self.backends[backend].booted;
@@ -57,10 +57,10 @@
     }
 
     /// Changes the health of backends and their status in the list.
-    fn turn(&mut self, which: &[usize], health: Health, status: Status) {
+    fn set_status(&mut self, which: &[usize], health: Health, status: Status) {
         for &backend in which {
             self.settle(backend);
-            self.backends[backend].turn(self.now, health);
+            self.backends[backend].set_health(self.now, health);
             let booted = self.backends[backend].booted;
             self.discovery.change(self.now, backend, status, booted);
         }
@@ -91,7 +91,7 @@
         let health = if silent { Health::Hung } else { Health::Up };
         for &backend in which {
             self.settle(backend);
-            self.backends[backend].turn(self.now, health);
+            self.backends[backend].set_health(self.now, health);
             if !silent {
                 self.drop_held(backend);
             }
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -95,7 +95,7 @@
         for backend in 0..self.backends.len() {
             let pressure = self.backends[backend].pressure;
             if pressure.sent > 0.0 {
-                self.record(What::Pressure { backend, sent: pressure.sent, bears: pressure.bears });
+                self.record(What::Pressure { backend, sent: pressure.sent, bears: pressure.limit });
             }
         }
     }
--- a/crates/testbed/src/world/backend.rs
+++ b/crates/testbed/src/world/backend.rs
@@ -42,7 +42,7 @@
 
 /// Why a request was rejected before any work on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum Rejection {
     /// All slots and all places in the queue are taken.
     Full,
     /// The backend is draining.
@@ -57,7 +57,7 @@
     /// Work sent within the window, in core-seconds.
     pub sent: f64,
     /// Limit for the window, in core-seconds.
-    pub bears: f64,
+    pub limit: f64,
 }
 
 /// The limit on the work that a cold backend may be sent.
@@ -78,31 +78,31 @@
     /// When its process last started; `None` means so long ago that it is warm.
     pub booted: Option<Time>,
     station: Station,
-    own: f64,
-    shared: f64,
+    own_factor: f64,
+    shared_factor: f64,
     connections: u32,
-    known: HashSet<u64>,
-    order: VecDeque<u64>,
-    rule: FallRule,
-    recent: VecDeque<(Time, f64)>,
+    known_keys: HashSet<u64>,
+    key_order: VecDeque<u64>,
+    fall_rule: FallRule,
+    recent_work: VecDeque<(Time, f64)>,
     /// The worst window while it was cold, over the whole run.
     pub pressure: Pressure,
 }
 
 impl Backend {
     /// Creates a warm backend that serves requests.
-    pub fn new(spec: Spec, rule: FallRule, now: Time) -> Backend {
+    pub fn new(spec: Spec, fall_rule: FallRule, now: Time) -> Backend {
         Backend {
             station: Station::new(spec.build.clone(), None, now),
             health: Health::Up,
             booted: None,
-            own: 1.0,
-            shared: 1.0,
+            own_factor: 1.0,
+            shared_factor: 1.0,
             connections: 0,
-            known: HashSet::new(),
-            order: VecDeque::new(),
-            rule,
-            recent: VecDeque::new(),
+            known_keys: HashSet::new(),
+            key_order: VecDeque::new(),
+            fall_rule,
+            recent_work: VecDeque::new(),
             pressure: Pressure::default(),
             spec,
         }
@@ -116,7 +116,7 @@
     /// Returns the work it can do per second now, in core-seconds, counting warm-up and slowdowns but neither a
     /// hang nor the drag of a full queue.
     pub fn capacity(&self, now: Time) -> f64 {
-        self.station.capacity(now) * self.own * self.shared
+        self.station.capacity(now) * self.own_factor * self.shared_factor
     }
 
     /// Returns the core-seconds done by the current process.
@@ -137,16 +137,16 @@
     }
 
     /// Takes a request that has arrived completely, or rejects it. Call [`Backend::due`] first.
-    pub fn arrive(&mut self, now: Time, ticket: Ticket, key: u64, work: f64) -> Result<(), Why> {
-        let work = if self.meet(key) { work } else { work * self.spec.miss };
-        self.weigh(now, work);
+    pub fn arrive(&mut self, now: Time, ticket: Ticket, key: u64, work: f64) -> Result<(), Rejection> {
+        let work = if self.remember_key(key) { work } else { work * self.spec.miss };
+        self.update_pressure(now, work);
         if self.health == Health::Draining {
-            return Err(Why::Draining);
+            return Err(Rejection::Draining);
         }
         if self.connections > self.spec.connections {
-            return Err(Why::Connections);
+            return Err(Rejection::Connections);
         }
-        self.station.submit(now, ticket, work).then_some(()).ok_or(Why::Full)
+        self.station.submit(now, ticket, work).then_some(()).ok_or(Rejection::Full)
     }
 
     /// Removes a request whose caller has given it up.
@@ -166,19 +166,19 @@
 
     /// Sets this backend's own slowdown: the part of its speed that remains.
     pub fn slow(&mut self, now: Time, factor: f64) {
-        self.own = factor;
-        self.apply(now);
+        self.own_factor = factor;
+        self.apply_factor(now);
     }
 
     /// Sets the slowdown from a dependency that all backends share: the part of the speed that remains.
     pub fn slow_shared(&mut self, now: Time, factor: f64) {
-        self.shared = factor;
-        self.apply(now);
+        self.shared_factor = factor;
+        self.apply_factor(now);
     }
 
     /// Changes the health state. A process that ends loses its requests; one that starts is cold and knows no
     /// keys.
-    pub fn turn(&mut self, now: Time, health: Health) {
+    pub fn set_health(&mut self, now: Time, health: Health) {
         if health == Health::Down {
             self.station.clear(now);
             self.connections = 0;
@@ -186,26 +186,26 @@
         if self.health == Health::Down && health == Health::Up {
             self.booted = Some(now);
             self.station = Station::new(self.spec.build.clone(), Some(now), now);
-            self.known.clear();
-            self.order.clear();
-            self.recent.clear();
+            self.known_keys.clear();
+            self.key_order.clear();
+            self.recent_work.clear();
         }
         self.health = health;
-        self.apply(now);
+        self.apply_factor(now);
     }
 
-    fn apply(&mut self, now: Time) {
-        let factor = if self.health == Health::Hung { 0.0 } else { self.own * self.shared };
+    fn apply_factor(&mut self, now: Time) {
+        let factor = if self.health == Health::Hung { 0.0 } else { self.own_factor * self.shared_factor };
         self.station.slow(now, factor);
     }
 
     /// Returns whether the key was known, and remembers it. The oldest key goes when there are too many.
-    fn meet(&mut self, key: u64) -> bool {
-        let new = self.known.insert(key);
+    fn remember_key(&mut self, key: u64) -> bool {
+        let new = self.known_keys.insert(key);
         if new {
-            self.order.push_back(key);
-            if self.order.len() > self.spec.keys {
-                self.order.pop_front().map(|old| self.known.remove(&old));
+            self.key_order.push_back(key);
+            if self.key_order.len() > self.spec.keys {
+                self.key_order.pop_front().map(|old| self.known_keys.remove(&old));
             }
         }
         !new
@@ -213,18 +213,18 @@
 
     /// Updates the worst window with a request that arrived. Rejected requests count too. Does nothing for a
     /// backend that was already warm when the window began.
-    fn weigh(&mut self, now: Time, work: f64) {
-        let began = now - self.rule.window;
-        if self.station.warmth(began) >= 1.0 {
-            self.recent.clear();
+    fn update_pressure(&mut self, now: Time, work: f64) {
+        let window_start = now - self.fall_rule.window;
+        if self.station.warmth(window_start) >= 1.0 {
+            self.recent_work.clear();
             return;
         }
-        self.recent.retain(|r| r.0 >= began);
-        self.recent.push_back((now, work));
-        let sent: f64 = self.recent.iter().map(|r| r.1).sum();
-        let bears = self.rule.multiple * self.station.capacity(now) * self.rule.window.secs();
-        if sent * self.pressure.bears >= self.pressure.sent * bears {
-            self.pressure = Pressure { sent, bears };
+        self.recent_work.retain(|r| r.0 >= window_start);
+        self.recent_work.push_back((now, work));
+        let sent: f64 = self.recent_work.iter().map(|r| r.1).sum();
+        let limit = self.fall_rule.multiple * self.station.capacity(now) * self.fall_rule.window.secs();
+        if sent * self.pressure.limit >= self.pressure.sent * limit {
+            self.pressure = Pressure { sent, limit };
         }
     }
 }
--- a/crates/testbed/src/world/backend/tests.rs
+++ b/crates/testbed/src/world/backend/tests.rs
@@ -42,24 +42,24 @@
 }
 
 #[test]
-fn what_it_turns_away_and_why() {
+fn rejects_requests_over_its_connections_and_while_draining() {
     let mut b = backend();
     b.opened(Time(0), 1);
     b.opened(Time(0), 2);
-    assert_eq!(b.arrive(Time(0), 3, 1, 0.1), Err(Why::Connections));
+    assert_eq!(b.arrive(Time(0), 3, 1, 0.1), Err(Rejection::Connections));
     b.closed();
-    b.turn(Time(0), Health::Draining);
-    assert_eq!(b.arrive(Time(0), 3, 1, 0.1), Err(Why::Draining));
+    b.set_health(Time(0), Health::Draining);
+    assert_eq!(b.arrive(Time(0), 3, 1, 0.1), Err(Rejection::Draining));
 }
 
 /// A restarted backend is cold, and the work that reaches it then is compared with its limit.
 #[test]
-fn a_restart_is_cold_and_weighed() {
+fn a_restarted_backend_is_cold_and_its_pressure_is_measured() {
     let mut b = backend();
-    b.turn(Time(10), Health::Down);
-    b.turn(Time(1_000_000), Health::Up);
+    b.set_health(Time(10), Health::Down);
+    b.set_health(Time(1_000_000), Health::Up);
     assert_eq!(b.booted, Some(Time(1_000_000)));
     let _ = b.arrive(Time(1_000_000), 1, 1, 0.6);
     let p = b.pressure;
-    assert!((p.sent - 1.2).abs() < 1e-9 && (p.bears - 1.0).abs() < 1e-9, "{p:?}");
+    assert!((p.sent - 1.2).abs() < 1e-9 && (p.limit - 1.0).abs() < 1e-9, "{p:?}");
 }
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -36,7 +36,7 @@
     pub lag: Micros,
     /// Whether every call fails.
     pub down: bool,
-    coming: VecDeque<(Time, Line)>,
+    pending: VecDeque<(Time, Line)>,
 }
 
 impl Discovery {
@@ -48,27 +48,27 @@
             version: 1,
             lag,
             down: false,
-            coming: VecDeque::new(),
+            pending: VecDeque::new(),
         }
     }
 
     /// Schedules a change of a backend's line after the delay. Changes never overtake each other, even where the
     /// delay has shrunk.
     pub fn change(&mut self, now: Time, backend: usize, status: Status, since: Option<Time>) {
-        let at = self.coming.back().map_or(now + self.lag, |last| last.0.max(now + self.lag));
-        self.coming.push_back((at, Line { backend, status, since, version: 0 }));
+        let at = self.pending.back().map_or(now + self.lag, |last| last.0.max(now + self.lag));
+        self.pending.push_back((at, Line { backend, status, since, version: 0 }));
     }
 
     /// Returns when the list changes next.
     pub fn next(&self) -> Option<Time> {
-        self.coming.front().map(|c| c.0)
+        self.pending.front().map(|c| c.0)
     }
 
     /// Applies the changes due by `now` and returns whether the version rose.
     pub fn due(&mut self, now: Time) -> bool {
         let before = self.version;
-        while let Some((_, line)) = self.coming.front().copied().filter(|c| c.0 <= now) {
-            self.coming.pop_front();
+        while let Some((_, line)) = self.pending.front().copied().filter(|c| c.0 <= now) {
+            self.pending.pop_front();
             self.version += 1;
             self.lines[line.backend] = Line { version: self.version, ..line };
         }
--- a/crates/testbed/src/world/dispatcher/tests.rs
+++ b/crates/testbed/src/world/dispatcher/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn deals_in_turn_or_by_weight_and_past_the_dead() {
+fn distributes_in_turn_or_by_weight_and_skips_shunned_proxies() {
     let mut even = RequestDispatcher::new(3, 0.0, 1);
     assert_eq!((0..4).map(|_| even.next(|_| false)).collect::<Vec<_>>(), [0, 1, 2, 0]);
     assert_eq!((even.next(|p| p == 1), even.next(|_| true)), (2, 2));
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -73,9 +73,9 @@
 }
 
 /// Seconds until a killed or stopped proxy starts again, where the experiment names no time.
-const PROXY_BACK: f64 = 1.0;
+const PROXY_RESTART_S: f64 = 1.0;
 /// Seconds until a draining backend is removed from the list.
-const DRAIN_TIME: f64 = 2.0;
+const DRAIN_S: f64 = 2.0;
 
 fn time(seconds: f64) -> Time {
     Time((seconds * 1e6).round().max(0.0) as u64)
@@ -170,7 +170,7 @@
     let mut out = Vec::new();
     for (i, t) in experiment.trouble.iter().enumerate() {
         let purpose = t.who.as_ref().map_or(format!("trouble {i}"), |who| format!("trouble of {who}"));
-        let whom = whom(t, fleet, &mut Rng::new(seed, &purpose));
+        let targets = targets(t, fleet, &mut Rng::new(seed, &purpose));
         let (at, end) = (time(t.at_s), t.for_s.map(|span| time(t.at_s + span)));
         let after = |span: f64| time(t.at_s + span);
         let factor = t.factor.unwrap_or(1.0);
@@ -180,30 +180,30 @@
             out.extend(end.map(|end| (end, over)));
         };
         match t.what {
-            What::Slow => both(Act::Slow(whom.clone(), factor), Act::Slow(whom, 1.0)),
+            What::Slow => both(Act::Slow(targets.clone(), factor), Act::Slow(targets, 1.0)),
             What::SharedSlow => both(Act::SharedSlow(factor), Act::SharedSlow(1.0)),
-            What::Hang => both(Act::Hang(whom.clone(), true), Act::Hang(whom, false)),
-            What::Cordon => both(Act::Cordon(whom.clone(), true), Act::Cordon(whom, false)),
+            What::Hang => both(Act::Hang(targets.clone(), true), Act::Hang(targets, false)),
+            What::Cordon => both(Act::Cordon(targets.clone(), true), Act::Cordon(targets, false)),
             What::DiscoveryDown => both(Act::DiscoveryDown(true), Act::DiscoveryDown(false)),
             What::DiscoveryLag => both(Act::DiscoveryLag(factor), Act::DiscoveryLag(1.0)),
             What::Kill => {
                 let noticed = experiment.discovery.detect_ms / 1e3;
                 if t.for_s.is_none_or(|span| span > noticed) {
-                    out.push((after(noticed), Act::Remove(whom.clone())));
+                    out.push((after(noticed), Act::Remove(targets.clone())));
                 }
-                out.push((at, Act::Kill(whom.clone())));
-                out.extend(end.map(|end| (end, Act::Start(whom))));
+                out.push((at, Act::Kill(targets.clone())));
+                out.extend(end.map(|end| (end, Act::Start(targets))));
             }
             What::Drain => {
-                out.push((at, Act::Drain(whom.clone())));
-                out.push((after(DRAIN_TIME), Act::Remove(whom.clone())));
-                out.extend(t.for_s.map(|span| (after(span.max(DRAIN_TIME)), Act::Start(whom))));
+                out.push((at, Act::Drain(targets.clone())));
+                out.push((after(DRAIN_S), Act::Remove(targets.clone())));
+                out.extend(t.for_s.map(|span| (after(span.max(DRAIN_S)), Act::Start(targets))));
             }
             What::KillProxy | What::RestartProxy => {
                 let stop =
                     if t.what == What::KillProxy { Act::KillProxy(proxy) } else { Act::StopProxy(proxy) };
                 out.push((at, stop));
-                out.push((after(t.for_s.unwrap_or(PROXY_BACK)), Act::StartProxy(proxy)));
+                out.push((after(t.for_s.unwrap_or(PROXY_RESTART_S)), Act::StartProxy(proxy)));
             }
             What::Reload => out.push((at, Act::Reload(proxy))),
         }
@@ -211,14 +211,14 @@
     out
 }
 
-fn whom(t: &Trouble, fleet: &[Spec], rng: &mut Rng) -> Vec<usize> {
-    let meant = |i: &usize| {
+fn targets(t: &Trouble, fleet: &[Spec], rng: &mut Rng) -> Vec<usize> {
+    let matches = |i: &usize| {
         t.kind.as_ref().is_none_or(|k| fleet[*i].kind == *k)
             && t.zone.as_ref().is_none_or(|z| fleet[*i].zone == *z)
     };
-    let may: Vec<usize> = (0..fleet.len()).filter(meant).collect();
-    let count = t.part.map_or(may.len(), |part| (part * may.len() as f64).round() as usize);
-    rng.sample(may.len(), count).into_iter().map(|i| may[i]).collect()
+    let candidates: Vec<usize> = (0..fleet.len()).filter(matches).collect();
+    let count = t.part.map_or(candidates.len(), |part| (part * candidates.len() as f64).round() as usize);
+    rng.sample(candidates.len(), count).into_iter().map(|i| candidates[i]).collect()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/world/plan/tests.rs
+++ b/crates/testbed/src/world/plan/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn faults_are_named() {
+fn invalid_values_are_reported_by_key() {
     let fault = |text: String| Experiment::parse("f.toml", &text).unwrap_err().to_string();
     let zero = fault(TEXT.replace("work_ms = 5.0", "work_ms = 0.0"));
     assert!(zero.contains("class[0].work_ms: expected a number above 0"), "{zero}");
--- a/crates/testbed/src/world/rng/tests.rs
+++ b/crates/testbed/src/world/rng/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ranks_come_as_often_as_they_should() {
+fn ranks_follow_zipfs_law() {
     let (zipf, mut rng) = (Zipf::new(4, 1.0), Rng::new(5, "test"));
     let mut counts = [0.0; 4];
     (0..40_000).for_each(|_| counts[zipf.draw(&mut rng)] += 1.0 / 40_000.0);
@@ -9,6 +9,6 @@
         let due = 1.0 / (rank + 1) as f64 / (25.0 / 12.0);
         assert!((got - due).abs() < 0.02, "rank {rank}: {got} instead of {due}");
     }
-    let some = rng.sample(10, 4);
-    assert!(some.len() == 4 && some.windows(2).all(|w| w[0] < w[1]), "{some:?}");
+    let drawn = rng.sample(10, 4);
+    assert!(drawn.len() == 4 && drawn.windows(2).all(|w| w[0] < w[1]), "{drawn:?}");
 }
--- a/crates/testbed/src/world/station.rs
+++ b/crates/testbed/src/world/station.rs
@@ -27,10 +27,10 @@
 }
 
 /// Seconds after which a predicted end of work is recomputed during warm-up, when the speed still changes.
-const WARM_STEP: f64 = 0.02;
+const WARM_UP_STEP_S: f64 = 0.02;
 /// Remaining work, in core-seconds, at which a piece counts as done: less than the clock's resolution of a
 /// microsecond.
-const DONE: f64 = 1e-7;
+const DONE_BELOW: f64 = 1e-7;
 
 /// A processor-sharing station.
 ///
@@ -99,14 +99,14 @@
 
     /// Sets the outside factor on its speed from `now` on; 0 stops it.
     pub fn slow(&mut self, now: Time, factor: f64) {
-        self.pass(now);
+        self.advance(now);
         self.factor = factor.max(0.0);
     }
 
     /// Adds a piece of `work` core-seconds; returns false when all slots and queue places are taken. Call
     /// [`Station::due`] first.
     pub fn submit(&mut self, now: Time, ticket: Ticket, work: f64) -> bool {
-        self.pass(now);
+        self.advance(now);
         if self.running.len() < self.build.slots {
             self.run(ticket, work);
         } else if self.waiting.len() < self.build.room {
@@ -119,10 +119,10 @@
 
     /// Removes a piece of work; returns false when the station does not hold it.
     pub fn withdraw(&mut self, now: Time, ticket: Ticket) -> bool {
-        self.pass(now);
+        self.advance(now);
         if let Some(mark) = self.marks.remove(&ticket) {
             self.running.remove(&(mark, ticket));
-            self.promote();
+            self.start_waiting();
             return true;
         }
         let before = self.waiting.len();
@@ -140,7 +140,7 @@
         }
         let mut span = ((f64::from_bits(*mark) - self.attained) / rate).max(0.0);
         if self.warmth(self.at) < 1.0 {
-            span = span.min(WARM_STEP);
+            span = span.min(WARM_UP_STEP_S);
         }
         Some(Time(self.at.0 + (span * 1e6).ceil() as u64))
     }
@@ -148,10 +148,10 @@
     /// Adds the pieces that have ended by `now` to `ended`, in order and with their times.
     pub fn due(&mut self, now: Time, ended: &mut Vec<(Time, Ticket)>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
-            self.pass(at);
+            self.advance(at);
             let mut any = false;
             while let Some(&(mark, ticket)) = self.running.first() {
-                if f64::from_bits(mark) - self.attained > DONE {
+                if f64::from_bits(mark) - self.attained > DONE_BELOW {
                     break;
                 }
                 self.running.pop_first();
@@ -160,15 +160,15 @@
                 any = true;
             }
             if any {
-                self.promote();
+                self.start_waiting();
             }
         }
-        self.pass(now);
+        self.advance(now);
     }
 
     /// Removes all pieces and returns their tickets.
     pub fn clear(&mut self, now: Time) -> Vec<Ticket> {
-        self.pass(now);
+        self.advance(now);
         self.running.clear();
         self.marks.drain().map(|m| m.0).chain(self.waiting.drain(..).map(|w| w.0)).collect()
     }
@@ -178,12 +178,12 @@
             self.attained = 0.0; // a new busy period: starting from 0 keeps the marks small and exact
         }
         // The bit patterns of positive floats sort in the same order as their values.
-        let mark = (self.attained + work.max(DONE)).to_bits();
+        let mark = (self.attained + work.max(DONE_BELOW)).to_bits();
         self.running.insert((mark, ticket));
         self.marks.insert(ticket, mark);
     }
 
-    fn promote(&mut self) {
+    fn start_waiting(&mut self) {
         while self.running.len() < self.build.slots {
             let Some((ticket, work)) = self.waiting.pop_front() else { return };
             self.run(ticket, work);
@@ -205,7 +205,7 @@
             * (1.0 - self.build.drag * full)
     }
 
-    fn pass(&mut self, now: Time) {
+    fn advance(&mut self, now: Time) {
         if now <= self.at {
             return;
         }
--- a/crates/testbed/src/world/station/tests.rs
+++ b/crates/testbed/src/world/station/tests.rs
@@ -39,7 +39,7 @@
 
 /// The speed rises from half to full within one second, so 0.75 core-seconds of work take that second.
 #[test]
-fn a_cold_one_gains_speed() {
+fn a_cold_station_gains_speed() {
     let mut s = Station::new(Build { speed: 1.0, ..build() }, Some(Time(0)), Time(0));
     assert!(s.submit(Time(0), 1, 0.75) && s.capacity(Time(500_000)) == 0.75);
     let ended = ends(&mut s, 2_000_000);
