--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -38,7 +38,7 @@
             Act::StartProxy(proxy) => self.start_proxy(*proxy)?,
             Act::Reload(_) => {} // the settings are the same, so nothing changes
         }
-        self.follow_news();
+        self.schedule_list_change();
         Ok(())
     }
 
@@ -103,7 +103,7 @@
     fn discovery_down(&mut self, down: bool) {
         self.discovery.down = down;
         if !down {
-            self.spread();
+            self.answer_all_proxies();
         }
     }
 
@@ -122,7 +122,7 @@
     /// Ends a proxy's process: its clients' connections break, and its attempts are withdrawn from the backends.
     fn kill_proxy(&mut self, proxy: usize) {
         self.record(What::Proxy { proxy, turn: Turn::Killed });
-        let (clients, sent) = self.proxies[proxy].die();
+        let (clients, sent) = self.proxies[proxy].kill();
         for id in clients {
             self.after(ONE_WAY, Event::Broke(id));
         }
@@ -133,11 +133,12 @@
 
     /// Starts a proxy again with the current list, as its platform hands it over.
     fn start_proxy(&mut self, proxy: usize) -> Result<(), VirtualError> {
-        let life = self.proxies[proxy].life() + 1;
-        self.proxies[proxy] = Proxy::new(proxy, &self.settings[proxy], self.plan, self.which, life)?;
+        let generation = self.proxies[proxy].generation() + 1;
+        self.proxies[proxy] =
+            Proxy::new(proxy, &self.settings[proxy], self.plan, self.policy_choice, generation)?;
         self.record(What::Proxy { proxy, turn: Turn::Ready });
-        self.list(proxy, ListUpdate::Cached);
-        self.call(proxy, self.plan.fleet.len()); // it also asks for the whole list, as at every start
+        self.send_list(proxy, ListUpdate::Cached);
+        self.schedule_answer(proxy, self.plan.fleet.len()); // it also asks for the whole list, as at every start
         Ok(())
     }
 
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Weight of the newest latency in the peak-EWMA when it is lower than the average.
-const EWMA_STEP: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// Latency, in seconds, assumed for a backend without any measurement; also the least one that counts.
-const EWMA_START: f64 = 0.01;
+const MIN_LATENCY_S: f64 = 0.01;
 
 /// How a policy chooses a backend.
 pub(super) enum Choice {
@@ -29,7 +29,7 @@
     ewma: f64,
 }
 
-struct Open {
+struct OpenRequest {
     class: usize,
     tried: Vec<(BackendId, Time, bool)>,
     /// Whether an ended attempt may have run.
@@ -45,7 +45,7 @@
     listed: BTreeMap<BackendId, bool>,
     cordoned: Vec<BackendId>,
     peers: HashMap<BackendId, Peer>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     turn: usize,
 }
 
@@ -58,12 +58,12 @@
         BaselinePolicy { choice, config, rng, ready, listed, cordoned, peers, open, turn: 0 }
     }
 
-    fn list(&mut self) {
+    fn update_ready(&mut self) {
         let may = |(id, ready): (&BackendId, &bool)| (*ready && !self.cordoned.contains(id)).then_some(*id);
         self.ready = self.listed.iter().filter_map(may).collect();
     }
 
-    fn draw(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
+    fn choose_backend(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
         let fresh: Vec<BackendId>;
         let from: &[BackendId] = if tried.is_empty() {
             &self.ready
@@ -77,7 +77,7 @@
         let held = |b: &BackendId| self.peers.get(b).map_or(0, |p| p.held);
         let cost = |b: &BackendId| {
             let p = self.peers.get(b);
-            p.map_or(EWMA_START, |p| p.ewma.max(EWMA_START) * f64::from(p.held + 1))
+            p.map_or(MIN_LATENCY_S, |p| p.ewma.max(MIN_LATENCY_S) * f64::from(p.held + 1))
         };
         let rng = &mut self.rng;
         let two = [from[rng.below(from.len())], from[rng.below(from.len())]];
@@ -127,7 +127,7 @@
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
         let may = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
         let harmless = free || !open.ran;
-        match if may { self.draw(&tried, global_view) } else { None } {
+        match if may { self.choose_backend(&tried, global_view) } else { None } {
             Some(backend) => {
                 self.peers.entry(backend).or_default().held += 1;
                 if let Some(open) = self.open.get_mut(&id) {
@@ -148,8 +148,8 @@
         let p = self.peers.entry(backend).or_default();
         p.held = p.held.saturating_sub(1);
         if let Some(latency) = latency {
-            let faded = p.ewma + (latency - p.ewma) * EWMA_STEP;
-            p.ewma = if latency > p.ewma { latency } else { faded };
+            let smoothed = p.ewma + (latency - p.ewma) * EWMA_WEIGHT;
+            p.ewma = if latency > p.ewma { latency } else { smoothed };
         }
     }
 }
@@ -162,15 +162,15 @@
                     self.listed.clear();
                 }
                 self.listed.extend(backends.iter().map(|b| (b.id, b.state == BackendState::Ready)));
-                self.list();
+                self.update_ready();
             }
             Event::Cordoned { backends } => {
                 self.cordoned = backends;
-                self.list();
+                self.update_ready();
             }
             Event::ConfigApplied { config, .. } => self.config = *config,
             Event::Request(a) => {
-                self.open.insert(a.request, Open { class: a.class.0, tried: Vec::new(), ran: false });
+                self.open.insert(a.request, OpenRequest { class: a.class.0, tried: Vec::new(), ran: false });
                 self.send(now, a.request, global_view, actions);
             }
             Event::AttemptEnded(end) => {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn sees(&self) -> bool {
+    fn uses_global_view(&self) -> bool {
         matches!(self.choice, Choice::Oracle)
     }
 }
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -12,7 +12,7 @@
 /// A client with a try at a proxy or on its way there.
 pub(super) struct WaitingClient {
     proxy: usize,
-    /// The life of the proxy that took the request, and the request's id there.
+    /// The generation of the proxy that took the request, and the request's id there.
     request: Option<(u32, RequestId)>,
 }
 
@@ -38,21 +38,21 @@
         let deadline = arrival.at + Micros::from_secs(class.deadline_ms / 1e3);
         let leaves = (arrival.at + arrival.patience).min(deadline);
         let (shunned, now) = (&self.shunned, self.now);
-        let proxy = self.deal.next(|proxy| shunned[proxy] > now);
+        let proxy = self.dispatcher.next(|proxy| shunned[proxy] > now);
         if !self.proxies[proxy].alive() {
-            self.unreached(id, proxy);
+            self.proxy_unreached(id, proxy);
             return;
         }
         self.record(What::Asked { id, proxy, left: (deadline - self.now).0 });
         self.waiting.insert(id, WaitingClient { proxy, request: None });
-        let life = self.proxies[proxy].life();
-        self.after(ONE_WAY, Event::AtProxy { id, proxy, life, deadline });
+        let generation = self.proxies[proxy].generation();
+        self.after(ONE_WAY, Event::AtProxy { id, proxy, generation, deadline });
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         self.at(until, Event::Leave(id));
     }
 
     /// Handles a connection to a proxy that cannot be opened: clients avoid the proxy for a while.
-    fn unreached(&mut self, id: TryId, proxy: usize) {
+    fn proxy_unreached(&mut self, id: TryId, proxy: usize) {
         let shun = Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
         self.shunned[proxy] = self.now + shun;
         self.record(What::Unreached { id, proxy });
@@ -60,8 +60,8 @@
     }
 
     /// Handles the arrival of a try at its proxy.
-    pub(super) fn arrive(&mut self, id: TryId, proxy: usize, life: u32, deadline: Time) {
-        if !self.lives(proxy, life) {
+    pub(super) fn arrive(&mut self, id: TryId, proxy: usize, generation: u32, deadline: Time) {
+        if !self.is_current(proxy, generation) {
             self.after(ONE_WAY, Event::Broke(id));
             return;
         }
@@ -69,8 +69,8 @@
         let class = self.plan.arrivals[id.arrival as usize].class;
         let left = Micros((deadline - self.now).0.saturating_sub(MARGIN.0));
         let request = self.proxies[proxy].take(id, class, left, id.no > 0);
-        waiting.request = Some((life, request));
-        self.after(left, Event::Deadline { proxy, life, request });
+        waiting.request = Some((generation, request));
+        self.after(left, Event::Deadline { proxy, generation, request });
         self.pump(proxy);
     }
 
@@ -98,8 +98,8 @@
     pub(super) fn leave(&mut self, id: TryId) {
         let Some(waiting) = self.waiting.remove(&id) else { return };
         self.record(What::Left { id });
-        let Some((life, request)) = waiting.request else { return };
-        if self.lives(waiting.proxy, life) {
+        let Some((generation, request)) = waiting.request else { return };
+        if self.is_current(waiting.proxy, generation) {
             self.proxies[waiting.proxy].client_gone(request);
             self.pump(waiting.proxy);
         }
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -17,22 +17,24 @@
 
 impl Simulation<'_> {
     /// Sends a proxy the whole list, or what has changed since its version.
-    pub(super) fn list(&mut self, proxy: usize, update: ListUpdate) {
+    pub(super) fn send_list(&mut self, proxy: usize, update: ListUpdate) {
         let known = self.proxies[proxy].version();
         let version = self.discovery.version();
         let listed: Vec<ListedBackend> = match update {
-            ListUpdate::Changes => self.discovery.since(known).map(|line| self.listed(line)).collect(),
-            _ => self.discovery.whole().map(|line| self.listed(line)).collect(),
+            ListUpdate::Changes => {
+                self.discovery.since(known).map(|line| self.listed_backend(line)).collect()
+            }
+            _ => self.discovery.whole().map(|line| self.listed_backend(line)).collect(),
         };
         for ListedBackend { id, status, .. } in &listed {
             self.record(What::Told { proxy, backend: id.0 as usize, status: *status });
         }
         let rows = listed.into_iter().map(|listed| (listed.row, listed.id));
-        self.proxies[proxy].members(update, rows, version);
+        self.proxies[proxy].update_endpoints(update, rows, version);
         self.pump(proxy);
     }
 
-    fn listed(&self, line: &Line) -> ListedBackend {
+    fn listed_backend(&self, line: &Line) -> ListedBackend {
         let spec = &self.plan.fleet[line.backend];
         let state = match line.status {
             Status::Serving => BackendState::Ready,
@@ -49,34 +51,34 @@
     }
 
     /// Applies changes that have reached discovery, and answers all proxies if there are any.
-    pub(super) fn news(&mut self) {
+    pub(super) fn apply_list_changes(&mut self) {
         if self.discovery.due(self.now) {
-            self.spread();
+            self.answer_all_proxies();
         }
-        self.follow_news();
+        self.schedule_list_change();
     }
 
     /// Answers the call of every proxy, in turn.
-    pub(super) fn spread(&mut self) {
+    pub(super) fn answer_all_proxies(&mut self) {
         for proxy in 0..self.proxies.len() {
             let lines = self.discovery.since(self.proxies[proxy].version()).count();
-            self.call(proxy, lines);
+            self.schedule_answer(proxy, lines);
         }
     }
 
     /// Schedules an answer of `lines` lines to a proxy, after the calls that are queued before it.
-    pub(super) fn call(&mut self, proxy: usize, lines: usize) {
+    pub(super) fn schedule_answer(&mut self, proxy: usize, lines: usize) {
         let spec = &self.plan.experiment.discovery;
         let took = Micros::from_secs(spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64);
         self.calls_end = self.calls_end.max(self.now) + took;
-        let life = self.proxies[proxy].life();
-        self.at(self.calls_end + ONE_WAY, Event::Tell { proxy, life });
+        let generation = self.proxies[proxy].generation();
+        self.at(self.calls_end + ONE_WAY, Event::ListAnswer { proxy, generation });
     }
 
     /// Schedules the next change of the list.
-    pub(super) fn follow_news(&mut self) {
+    pub(super) fn schedule_list_change(&mut self) {
         if let Some(at) = self.discovery.next() {
-            self.at(at, Event::News);
+            self.at(at, Event::ListChange);
         }
     }
 }
--- a/crates/testbed/src/virtual_time/event.rs
+++ b/crates/testbed/src/virtual_time/event.rs
@@ -9,8 +9,8 @@
 /// An attempt of a request, by the ids that its proxy gave them.
 pub(super) type AttemptKey = (RequestId, AttemptNo);
 
-/// An event of a run. Events that concern a proxy hold its life, which is how often it has been restarted; they
-/// are ignored when that life has ended.
+/// An event of a run. Events that concern a proxy hold its generation, which is how often it has been restarted;
+/// they are ignored when that generation has ended.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     /// The act of the plan with this index is due.
@@ -23,8 +23,8 @@
         id: TryId,
         /// The proxy.
         proxy: usize,
-        /// The life to which the try was sent.
-        life: u32,
+        /// The generation to which the try was sent.
+        generation: u32,
         /// The client's deadline.
         deadline: Time,
     },
@@ -32,8 +32,8 @@
     Deadline {
         /// The proxy.
         proxy: usize,
-        /// The life that took the request.
-        life: u32,
+        /// The generation that took the request.
+        generation: u32,
         /// The request.
         request: RequestId,
     },
@@ -41,8 +41,8 @@
     Timer {
         /// The proxy.
         proxy: usize,
-        /// The life that set it.
-        life: u32,
+        /// The generation that set it.
+        generation: u32,
         /// The module's token for the timer.
         token: TimerToken,
     },
@@ -50,8 +50,8 @@
     Connected {
         /// The proxy.
         proxy: usize,
-        /// The life that opened the connection.
-        life: u32,
+        /// The generation that opened the connection.
+        generation: u32,
         /// The attempt.
         key: AttemptKey,
         /// Whether the connection is open.
@@ -101,15 +101,15 @@
     /// A client leaves, if it still waits.
     Leave(TryId),
     /// The list of backends may have changed.
-    News,
+    ListChange,
     /// Proxies tell each other how many attempts they have in flight.
     Gossip,
     /// An answer of discovery reaches a proxy.
-    Tell {
+    ListAnswer {
         /// The proxy.
         proxy: usize,
-        /// The life that the answer is for.
-        life: u32,
+        /// The generation that the answer is for.
+        generation: u32,
     },
 }
 
@@ -118,8 +118,8 @@
 pub(super) struct SentAttempt {
     /// The proxy that sent it.
     pub proxy: usize,
-    /// The life of the proxy that sent it.
-    pub life: u32,
+    /// The generation of the proxy that sent it.
+    pub generation: u32,
     /// The attempt's key at that proxy.
     pub key: AttemptKey,
     /// The client's try it belongs to.
--- a/crates/testbed/src/virtual_time/gossip.rs
+++ b/crates/testbed/src/virtual_time/gossip.rs
@@ -10,11 +10,11 @@
         let talk = &self.plan.experiment.talk;
         let every = Micros::from_secs(talk.every_ms / 1e3);
         let rounds_late = (talk.lag_ms / talk.every_ms).ceil() as usize;
-        let out = self.proxies.iter().map(|proxy| proxy.out() as f64).collect();
+        let out = self.proxies.iter().map(|proxy| proxy.in_flight() as f64).collect();
         self.gossip.push_back(out);
         if self.gossip.len() > rounds_late {
-            let told = self.gossip.pop_front().unwrap_or_default();
-            self.tell_others(&told);
+            let sent = self.gossip.pop_front().unwrap_or_default();
+            self.send_fleet_load(&sent);
         }
         if self.now < self.plan.end() {
             self.after(every, Event::Gossip);
@@ -22,7 +22,7 @@
     }
 
     /// Sends each live proxy the number of attempts that all others had in flight.
-    fn tell_others(&mut self, out: &[f64]) {
+    fn send_fleet_load(&mut self, out: &[f64]) {
         let all: f64 = out.iter().sum();
         for (proxy, own) in out.iter().enumerate() {
             if self.proxies[proxy].alive() {
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -70,10 +70,10 @@
     /// When discovery has finished all calls so far.
     calls_end: Time,
     proxies: Vec<Proxy>,
-    which: PolicyChoice,
+    policy_choice: PolicyChoice,
     /// Clients with a try at a proxy or on its way there.
     waiting: HashMap<TryId, WaitingClient>,
-    deal: RequestDispatcher,
+    dispatcher: RequestDispatcher,
     /// Time until which clients avoid each proxy.
     shunned: Vec<Time>,
     records: Vec<Record>,
@@ -89,8 +89,8 @@
 ///
 /// # Errors
 /// When the experiment does not result in valid settings for a proxy, or the decision module rejects them.
-pub fn play(plan: &Arc<Plan>, which: PolicyChoice) -> Result<Ran, VirtualError> {
-    let mut simulation = Simulation::new(plan, which)?;
+pub fn play(plan: &Arc<Plan>, policy_choice: PolicyChoice) -> Result<Ran, VirtualError> {
+    let mut simulation = Simulation::new(plan, policy_choice)?;
     simulation.run()?;
     let late = Histogram::new(2).expect("two digits");
     Ok(Ran { records: simulation.records, samples: Vec::new(), late, cut: None })
@@ -105,11 +105,11 @@
 
 impl Simulation<'_> {
     /// Creates the state before the first event.
-    fn new(plan: &Plan, which: PolicyChoice) -> Result<Simulation<'_>, VirtualError> {
+    fn new(plan: &Plan, policy_choice: PolicyChoice) -> Result<Simulation<'_>, VirtualError> {
         let settings = proxy_settings(plan)?;
         let mut proxies = Vec::new();
         for (proxy, own) in settings.iter().enumerate() {
-            proxies.push(Proxy::new(proxy, own, plan, which, 0)?);
+            proxies.push(Proxy::new(proxy, own, plan, policy_choice, 0)?);
         }
         let backend = |spec: &_| Backend::new(Clone::clone(spec), plan.fall_rule(), Time(0));
         let count = plan.fleet.len();
@@ -126,9 +126,9 @@
             discovery: Discovery::new(count, Micros::from_secs(experiment.discovery.lag_ms / 1e3)),
             calls_end: Time(0),
             proxies,
-            which,
+            policy_choice,
             waiting: HashMap::new(),
-            deal: RequestDispatcher::new(experiment.proxies, experiment.clients.skew, plan.seed),
+            dispatcher: RequestDispatcher::new(experiment.proxies, experiment.clients.skew, plan.seed),
             shunned: vec![Time(0); experiment.proxies],
             records: Vec::new(),
             rng: Rng::new(plan.seed, "virtual"),
@@ -171,7 +171,7 @@
     fn begin(&mut self) {
         for proxy in 0..self.proxies.len() {
             self.record(What::Proxy { proxy, turn: Turn::Ready });
-            self.list(proxy, ListUpdate::Cached);
+            self.send_list(proxy, ListUpdate::Cached);
         }
         let plan = self.plan;
         for (number, (at, _)) in plan.acts.iter().enumerate() {
@@ -190,25 +190,27 @@
         Micros::from_secs(deadlines.fold(0.0, f64::max))
     }
 
-    /// Handles an event; ignores those for an earlier life of a proxy, and those that a newer one replaced.
+    /// Handles an event; ignores those for an earlier generation of a proxy, and those that a newer one replaced.
     fn handle(&mut self, event: Event) -> Result<(), VirtualError> {
         match event {
             Event::Act(number) => self.act(number)?,
             Event::Ask(id) => self.ask_due(id),
-            Event::AtProxy { id, proxy, life, deadline } => self.arrive(id, proxy, life, deadline),
-            Event::Deadline { proxy, life, request } if self.lives(proxy, life) => {
+            Event::AtProxy { id, proxy, generation, deadline } => {
+                self.arrive(id, proxy, generation, deadline)
+            }
+            Event::Deadline { proxy, generation, request } if self.is_current(proxy, generation) => {
                 self.deadline(proxy, request);
             }
-            Event::Timer { proxy, life, token } if self.lives(proxy, life) => {
+            Event::Timer { proxy, generation, token } if self.is_current(proxy, generation) => {
                 self.proxies[proxy].push(lotusdeck_policy::Event::Timer { token });
                 self.pump(proxy);
             }
-            Event::Connected { proxy, life, key, up } if self.lives(proxy, life) => {
+            Event::Connected { proxy, generation, key, up } if self.is_current(proxy, generation) => {
                 self.connected(proxy, key, up);
             }
             Event::Reach { attempt, backend, ticket } => self.reach(attempt, backend, ticket),
             Event::Due { backend, stamp } if self.stamps[backend] == stamp => self.settle(backend),
-            Event::Back { attempt, outcome } if self.lives(attempt.proxy, attempt.life) => {
+            Event::Back { attempt, outcome } if self.is_current(attempt.proxy, attempt.generation) => {
                 self.end_attempt(attempt.proxy, attempt.key, outcome);
                 self.pump(attempt.proxy);
             }
@@ -216,23 +218,25 @@
             Event::ToClient { id, status, retry_after } => self.answered(id, status, retry_after),
             Event::Broke(id) => self.broke(id),
             Event::Leave(id) => self.leave(id),
-            Event::News => self.news(),
+            Event::ListChange => self.apply_list_changes(),
             Event::Gossip => self.gossip(),
-            Event::Tell { proxy, life } if self.lives(proxy, life) && !self.discovery.down => {
-                self.list(proxy, ListUpdate::Changes);
+            Event::ListAnswer { proxy, generation }
+                if self.is_current(proxy, generation) && !self.discovery.down =>
+            {
+                self.send_list(proxy, ListUpdate::Changes);
             }
             Event::Deadline { .. }
             | Event::Timer { .. }
             | Event::Connected { .. }
             | Event::Due { .. }
             | Event::Back { .. }
-            | Event::Tell { .. } => {}
+            | Event::ListAnswer { .. } => {}
         }
         Ok(())
     }
 
-    /// Returns whether a proxy is alive and still in that life.
-    fn lives(&self, proxy: usize, life: u32) -> bool {
-        self.proxies[proxy].lives(life)
+    /// Returns whether a proxy is alive and still in that generation.
+    fn is_current(&self, proxy: usize, generation: u32) -> bool {
+        self.proxies[proxy].is_current(generation)
     }
 }
--- a/crates/testbed/src/virtual_time/policy.rs
+++ b/crates/testbed/src/virtual_time/policy.rs
@@ -11,7 +11,7 @@
     /// Handles one event and adds the resulting actions.
     fn handle(&mut self, now: Time, event: Event, global_view: GlobalView, actions: &mut Vec<Action>);
     /// Returns whether the policy uses the global view, which costs a pass over all backends to compute.
-    fn sees(&self) -> bool {
+    fn uses_global_view(&self) -> bool {
         false
     }
 }
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -1,7 +1,7 @@
 //! Proxies: events for their policies, and the actions that follow.
 
 use super::event::{AttemptKey, Event, SentAttempt};
-use super::proxy::{Answer, Flight, Stage};
+use super::proxy::{Answer, InFlight, Step};
 use super::{Simulation, ONE_WAY};
 use crate::world::backend::Health;
 use lotusdeck_policy::{Micros, Outcome, RequestId, Time};
@@ -21,18 +21,18 @@
 impl Simulation<'_> {
     /// Passes pending events to a proxy's policy until none is left, and carries out the resulting steps.
     pub(super) fn pump(&mut self, proxy: usize) {
-        if self.proxies[proxy].sees() {
-            self.look();
+        if self.proxies[proxy].uses_global_view() {
+            self.update_global_view();
         }
-        let mut wishes = Vec::new();
-        self.proxies[proxy].pump(module_time(self.now), &self.global_view, &mut wishes);
-        for wish in wishes {
-            self.carry_out(proxy, wish);
+        let mut steps = Vec::new();
+        self.proxies[proxy].pump(module_time(self.now), &self.global_view, &mut steps);
+        for step in steps {
+            self.carry_out(proxy, step);
         }
     }
 
     /// Updates the global view to the current time.
-    fn look(&mut self) {
+    fn update_global_view(&mut self) {
         for (global_view, backend) in self.global_view.iter_mut().zip(&self.backends) {
             let serves = backend.health == Health::Up;
             let speed = backend.capacity(self.now);
@@ -40,10 +40,10 @@
         }
     }
 
-    fn carry_out(&mut self, proxy: usize, wish: Stage) {
-        let life = self.proxies[proxy].life();
-        match wish {
-            Stage::Answer { id, answer } => {
+    fn carry_out(&mut self, proxy: usize, step: Step) {
+        let generation = self.proxies[proxy].generation();
+        match step {
+            Step::Answer { id, answer } => {
                 let (status, retry_after) = match answer {
                     Answer::Served => (200, None),
                     Answer::Refused(after) => (503, Some(after.secs())),
@@ -51,24 +51,24 @@
                 };
                 self.after(ONE_WAY, Event::ToClient { id, status, retry_after });
             }
-            Stage::Timer { token, after } => self.after(after, Event::Timer { proxy, life, token }),
-            Stage::Connect { key, backend, warm } => {
+            Step::Timer { token, after } => self.after(after, Event::Timer { proxy, generation, token }),
+            Step::Connect { key, backend, warm } => {
                 let (span, up) = match self.backends[backend].health {
                     _ if warm => (Micros(0), true),
                     Health::Down => (ROUND_TRIP, false),
                     Health::Hung => (CONNECT_TIMEOUT, false),
                     Health::Up | Health::Draining => (ROUND_TRIP, true),
                 };
-                self.after(span, Event::Connected { proxy, life, key, up });
+                self.after(span, Event::Connected { proxy, generation, key, up });
             }
-            Stage::Withdraw { backend, ticket } => self.after(ONE_WAY, Event::Withdraw { backend, ticket }),
+            Step::Withdraw { backend, ticket } => self.after(ONE_WAY, Event::Withdraw { backend, ticket }),
         }
     }
 
     /// Ends a request at its deadline: its attempts time out, and where the policy does not end the request, the
     /// client is answered 504.
     pub(super) fn deadline(&mut self, proxy: usize, request: RequestId) {
-        for key in self.proxies[proxy].out_of(request) {
+        for key in self.proxies[proxy].in_flight_of(request) {
             self.end_attempt(proxy, key, Outcome::TimedOut);
         }
         self.pump(proxy);
@@ -82,7 +82,7 @@
     /// may no longer receive requests.
     pub(super) fn connected(&mut self, proxy: usize, key: AttemptKey, up: bool) {
         let Some((flight, id, may)) = self.proxies[proxy].ready(key) else { return };
-        let Flight { backend, warm, .. } = flight;
+        let InFlight { backend, warm, .. } = flight;
         if !up || !may {
             let outcome = if up { Outcome::NeverSent } else { Outcome::ConnectFailed };
             self.end_attempt(proxy, key, outcome);
@@ -94,9 +94,9 @@
             self.handshake(backend);
         }
         self.proxies[proxy].sent(key, ticket);
-        let life = self.proxies[proxy].life();
+        let generation = self.proxies[proxy].generation();
         let jitter = Micros(self.rng.exponential(ONE_WAY.0 as f64 / 2.0) as u64);
-        let attempt = SentAttempt { proxy, life, key, id };
+        let attempt = SentAttempt { proxy, generation, key, id };
         self.after(Micros(ONE_WAY.0 + jitter.0), Event::Reach { attempt, backend, ticket });
     }
 
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -18,7 +18,7 @@
 }
 
 /// A step that a proxy asks the simulation to carry out.
-pub(super) enum Stage {
+pub(super) enum Step {
     Answer { id: TryId, answer: Answer },
     Timer { token: TimerToken, after: Micros },
     Connect { key: (RequestId, AttemptNo), backend: usize, warm: bool },
@@ -27,7 +27,7 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     pub backend: usize,
     /// Whether it uses an idle connection.
     pub warm: bool,
@@ -35,7 +35,7 @@
     ticket: Option<Ticket>,
 }
 
-struct Live {
+struct OpenRequest {
     id: TryId,
     attempts: u32,
 }
@@ -45,9 +45,9 @@
     policy: Box<dyn Policy>,
     names: Names,
     alive: bool,
-    life: u32,
-    requests: HashMap<RequestId, Live>,
-    flights: BTreeMap<(RequestId, AttemptNo), Flight>,
+    generation: u32,
+    requests: HashMap<RequestId, OpenRequest>,
+    in_flight: BTreeMap<(RequestId, AttemptNo), InFlight>,
     /// Number of idle connections by backend.
     idle: HashMap<usize, u32>,
     serving: HashMap<usize, bool>,
@@ -55,29 +55,29 @@
     events: VecDeque<Event>,
     /// Requests whose served answer goes out at the next [`Proxy::pump`].
     served: Vec<RequestId>,
-    last: u64,
+    last_request: u64,
     version: u64,
 }
 
 impl Proxy {
     pub(super) fn new(
-        number: usize, settings: &Settings, plan: &Plan, which: PolicyChoice, life: u32,
+        number: usize, settings: &Settings, plan: &Plan, choice: PolicyChoice, generation: u32,
     ) -> Result<Proxy, ConfigError> {
         let own = settings.clone();
-        let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(life) << 48;
+        let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(generation) << 48;
         Ok(Proxy {
-            policy: which.build(&own, plan, seed)?,
+            policy: choice.build(&own, plan, seed)?,
             names: own.names,
             alive: true,
-            life,
+            generation,
             requests: HashMap::new(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             idle: HashMap::new(),
             serving: HashMap::new(),
             cordoned: BTreeSet::new(),
             events: VecDeque::new(),
             served: Vec::new(),
-            last: 0,
+            last_request: 0,
             version: 0,
         })
     }
@@ -85,18 +85,18 @@
     pub(super) fn alive(&self) -> bool {
         self.alive
     }
-    pub(super) fn life(&self) -> u32 {
-        self.life
+    pub(super) fn generation(&self) -> u32 {
+        self.generation
     }
-    pub(super) fn lives(&self, life: u32) -> bool {
-        self.alive && self.life == life
+    pub(super) fn is_current(&self, generation: u32) -> bool {
+        self.alive && self.generation == generation
     }
     /// Returns the number of attempts in flight.
-    pub(super) fn out(&self) -> usize {
-        self.flights.len()
+    pub(super) fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
-    pub(super) fn sees(&self) -> bool {
-        self.policy.sees()
+    pub(super) fn uses_global_view(&self) -> bool {
+        self.policy.uses_global_view()
     }
     pub(super) fn version(&self) -> u64 {
         self.version
@@ -107,9 +107,9 @@
 
     /// Takes a client's request and passes it to the policy.
     pub(super) fn take(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
-        self.last += 1;
-        let request = RequestId(self.last);
-        self.requests.insert(request, Live { id, attempts: 0 });
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
+        self.requests.insert(request, OpenRequest { id, attempts: 0 });
         let (tenant, work_hint, uploading) = (None, None, false);
         let class = ClassId(class);
         self.push(Event::Request(Arrival {
@@ -125,9 +125,9 @@
     }
 
     /// Returns the attempts of a request that are in flight.
-    pub(super) fn out_of(&self, request: RequestId) -> Vec<(RequestId, AttemptNo)> {
+    pub(super) fn in_flight_of(&self, request: RequestId) -> Vec<(RequestId, AttemptNo)> {
         let range = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
-        self.flights.range(range).map(|(key, _)| *key).collect()
+        self.in_flight.range(range).map(|(key, _)| *key).collect()
     }
 
     /// Ends a request that the policy has not ended by its deadline, and returns the try to answer.
@@ -143,11 +143,12 @@
         }
     }
 
-    pub(super) fn members(
-        &mut self, update: ListUpdate, lines: impl Iterator<Item = (EndpointRecord, BackendId)>, version: u64,
+    pub(super) fn update_endpoints(
+        &mut self, update: ListUpdate, endpoints: impl Iterator<Item = (EndpointRecord, BackendId)>,
+        version: u64,
     ) {
-        let lines: Vec<Backend> = lines.map(|(row, id)| self.names.resolve(&row, id)).collect();
-        for b in &lines {
+        let endpoints: Vec<Backend> = endpoints.map(|(row, id)| self.names.resolve(&row, id)).collect();
+        for b in &endpoints {
             let serves = b.state == BackendState::Ready;
             self.serving.insert(b.id.0 as usize, serves);
             if !serves {
@@ -155,7 +156,7 @@
             }
         }
         self.version = version;
-        self.push(Event::EndpointsUpdated { update, backends: lines });
+        self.push(Event::EndpointsUpdated { update, backends: endpoints });
     }
 
     pub(super) fn cordon(&mut self, which: &[BackendId], out: bool) {
@@ -176,8 +177,8 @@
 
     /// Returns an attempt whose connection is ready, the try it belongs to, and whether it may still be sent: its
     /// request is open, and its backend listed as ready and not cordoned.
-    pub(super) fn ready(&self, key: (RequestId, AttemptNo)) -> Option<(Flight, TryId, bool)> {
-        let flight = *self.flights.get(&key)?;
+    pub(super) fn ready(&self, key: (RequestId, AttemptNo)) -> Option<(InFlight, TryId, bool)> {
+        let flight = *self.in_flight.get(&key)?;
         let live = self.requests.get(&key.0);
         let listed = self.serving.get(&flight.backend).copied().unwrap_or(false);
         let may = listed && !self.cordoned.contains(&BackendId(flight.backend as u32));
@@ -185,7 +186,7 @@
     }
 
     pub(super) fn sent(&mut self, key: (RequestId, AttemptNo), ticket: Ticket) {
-        if let Some(flight) = self.flights.get_mut(&key) {
+        if let Some(flight) = self.in_flight.get_mut(&key) {
             flight.ticket = Some(ticket);
         }
     }
@@ -194,7 +195,7 @@
     pub(super) fn attempt_ended(
         &mut self, now: Time, key: (RequestId, AttemptNo), outcome: Outcome,
     ) -> Option<(usize, Ticket)> {
-        let flight = self.flights.remove(&key)?;
+        let flight = self.in_flight.remove(&key)?;
         if matches!(outcome, Outcome::Success | Outcome::Rejected) {
             *self.idle.entry(flight.backend).or_default() += 1;
         }
@@ -218,27 +219,27 @@
         flight.ticket.map(|t| (flight.backend, t))
     }
 
-    /// Passes all pending events to the policy and adds the resulting steps to `wishes`.
-    pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, wishes: &mut Vec<Stage>) {
+    /// Passes all pending events to the policy and adds the resulting steps to `steps`.
+    pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, steps: &mut Vec<Step>) {
         for request in std::mem::take(&mut self.served) {
-            self.finish(request, Answer::Served, wishes);
+            self.finish(request, Answer::Served, steps);
         }
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.policy.handle(now, event, global_view, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, wishes);
+                self.carry_out(now, action, steps);
             }
         }
     }
 
-    fn finish(&mut self, request: RequestId, answer: Answer, wishes: &mut Vec<Stage>) {
+    fn finish(&mut self, request: RequestId, answer: Answer, steps: &mut Vec<Step>) {
         if let Some(live) = self.requests.remove(&request) {
-            wishes.push(Stage::Answer { id: live.id, answer });
+            steps.push(Step::Answer { id: live.id, answer });
         }
     }
 
-    fn carry_out(&mut self, now: Time, action: Action, wishes: &mut Vec<Stage>) {
+    fn carry_out(&mut self, now: Time, action: Action, steps: &mut Vec<Step>) {
         match action {
             Action::Dispatch { request, backend } => {
                 let Some(live) = self.requests.get_mut(&request) else { return };
@@ -248,17 +249,16 @@
                 let idle = self.idle.entry(backend).or_default();
                 let warm = *idle > 0;
                 *idle -= u32::from(warm);
-                self.flights.insert(key, Flight { backend, warm, since: now, ticket: None });
-                wishes.push(Stage::Connect { key, backend, warm });
+                self.in_flight.insert(key, InFlight { backend, warm, since: now, ticket: None });
+                steps.push(Step::Connect { key, backend, warm });
             }
             Action::Reject { request, retry_after } => {
-                self.finish(request, Answer::Refused(retry_after), wishes)
+                self.finish(request, Answer::Refused(retry_after), steps)
             }
-            Action::Fail { request } => self.finish(request, Answer::Failed, wishes),
+            Action::Fail { request } => self.finish(request, Answer::Failed, steps),
             Action::Cancel { request, attempt } => {
-                let Some(flight) = self.flights.remove(&(request, attempt)) else { return };
-                wishes
-                    .extend(flight.ticket.map(|ticket| Stage::Withdraw { backend: flight.backend, ticket }));
+                let Some(flight) = self.in_flight.remove(&(request, attempt)) else { return };
+                steps.extend(flight.ticket.map(|ticket| Step::Withdraw { backend: flight.backend, ticket }));
                 let (outcome, latency) = (Outcome::Cancelled, now - flight.since);
                 let settled = !self.requests.contains_key(&request);
                 let end = AttemptEnd {
@@ -271,18 +271,18 @@
                 };
                 self.push(Event::AttemptEnded(end));
             }
-            Action::SetTimer { token, after } => wishes.push(Stage::Timer { token, after }),
+            Action::SetTimer { token, after } => steps.push(Step::Timer { token, after }),
             Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
     /// Ends the process. Returns the tries without an answer, and the attempts it had sent.
-    pub(super) fn die(&mut self) -> (Vec<TryId>, Vec<(usize, Ticket)>) {
+    pub(super) fn kill(&mut self) -> (Vec<TryId>, Vec<(usize, Ticket)>) {
         self.alive = false;
         let mut clients: Vec<TryId> = self.requests.drain().map(|(_, l)| l.id).collect();
         clients.sort();
-        let flights = std::mem::take(&mut self.flights);
-        let sent = flights.values().filter_map(|f| Some((f.backend, f.ticket?))).collect();
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let sent = in_flight.values().filter_map(|f| Some((f.backend, f.ticket?))).collect();
         self.events.clear();
         (clients, sent)
     }
