--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -19,9 +19,9 @@
 use tokio::time::timeout_at;
 
 /// Longest idle time after which a connection is reused; proxies close idle ones after two seconds.
-const FRESH: Micros = Micros(1_500_000);
+const MAX_IDLE: Micros = Micros(1_500_000);
 /// Time limit for opening a connection.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Front {
     address: SocketAddr,
@@ -36,7 +36,7 @@
     clock: Clock,
     log: Log,
     fronts: RefCell<Vec<Front>>,
-    deal: RefCell<RequestDispatcher>,
+    dispatcher: RefCell<RequestDispatcher>,
     open: Cell<usize>,
     idle: Notify,
     /// Delay of first tries behind their planned time, in microseconds.
@@ -44,7 +44,7 @@
 }
 
 /// The result of a try, for its client.
-enum Got {
+enum TryOutcome {
     Served,
     /// Holds the advised pause before another try, in seconds.
     Refused(Option<f64>),
@@ -59,13 +59,13 @@
     pub fn new(plan: Arc<Plan>, clock: Clock, log: Log, proxies: &[SocketAddr]) -> Rc<Clients> {
         let front = |address: &SocketAddr| Front { address: *address, idle: Vec::new(), shunned: Time(0) };
         let late = Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds in order");
-        let deal = RequestDispatcher::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
+        let dispatcher = RequestDispatcher::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
         Rc::new(Clients {
             plan,
             clock,
             log,
             fronts: RefCell::new(proxies.iter().map(front).collect()),
-            deal: RefCell::new(deal),
+            dispatcher: RefCell::new(dispatcher),
             open: Cell::new(0),
             idle: Notify::new(),
             late: RefCell::new(late),
@@ -81,11 +81,11 @@
             let late = self.clock.now() - arrival.at;
             self.late.borrow_mut().saturating_record(late.0.max(1));
             self.open.set(self.open.get() + 1);
-            let one = self.clone();
+            let clients = self.clone();
             tokio::task::spawn_local(async move {
-                one.want(n as u32).await;
-                one.open.set(one.open.get() - 1);
-                one.idle.notify_one();
+                clients.run_arrival(n as u32).await;
+                clients.open.set(clients.open.get() - 1);
+                clients.idle.notify_one();
             });
         }
         while self.open.get() > 0 {
@@ -95,7 +95,7 @@
     }
 
     /// Makes the tries of one arrival.
-    async fn want(&self, arrival: u32) {
+    async fn run_arrival(&self, arrival: u32) {
         let a = &self.plan.arrivals[arrival as usize];
         let class = &self.plan.experiment.class[a.class];
         let habits = &self.plan.experiment.clients;
@@ -104,12 +104,12 @@
         for no in 0..habits.tries {
             let id = TryId { arrival, no };
             let mut pause = habits.pause_ms / 1e3;
-            match self.once(id, deadline, leaves.min(deadline)).await {
-                Got::Served | Got::Left => return,
-                Got::Refused(advice) => pause = advice.unwrap_or(pause),
-                Got::Unreached => {}
-                Got::Failed if class.effect == Effect::Free => {}
-                Got::Failed => return,
+            match self.make_try(id, deadline, leaves.min(deadline)).await {
+                TryOutcome::Served | TryOutcome::Left => return,
+                TryOutcome::Refused(advice) => pause = advice.unwrap_or(pause),
+                TryOutcome::Unreached => {}
+                TryOutcome::Failed if class.effect == Effect::Free => {}
+                TryOutcome::Failed => return,
             }
             let again = self.clock.now() + Micros::from_secs(pause);
             if again >= leaves {
@@ -119,17 +119,17 @@
         }
     }
 
-    async fn once(&self, id: TryId, deadline: Time, leaves: Time) -> Got {
+    async fn make_try(&self, id: TryId, deadline: Time, leaves: Time) -> TryOutcome {
         let a = &self.plan.arrivals[id.arrival as usize];
         let class = &self.plan.experiment.class[a.class];
-        let proxy = self.deal();
+        let proxy = self.next_proxy();
         let (mut link, reused) = match self.connect(proxy).await {
             Some(got) => got,
             None => {
                 self.log.add(What::Unreached { id, proxy });
                 self.fronts.borrow_mut()[proxy].shunned =
                     self.clock.now() + Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
-                return Got::Unreached;
+                return TryOutcome::Unreached;
             }
         };
         let left = deadline - self.clock.now();
@@ -150,7 +150,7 @@
         request.extend_from_slice(&sent);
         if link.write(&request).await.is_err() {
             self.log.add(What::Unreached { id, proxy });
-            return Got::Unreached;
+            return TryOutcome::Unreached;
         }
         self.log.add(What::Asked { id, proxy, left: left.0 });
         // An impatient client leaves at once; all others listen beyond the deadline, to see late answers.
@@ -158,11 +158,11 @@
         let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
             Err(_) => {
                 self.log.add(What::Left { id });
-                return Got::Left;
+                return TryOutcome::Left;
             }
             Ok(Err(_)) => {
                 self.log.add(What::Broke { id, reused, begun: link.ahead() });
-                return Got::Failed;
+                return TryOutcome::Failed;
             }
             Ok(Ok(answer)) => answer,
         };
@@ -174,16 +174,16 @@
             self.fronts.borrow_mut()[proxy].idle.push((self.clock.now(), link, id));
         }
         match answer.status {
-            200 => Got::Served,
-            429 | 503 => Got::Refused(answer.retry_after),
-            _ => Got::Failed,
+            200 => TryOutcome::Served,
+            429 | 503 => TryOutcome::Refused(answer.retry_after),
+            _ => TryOutcome::Failed,
         }
     }
 
     /// Returns the proxy for the next try, skipping shunned ones unless all are.
-    fn deal(&self) -> usize {
+    fn next_proxy(&self) -> usize {
         let (fronts, now) = (self.fronts.borrow(), self.clock.now());
-        self.deal.borrow_mut().next(|p| fronts[p].shunned > now)
+        self.dispatcher.borrow_mut().next(|p| fronts[p].shunned > now)
     }
 
     async fn connect(&self, proxy: usize) -> Option<(Link, bool)> {
@@ -191,13 +191,13 @@
             let kept = self.fronts.borrow_mut()[proxy].idle.pop();
             let Some((since, mut link, last)) = kept else { break };
             match link.poll_read() {
-                None if self.clock.now() - since < FRESH => return Some((link, true)),
+                None if self.clock.now() - since < MAX_IDLE => return Some((link, true)),
                 Some(super::wire::ReadEvent::Bytes) => self.log.add(What::Extra { id: last }),
                 _ => {}
             }
         }
         let address = self.fronts.borrow()[proxy].address;
-        let tcp = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+        let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         Some((Link::new(tcp), false))
     }
 }
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -25,11 +25,11 @@
     backends: Vec<SocketAddr>,
     model: RefCell<Discovery>,
     /// The list's version, and whether discovery is down.
-    news: watch::Sender<(u64, bool)>,
-    sooner: Notify,
-    turn: Mutex<()>,
+    changes: watch::Sender<(u64, bool)>,
+    rescheduled: Notify,
+    call_lock: Mutex<()>,
     /// The status last sent, by proxy and backend.
-    told: RefCell<HashMap<(usize, usize), Status>>,
+    last_sent: RefCell<HashMap<(usize, usize), Status>>,
 }
 
 impl Service {
@@ -40,7 +40,7 @@
     ) -> std::io::Result<(Rc<Service>, Vec<SocketAddr>)> {
         let lag = lotusdeck_policy::Micros::from_secs(plan.experiment.discovery.lag_ms / 1e3);
         let model = Discovery::new(backends.len(), lag);
-        let news = watch::channel((model.version(), false)).0;
+        let changes = watch::channel((model.version(), false)).0;
         let proxies = plan.experiment.proxies;
         let service = Rc::new(Service {
             plan,
@@ -48,10 +48,10 @@
             log,
             backends,
             model: RefCell::new(model),
-            news,
-            sooner: Notify::new(),
-            turn: Mutex::new(()),
-            told: RefCell::default(),
+            changes,
+            rescheduled: Notify::new(),
+            call_lock: Mutex::new(()),
+            last_sent: RefCell::default(),
         });
         let mut addresses = Vec::new();
         for proxy in 0..proxies {
@@ -64,7 +64,7 @@
                 }
             });
         }
-        tokio::task::spawn_local(service.clone().hear());
+        tokio::task::spawn_local(service.clone().apply_changes_when_due());
         Ok((service, addresses))
     }
 
@@ -72,8 +72,9 @@
     pub fn change(&self, change: impl FnOnce(&mut Discovery)) {
         let mut model = self.model.borrow_mut();
         change(&mut model);
-        self.news.send_if_modified(|old| std::mem::replace(old, (old.0, model.down)) != (old.0, model.down));
-        self.sooner.notify_one();
+        self.changes
+            .send_if_modified(|old| std::mem::replace(old, (old.0, model.down)) != (old.0, model.down));
+        self.rescheduled.notify_one();
     }
 
     /// Returns the whole list as JSON.
@@ -82,20 +83,20 @@
         self.json(model.version(), true, model.whole())
     }
 
-    async fn hear(self: Rc<Self>) {
+    async fn apply_changes_when_due(self: Rc<Self>) {
         loop {
             let next = self.model.borrow().next();
             match next {
-                None => self.sooner.notified().await,
+                None => self.rescheduled.notified().await,
                 Some(at) => tokio::select! {
                     _ = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                    _ = self.sooner.notified() => {}
+                    _ = self.rescheduled.notified() => {}
                 },
             }
             let mut model = self.model.borrow_mut();
             if model.due(self.clock.now()) {
                 let now = (model.version(), model.down);
-                self.news.send_replace(now);
+                self.changes.send_replace(now);
             }
         }
     }
@@ -133,13 +134,13 @@
                     ReadEvent::Bytes => None, // proxies do not pipeline calls: answered 503
                 },
             };
-            let (status, body, told) = answered.unwrap_or((503, String::new(), Vec::new()));
+            let (status, body, reported) = answered.unwrap_or((503, String::new(), Vec::new()));
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
             if link.write((head + &body).as_bytes()).await.is_err() {
                 return;
             }
-            for (backend, status) in told {
-                let before = self.told.borrow_mut().insert((proxy, backend), status);
+            for (backend, status) in reported {
+                let before = self.last_sent.borrow_mut().insert((proxy, backend), status);
                 if before != Some(status) {
                     self.log.add(What::Told { proxy, backend, status });
                 }
@@ -152,13 +153,13 @@
     async fn answer(
         &self, proxy: usize, after: Option<u64>, wait: Duration,
     ) -> Option<(u16, String, Vec<(usize, Status)>)> {
-        let mut news = self.news.subscribe();
+        let mut changes = self.changes.subscribe();
         if let Some(after) = after {
-            let newer = news.wait_for(|(version, down)| *version > after || *down);
+            let newer = changes.wait_for(|(version, down)| *version > after || *down);
             let _ = tokio::time::timeout(wait, newer).await;
         }
         {
-            let _turn = self.turn.lock().await;
+            let _guard = self.call_lock.lock().await;
             let lines = {
                 let model = self.model.borrow();
                 let changes = after.filter(|after| *after <= model.version());
@@ -174,14 +175,14 @@
         }
         // A caller with a higher version than the list's got it from another discovery, so it gets the whole list.
         if let Some(after) = after.filter(|after| *after <= model.version()) {
-            let told = model.since(after).map(|l| (l.backend, l.status)).collect();
-            return Some((200, self.json(model.version(), false, model.since(after)), told));
+            let reported = model.since(after).map(|l| (l.backend, l.status)).collect();
+            return Some((200, self.json(model.version(), false, model.since(after)), reported));
         }
-        let mut told: Vec<_> = model.whole().map(|l| (l.backend, l.status)).collect();
-        let known = self.told.borrow();
-        let gone = known.keys().filter(|k| k.0 == proxy && !told.iter().any(|t| t.0 == k.1));
+        let mut reported: Vec<_> = model.whole().map(|l| (l.backend, l.status)).collect();
+        let known = self.last_sent.borrow();
+        let gone = known.keys().filter(|k| k.0 == proxy && !reported.iter().any(|t| t.0 == k.1));
         let gone: Vec<_> = gone.map(|k| (k.1, Status::Deleted)).collect();
-        told.extend(gone);
-        Some((200, self.json(model.version(), true, model.whole()), told))
+        reported.extend(gone);
+        Some((200, self.json(model.version(), true, model.whole()), reported))
     }
 }
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -18,18 +18,18 @@
 use tokio::task::AbortHandle;
 
 /// How often a backend's connections have been reset, and whether its machine hangs.
-type Life = (u64, bool);
+type Liveness = (u64, bool);
 
 struct Slot {
     model: Backend,
     address: SocketAddr,
     /// Requests that it holds, with the channel that signals their end.
     open: HashMap<Ticket, (TryId, oneshot::Sender<()>)>,
-    life: watch::Sender<Life>,
-    sooner: Rc<Notify>,
+    liveness: watch::Sender<Liveness>,
+    rescheduled: Rc<Notify>,
     accepting: Option<AbortHandle>,
     /// Keeps its port reserved while the process is down.
-    _held: Reserved,
+    _port: Reserved,
 }
 
 /// All backends of a run.
@@ -47,15 +47,15 @@
         let mut slots = Vec::new();
         let mut listeners = Vec::new();
         for spec in &plan.fleet {
-            let held = Reserved::take(None)?;
-            let listener = listen(Some(held.address()))?;
+            let port = Reserved::take(None)?;
+            let listener = listen(Some(port.address()))?;
             slots.push(Slot {
-                _held: held,
+                _port: port,
                 model: Backend::new(spec.clone(), plan.fall_rule(), Time(0)),
                 address: listener.local_addr()?,
                 open: HashMap::new(),
-                life: watch::channel((0, false)).0,
-                sooner: Rc::default(),
+                liveness: watch::channel((0, false)).0,
+                rescheduled: Rc::default(),
                 accepting: None,
             });
             listeners.push(listener);
@@ -63,7 +63,7 @@
         let fleet = Rc::new(Fleet { plan, clock, log, slots: RefCell::new(slots), tickets: Cell::new(0) });
         for (b, listener) in listeners.into_iter().enumerate() {
             fleet.accept(b, listener);
-            tokio::task::spawn_local(fleet.clone().work(b));
+            tokio::task::spawn_local(fleet.clone().end_finished(b));
         }
         Ok(fleet)
     }
@@ -85,7 +85,7 @@
             self.settle(b, now);
             let mut slots = self.slots.borrow_mut();
             change(&mut slots[b].model, now);
-            slots[b].sooner.notify_one();
+            slots[b].rescheduled.notify_one();
         }
     }
 
@@ -94,11 +94,11 @@
         self.change(&[b], |model, now| model.set_health(now, Health::Down));
         let mut slots = self.slots.borrow_mut();
         slots[b].accepting.take().into_iter().for_each(|a| a.abort());
-        self.cut(&mut slots[b], b, false);
+        self.reset_connections(&mut slots[b], b, false);
     }
 
     /// Starts the process again, on the same address.
-    pub fn revive(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
+    pub fn restart(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
         let address = self.slots.borrow()[b].address;
         let listener = listen(Some(address))?;
         self.change(&[b], |model, now| model.set_health(now, Health::Up));
@@ -112,14 +112,14 @@
         self.change(&[b], |model, now| model.set_health(now, health));
         let mut slots = self.slots.borrow_mut();
         if silent {
-            slots[b].life.send_modify(|life| life.1 = true);
+            slots[b].liveness.send_modify(|liveness| liveness.1 = true);
         } else {
-            self.cut(&mut slots[b], b, false);
+            self.reset_connections(&mut slots[b], b, false);
         }
     }
 
     /// Records for each backend the worst window of work sent while it was cold.
-    pub fn report(&self) {
+    pub fn record_pressure(&self) {
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
             let p = slot.model.pressure;
             if p.sent > 0.0 {
@@ -128,11 +128,11 @@
         }
     }
 
-    fn cut(&self, slot: &mut Slot, backend: usize, silent: bool) {
+    fn reset_connections(&self, slot: &mut Slot, backend: usize, silent: bool) {
         for (_, (id, _)) in slot.open.drain() {
             self.log.add(What::Ended { id, backend, how: How::Died });
         }
-        slot.life.send_modify(|life| *life = (life.0 + 1, silent));
+        slot.liveness.send_modify(|liveness| *liveness = (liveness.0 + 1, silent));
     }
 
     fn accept(self: &Rc<Self>, b: usize, listener: tokio::net::TcpListener) {
@@ -149,15 +149,15 @@
     }
 
     /// Ends finished requests, for as long as the run lasts.
-    async fn work(self: Rc<Self>, b: usize) {
-        let sooner = self.slots.borrow()[b].sooner.clone();
+    async fn end_finished(self: Rc<Self>, b: usize) {
+        let rescheduled = self.slots.borrow()[b].rescheduled.clone();
         loop {
             let next = self.slots.borrow()[b].model.next();
             match next {
-                None => sooner.notified().await,
+                None => rescheduled.notified().await,
                 Some(at) => tokio::select! {
                     _ = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                    _ = sooner.notified() => {}
+                    _ = rescheduled.notified() => {}
                 },
             }
             self.settle(b, self.clock.now());
@@ -182,33 +182,33 @@
     }
 
     async fn connection(self: Rc<Self>, b: usize, tcp: tokio::net::TcpStream) {
-        let mut life = self.slots.borrow()[b].life.subscribe();
-        let born = life.borrow().0;
+        let mut liveness = self.slots.borrow()[b].liveness.subscribe();
+        let resets = liveness.borrow().0;
         let mut link = Link::new(tcp);
         let opened = self.ticket();
         self.settle(b, self.clock.now());
         {
             let mut slots = self.slots.borrow_mut();
             slots[b].model.opened(self.clock.now(), opened);
-            slots[b].sooner.notify_one();
+            slots[b].rescheduled.notify_one();
         }
-        let died = life.wait_for(|life| life.0 != born);
+        let reset = liveness.wait_for(|liveness| liveness.0 != resets);
         tokio::select! {
-            _ = self.talk(b, &mut link) => {}
-            _ = died => {
+            _ = self.serve_connection(b, &mut link) => {}
+            _ = reset => {
                 // A process that ends resets its connections.
                 let _ = socket2::SockRef::from(&link.tcp).set_linger(Some(std::time::Duration::ZERO));
                 return;
             }
         }
         let mut slots = self.slots.borrow_mut();
-        if slots[b].life.borrow().0 == born {
+        if slots[b].liveness.borrow().0 == resets {
             slots[b].model.closed();
         }
     }
 
-    async fn talk(&self, b: usize, link: &mut Link) {
-        let mut life = self.slots.borrow()[b].life.subscribe();
+    async fn serve_connection(&self, b: usize, link: &mut Link) {
+        let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         loop {
             let request = match link.request().await {
                 Ok(Some(request)) => request,
@@ -220,10 +220,10 @@
                     return;
                 }
             };
-            if life.wait_for(|life| !life.1).await.is_err() {
+            if liveness.wait_for(|liveness| !liveness.1).await.is_err() {
                 return;
             }
-            let Some((id, bytes, key, work)) = self.known(&request) else {
+            let Some((id, bytes, key, work)) = self.identify(&request) else {
                 let text = format!("{} {}", request.method, request.target);
                 self.log.add(What::Foreign { backend: b, text });
                 let _ = link.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
@@ -238,7 +238,7 @@
                 let taken = slots[b].model.arrive(now, ticket, key, work);
                 if taken.is_ok() {
                     slots[b].open.insert(ticket, (id, done));
-                    slots[b].sooner.notify_one();
+                    slots[b].rescheduled.notify_one();
                 }
                 taken
             };
@@ -251,12 +251,12 @@
                 }
                 continue;
             }
-            let held = Held { fleet: self, b, ticket };
+            let guard = WithdrawOnDrop { fleet: self, b, ticket };
             tokio::select! {
                 served = &mut wait => if served.is_err() { return },
-                _ = closed(link) => return, // dropping `held` withdraws the request
+                _ = closed(link) => return, // dropping `guard` withdraws the request
             }
-            drop(held);
+            drop(guard);
             let text = body(id, bytes);
             let mut answer =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len()).into_bytes();
@@ -269,7 +269,7 @@
 
     /// Returns the id, answer size, key and work of a request, if a client of this run sent it in exactly this
     /// form.
-    fn known(&self, request: &Request) -> Option<(TryId, usize, u64, f64)> {
+    fn identify(&self, request: &Request) -> Option<(TryId, usize, u64, f64)> {
         let id = request.id?;
         let arrival = self.plan.arrivals.get(id.arrival as usize)?;
         let class = &self.plan.experiment.class[arrival.class];
@@ -291,19 +291,19 @@
 }
 
 /// Withdraws a request from its backend when dropped before the request has ended, as when its connection closes.
-struct Held<'a> {
+struct WithdrawOnDrop<'a> {
     fleet: &'a Fleet,
     b: usize,
     ticket: Ticket,
 }
 
-impl Drop for Held<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         let now = self.fleet.clock.now();
         let mut slots = self.fleet.slots.borrow_mut();
         if let Some((id, _)) = slots[self.b].open.remove(&self.ticket) {
             slots[self.b].model.withdraw(now, self.ticket);
-            slots[self.b].sooner.notify_one();
+            slots[self.b].rescheduled.notify_one();
             self.fleet.log.add(What::Ended { id, backend: self.b, how: How::Withdrawn });
         }
     }
--- a/crates/testbed/src/driver/mod.rs
+++ b/crates/testbed/src/driver/mod.rs
@@ -21,7 +21,7 @@
 pub struct Clock(Arc<OnceLock<(Instant, u64)>>);
 
 /// How long [`Clock::instant`] lets a caller wait before it asks again, while the start is unknown.
-const NOT_YET: Duration = Duration::from_millis(50);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Clock {
     /// Sets the start to `span` from now. Only the first call has an effect.
@@ -38,7 +38,7 @@
     /// at which the caller should ask again.
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
         let start = self.0.get().map(|(start, _)| *start + Duration::from_micros(at.0));
-        start.unwrap_or_else(|| Instant::now() + NOT_YET).into()
+        start.unwrap_or_else(|| Instant::now() + START_POLL_INTERVAL).into()
     }
     /// Converts a time of the run to Unix milliseconds; 0 where the start is not known yet.
     pub fn unix_ms(&self, at: Time) -> u64 {
--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -16,9 +16,9 @@
 use tokio::process::{Child, Command};
 
 /// Time limit for a proxy to accept clients after its start.
-const START: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time limit for a call to a proxy.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a proxy could not be prepared or started.
 #[derive(Debug, Error)]
@@ -47,9 +47,9 @@
     child: Option<Child>,
     starts: u32,
     /// Processor time of its earlier processes.
-    before: Duration,
+    earlier_cpu: Duration,
     /// Keeps its ports reserved between two of its processes.
-    _held: [Reserved; 2],
+    _ports: [Reserved; 2],
 }
 
 /// Reserves the given port, or one that the kernel chooses, for as long as the proxy exists.
@@ -73,8 +73,8 @@
         let base = plan.experiment.base_port;
         let ports = [0, 1].map(|n| reserve(number, base.map(|port| port + 2 * number as u16 + n)));
         let [clients, operators] = ports;
-        let held = [clients?, operators?];
-        let [address, admin] = [held[0].address(), held[1].address()];
+        let reserved = [clients?, operators?];
+        let [address, admin] = [reserved[0].address(), reserved[1].address()];
         let known = if plan.experiment.discovery.handed {
             known
         } else {
@@ -89,8 +89,19 @@
         }
         let descriptors = plan.experiment.limits.sockets;
         let program = program.to_path_buf();
-        let (child, starts, before) = (None, 0, Duration::ZERO);
-        Ok(Proxy { number, program, folder, descriptors, address, admin, child, starts, before, _held: held })
+        let (child, starts, earlier_cpu) = (None, 0, Duration::ZERO);
+        Ok(Proxy {
+            number,
+            program,
+            folder,
+            descriptors,
+            address,
+            admin,
+            child,
+            starts,
+            earlier_cpu,
+            _ports: reserved,
+        })
     }
 
     /// Starts the process and waits until it accepts clients.
@@ -113,7 +124,7 @@
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(err).kill_on_drop(true);
         command.process_group(0); // an interrupt at the terminal must reach only the testbed
         self.child = Some(command.spawn().map_err(io)?);
-        let end = tokio::time::Instant::now() + START;
+        let end = tokio::time::Instant::now() + START_TIMEOUT;
         while tokio::time::Instant::now() < end {
             if self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None))) {
                 break;
@@ -125,7 +136,7 @@
         }
         let text = std::fs::read_to_string(&log).unwrap_or_default();
         let last = text.lines().last().unwrap_or("none").to_string();
-        Err(ProxyError::Start(self.number, START.as_secs(), last))
+        Err(ProxyError::Start(self.number, START_TIMEOUT.as_secs(), last))
     }
 
     fn signal(&mut self, signal: Signal) {
@@ -138,7 +149,7 @@
     /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
         let own = self.pid().and_then(Usage::of); // usage of this process only
-        self.before += own.map(|u| u.cpu).unwrap_or_default();
+        self.earlier_cpu += own.map(|u| u.cpu).unwrap_or_default();
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait().await;
@@ -176,7 +187,7 @@
     /// Returns the usage of its current process, with the processor time of earlier ones added.
     pub fn usage(&self) -> Option<Usage> {
         let now = Usage::of(self.pid()?)?;
-        Some(Usage { cpu: now.cpu + self.before, ..now })
+        Some(Usage { cpu: now.cpu + self.earlier_cpu, ..now })
     }
 }
 
@@ -187,7 +198,7 @@
         link.write((head + body).as_bytes()).await.ok()?;
         Some(link.answer().await.ok()?.status)
     };
-    tokio::time::timeout(CALL, ask).await.ok()?
+    tokio::time::timeout(CALL_TIMEOUT, ask).await.ok()?
 }
 
 /// Returns the node configuration of a proxy.
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -24,11 +24,11 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Time between the proxies' start and the first request.
-const LEAD: Duration = Duration::from_millis(200);
+const LEAD_TIME: Duration = Duration::from_millis(200);
 /// Interval at which the processes' usage is sampled.
-const LOOK: Duration = Duration::from_millis(250);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Descriptors that the testbed needs besides its connections.
-const OWN: usize = 64;
+const OWN_DESCRIPTORS: usize = 64;
 
 /// Why a run failed.
 #[derive(Debug, Error)]
@@ -77,7 +77,7 @@
 /// backends' listeners and the testbed's other ones.
 fn descriptors(plan: &Plan) -> usize {
     let e = &plan.experiment;
-    e.proxies * e.limits.sockets * 2 + plan.fleet.len() + OWN
+    e.proxies * e.limits.sockets * 2 + plan.fleet.len() + OWN_DESCRIPTORS
 }
 
 /// Raises this process's soft limit on open descriptors to the hard limit, if it is below `need`.
@@ -117,20 +117,20 @@
 pub type Joined<T> = oneshot::Receiver<T>;
 
 /// A command to the stand-ins' thread.
-enum Order {
+enum Command {
     Act(Act),
     End,
 }
 
-struct Standing {
+struct StandIns {
     discovery: Vec<SocketAddr>,
     known: String,
 }
 
-/// Runs the backends and discovery until [`Order::End`], and returns their records.
+/// Runs the backends and discovery until [`Command::End`], and returns their records.
 async fn stand_in(
-    plan: Arc<Plan>, clock: Clock, ready: oneshot::Sender<std::io::Result<Standing>>,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    plan: Arc<Plan>, clock: Clock, ready: oneshot::Sender<std::io::Result<StandIns>>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
 ) -> Vec<Record> {
     let log = Log::new(clock.clone());
     let started = Fleet::start(plan.clone(), clock.clone(), log.clone()).and_then(|fleet| {
@@ -148,13 +148,13 @@
             return Vec::new();
         }
     };
-    let _ = ready.send(Ok(Standing { discovery, known: service.whole() }));
-    while let Some(Order::Act(act)) = orders.recv().await {
-        if let Err(e) = enact(&plan, &clock, &fleet, &service, &act) {
+    let _ = ready.send(Ok(StandIns { discovery, known: service.whole() }));
+    while let Some(Command::Act(act)) = commands.recv().await {
+        if let Err(e) = carry_out(&plan, &clock, &fleet, &service, &act) {
             log.add(What::Act { text: format!("not done: {act:?}: {e}") });
         }
     }
-    fleet.report();
+    fleet.record_pressure();
     for done in relay.iter().flat_map(Relay::done) {
         let backend = done.route.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or_default();
         log.add(What::Injured { backend, injury: done.fault });
@@ -162,7 +162,9 @@
     log.take()
 }
 
-fn enact(plan: &Plan, clock: &Clock, fleet: &Rc<Fleet>, service: &Service, act: &Act) -> std::io::Result<()> {
+fn carry_out(
+    plan: &Plan, clock: &Clock, fleet: &Rc<Fleet>, service: &Service, act: &Act,
+) -> std::io::Result<()> {
     let now = clock.now();
     let tell = |b: usize, status| service.change(|d| d.change(now, b, status, fleet.booted(b)));
     match act {
@@ -179,7 +181,7 @@
         }
         Act::Start(which) => {
             for b in which {
-                fleet.revive(*b)?;
+                fleet.restart(*b)?;
                 tell(*b, Status::Serving);
             }
         }
@@ -233,7 +235,7 @@
 }
 
 /// The part of a run that handles the proxies.
-struct Stage {
+struct ProxyGroup {
     plan: Arc<Plan>,
     clock: Clock,
     log: Log,
@@ -241,7 +243,7 @@
     samples: Vec<Sample>,
 }
 
-impl Stage {
+impl ProxyGroup {
     async fn act(&mut self, act: &Act) -> Result<(), RunError> {
         self.log.add(What::Act { text: describe_act(&self.plan, act) });
         match act {
@@ -279,7 +281,7 @@
         Ok(())
     }
 
-    fn look(&mut self) {
+    fn sample_usage(&mut self) {
         let at_s = self.clock.now().0 as f64 / 1e6;
         for (proxy, p) in self.proxies.iter().enumerate() {
             self.samples.extend(p.usage().map(|usage| Sample { at_s, proxy, usage }));
@@ -288,17 +290,17 @@
 
     /// Carries out the acts in order and samples the processes' usage. Returns only on an error.
     async fn play(
-        &mut self, orders: &mpsc::UnboundedSender<Order>, progress: Progress<'_>,
+        &mut self, commands: &mpsc::UnboundedSender<Command>, progress: Progress<'_>,
     ) -> Result<(), RunError> {
         let (plan, clock) = (self.plan.clone(), self.clock.clone());
         let mut acts = plan.acts.iter().peekable();
         loop {
-            self.look();
+            self.sample_usage();
             progress(clock.now());
-            let next = clock.now() + Micros(LOOK.as_micros() as u64);
+            let next = clock.now() + Micros(SAMPLE_INTERVAL.as_micros() as u64);
             while let Some((at, act)) = acts.next_if(|a| a.0 <= next) {
                 until(&clock, *at).await;
-                let _ = orders.send(Order::Act(act.clone()));
+                let _ = commands.send(Command::Act(act.clone()));
                 self.act(act).await?;
             }
             until(&clock, next).await;
@@ -312,33 +314,33 @@
 ) -> Result<Outcome, RunError> {
     raise_descriptor_limit(descriptors(&plan))?;
     let clock = Clock::default();
-    let (ready, standing) = oneshot::channel();
-    let (orders, from_here) = mpsc::unbounded_channel();
-    let (its, own) = (plan.clone(), clock.clone());
-    let backends = thread("backends", move || stand_in(its, own, ready, from_here))?;
-    let standing = standing.await.map_err(|_| RunError::Thread)??;
+    let (ready, stand_ins) = oneshot::channel();
+    let (commands, commands_in) = mpsc::unbounded_channel();
+    let (thread_plan, thread_clock) = (plan.clone(), clock.clone());
+    let backends = thread("backends", move || stand_in(thread_plan, thread_clock, ready, commands_in))?;
+    let stand_ins = stand_ins.await.map_err(|_| RunError::Thread)??;
     let mut proxies = Vec::new();
-    for (number, at) in standing.discovery.iter().enumerate() {
-        proxies.push(Proxy::prepare(number, &plan, program, folder, *at, &standing.known)?);
+    for (number, at) in stand_ins.discovery.iter().enumerate() {
+        proxies.push(Proxy::prepare(number, &plan, program, folder, *at, &stand_ins.known)?);
     }
     let addresses: Vec<SocketAddr> = proxies.iter().map(|p| p.address).collect();
-    let mut stage = Stage {
+    let mut group = ProxyGroup {
         plan: plan.clone(),
         clock: clock.clone(),
         log: Log::new(clock.clone()),
         proxies,
         samples: Vec::new(),
     };
-    for (proxy, p) in stage.proxies.iter_mut().enumerate() {
+    for (proxy, p) in group.proxies.iter_mut().enumerate() {
         p.start().await?;
-        stage.log.add(What::Proxy { proxy, turn: Turn::Ready });
+        group.log.add(What::Proxy { proxy, turn: Turn::Ready });
     }
-    clock.start_in(LEAD);
-    let (its, own) = (plan.clone(), clock.clone());
+    clock.start_in(LEAD_TIME);
+    let (thread_plan, thread_clock) = (plan.clone(), clock.clone());
     let (stop_clients, stopped) = oneshot::channel::<()>();
     let mut clients = thread("clients", move || async move {
-        let log = Log::new(own.clone());
-        let clients = Clients::new(its, own, log.clone(), &addresses);
+        let log = Log::new(thread_clock.clone());
+        let clients = Clients::new(thread_plan, thread_clock, log.clone(), &addresses);
         let all = clients.clone().play();
         let late = tokio::select! {
             late = all => Some(late),
@@ -349,7 +351,7 @@
     let mut cut = None;
     let played = tokio::select! {
         played = &mut clients => played.map_err(|_| RunError::Thread)?,
-        ended = stage.play(&orders, progress) => {
+        ended = group.play(&commands, progress) => {
             ended?;
             return Err(RunError::Thread); // without an error it never ends
         }
@@ -359,26 +361,26 @@
             (&mut clients).await.map_err(|_| RunError::Thread)?
         }
     };
-    stage.look();
+    group.sample_usage();
     if cut.is_none() {
         // Wait for late and extra answers.
         until(&clock, plan.end() + LISTEN_ON).await;
     }
-    for p in &mut stage.proxies {
+    for p in &mut group.proxies {
         p.stop();
     }
-    for p in &mut stage.proxies {
+    for p in &mut group.proxies {
         p.ended(Duration::from_secs(5)).await;
     }
-    let _ = orders.send(Order::End);
+    let _ = commands.send(Command::End);
     let mut records = backends.await.map_err(|_| RunError::Thread)?;
     let (late, seen) = played;
     records.extend(seen);
-    records.extend(stage.log.take());
+    records.extend(group.log.take());
     records.sort_by_key(|r| r.at);
     let late = match late {
         Some(late) => late,
         None => Histogram::new(2).expect("two digits"),
     };
-    Ok(Outcome { records, samples: stage.samples, late, cut })
+    Ok(Outcome { records, samples: group.samples, late, cut })
 }
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    async fn more(&mut self) -> Result<(), Fault> {
+    async fn read_more(&mut self) -> Result<(), Fault> {
         if self.tcp.read_buf(&mut self.ahead).await? == 0 {
             return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
         }
@@ -142,7 +142,7 @@
     async fn body(&mut self, head: usize, length: usize) -> Result<Bytes, Fault> {
         self.ahead.advance(head);
         while self.ahead.len() < length {
-            self.more().await?;
+            self.read_more().await?;
         }
         Ok(self.ahead.split_to(length).freeze())
     }
@@ -166,7 +166,7 @@
             if self.ahead.len() > MAX_HEAD {
                 return Err(Fault::Unreadable("a head of over 32 KiB"));
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
@@ -185,7 +185,7 @@
             if self.ahead.len() > MAX_HEAD {
                 return Err(Fault::Unreadable("a head of over 32 KiB"));
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 }
