--- a/crates/testbed/src/oracle/answers.rs
+++ b/crates/testbed/src/oracle/answers.rs
@@ -1,6 +1,6 @@
 //! Each request gets one final answer, in time.
 
-use super::{Broken, Seen, Sent};
+use super::{Broken, Observations, Sent};
 use crate::record::{seconds, TryId, What};
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 
 /// What the client saw at the end of a try.
 #[derive(Default)]
-struct End {
+struct TryEnd {
     answers: u32,
     extra: bool,
     answered: Option<Time>,
@@ -17,9 +17,9 @@
     left: Option<Time>,
 }
 
-pub(super) fn check(seen: &Seen) -> Vec<Broken> {
-    let mut ends: HashMap<TryId, End> = HashMap::new();
-    for r in seen.records {
+pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+    let mut ends: HashMap<TryId, TryEnd> = HashMap::new();
+    for r in observations.records {
         let Some(id) = r.id() else { continue };
         match r.what {
             What::Answered { .. } => {
@@ -37,8 +37,8 @@
             _ => {}
         }
     }
-    let slack = Micros::from_secs(seen.plan.experiment.rules.answer_slack_ms / 1e3);
-    let mut asked: Vec<_> = seen.asked.iter().collect();
+    let slack = Micros::from_secs(observations.plan.experiment.rules.answer_slack_ms / 1e3);
+    let mut asked: Vec<_> = observations.asked.iter().collect();
     asked.sort();
     let mut out = Vec::new();
     for (id, Sent { at: sent, proxy, left }) in asked {
@@ -52,14 +52,14 @@
             }
             let (after, sent) = (seconds(Time((at - *sent).0)), seconds(*sent));
             format!("answered {after} after it was sent, at {sent} to proxy {proxy} with {left:?} left")
-        } else if let Some((at, crossed)) = end.broke {
-            if crossed || seen.excused(*proxy, *sent, at) {
+        } else if let Some((at, close_crossed)) = end.broke {
+            if close_crossed || observations.excused(*proxy, *sent, at) {
                 continue;
             }
             format!("proxy {proxy} ended the connection without an answer")
         } else {
             let until = end.left.unwrap_or(Time(u64::MAX));
-            if until <= due || seen.excused(*proxy, *sent, until) {
+            if until <= due || observations.excused(*proxy, *sent, until) {
                 continue;
             }
             format!("proxy {proxy} never answered")
--- a/crates/testbed/src/oracle/cold.rs
+++ b/crates/testbed/src/oracle/cold.rs
@@ -1,15 +1,15 @@
 //! A backend that has just started is not overloaded.
 
-use super::{Broken, Seen};
+use super::{Broken, Observations};
 use crate::record::What;
 
 const NAME: &str = "cold budget kept";
 /// Number of requests of mean work that are tolerated above the limit, as work is random.
 const SLACK: f64 = 4.0;
 
-pub(super) fn check(seen: &Seen) -> Vec<Broken> {
-    let slack = SLACK * seen.plan.experiment.mean_work();
-    let over = seen.records.iter().filter_map(|r| match r.what {
+pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+    let slack = SLACK * observations.plan.experiment.mean_work();
+    let over = observations.records.iter().filter_map(|r| match r.what {
         What::Pressure { backend, sent, bears } if sent > bears + slack => {
             let text = format!(
                 "backend {backend} was sent {sent:.3} core-s in a window in which it bears {bears:.3}"
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,6 +1,6 @@
 //! A backend that drains, was removed from the list or is cordoned gets no new requests after the grace time.
 
-use super::{Broken, Seen};
+use super::{Broken, Observations};
 use crate::record::{seconds, What};
 use crate::world::discovery::Status;
 use lotusdeck_policy::{Micros, Time};
@@ -8,21 +8,23 @@
 
 const NAME: &str = "drains are kept";
 /// Time allowed from the first byte that the proxy sends to the last one that the backend reads.
-const WAY: Micros = Micros(50_000);
+const TRANSIT_TIME: Micros = Micros(50_000);
 
-pub(super) fn check(seen: &Seen) -> Vec<Broken> {
-    let grace = Micros((seen.plan.experiment.rules.drain_grace_ms * 1e3) as u64 + WAY.0);
+pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+    let grace = Micros((observations.plan.experiment.rules.drain_grace_ms * 1e3) as u64 + TRANSIT_TIME.0);
     // Since when the list (`false`) or the operators (`true`) forbid new requests, by proxy and backend.
-    let mut barred: HashMap<(usize, usize, bool), Time> = HashMap::new();
+    let mut forbidden_since: HashMap<(usize, usize, bool), Time> = HashMap::new();
     let mut out = Vec::new();
-    for r in seen.records {
-        let (key, bar) = match r.what {
+    for r in observations.records {
+        let (key, forbidden) = match r.what {
             What::Told { proxy, backend, status } => ((proxy, backend, false), status != Status::Serving),
             What::Cordoned { proxy, backend, out } => ((proxy, backend, true), out),
             What::Began { id, backend } => {
-                let Some(sent) = seen.asked.get(&id) else { continue };
+                let Some(sent) = observations.asked.get(&id) else { continue };
                 for by_operators in [false, true] {
-                    let Some(since) = barred.get(&(sent.proxy, backend, by_operators)) else { continue };
+                    let Some(since) = forbidden_since.get(&(sent.proxy, backend, by_operators)) else {
+                        continue;
+                    };
                     if r.at > *since + grace {
                         let who = if by_operators { "operators" } else { "the list" };
                         let late = seconds(Time((r.at - *since).0));
@@ -34,10 +36,10 @@
             }
             _ => continue,
         };
-        if bar {
-            barred.entry(key).or_insert(r.at);
+        if forbidden {
+            forbidden_since.entry(key).or_insert(r.at);
         } else {
-            barred.remove(&key);
+            forbidden_since.remove(&key);
         }
     }
     out
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -23,7 +23,7 @@
 }
 
 /// The input of all oracles: the plan, the records, and indexes of them.
-pub struct Seen<'a> {
+pub struct Observations<'a> {
     /// The plan of the run.
     pub plan: &'a Plan,
     /// The records, ordered by time.
@@ -34,9 +34,9 @@
     turns: Vec<(Time, usize, Turn)>,
 }
 
-impl<'a> Seen<'a> {
+impl<'a> Observations<'a> {
     /// Indexes `records`, which must be ordered by time.
-    pub fn new(plan: &'a Plan, records: &'a [Record]) -> Seen<'a> {
+    pub fn new(plan: &'a Plan, records: &'a [Record]) -> Observations<'a> {
         let (mut asked, mut turns) = (HashMap::new(), Vec::new());
         for r in records {
             match r.what {
@@ -47,7 +47,7 @@
                 _ => {}
             }
         }
-        Seen { plan, records, asked, turns }
+        Observations { plan, records, asked, turns }
     }
 
     /// Returns the class of a try; `None` if the plan does not contain its arrival.
@@ -59,20 +59,20 @@
     /// Returns whether a proxy need not answer a try sent at `from` whose client saw the end at `to`: it was
     /// killed in between, or at `from` was dead or had been told to stop at least 700 ms earlier.
     fn excused(&self, proxy: usize, from: Time, to: Time) -> bool {
-        let near = Micros(5_000); // tolerance between the driver's record of a kill and its effect on the sockets
+        let tolerance = Micros(5_000); // between the driver's record of a kill and its effect on the sockets
         let turns = self.turns.iter().filter(|t| t.1 == proxy);
-        let mut over = false;
+        let mut down = false;
         for (at, _, turn) in turns {
             match turn {
-                Turn::Killed if *at + near >= from && *at <= to + near => return true,
+                Turn::Killed if *at + tolerance >= from && *at <= to + tolerance => return true,
                 // The socket of a killed process still accepts connections for some milliseconds.
-                Turn::Killed => over = from >= *at,
-                Turn::Stopping => over = from >= *at + Micros(700_000),
-                Turn::Ready if *at <= from => over = false,
+                Turn::Killed => down = from >= *at,
+                Turn::Stopping => down = from >= *at + Micros(700_000),
+                Turn::Ready if *at <= from => down = false,
                 _ => {}
             }
         }
-        over
+        down
     }
 }
 
@@ -90,9 +90,9 @@
 
 /// Returns all violations, grouped by oracle.
 pub fn judge(plan: &Plan, records: &[Record]) -> Vec<Broken> {
-    let seen = Seen::new(plan, records);
+    let observations = Observations::new(plan, records);
     let oracles = [answers::check, repeats::check, drains::check, cold::check, unaltered::check];
-    oracles.iter().flat_map(|check| check(&seen)).collect()
+    oracles.iter().flat_map(|check| check(&observations)).collect()
 }
 
 /// Lists all records of a try's arrival, one per line.
@@ -109,9 +109,11 @@
 /// Counts the requests whose connection broke because their proxy was killed or stopped. The oracles do not count
 /// them as lost.
 pub fn lost_with_proxies(plan: &Plan, records: &[Record]) -> usize {
-    let seen = Seen::new(plan, records);
+    let observations = Observations::new(plan, records);
     let broke = |r: &&Record| match r.what {
-        What::Broke { id, .. } => seen.asked.get(&id).is_some_and(|s| seen.excused(s.proxy, s.at, r.at)),
+        What::Broke { id, .. } => {
+            observations.asked.get(&id).is_some_and(|s| observations.excused(s.proxy, s.at, r.at))
+        }
         _ => false,
     };
     records.iter().filter(broke).count()
--- a/crates/testbed/src/oracle/repeats.rs
+++ b/crates/testbed/src/oracle/repeats.rs
@@ -1,21 +1,21 @@
 //! A single-shot request is not sent again after it may have run, and is then not answered with a status that
 //! invites a repeat.
 
-use super::{Broken, Seen};
+use super::{Broken, Observations};
 use crate::experiment::Effect;
 use crate::record::{How, TryId, What};
 use std::collections::HashMap;
 
 const NAME: &str = "nothing runs twice";
 
-pub(super) fn check(seen: &Seen) -> Vec<Broken> {
-    let single = |id: TryId| seen.class(id).is_some_and(|c| c.effect == Effect::SingleShot);
+pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+    let is_single_shot = |id: TryId| observations.class(id).is_some_and(|c| c.effect == Effect::SingleShot);
     // How often a try has begun at a backend, without those that the backend rejected.
-    let mut ran: HashMap<TryId, u32> = HashMap::new();
+    let mut runs: HashMap<TryId, u32> = HashMap::new();
     let mut out = Vec::new();
-    for r in seen.records {
-        let Some(id) = r.id().filter(|id| single(*id)) else { continue };
-        let count = ran.entry(id).or_default();
+    for r in observations.records {
+        let Some(id) = r.id().filter(|id| is_single_shot(*id)) else { continue };
+        let count = runs.entry(id).or_default();
         match r.what {
             What::Began { backend, .. } => {
                 *count += 1;
--- a/crates/testbed/src/oracle/unaltered.rs
+++ b/crates/testbed/src/oracle/unaltered.rs
@@ -1,16 +1,16 @@
 //! Backends receive exactly the requests that clients sent, and clients exactly the answers that backends gave.
 
-use super::{Broken, Seen};
+use super::{Broken, Observations};
 use crate::record::What;
 
 const NAME: &str = "nothing altered";
 
-pub(super) fn check(seen: &Seen) -> Vec<Broken> {
-    let altered = seen.records.iter().filter_map(|r| {
+pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+    let altered = observations.records.iter().filter_map(|r| {
         let text = match &r.what {
             What::Foreign { backend, text } => format!("backend {backend} was sent {text}"),
             What::Answered { status: 200, own: false, .. } => "served with another body".to_string(),
-            What::Began { id, .. } if !seen.asked.contains_key(id) => {
+            What::Began { id, .. } if !observations.asked.contains_key(id) => {
                 "it reached a backend, but no client sent it".into()
             }
             _ => return None,
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -47,13 +47,13 @@
 
 /// The course of one arrival.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct ArrivalResult {
     asked: Option<Time>,
     /// When it last reached a backend.
     began: Option<Time>,
     served: Option<Time>,
     refused: Option<bool>,
-    hurt: bool,
+    lost_attempt: bool,
 }
 
 /// The health of the backends and their cores in service, according to the plan's acts.
@@ -64,7 +64,7 @@
 
 impl Cores {
     fn act(&mut self, plan: &Plan, act: &Act) {
-        let (whom, health) = match act {
+        let (which, health) = match act {
             Act::Kill(w) | Act::Remove(w) => (w, Health::Down),
             Act::Drain(w) => (w, Health::Draining),
             Act::Start(w) => (w, Health::Up),
@@ -72,10 +72,10 @@
             Act::Cordon(w, out) => (w, if *out { Health::Draining } else { Health::Up }),
             _ => return,
         };
-        for &b in whom {
+        for &b in which {
             let cores = plan.fleet[b].build.cores;
-            let was = self.health[b] == Health::Up;
-            self.serving += cores * (f64::from(health == Health::Up) - f64::from(was));
+            let was_up = self.health[b] == Health::Up;
+            self.serving += cores * (f64::from(health == Health::Up) - f64::from(was_up));
             self.health[b] = health;
         }
     }
@@ -84,50 +84,50 @@
 impl Losses {
     /// Computes the losses of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> Losses {
-        let mut fates = vec![Fate::default(); plan.arrivals.len()];
+        let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let serving = plan.fleet.iter().map(|b| b.build.cores).sum();
         let mut cores = Cores { health: vec![Health::Up; plan.fleet.len()], serving };
         let mut acts = plan.acts.iter().peekable();
         // Requests at backends, by arrival, try and backend.
-        let mut there: HashMap<(u32, u32, usize), u32> = HashMap::new();
+        let mut at_backends: HashMap<(u32, u32, usize), u32> = HashMap::new();
         let (mut held, mut reached, mut used) = (0u64, 0u64, 0u64);
         for r in &outcome.records {
             while let Some((_, act)) = acts.next_if(|(at, _)| *at <= r.at) {
                 cores.act(plan, act);
             }
             let Some(id) = r.id() else { continue };
-            let Some(fate) = fates.get_mut(id.arrival as usize) else { continue };
+            let Some(result) = results.get_mut(id.arrival as usize) else { continue };
             match r.what {
-                What::Asked { .. } => fate.asked = fate.asked.or(Some(r.at)),
+                What::Asked { .. } => result.asked = result.asked.or(Some(r.at)),
                 What::Began { backend, .. } => {
-                    *there.entry((id.arrival, id.no, backend)).or_default() += 1;
+                    *at_backends.entry((id.arrival, id.no, backend)).or_default() += 1;
                     (held, reached) = (held + 1, reached + 1);
-                    fate.began = Some(r.at);
+                    result.began = Some(r.at);
                 }
                 What::Ended { backend, how, .. } => {
-                    if there.remove(&(id.arrival, id.no, backend)).is_some() {
+                    if at_backends.remove(&(id.arrival, id.no, backend)).is_some() {
                         held = held.saturating_sub(1);
                     }
-                    fate.hurt |= matches!(how, How::Died | How::TurnedAway | How::Withdrawn);
+                    result.lost_attempt |= matches!(how, How::Died | How::TurnedAway | How::Withdrawn);
                     reached -= u64::from(how == How::TurnedAway && reached > 0);
                 }
                 What::Answered { status: 200, own: true, .. } => {
-                    used += u64::from(fate.served.is_none());
-                    fate.served = fate.served.or(Some(r.at));
+                    used += u64::from(result.served.is_none());
+                    result.served = result.served.or(Some(r.at));
                 }
                 What::Answered { status, .. } => {
                     let room = (held as f64) < cores.serving;
-                    fate.refused = matches!(status, 429 | 503).then_some(room);
+                    result.refused = matches!(status, 429 | 503).then_some(room);
                 }
                 _ => {}
             }
         }
         let mut out = Losses::default();
         let mut asked = 0.0;
-        for (arrival, fate) in plan.arrivals.iter().zip(&fates) {
+        for (arrival, result) in plan.arrivals.iter().zip(&results) {
             let class = &plan.experiment.class[arrival.class];
             asked += class.worth;
-            let Some((cause, lost)) = judge(class, arrival.at, fate) else { continue };
+            let Some((cause, lost)) = judge(class, arrival.at, result) else { continue };
             let at = CAUSES.iter().position(|c| c.0 == cause).unwrap_or(0);
             out.by_cause[at] += lost;
         }
@@ -138,18 +138,18 @@
 }
 
 /// Returns why an arrival earned less than its worth, and the worth lost; `None` when it was served in time.
-fn judge(class: &crate::experiment::Class, due: Time, fate: &Fate) -> Option<(Cause, f64)> {
-    if let Some(at) = fate.served {
+fn judge(class: &crate::experiment::Class, due: Time, result: &ArrivalResult) -> Option<(Cause, f64)> {
+    if let Some(at) = result.served {
         if (at - due).0 as f64 <= class.aim_ms * 1e3 {
             return None;
         }
         // All the time before it reached the backend that served it was spent waiting at clients and proxies.
-        let there = fate.began.map_or(0, |began| (at - began).0);
-        let cause = if (at - due).0 > 2 * there { Cause::Held } else { Cause::Slow };
+        let at_backend = result.began.map_or(0, |began| (at - began).0);
+        let cause = if (at - due).0 > 2 * at_backend { Cause::Held } else { Cause::Slow };
         return Some((cause, class.worth * (1.0 - class.late_worth)));
     }
-    let cause = match fate.refused {
-        _ if fate.began.is_some() || fate.hurt => Cause::LostAtBackend,
+    let cause = match result.refused {
+        _ if result.began.is_some() || result.lost_attempt => Cause::LostAtBackend,
         Some(true) => Cause::RefusedWithRoom,
         Some(false) => Cause::RefusedFull,
         None => Cause::Unanswered,
--- a/crates/testbed/src/report/compare.rs
+++ b/crates/testbed/src/report/compare.rs
@@ -46,8 +46,8 @@
     let mut line = |name: &str, of: &dyn Fn(&Figures) -> f64| {
         let left: Vec<f64> = pairs.iter().map(|p| of(p.0)).collect();
         let right: Vec<f64> = pairs.iter().map(|p| of(p.1)).collect();
-        let apart: Vec<f64> = left.iter().zip(&right).map(|(x, y)| y - x).collect();
-        let (mean, half) = interval(&apart);
+        let differences: Vec<f64> = left.iter().zip(&right).map(|(x, y)| y - x).collect();
+        let (mean, half) = interval(&differences);
         let (x, y) = (interval(&left).0, interval(&right).0);
         let width = half.map_or("one pair: none".into(), |h| format!("{:+.4} to {:+.4}", mean - h, mean + h));
         let _ = writeln!(out, "{name:<20} {x:>12.4} {y:>12.4} {mean:>+12.4} {width:>22}");
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Delay of first tries at the 99th percentile, in ms, above which the figures are void.
-const MOST_LATE_MS: f64 = 20.0;
+const MAX_LATE_MS: f64 = 20.0;
 
 /// Percentiles of a time, in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -111,27 +111,27 @@
 
 /// The result of one arrival.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct ArrivalResult {
     served: Option<Time>,
     refused: bool,
 }
 
-struct Counting {
+struct TallyBuilder {
     tally: Tally,
     latency: Histogram<u64>,
 }
 
-impl Counting {
-    fn new(name: String) -> Counting {
+impl TallyBuilder {
+    fn new(name: String) -> TallyBuilder {
         let latency = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds in order");
-        Counting { tally: Tally { name, ..Tally::default() }, latency }
+        TallyBuilder { tally: Tally { name, ..Tally::default() }, latency }
     }
 
-    fn add(&mut self, class: &crate::experiment::Class, due: Time, fate: Fate) {
+    fn add(&mut self, class: &crate::experiment::Class, due: Time, result: ArrivalResult) {
         let t = &mut self.tally;
         t.arrivals += 1;
         t.asked += class.worth;
-        match fate.served {
+        match result.served {
             Some(at) => {
                 let took = (at - due).0;
                 let in_time = took as f64 <= class.aim_ms * 1e3;
@@ -139,12 +139,12 @@
                 *(if in_time { &mut t.in_time } else { &mut t.late }) += 1;
                 self.latency.saturating_record(took.max(1));
             }
-            None if fate.refused => t.refused += 1,
+            None if result.refused => t.refused += 1,
             None => t.failed += 1,
         }
     }
 
-    fn done(mut self) -> Tally {
+    fn finish(mut self) -> Tally {
         self.tally.latency_ms = Spread::of(&self.latency);
         self.tally
     }
@@ -153,34 +153,35 @@
 impl Figures {
     /// Computes the figures and the violations of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Broken>) {
-        let mut fates = vec![Fate::default(); plan.arrivals.len()];
+        let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let (mut sent, mut reached) = (0u64, 0u64);
         for r in &outcome.records {
-            let Some(fate) = r.id().and_then(|id| fates.get_mut(id.arrival as usize)) else { continue };
+            let Some(result) = r.id().and_then(|id| results.get_mut(id.arrival as usize)) else { continue };
             match r.what {
                 What::Asked { .. } => sent += 1,
                 What::Ended { how: How::TurnedAway, .. } => {}
                 What::Began { .. } => reached += 1,
                 What::Answered { status, own, .. } => {
                     if status == 200 && own {
-                        fate.served = fate.served.or(Some(r.at));
+                        result.served = result.served.or(Some(r.at));
                     }
-                    fate.refused = matches!(status, 429 | 503);
+                    result.refused = matches!(status, 429 | 503);
                 }
                 _ => {}
             }
         }
         let e = &plan.experiment;
-        let mut whole = Counting::new("all".into());
-        let mut classes: Vec<Counting> = e.class.iter().map(|c| Counting::new(c.name.clone())).collect();
+        let mut whole = TallyBuilder::new("all".into());
+        let mut classes: Vec<TallyBuilder> =
+            e.class.iter().map(|c| TallyBuilder::new(c.name.clone())).collect();
         let count = e.duration_s.ceil() as usize;
-        let mut seconds: Vec<Counting> = (0..count).map(|s| Counting::new(s.to_string())).collect();
+        let mut seconds: Vec<TallyBuilder> = (0..count).map(|s| TallyBuilder::new(s.to_string())).collect();
         let until = outcome.cut.unwrap_or(Time(u64::MAX));
-        for (arrival, fate) in plan.arrivals.iter().zip(&fates).filter(|(a, _)| a.at < until) {
+        for (arrival, result) in plan.arrivals.iter().zip(&results).filter(|(a, _)| a.at < until) {
             let class = &e.class[arrival.class];
             let second = ((arrival.at.0 / 1_000_000) as usize).min(count - 1);
-            for counting in [&mut whole, &mut classes[arrival.class], &mut seconds[second]] {
-                counting.add(class, arrival.at, *fate);
+            for builder in [&mut whole, &mut classes[arrival.class], &mut seconds[second]] {
+                builder.add(class, arrival.at, *result);
             }
         }
         let broken = judge(plan, &outcome.records);
@@ -192,17 +193,17 @@
             }
         }
         let late = Spread::of(&outcome.late);
-        let void = (late.p99 > MOST_LATE_MS).then(|| {
+        let void = (late.p99 > MAX_LATE_MS).then(|| {
             format!("the lab was too slow for its own schedule: first tries {:.0} ms late at the 99th percentile, {:.0} ms at most", late.p99, late.max)
         });
         let void = outcome.cut.map(|at| format!("ended by hand at {}", crate::record::seconds(at))).or(void);
-        let cpu: f64 = (0..e.proxies).filter_map(|p| cpu(&outcome.samples, p, 0.0, f64::MAX)).sum();
+        let cpu: f64 = (0..e.proxies).filter_map(|p| cpu_seconds(&outcome.samples, p, 0.0, f64::MAX)).sum();
         let figures = Figures {
             seed: plan.seed,
             plan_hash: format!("{:016x}", plan.hash),
-            whole: whole.done(),
-            classes: classes.into_iter().map(Counting::done).collect(),
-            seconds: seconds.into_iter().map(Counting::done).collect(),
+            whole: whole.finish(),
+            classes: classes.into_iter().map(TallyBuilder::finish).collect(),
+            seconds: seconds.into_iter().map(TallyBuilder::finish).collect(),
             attempts: reached as f64 / sent.max(1) as f64,
             cpu_us: cpu * 1e6 / sent.max(1) as f64,
             proxies: (0..e.proxies).map(|p| quarters(&outcome.samples, p, e.duration_s)).collect(),
@@ -216,7 +217,7 @@
 }
 
 /// Returns the processor seconds that a proxy used between two times, by its samples.
-fn cpu(samples: &[Sample], proxy: usize, from: f64, to: f64) -> Option<f64> {
+fn cpu_seconds(samples: &[Sample], proxy: usize, from: f64, to: f64) -> Option<f64> {
     let mut inside = samples.iter().filter(|s| s.proxy == proxy && s.at_s >= from && s.at_s < to);
     let first = inside.next()?;
     let last = inside.next_back().unwrap_or(first);
@@ -228,7 +229,7 @@
         let (from, to) = (duration * q as f64 / 4.0, duration * (q + 1) as f64 / 4.0);
         let inside = || samples.iter().filter(|s| s.proxy == proxy && s.at_s >= from && s.at_s < to);
         Quarter {
-            cores: cpu(samples, proxy, from, to).unwrap_or(0.0) / (duration / 4.0),
+            cores: cpu_seconds(samples, proxy, from, to).unwrap_or(0.0) / (duration / 4.0),
             memory_mb: inside().map(|s| s.usage.memory).max().unwrap_or(0) as f64 / 1e6,
             descriptors: inside().map(|s| s.usage.descriptors).max().unwrap_or(0),
         }
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -12,7 +12,7 @@
 const SIZE: (u32, u32) = (900, 240);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 /// A line of a plot.
 struct Line {
@@ -32,7 +32,7 @@
     svg
 }
 
-fn draw(area: &Area, title: &str, end: f64, marks: &[f64], lines: &[Line]) -> Drawn {
+fn draw(area: &Area, title: &str, end: f64, marks: &[f64], lines: &[Line]) -> DrawResult {
     let top = lines.iter().flat_map(|l| &l.points).map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.08;
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(area)
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -33,23 +33,23 @@
 
 /// Returns the power, relative to the mean, that the strongest of `periods` periods exceeds by chance alone in one
 /// run of twenty (Fisher, 1929).
-fn stands_out(periods: usize) -> f64 {
+fn noise_threshold(periods: usize) -> f64 {
     (periods as f64 / 0.05).ln()
 }
 
 /// Returns the strongest period of a series, in seconds, and its power relative to the mean; `None` where it does
 /// not exceed chance.
-fn strongest(series: &[f64]) -> Option<(f64, f64)> {
+fn strongest_period(series: &[f64]) -> Option<(f64, f64)> {
     let n = series.len();
     let mean = series.iter().sum::<f64>() / n.max(1) as f64;
     // Periods from two intervals to a third of the series; anything slower is a trend.
     let powers: Vec<(usize, f64)> = (3..n / 2)
         .map(|k| {
-            let turn = std::f64::consts::TAU * k as f64 / n as f64;
+            let step = std::f64::consts::TAU * k as f64 / n as f64;
             let (mut re, mut im) = (0.0, 0.0);
             for (t, x) in series.iter().enumerate() {
-                re += (x - mean) * (turn * t as f64).cos();
-                im += (x - mean) * (turn * t as f64).sin();
+                re += (x - mean) * (step * t as f64).cos();
+                im += (x - mean) * (step * t as f64).sin();
             }
             (k, re * re + im * im)
         })
@@ -57,7 +57,7 @@
     let all = powers.iter().map(|p| p.1).sum::<f64>() / powers.len().max(1) as f64;
     let (k, most) = powers.iter().copied().max_by(|a, b| a.1.total_cmp(&b.1))?;
     let power = most / all.max(1e-12);
-    (power > stands_out(powers.len())).then(|| (n as f64 * BIN.secs() / k as f64, power))
+    (power > noise_threshold(powers.len())).then(|| (n as f64 * BIN.secs() / k as f64, power))
 }
 
 /// Computes the swing of each kind from `from_s` seconds on.
@@ -98,19 +98,19 @@
         let deviation = (shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / n).sqrt();
         let chance = totals.iter().map(|(_, all)| mean * (1.0 - mean) / all.max(1.0)).sum::<f64>() / n;
         // How far each proxy is from the mean share, in requests.
-        let (mut together, mut apart) = (0.0, 0.0);
+        let (mut joint, mut separate) = (0.0, 0.0);
         for bin in &counts {
             let off = |p: &Vec<f64>| p[k] - mean * p.iter().sum::<f64>();
-            together += bin.iter().map(off).sum::<f64>().powi(2);
-            apart += bin.iter().map(|p| off(p).powi(2)).sum::<f64>();
+            joint += bin.iter().map(off).sum::<f64>().powi(2);
+            separate += bin.iter().map(|p| off(p).powi(2)).sum::<f64>();
         }
         Swing {
             kind: kind.name.clone(),
             mean,
             deviation,
             chance: chance.sqrt(),
-            in_step: together / f64::max(apart, 1e-9),
-            period: strongest(&shares),
+            in_step: joint / f64::max(separate, 1e-9),
+            period: strongest_period(&shares),
             shares,
         }
     };
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -38,13 +38,14 @@
     }
     let _ = writeln!(out, "{:.3} attempts for each request, {:.0} us of processor", f.attempts, f.cpu_us);
     for (p, quarters) in f.proxies.iter().enumerate() {
-        let most = |of: &dyn Fn(&super::figures::Quarter) -> f64| quarters.iter().map(of).fold(0.0, f64::max);
+        let max_of =
+            |of: &dyn Fn(&super::figures::Quarter) -> f64| quarters.iter().map(of).fold(0.0, f64::max);
         let _ = writeln!(
             out,
             "proxy {p}: at most {:.2} cores, {:.1} MB, {} descriptors",
-            most(&|q| q.cores),
-            most(&|q| q.memory_mb),
-            most(&|q| q.descriptors as f64)
+            max_of(&|q| q.cores),
+            max_of(&|q| q.memory_mb),
+            max_of(&|q| q.descriptors as f64)
         );
     }
     if f.lost_with_proxies > 0 {
