--- a/crates/testbed/src/oracle/answers/tests.rs
+++ b/crates/testbed/src/oracle/answers/tests.rs
@@ -13,9 +13,9 @@
     assert!(broken(&late)[0].1.contains("0.600 s after"));
     let none = [at(0, What::Asked { id: READ, proxy: 0, left: 500_000 }), at(900, What::Left { id: READ })];
     assert!(broken(&none)[0].1.contains("never answered"));
-    assert!(broken(&none[..1])[0].1.contains("never answered"), "the run ended before it");
+    assert!(broken(&none[..1])[0].1.contains("never answered"), "the run ended without an answer");
     let left = [none[0].clone(), at(100, What::Left { id: READ })];
-    assert!(broken(&left).is_empty(), "an impatient client is owed nothing");
+    assert!(broken(&left).is_empty(), "a client that leaves early needs no answer");
 }
 
 /// A broken connection counts as a missing answer, except where the proxy was killed or its close crossed the
@@ -33,8 +33,12 @@
     assert_eq!(with(turn(1, 40, Turn::Killed)), 0);
     let dead = [turn(1, 0, Turn::Killed), at(10, What::Asked { id: READ, proxy: 1, left: 500_000 })];
     let asked_of_the_dead = [dead[0].clone(), dead[1].clone(), broke(false, false)];
-    assert_eq!(broken(&asked_of_the_dead).len(), 0, "its socket outlives it by a moment");
+    assert_eq!(broken(&asked_of_the_dead).len(), 0, "the socket of a killed proxy stays open for a moment");
     assert_eq!(with(turn(0, 40, Turn::Killed)), 1, "another proxy");
-    assert_eq!(with(turn(1, 400, Turn::Killed)), 1, "later");
-    assert_eq!(with(turn(1, 0, Turn::Stopping)), 1, "what comes just after a signal is answered");
+    assert_eq!(with(turn(1, 400, Turn::Killed)), 1, "killed only after the connection broke");
+    assert_eq!(
+        with(turn(1, 0, Turn::Stopping)),
+        1,
+        "a request shortly after the stop signal must be answered"
+    );
 }
--- a/crates/testbed/src/oracle/cold/tests.rs
+++ b/crates/testbed/src/oracle/cold/tests.rs
@@ -4,6 +4,6 @@
 #[test]
 fn an_overloaded_cold_backend_is_reported() {
     let pressure = |sent| vec![at(0, What::Pressure { backend: 1, sent, bears: 1.0 })];
-    assert!(broken(&pressure(1.01)).is_empty(), "chance");
+    assert!(broken(&pressure(1.01)).is_empty(), "within the tolerance for chance");
     assert!(broken(&pressure(1.2))[0].1.contains("backend 1"));
 }
--- a/crates/testbed/src/oracle/drains/tests.rs
+++ b/crates/testbed/src/oracle/drains/tests.rs
@@ -10,10 +10,18 @@
 fn requests_after_the_grace_time_are_reported() {
     let told = |ms, proxy, status| at(ms, What::Told { proxy, backend: 0, status });
     assert_eq!(with(vec![told(100, 0, Status::Draining)]), 1);
-    assert_eq!(with(vec![told(600, 0, Status::Draining)]), 0, "inside the grace");
+    assert_eq!(with(vec![told(600, 0, Status::Draining)]), 0, "within the grace time");
     assert_eq!(with(vec![told(100, 1, Status::Draining)]), 0, "another proxy was told");
-    assert_eq!(with(vec![told(100, 0, Status::Deleted), told(200, 0, Status::Serving)]), 0, "it is back");
+    assert_eq!(
+        with(vec![told(100, 0, Status::Deleted), told(200, 0, Status::Serving)]),
+        0,
+        "the backend is listed as serving again"
+    );
     let cordon = |ms, out| at(ms, What::Cordoned { proxy: 0, backend: 0, out });
-    assert_eq!(with(vec![cordon(100, true), told(200, 0, Status::Serving)]), 1, "the list lifts no ban");
+    assert_eq!(
+        with(vec![cordon(100, true), told(200, 0, Status::Serving)]),
+        1,
+        "the list does not end a cordon"
+    );
     assert_eq!(with(vec![cordon(100, true), cordon(200, false)]), 0);
 }
--- a/crates/testbed/src/world/backend/tests.rs
+++ b/crates/testbed/src/world/backend/tests.rs
@@ -38,7 +38,7 @@
     assert!(near(served(&mut b, 0, 1), 20_000) && near(served(&mut b, 2_000_000, 1), 10_000));
     served(&mut b, 4_000_000, 2);
     served(&mut b, 6_000_000, 3);
-    assert!(near(served(&mut b, 8_000_000, 1), 20_000), "two others have taken its place");
+    assert!(near(served(&mut b, 8_000_000, 1), 20_000), "two other keys have replaced it");
 }
 
 #[test]
