--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 
-/// Longest idle time after which a connection is reused; proxies close idle ones after two seconds.
+/// Longest idle time of a connection that is reused; proxies close idle ones after two seconds.
 const MAX_IDLE: Micros = Micros(1_500_000);
 /// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -153,7 +153,8 @@
             return TryOutcome::Unreached;
         }
         self.log.add(What::Asked { id, proxy, left: left.0 });
-        // An impatient client leaves at once; all others listen beyond the deadline, to see late answers.
+        // An impatient client leaves when its patience ends; all others listen beyond the deadline, to see late
+        // answers.
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
             Err(_) => {
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -196,7 +196,7 @@
             let lag = plan.experiment.discovery.lag_ms / 1e3 * factor;
             service.change(|d| d.lag = Micros::from_secs(lag));
         }
-        // Acts on proxies are carried out by the thread that runs them.
+        // Acts on proxies are carried out by the thread that runs the proxies.
         Act::Cordon(..) | Act::KillProxy(_) | Act::StopProxy(_) | Act::StartProxy(_) | Act::Reload(_) => {}
     }
     Ok(())
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -95,7 +95,7 @@
     oracles.iter().flat_map(|check| check(&observations)).collect()
 }
 
-/// Lists all records of a try's arrival, one per line.
+/// Describes the arrival of a try and lists its records, one per line.
 pub fn timeline(plan: &Plan, records: &[Record], id: TryId) -> String {
     let Some(arrival) = plan.arrivals.get(id.arrival as usize) else { return String::new() };
     let class = &plan.experiment.class[arrival.class].name;
--- a/crates/testbed/src/world/backend.rs
+++ b/crates/testbed/src/world/backend.rs
@@ -124,8 +124,8 @@
         self.station.done()
     }
 
-    /// Counts a new connection and queues its handshake, as TLS would. The handshake takes up capacity like a
-    /// request, but belongs to none.
+    /// Counts a new connection and submits the work of its handshake, as with TLS. That work takes up capacity but
+    /// belongs to no request; a full station drops it.
     pub fn opened(&mut self, now: Time, ticket: Ticket) {
         self.connections += 1;
         let _ = self.station.submit(now, ticket, self.spec.handshake);
