--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -98,12 +98,12 @@
     async fn run_arrival(&self, arrival: u32) {
         let a = &self.plan.arrivals[arrival as usize];
         let class = &self.plan.experiment.class[a.class];
-        let habits = &self.plan.experiment.clients;
+        let client_settings = &self.plan.experiment.clients;
         let deadline = a.at + Micros::from_secs(class.deadline_ms / 1e3);
         let leaves = a.at + a.patience;
-        for no in 0..habits.tries {
+        for no in 0..client_settings.tries {
             let id = TryId { arrival, no };
-            let mut pause = habits.pause_ms / 1e3;
+            let mut pause = client_settings.pause_ms / 1e3;
             match self.make_try(id, deadline, leaves.min(deadline)).await {
                 TryOutcome::Served | TryOutcome::Left => return,
                 TryOutcome::Refused(advice) => pause = advice.unwrap_or(pause),
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -204,26 +204,26 @@
 
 /// Describes an act in words.
 pub fn describe_act(plan: &Plan, act: &Act) -> String {
-    let some = |which: &Vec<usize>| {
-        let names: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
+    let names = |which: &Vec<usize>| {
+        let first: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
         let more = if which.len() > 4 { format!(" and {} more", which.len() - 4) } else { String::new() };
-        format!("{}{more}", names.join(", "))
+        format!("{}{more}", first.join(", "))
     };
     match act {
-        Act::Kill(w) => format!("{} backends die: {}", w.len(), some(w)),
-        Act::Drain(w) => format!("{} backends drain: {}", w.len(), some(w)),
-        Act::Remove(w) => format!("{} backends are off the list: {}", w.len(), some(w)),
-        Act::Start(w) => format!("{} backends start, cold: {}", w.len(), some(w)),
+        Act::Kill(w) => format!("{} backends die: {}", w.len(), names(w)),
+        Act::Drain(w) => format!("{} backends drain: {}", w.len(), names(w)),
+        Act::Remove(w) => format!("{} backends are off the list: {}", w.len(), names(w)),
+        Act::Start(w) => format!("{} backends start, cold: {}", w.len(), names(w)),
         Act::Slow(w, f) if *f < 1.0 => {
-            format!("{} backends keep {:.0} % of their speed: {}", w.len(), f * 100.0, some(w))
+            format!("{} backends keep {:.0} % of their speed: {}", w.len(), f * 100.0, names(w))
         }
-        Act::Slow(w, _) => format!("{} backends have their speed back: {}", w.len(), some(w)),
+        Act::Slow(w, _) => format!("{} backends have their speed back: {}", w.len(), names(w)),
         Act::SharedSlow(f) if *f < 1.0 => format!("all backends keep {:.0} % of their speed", f * 100.0),
         Act::SharedSlow(_) => "all backends have their speed back".into(),
-        Act::Hang(w, true) => format!("{} machines go silent: {}", w.len(), some(w)),
-        Act::Hang(w, false) => format!("{} machines are back: {}", w.len(), some(w)),
-        Act::Cordon(w, true) => format!("operators take {} backends out: {}", w.len(), some(w)),
-        Act::Cordon(w, false) => format!("operators give {} backends back: {}", w.len(), some(w)),
+        Act::Hang(w, true) => format!("{} machines go silent: {}", w.len(), names(w)),
+        Act::Hang(w, false) => format!("{} machines are back: {}", w.len(), names(w)),
+        Act::Cordon(w, true) => format!("operators take {} backends out: {}", w.len(), names(w)),
+        Act::Cordon(w, false) => format!("operators give {} backends back: {}", w.len(), names(w)),
         Act::DiscoveryDown(true) => "discovery is down".into(),
         Act::DiscoveryDown(false) => "discovery is back".into(),
         Act::DiscoveryLag(f) => format!("discovery hears {f} times as late"),
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -59,8 +59,9 @@
     }
 
     fn update_ready(&mut self) {
-        let may = |(id, ready): (&BackendId, &bool)| (*ready && !self.cordoned.contains(id)).then_some(*id);
-        self.ready = self.listed.iter().filter_map(may).collect();
+        let allowed =
+            |(id, ready): (&BackendId, &bool)| (*ready && !self.cordoned.contains(id)).then_some(*id);
+        self.ready = self.listed.iter().filter_map(allowed).collect();
     }
 
     fn choose_backend(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
@@ -125,9 +126,9 @@
         let Some(open) = self.open.get(&id) else { return };
         let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
-        let may = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
+        let allowed = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
         let harmless = free || !open.ran;
-        match if may { self.choose_backend(&tried, global_view) } else { None } {
+        match if allowed { self.choose_backend(&tried, global_view) } else { None } {
             Some(backend) => {
                 self.peers.entry(backend).or_default().held += 1;
                 if let Some(open) = self.open.get_mut(&id) {
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -109,11 +109,11 @@
     /// harmless, a try is left and the client still has patience.
     fn retry(&mut self, id: TryId, harmless: bool, retry_after: Option<f64>) {
         let arrival = &self.plan.arrivals[id.arrival as usize];
-        let habits = &self.plan.experiment.clients;
+        let client_settings = &self.plan.experiment.clients;
         let harmless = harmless || self.plan.experiment.class[arrival.class].effect == Effect::Free;
-        let pause = retry_after.unwrap_or(habits.pause_ms / 1e3);
+        let pause = retry_after.unwrap_or(client_settings.pause_ms / 1e3);
         let at = self.now + Micros::from_secs(pause);
-        if harmless && id.no + 1 < habits.tries && at < arrival.at + arrival.patience {
+        if harmless && id.no + 1 < client_settings.tries && at < arrival.at + arrival.patience {
             self.at(at, Event::Ask(TryId { no: id.no + 1, ..id }));
         }
     }
--- a/crates/testbed/src/virtual_time/gossip.rs
+++ b/crates/testbed/src/virtual_time/gossip.rs
@@ -7,9 +7,9 @@
 impl Simulation<'_> {
     /// Runs a round: sends each proxy what the others had in flight some rounds ago, and schedules the next round.
     pub(super) fn gossip(&mut self) {
-        let talk = &self.plan.experiment.talk;
-        let every = Micros::from_secs(talk.every_ms / 1e3);
-        let rounds_late = (talk.lag_ms / talk.every_ms).ceil() as usize;
+        let settings = &self.plan.experiment.talk;
+        let every = Micros::from_secs(settings.every_ms / 1e3);
+        let rounds_late = (settings.lag_ms / settings.every_ms).ceil() as usize;
         let out = self.proxies.iter().map(|proxy| proxy.in_flight() as f64).collect();
         self.gossip.push_back(out);
         if self.gossip.len() > rounds_late {
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -18,7 +18,7 @@
 mod proxy;
 
 use crate::driver::proxies::configuration;
-use crate::driver::run::Outcome as Ran;
+use crate::driver::run::Outcome as RunOutcome;
 use crate::record::{Record, TryId, Turn, What, LISTEN_ON};
 use crate::world::backend::Backend;
 use crate::world::discovery::Discovery;
@@ -89,11 +89,11 @@
 ///
 /// # Errors
 /// When the experiment does not result in valid settings for a proxy, or the decision module rejects them.
-pub fn play(plan: &Arc<Plan>, policy_choice: PolicyChoice) -> Result<Ran, VirtualError> {
+pub fn play(plan: &Arc<Plan>, policy_choice: PolicyChoice) -> Result<RunOutcome, VirtualError> {
     let mut simulation = Simulation::new(plan, policy_choice)?;
     simulation.run()?;
     let late = Histogram::new(2).expect("two digits");
-    Ok(Ran { records: simulation.records, samples: Vec::new(), late, cut: None })
+    Ok(RunOutcome { records: simulation.records, samples: Vec::new(), late, cut: None })
 }
 
 /// Returns the settings of each proxy. The addresses in them are never used.
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -81,9 +81,9 @@
     /// Sends an attempt over its connection, or ends it where the connection could not be opened or the backend
     /// may no longer receive requests.
     pub(super) fn connected(&mut self, proxy: usize, key: AttemptKey, up: bool) {
-        let Some((flight, id, may)) = self.proxies[proxy].ready(key) else { return };
+        let Some((flight, id, may_send)) = self.proxies[proxy].ready(key) else { return };
         let InFlight { backend, warm, .. } = flight;
-        if !up || !may {
+        if !up || !may_send {
             let outcome = if up { Outcome::NeverSent } else { Outcome::ConnectFailed };
             self.end_attempt(proxy, key, outcome);
             self.pump(proxy);
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -181,8 +181,8 @@
         let flight = *self.in_flight.get(&key)?;
         let live = self.requests.get(&key.0);
         let listed = self.serving.get(&flight.backend).copied().unwrap_or(false);
-        let may = listed && !self.cordoned.contains(&BackendId(flight.backend as u32));
-        Some((flight, live.map_or(TryId { arrival: 0, no: u32::MAX }, |l| l.id), may && live.is_some()))
+        let may_send = listed && !self.cordoned.contains(&BackendId(flight.backend as u32));
+        Some((flight, live.map_or(TryId { arrival: 0, no: u32::MAX }, |l| l.id), may_send && live.is_some()))
     }
 
     pub(super) fn sent(&mut self, key: (RequestId, AttemptNo), ticket: Ticket) {
