--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -1,5 +1,5 @@
-//! Clients on sockets: arrivals at their times whatever became of earlier ones, tries, patience, and the front
-//! that deals them out among the proxies.
+//! Clients on sockets. They start arrivals at their planned times, however earlier ones go, make tries while they
+//! have patience, and distribute them over the proxies.
 
 use super::wire::Link;
 use super::{Clock, Log};
@@ -18,15 +18,15 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 
-/// A kept connection is used again if it rested for less: proxies close theirs after two seconds.
-const FRESH: Micros = Micros(1_500_000);
-/// A connection is up after this time, or never.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Longest idle time of a connection that is reused; proxies close idle ones after two seconds.
+const MAX_IDLE: Micros = Micros(1_500_000);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Front {
     address: SocketAddr,
     idle: Vec<(Time, Link, TryId)>,
-    /// It was found dead and gets no new connections until then.
+    /// Time until which it gets no requests, after it could not be reached.
     shunned: Time,
 }
 
@@ -36,43 +36,43 @@
     clock: Clock,
     log: Log,
     fronts: RefCell<Vec<Front>>,
-    deal: RefCell<RequestDispatcher>,
+    dispatcher: RefCell<RequestDispatcher>,
     open: Cell<usize>,
     idle: Notify,
-    /// How late first tries were sent, in microseconds.
+    /// Delay of first tries behind their planned time, in microseconds.
     late: RefCell<Histogram<u64>>,
 }
 
-/// How a try ended for its client.
-enum Got {
+/// The result of a try, for its client.
+enum TryOutcome {
     Served,
-    /// With the advice on when to come again.
+    /// Holds the advised pause before another try, in seconds.
     Refused(Option<f64>),
     Failed,
-    /// The proxy was not reached: nothing was sent.
+    /// The proxy could not be reached: the request was not sent.
     Unreached,
     Left,
 }
 
 impl Clients {
-    /// Clients of the proxies at these addresses.
+    /// Creates the clients of the proxies at these addresses.
     pub fn new(plan: Arc<Plan>, clock: Clock, log: Log, proxies: &[SocketAddr]) -> Rc<Clients> {
         let front = |address: &SocketAddr| Front { address: *address, idle: Vec::new(), shunned: Time(0) };
         let late = Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds in order");
-        let deal = RequestDispatcher::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
+        let dispatcher = RequestDispatcher::new(proxies.len(), plan.experiment.clients.skew, plan.seed);
         Rc::new(Clients {
             plan,
             clock,
             log,
             fronts: RefCell::new(proxies.iter().map(front).collect()),
-            deal: RefCell::new(deal),
+            dispatcher: RefCell::new(dispatcher),
             open: Cell::new(0),
             idle: Notify::new(),
             late: RefCell::new(late),
         })
     }
 
-    /// Plays all arrivals and waits for the last of them.
+    /// Starts all arrivals, waits until all have ended, and returns the delays of first tries.
     pub async fn play(self: Rc<Self>) -> Histogram<u64> {
         for (n, arrival) in self.plan.arrivals.iter().enumerate() {
             if arrival.at > self.clock.now() {
@@ -81,11 +81,11 @@
             let late = self.clock.now() - arrival.at;
             self.late.borrow_mut().saturating_record(late.0.max(1));
             self.open.set(self.open.get() + 1);
-            let one = self.clone();
+            let clients = self.clone();
             tokio::task::spawn_local(async move {
-                one.want(n as u32).await;
-                one.open.set(one.open.get() - 1);
-                one.idle.notify_one();
+                clients.run_arrival(n as u32).await;
+                clients.open.set(clients.open.get() - 1);
+                clients.idle.notify_one();
             });
         }
         while self.open.get() > 0 {
@@ -94,22 +94,22 @@
         self.late.borrow().clone()
     }
 
-    /// One thing that a client wants, with all its tries.
-    async fn want(&self, arrival: u32) {
+    /// Makes the tries of one arrival.
+    async fn run_arrival(&self, arrival: u32) {
         let a = &self.plan.arrivals[arrival as usize];
         let class = &self.plan.experiment.class[a.class];
-        let habits = &self.plan.experiment.clients;
+        let client_settings = &self.plan.experiment.clients;
         let deadline = a.at + Micros::from_secs(class.deadline_ms / 1e3);
         let leaves = a.at + a.patience;
-        for no in 0..habits.tries {
+        for no in 0..client_settings.tries {
             let id = TryId { arrival, no };
-            let mut pause = habits.pause_ms / 1e3;
-            match self.once(id, deadline, leaves.min(deadline)).await {
-                Got::Served | Got::Left => return,
-                Got::Refused(advice) => pause = advice.unwrap_or(pause),
-                Got::Unreached => {}
-                Got::Failed if class.effect == Effect::Free => {}
-                Got::Failed => return,
+            let mut pause = client_settings.pause_ms / 1e3;
+            match self.make_try(id, deadline, leaves.min(deadline)).await {
+                TryOutcome::Served | TryOutcome::Left => return,
+                TryOutcome::Refused(advice) => pause = advice.unwrap_or(pause),
+                TryOutcome::Unreached => {}
+                TryOutcome::Failed if class.effect == Effect::Free => {}
+                TryOutcome::Failed => return,
             }
             let again = self.clock.now() + Micros::from_secs(pause);
             if again >= leaves {
@@ -119,17 +119,17 @@
         }
     }
 
-    async fn once(&self, id: TryId, deadline: Time, leaves: Time) -> Got {
+    async fn make_try(&self, id: TryId, deadline: Time, leaves: Time) -> TryOutcome {
         let a = &self.plan.arrivals[id.arrival as usize];
         let class = &self.plan.experiment.class[a.class];
-        let proxy = self.deal();
+        let proxy = self.next_proxy();
         let (mut link, reused) = match self.connect(proxy).await {
             Some(got) => got,
             None => {
                 self.log.add(Observation::Unreached { id, proxy });
                 self.fronts.borrow_mut()[proxy].shunned =
                     self.clock.now() + Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
-                return Got::Unreached;
+                return TryOutcome::Unreached;
             }
         };
         let left = deadline - self.clock.now();
@@ -150,19 +150,20 @@
         request.extend_from_slice(&sent);
         if link.write(&request).await.is_err() {
             self.log.add(Observation::Unreached { id, proxy });
-            return Got::Unreached;
+            return TryOutcome::Unreached;
         }
         self.log.add(Observation::Asked { id, proxy, left: left.0 });
-        // One who left early is gone; all others listen on for a while, to see what came late.
+        // An impatient client leaves when its patience ends; all others listen beyond the deadline, to see late
+        // answers.
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
             Err(_) => {
                 self.log.add(Observation::Left { id });
-                return Got::Left;
+                return TryOutcome::Left;
             }
             Ok(Err(_)) => {
                 self.log.add(Observation::Broke { id, reused, begun: link.ahead() });
-                return Got::Failed;
+                return TryOutcome::Failed;
             }
             Ok(Ok(answer)) => answer,
         };
@@ -179,16 +180,16 @@
             self.fronts.borrow_mut()[proxy].idle.push((self.clock.now(), link, id));
         }
         match answer.status {
-            200 => Got::Served,
-            429 | 503 => Got::Refused(answer.retry_after),
-            _ => Got::Failed,
+            200 => TryOutcome::Served,
+            429 | 503 => TryOutcome::Refused(answer.retry_after),
+            _ => TryOutcome::Failed,
         }
     }
 
-    /// The next proxy that is not held for dead; any, where all are.
-    fn deal(&self) -> usize {
+    /// Returns the proxy for the next try, skipping shunned ones unless all are.
+    fn next_proxy(&self) -> usize {
         let (fronts, now) = (self.fronts.borrow(), self.clock.now());
-        self.deal.borrow_mut().next(|p| fronts[p].shunned > now)
+        self.dispatcher.borrow_mut().next(|p| fronts[p].shunned > now)
     }
 
     async fn connect(&self, proxy: usize) -> Option<(Link, bool)> {
@@ -196,13 +197,13 @@
             let kept = self.fronts.borrow_mut()[proxy].idle.pop();
             let Some((since, mut link, last)) = kept else { break };
             match link.poll_read() {
-                None if self.clock.now() - since < FRESH => return Some((link, true)),
+                None if self.clock.now() - since < MAX_IDLE => return Some((link, true)),
                 Some(super::wire::ReadEvent::Bytes) => self.log.add(Observation::Extra { id: last }),
                 _ => {}
             }
         }
         let address = self.fronts.borrow()[proxy].address;
-        let tcp = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+        let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         Some((Link::new(tcp), false))
     }
 }
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet on sockets: every backend listens, reads requests and answers when its station is through with them.
+//! The fleet on sockets: every backend listens, reads requests, and answers each when its station has finished the
+//! work.
 
 use super::wire::{listen, Link, ReadEvent, Request, Reserved};
 use super::{Clock, Log};
@@ -16,19 +17,19 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::task::AbortHandle;
 
-/// A machine that is silent, or a process that ends: its connections go with it.
-type Life = (u64, bool);
+/// How often a backend's connections have been reset, and whether its machine hangs.
+type Liveness = (u64, bool);
 
 struct Slot {
     model: Backend,
     address: SocketAddr,
-    /// Requests that it holds, and who waits for their end.
+    /// Requests that it holds, with the channel that signals their end.
     open: HashMap<Ticket, (TryId, oneshot::Sender<()>)>,
-    life: watch::Sender<Life>,
-    sooner: Rc<Notify>,
+    liveness: watch::Sender<Liveness>,
+    rescheduled: Rc<Notify>,
     accepting: Option<AbortHandle>,
-    /// Its port: nobody gets it while it is dead.
-    _held: Reserved,
+    /// Keeps its port reserved while the process is down.
+    _port: Reserved,
 }
 
 /// All backends of a run.
@@ -41,20 +42,20 @@
 }
 
 impl Fleet {
-    /// Binds a port for each.
+    /// Starts all backends, each on a port of its own.
     pub fn start(plan: Arc<Plan>, clock: Clock, log: Log) -> std::io::Result<Rc<Fleet>> {
         let mut slots = Vec::new();
         let mut listeners = Vec::new();
         for spec in &plan.fleet {
-            let held = Reserved::take(None)?;
-            let listener = listen(Some(held.address()))?;
+            let port = Reserved::take(None)?;
+            let listener = listen(Some(port.address()))?;
             slots.push(Slot {
-                _held: held,
+                _port: port,
                 model: Backend::new(spec.clone(), plan.fall_rule(), Time(0)),
                 address: listener.local_addr()?,
                 open: HashMap::new(),
-                life: watch::channel((0, false)).0,
-                sooner: Rc::default(),
+                liveness: watch::channel((0, false)).0,
+                rescheduled: Rc::default(),
                 accepting: None,
             });
             listeners.push(listener);
@@ -62,76 +63,76 @@
         let fleet = Rc::new(Fleet { plan, clock, log, slots: RefCell::new(slots), tickets: Cell::new(0) });
         for (b, listener) in listeners.into_iter().enumerate() {
             fleet.accept(b, listener);
-            tokio::task::spawn_local(fleet.clone().work(b));
+            tokio::task::spawn_local(fleet.clone().end_finished(b));
         }
         Ok(fleet)
     }
 
-    /// Where they listen.
+    /// Returns the backends' addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.slots.borrow().iter().map(|s| s.address).collect()
     }
 
-    /// When a backend last started.
+    /// Returns when a backend last started; `None` means before the run.
     pub fn booted(&self, b: usize) -> Option<Time> {
         self.slots.borrow()[b].model.booted
     }
 
-    /// Changes the model of some backends.
+    /// Changes the model of some backends, after ending the work that they have finished.
     pub fn change(&self, which: &[usize], change: impl Fn(&mut Backend, Time)) {
         let now = self.clock.now();
         for &b in which {
             self.settle(b, now);
             let mut slots = self.slots.borrow_mut();
             change(&mut slots[b].model, now);
-            slots[b].sooner.notify_one();
+            slots[b].rescheduled.notify_one();
         }
     }
 
-    /// The process ends: its connections are reset, new ones refused.
+    /// Ends the process: its connections are reset, and new ones refused.
     pub fn kill(&self, b: usize) {
-        self.change(&[b], |model, now| model.turn(now, Health::Down));
+        self.change(&[b], |model, now| model.set_health(now, Health::Down));
         let mut slots = self.slots.borrow_mut();
         slots[b].accepting.take().into_iter().for_each(|a| a.abort());
-        self.cut(&mut slots[b], b, false);
+        self.reset_connections(&mut slots[b], b, false);
     }
 
-    /// A process starts where one had ended.
-    pub fn revive(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
+    /// Starts the process again, on the same address.
+    pub fn restart(self: &Rc<Self>, b: usize) -> std::io::Result<()> {
         let address = self.slots.borrow()[b].address;
         let listener = listen(Some(address))?;
-        self.change(&[b], |model, now| model.turn(now, Health::Up));
+        self.change(&[b], |model, now| model.set_health(now, Health::Up));
         self.accept(b, listener);
         Ok(())
     }
 
-    /// The machine goes silent, or is back: then the connections that it had are reset.
+    /// Hangs the machine, or brings it back, which resets the connections that it had.
     pub fn hang(&self, b: usize, silent: bool) {
         let health = if silent { Health::Hung } else { Health::Up };
-        self.change(&[b], |model, now| model.turn(now, health));
+        self.change(&[b], |model, now| model.set_health(now, health));
         let mut slots = self.slots.borrow_mut();
         if silent {
-            slots[b].life.send_modify(|life| life.1 = true);
+            slots[b].liveness.send_modify(|liveness| liveness.1 = true);
         } else {
-            self.cut(&mut slots[b], b, false);
+            self.reset_connections(&mut slots[b], b, false);
         }
     }
 
-    /// Writes down the worst that each was sent while cold.
-    pub fn report(&self) {
+    /// Records for each backend the worst window of work sent while it was cold.
+    pub fn record_pressure(&self) {
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
             let p = slot.model.pressure;
             if p.sent > 0.0 {
-                self.log.add(Observation::Pressure { backend, sent: p.sent, bears: p.bears });
+                self.log.add(Observation::Pressure { backend, sent: p.sent, bears: p.limit });
             }
         }
     }
 
-    fn cut(&self, slot: &mut Slot, backend: usize, silent: bool) {
+    fn reset_connections(&self, slot: &mut Slot, backend: usize, silent: bool) {
         for (_, (id, _)) in slot.open.drain() {
             self.log.add(Observation::Ended { id, backend, how: RequestEnd::Died });
         }
-        slot.life.send_modify(|life| *life = (life.0 + 1, silent));
+        slot.liveness.send_modify(|liveness| *liveness = (liveness.0 + 1, silent));
     }
 
     fn accept(self: &Rc<Self>, b: usize, listener: tokio::net::TcpListener) {
@@ -147,16 +148,16 @@
         self.slots.borrow_mut()[b].accepting = Some(task.abort_handle());
     }
 
-    /// Ends what is through, for as long as the run lasts.
-    async fn work(self: Rc<Self>, b: usize) {
-        let sooner = self.slots.borrow()[b].sooner.clone();
+    /// Ends finished requests, for as long as the run lasts.
+    async fn end_finished(self: Rc<Self>, b: usize) {
+        let rescheduled = self.slots.borrow()[b].rescheduled.clone();
         loop {
             let next = self.slots.borrow()[b].model.next();
             match next {
-                None => sooner.notified().await,
+                None => rescheduled.notified().await,
                 Some(at) => tokio::select! {
                     _ = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                    _ = sooner.notified() => {}
+                    _ = rescheduled.notified() => {}
                 },
             }
             self.settle(b, self.clock.now());
@@ -181,33 +182,33 @@
     }
 
     async fn connection(self: Rc<Self>, b: usize, tcp: tokio::net::TcpStream) {
-        let mut life = self.slots.borrow()[b].life.subscribe();
-        let born = life.borrow().0;
+        let mut liveness = self.slots.borrow()[b].liveness.subscribe();
+        let resets = liveness.borrow().0;
         let mut link = Link::new(tcp);
         let opened = self.ticket();
         self.settle(b, self.clock.now());
         {
             let mut slots = self.slots.borrow_mut();
             slots[b].model.opened(self.clock.now(), opened);
-            slots[b].sooner.notify_one();
+            slots[b].rescheduled.notify_one();
         }
-        let died = life.wait_for(|life| life.0 != born);
+        let reset = liveness.wait_for(|liveness| liveness.0 != resets);
         tokio::select! {
-            _ = self.talk(b, &mut link) => {}
-            _ = died => {
-                // A process that ends resets what it had open.
+            _ = self.serve_connection(b, &mut link) => {}
+            _ = reset => {
+                // A process that ends resets its connections.
                 let _ = socket2::SockRef::from(&link.tcp).set_linger(Some(std::time::Duration::ZERO));
                 return;
             }
         }
         let mut slots = self.slots.borrow_mut();
-        if slots[b].life.borrow().0 == born {
+        if slots[b].liveness.borrow().0 == resets {
             slots[b].model.closed();
         }
     }
 
-    async fn talk(&self, b: usize, link: &mut Link) {
-        let mut life = self.slots.borrow()[b].life.subscribe();
+    async fn serve_connection(&self, b: usize, link: &mut Link) {
+        let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         loop {
             let request = match link.request().await {
                 Ok(Some(request)) => request,
@@ -219,10 +220,10 @@
                     return;
                 }
             };
-            if life.wait_for(|life| !life.1).await.is_err() {
+            if liveness.wait_for(|liveness| !liveness.1).await.is_err() {
                 return;
             }
-            let Some((id, bytes, key, work)) = self.known(&request) else {
+            let Some((id, bytes, key, work)) = self.identify(&request) else {
                 let text = format!("{} {}", request.method, request.target);
                 self.log.add(Observation::Foreign { backend: b, text });
                 let _ = link.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
@@ -237,7 +238,7 @@
                 let taken = slots[b].model.arrive(now, ticket, key, work);
                 if taken.is_ok() {
                     slots[b].open.insert(ticket, (id, done));
-                    slots[b].sooner.notify_one();
+                    slots[b].rescheduled.notify_one();
                 }
                 taken
             };
@@ -250,12 +251,12 @@
                 }
                 continue;
             }
-            let held = Held { fleet: self, b, ticket };
+            let guard = WithdrawOnDrop { fleet: self, b, ticket };
             tokio::select! {
                 served = &mut wait => if served.is_err() { return },
-                _ = closed(link) => return, // `held` takes the work back
+                _ = closed(link) => return, // dropping `guard` withdraws the request
             }
-            drop(held);
+            drop(guard);
             let text = body(id, bytes);
             let mut answer =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len()).into_bytes();
@@ -266,8 +267,9 @@
         }
     }
 
-    /// The request that a client of this run sent, unchanged: its id, the bytes of its answer, key and work.
-    fn known(&self, request: &Request) -> Option<(TryId, usize, u64, f64)> {
+    /// Returns the id, answer size, key and work of a request, if a client of this run sent it in exactly this
+    /// form.
+    fn identify(&self, request: &Request) -> Option<(TryId, usize, u64, f64)> {
         let id = request.id?;
         let arrival = self.plan.arrivals.get(id.arrival as usize)?;
         let class = &self.plan.experiment.class[arrival.class];
@@ -284,24 +286,24 @@
 
 async fn closed(link: &mut Link) {
     if link.wait_read().await == ReadEvent::Bytes {
-        std::future::pending().await // the next request, sent ahead: it waits its turn
+        std::future::pending().await // a pipelined request, which is read later
     }
 }
 
-/// Takes a request back from its backend when its connection ends before its answer.
-struct Held<'a> {
+/// Withdraws a request from its backend when dropped before the request has ended, as when its connection closes.
+struct WithdrawOnDrop<'a> {
     fleet: &'a Fleet,
     b: usize,
     ticket: Ticket,
 }
 
-impl Drop for Held<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         let now = self.fleet.clock.now();
         let mut slots = self.fleet.slots.borrow_mut();
         if let Some((id, _)) = slots[self.b].open.remove(&self.ticket) {
             slots[self.b].model.withdraw(now, self.ticket);
-            slots[self.b].sooner.notify_one();
+            slots[self.b].rescheduled.notify_one();
             self.fleet.log.add(Observation::Ended { id, backend: self.b, how: RequestEnd::Withdrawn });
         }
     }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -1,4 +1,4 @@
-//! One run: stand-ins on their threads, real processes, the plan's acts, and what came of it.
+//! A run on sockets: stand-ins on their threads, real processes, the plan's acts, and the outcome.
 
 use super::clients::Clients;
 use super::discovery::Service;
@@ -23,66 +23,67 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// Between the proxies' start and the first request.
-const LEAD: Duration = Duration::from_millis(200);
-/// How often the processes are looked at.
-const LOOK: Duration = Duration::from_millis(250);
-/// Descriptors that the lab needs beside its connections.
-const OWN: usize = 64;
+/// Time between the proxies' start and the first request.
+const LEAD_TIME: Duration = Duration::from_millis(200);
+/// Interval at which the processes' usage is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Descriptors that the testbed needs besides its connections.
+const OWN_DESCRIPTORS: usize = 64;
 
-/// Why a run was not played.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A proxy does not run.
+    /// A proxy could not be prepared or started.
     #[error(transparent)]
     Proxy(#[from] ProxyError),
     /// A stand-in could not be set up.
     #[error("stand-ins: {0}")]
     Io(#[from] std::io::Error),
-    /// The limits of this machine are too tight.
+    /// The limit on open descriptors is too low.
     #[error("the experiment needs {need} descriptors and this process may have {have}: raise `ulimit -n`")]
     Descriptors { need: usize, have: usize },
-    /// A thread of the lab ended before its time.
-    #[error("a thread of the stand-ins ended before its time")]
+    /// A thread of the testbed ended unexpectedly.
+    #[error("a thread of the testbed ended unexpectedly")]
     Thread,
 }
 
-/// What a process used, and when.
+/// The usage of a process at one point in time.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct Sample {
-    /// Since the start, s.
+    /// Seconds since the start of the run.
     pub at_s: f64,
-    /// Which proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// What it used by then.
+    /// Its usage up to then.
     pub usage: Usage,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 pub struct Outcome {
-    /// In the order of time.
+    /// The records, ordered by time.
     pub records: Vec<Record>,
-    /// What the proxies used.
+    /// Samples of the proxies' usage.
     pub samples: Vec<Sample>,
-    /// How late first tries were sent, in microseconds.
+    /// Delay of first tries behind their planned time, in microseconds.
     pub late: Histogram<u64>,
-    /// It was ended by hand at that time.
+    /// When the run was interrupted by hand; `None` where it was not.
     pub cut: Option<Time>,
 }
 
-/// How far a run is, for those who watch.
+/// Receives the current time of the run, to show its progress.
 pub type Progress<'a> = &'a dyn Fn(Time);
 
-/// Descriptors that the run may need: each proxy holds its own, the stand-ins the other end of each.
+/// Returns how many descriptors the run may need: each proxy's own, the stand-ins' end of each of them, the
+/// backends' listeners and the testbed's other ones.
 fn descriptors(plan: &Plan) -> usize {
     let e = &plan.experiment;
-    e.proxies * e.limits.sockets * 2 + plan.fleet.len() + OWN
+    e.proxies * e.limits.sockets * 2 + plan.fleet.len() + OWN_DESCRIPTORS
 }
 
-/// Sees to it that this process may hold so many descriptors.
+/// Raises this process's soft limit on open descriptors to the hard limit, if it is below `need`.
 ///
 /// # Errors
-/// It may not.
+/// When the hard limit is below `need`, or the soft limit cannot be raised.
 pub fn raise_descriptor_limit(need: usize) -> Result<(), RunError> {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
@@ -97,7 +98,7 @@
     Ok(())
 }
 
-/// Runs an event loop on a thread of its own.
+/// Runs an event loop on a new thread and returns the receiver of its result.
 pub fn thread<T, F>(name: &str, work: impl FnOnce() -> F + Send + 'static) -> std::io::Result<Joined<T>>
 where
     T: Send + 'static,
@@ -112,24 +113,24 @@
     Ok(wait)
 }
 
-/// What a thread will have returned.
+/// Receives the result of a thread.
 pub type Joined<T> = oneshot::Receiver<T>;
 
-/// What the stand-ins' thread is told.
-enum Order {
+/// A command to the stand-ins' thread.
+enum Command {
     Act(Act),
     End,
 }
 
-struct Standing {
+struct StandIns {
     discovery: Vec<SocketAddr>,
     known: String,
 }
 
-/// The thread of backends and discovery.
+/// Runs the backends and discovery until [`Command::End`], and returns their records.
 async fn stand_in(
-    plan: Arc<Plan>, clock: Clock, ready: oneshot::Sender<std::io::Result<Standing>>,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    plan: Arc<Plan>, clock: Clock, ready: oneshot::Sender<std::io::Result<StandIns>>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
 ) -> Vec<Record> {
     let log = Log::new(clock.clone());
     let started = Fleet::start(plan.clone(), clock.clone(), log.clone()).and_then(|fleet| {
@@ -147,13 +148,13 @@
             return Vec::new();
         }
     };
-    let _ = ready.send(Ok(Standing { discovery, known: service.whole() }));
-    while let Some(Order::Act(act)) = orders.recv().await {
-        if let Err(e) = enact(&plan, &clock, &fleet, &service, &act) {
+    let _ = ready.send(Ok(StandIns { discovery, known: service.whole() }));
+    while let Some(Command::Act(act)) = commands.recv().await {
+        if let Err(e) = carry_out(&plan, &clock, &fleet, &service, &act) {
             log.add(Observation::Act { text: format!("not done: {act:?}: {e}") });
         }
     }
-    fleet.report();
+    fleet.record_pressure();
     for done in relay.iter().flat_map(Relay::done) {
         let backend = done.route.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or_default();
         log.add(Observation::Injured { backend, injury: done.fault });
@@ -161,13 +162,15 @@
     log.take()
 }
 
-fn enact(plan: &Plan, clock: &Clock, fleet: &Rc<Fleet>, service: &Service, act: &Act) -> std::io::Result<()> {
+fn carry_out(
+    plan: &Plan, clock: &Clock, fleet: &Rc<Fleet>, service: &Service, act: &Act,
+) -> std::io::Result<()> {
     let now = clock.now();
     let tell = |b: usize, status| service.change(|d| d.change(now, b, status, fleet.booted(b)));
     match act {
         Act::Kill(which) => which.iter().for_each(|b| fleet.kill(*b)),
         Act::Drain(which) => {
-            fleet.change(which, |model, at| model.turn(at, crate::world::backend::Health::Draining));
+            fleet.change(which, |model, at| model.set_health(at, crate::world::backend::Health::Draining));
             which.iter().for_each(|b| tell(*b, Status::Draining));
         }
         Act::Remove(which) => {
@@ -178,7 +181,7 @@
         }
         Act::Start(which) => {
             for b in which {
-                fleet.revive(*b)?;
+                fleet.restart(*b)?;
                 tell(*b, Status::Serving);
             }
         }
@@ -193,34 +196,34 @@
             let lag = plan.experiment.discovery.lag_ms / 1e3 * factor;
             service.change(|d| d.lag = Micros::from_secs(lag));
         }
-        // These are the driver's own.
+        // Acts on proxies are carried out by the thread that runs the proxies.
         Act::Cordon(..) | Act::KillProxy(_) | Act::StopProxy(_) | Act::StartProxy(_) | Act::Reload(_) => {}
     }
     Ok(())
 }
 
-/// What happens, for people.
+/// Describes an act in words.
 pub fn describe_act(plan: &Plan, act: &Act) -> String {
-    let some = |which: &Vec<usize>| {
-        let names: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
+    let names = |which: &Vec<usize>| {
+        let first: Vec<&str> = which.iter().take(4).map(|b| plan.fleet[*b].name.as_str()).collect();
         let more = if which.len() > 4 { format!(" and {} more", which.len() - 4) } else { String::new() };
-        format!("{}{more}", names.join(", "))
+        format!("{}{more}", first.join(", "))
     };
     match act {
-        Act::Kill(w) => format!("{} backends die: {}", w.len(), some(w)),
-        Act::Drain(w) => format!("{} backends drain: {}", w.len(), some(w)),
-        Act::Remove(w) => format!("{} backends are off the list: {}", w.len(), some(w)),
-        Act::Start(w) => format!("{} backends start, cold: {}", w.len(), some(w)),
+        Act::Kill(w) => format!("{} backends die: {}", w.len(), names(w)),
+        Act::Drain(w) => format!("{} backends drain: {}", w.len(), names(w)),
+        Act::Remove(w) => format!("{} backends are off the list: {}", w.len(), names(w)),
+        Act::Start(w) => format!("{} backends start, cold: {}", w.len(), names(w)),
         Act::Slow(w, f) if *f < 1.0 => {
-            format!("{} backends keep {:.0} % of their speed: {}", w.len(), f * 100.0, some(w))
+            format!("{} backends keep {:.0} % of their speed: {}", w.len(), f * 100.0, names(w))
         }
-        Act::Slow(w, _) => format!("{} backends have their speed back: {}", w.len(), some(w)),
+        Act::Slow(w, _) => format!("{} backends have their speed back: {}", w.len(), names(w)),
         Act::SharedSlow(f) if *f < 1.0 => format!("all backends keep {:.0} % of their speed", f * 100.0),
         Act::SharedSlow(_) => "all backends have their speed back".into(),
-        Act::Hang(w, true) => format!("{} machines go silent: {}", w.len(), some(w)),
-        Act::Hang(w, false) => format!("{} machines are back: {}", w.len(), some(w)),
-        Act::Cordon(w, true) => format!("operators take {} backends out: {}", w.len(), some(w)),
-        Act::Cordon(w, false) => format!("operators give {} backends back: {}", w.len(), some(w)),
+        Act::Hang(w, true) => format!("{} machines go silent: {}", w.len(), names(w)),
+        Act::Hang(w, false) => format!("{} machines are back: {}", w.len(), names(w)),
+        Act::Cordon(w, true) => format!("operators take {} backends out: {}", w.len(), names(w)),
+        Act::Cordon(w, false) => format!("operators give {} backends back: {}", w.len(), names(w)),
         Act::DiscoveryDown(true) => "discovery is down".into(),
         Act::DiscoveryDown(false) => "discovery is back".into(),
         Act::DiscoveryLag(f) => format!("discovery hears {f} times as late"),
@@ -231,8 +234,8 @@
     }
 }
 
-/// The proxies' side of the run.
-struct Stage {
+/// The part of a run that handles the proxies.
+struct ProxyGroup {
     plan: Arc<Plan>,
     clock: Clock,
     log: Log,
@@ -240,7 +243,7 @@
     samples: Vec<Sample>,
 }
 
-impl Stage {
+impl ProxyGroup {
     async fn act(&mut self, act: &Act) -> Result<(), RunError> {
         self.log.add(Observation::Act { text: describe_act(&self.plan, act) });
         match act {
@@ -264,8 +267,9 @@
                     for &backend in which {
                         let asked = self.clock.now();
                         if p.call("PUT", path, &self.plan.fleet[backend].name).await {
-                            // A cordon binds once it is answered; a backend given back may be sent to as soon as
-                            // the call is read, before its answer is.
+                            // A cordon counts from its answer on. After an uncordon the proxy may send requests as
+                            // soon as it has read the call, before its answer arrives, so that counts from when
+                            // the call was made.
                             let at = if *out { self.clock.now() } else { asked };
                             self.log.add_at(at, Observation::Cordoned { proxy, backend, out: *out });
                         }
@@ -277,26 +281,26 @@
         Ok(())
     }
 
-    fn look(&mut self) {
+    fn sample_usage(&mut self) {
         let at_s = self.clock.now().0 as f64 / 1e6;
         for (proxy, p) in self.proxies.iter().enumerate() {
             self.samples.extend(p.usage().map(|usage| Sample { at_s, proxy, usage }));
         }
     }
 
-    /// Plays the acts in their order, looking at the processes all the while.
+    /// Carries out the acts in order and samples the processes' usage. Returns only on an error.
     async fn play(
-        &mut self, orders: &mpsc::UnboundedSender<Order>, progress: Progress<'_>,
+        &mut self, commands: &mpsc::UnboundedSender<Command>, progress: Progress<'_>,
     ) -> Result<(), RunError> {
         let (plan, clock) = (self.plan.clone(), self.clock.clone());
         let mut acts = plan.acts.iter().peekable();
         loop {
-            self.look();
+            self.sample_usage();
             progress(clock.now());
-            let next = clock.now() + Micros(LOOK.as_micros() as u64);
+            let next = clock.now() + Micros(SAMPLE_INTERVAL.as_micros() as u64);
             while let Some((at, act)) = acts.next_if(|a| a.0 <= next) {
                 until(&clock, *at).await;
-                let _ = orders.send(Order::Act(act.clone()));
+                let _ = commands.send(Command::Act(act.clone()));
                 self.act(act).await?;
             }
             until(&clock, next).await;
@@ -304,39 +308,39 @@
     }
 }
 
-/// Plays a plan with `program` as the proxy; logs and configurations lie in `folder`.
+/// Plays a plan with `program` as the proxy; logs and configurations are written to `folder`.
 pub async fn play(
     plan: Arc<Plan>, program: &Path, folder: &Path, progress: Progress<'_>,
 ) -> Result<Outcome, RunError> {
     raise_descriptor_limit(descriptors(&plan))?;
     let clock = Clock::default();
-    let (ready, standing) = oneshot::channel();
-    let (orders, from_here) = mpsc::unbounded_channel();
-    let (its, own) = (plan.clone(), clock.clone());
-    let backends = thread("backends", move || stand_in(its, own, ready, from_here))?;
-    let standing = standing.await.map_err(|_| RunError::Thread)??;
+    let (ready, stand_ins) = oneshot::channel();
+    let (commands, commands_in) = mpsc::unbounded_channel();
+    let (thread_plan, thread_clock) = (plan.clone(), clock.clone());
+    let backends = thread("backends", move || stand_in(thread_plan, thread_clock, ready, commands_in))?;
+    let stand_ins = stand_ins.await.map_err(|_| RunError::Thread)??;
     let mut proxies = Vec::new();
-    for (number, at) in standing.discovery.iter().enumerate() {
-        proxies.push(Proxy::prepare(number, &plan, program, folder, *at, &standing.known)?);
+    for (number, at) in stand_ins.discovery.iter().enumerate() {
+        proxies.push(Proxy::prepare(number, &plan, program, folder, *at, &stand_ins.known)?);
     }
     let addresses: Vec<SocketAddr> = proxies.iter().map(|p| p.address).collect();
-    let mut stage = Stage {
+    let mut group = ProxyGroup {
         plan: plan.clone(),
         clock: clock.clone(),
         log: Log::new(clock.clone()),
         proxies,
         samples: Vec::new(),
     };
-    for (proxy, p) in stage.proxies.iter_mut().enumerate() {
+    for (proxy, p) in group.proxies.iter_mut().enumerate() {
         p.start().await?;
-        stage.log.add(Observation::Proxy { proxy, turn: ProxyEvent::Ready });
+        group.log.add(Observation::Proxy { proxy, turn: ProxyEvent::Ready });
     }
-    clock.start_in(LEAD);
-    let (its, own) = (plan.clone(), clock.clone());
+    clock.start_in(LEAD_TIME);
+    let (thread_plan, thread_clock) = (plan.clone(), clock.clone());
     let (stop_clients, stopped) = oneshot::channel::<()>();
     let mut clients = thread("clients", move || async move {
-        let log = Log::new(own.clone());
-        let clients = Clients::new(its, own, log.clone(), &addresses);
+        let log = Log::new(thread_clock.clone());
+        let clients = Clients::new(thread_plan, thread_clock, log.clone(), &addresses);
         let all = clients.clone().play();
         let late = tokio::select! {
             late = all => Some(late),
@@ -347,9 +351,9 @@
     let mut cut = None;
     let played = tokio::select! {
         played = &mut clients => played.map_err(|_| RunError::Thread)?,
-        ended = stage.play(&orders, progress) => {
+        ended = group.play(&commands, progress) => {
             ended?;
-            return Err(RunError::Thread); // it goes on for ever, but for an error
+            return Err(RunError::Thread); // without an error it never ends
         }
         _ = tokio::signal::ctrl_c() => {
             cut = Some(clock.now());
@@ -357,26 +361,26 @@
             (&mut clients).await.map_err(|_| RunError::Thread)?
         }
     };
-    stage.look();
+    group.sample_usage();
     if cut.is_none() {
-        // What is late or extra still has the time to show.
+        // Wait for late and extra answers.
         until(&clock, plan.end() + LISTEN_ON).await;
     }
-    for p in &mut stage.proxies {
+    for p in &mut group.proxies {
         p.stop();
     }
-    for p in &mut stage.proxies {
+    for p in &mut group.proxies {
         p.ended(Duration::from_secs(5)).await;
     }
-    let _ = orders.send(Order::End);
+    let _ = commands.send(Command::End);
     let mut records = backends.await.map_err(|_| RunError::Thread)?;
     let (late, seen) = played;
     records.extend(seen);
-    records.extend(stage.log.take());
+    records.extend(group.log.take());
     records.sort_by_key(|r| r.at);
     let late = match late {
         Some(late) => late,
         None => Histogram::new(2).expect("two digits"),
     };
-    Ok(Outcome { records, samples: stage.samples, late, cut })
+    Ok(Outcome { records, samples: group.samples, late, cut })
 }
--- a/crates/testbed/src/oracle/answers/tests.rs
+++ b/crates/testbed/src/oracle/answers/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::{Observation, ProxyEvent};
 
 #[test]
-fn two_answers_a_late_one_and_none_are_seen() {
+fn two_answers_a_late_one_and_none_are_reported() {
     let two = [served(READ, 0), served(READ, 0)].concat();
     assert!(broken(&two)[0].1.contains("more than one"));
     let mut extra = served(READ, 0);
@@ -16,14 +16,15 @@
         at(900, Observation::Left { id: READ }),
     ];
     assert!(broken(&none)[0].1.contains("never answered"));
-    assert!(broken(&none[..1])[0].1.contains("never answered"), "the run ended before it");
+    assert!(broken(&none[..1])[0].1.contains("never answered"), "the run ended without an answer");
     let left = [none[0].clone(), at(100, Observation::Left { id: READ })];
-    assert!(broken(&left).is_empty(), "an impatient client is owed nothing");
+    assert!(broken(&left).is_empty(), "a client that leaves early needs no answer");
 }
 
-/// A broken connection is lost work, but for a proxy that was killed and a close that crossed the request.
+/// A broken connection counts as a missing answer, except where the proxy was killed or its close crossed the
+/// request.
 #[test]
-fn a_broken_connection_is_told_apart_from_a_killed_proxy() {
+fn a_broken_connection_is_distinguished_from_a_killed_proxy() {
     let broke = |reused, begun| at(50, Observation::Broke { id: READ, reused, begun });
     let asked = at(0, Observation::Asked { id: READ, proxy: 1, left: 500_000 });
     for (reused, begun, lost) in [(false, false, true), (true, true, true), (true, false, false)] {
@@ -36,8 +37,12 @@
     let dead =
         [turn(1, 0, ProxyEvent::Killed), at(10, Observation::Asked { id: READ, proxy: 1, left: 500_000 })];
     let asked_of_the_dead = [dead[0].clone(), dead[1].clone(), broke(false, false)];
-    assert_eq!(broken(&asked_of_the_dead).len(), 0, "its socket outlives it by a moment");
+    assert_eq!(broken(&asked_of_the_dead).len(), 0, "the socket of a killed proxy stays open for a moment");
     assert_eq!(with(turn(0, 40, ProxyEvent::Killed)), 1, "another proxy");
-    assert_eq!(with(turn(1, 400, ProxyEvent::Killed)), 1, "later");
-    assert_eq!(with(turn(1, 0, ProxyEvent::Stopping)), 1, "what comes just after a signal is answered");
+    assert_eq!(with(turn(1, 400, ProxyEvent::Killed)), 1, "killed only after the connection broke");
+    assert_eq!(
+        with(turn(1, 0, ProxyEvent::Stopping)),
+        1,
+        "a request shortly after the stop signal must be answered"
+    );
 }
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -1,4 +1,4 @@
-//! Where worth is lost: each arrival that earned less than its worth, by cause, from what the stand-ins saw.
+//! Where worth is lost: the cause for each arrival that earned less than its worth, from the stand-ins' records.
 
 use crate::driver::run::Outcome;
 use crate::record::{Observation, RequestEnd};
@@ -7,24 +7,26 @@
 use lotusdeck_policy::Time;
 use std::collections::HashMap;
 
-/// Why an arrival earned less than it could.
+/// Why an arrival earned less than its worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Its last word was a refusal, while fewer requests were at the backends than they have cores.
+    /// It reached no backend and its last answer was a refusal, while fewer requests were at the backends than
+    /// these have cores.
     RefusedWithRoom,
-    /// ... while the backends had as much as they have cores, or more.
+    /// It reached no backend and its last answer was a refusal, while at least as many requests were at the
+    /// backends as these have cores.
     RefusedFull,
-    /// Late, mostly because a proxy held it.
+    /// Served late, after more time before it reached the backend than there.
     Held,
-    /// Late, mostly because the backend was slow at it.
+    /// Served late, after at least as much time at the backend as before it.
     Slow,
-    /// A backend died or turned it away, or it was withdrawn from one, and no other served it.
+    /// Not served, though it reached a backend. The backend died or rejected it, for example, or it was withdrawn.
     LostAtBackend,
-    /// Its client left, or no proxy answered.
+    /// It reached no backend and was neither served nor refused: its client left, or got an error or no answer.
     Unanswered,
 }
 
-/// All of them, with their names.
+/// All causes with their names.
 pub const CAUSES: [(Cause, &str); 6] = [
     (Cause::RefusedWithRoom, "refused, room"),
     (Cause::RefusedFull, "refused, full"),
@@ -34,27 +36,27 @@
     (Cause::Unanswered, "unanswered"),
 ];
 
-/// The losses of a run.
+/// The worth and work lost in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Losses {
-    /// Worth lost by cause, as a part of all that was asked for, in the order of [`CAUSES`].
+    /// Worth lost by cause, as a part of all worth asked for, in the order of [`CAUSES`].
     pub by_cause: [f64; CAUSES.len()],
-    /// Work at backends that served nobody, as a part of all requests that reached one.
+    /// Requests that backends took without serving a client, as a part of all that backends took.
     pub wasted: f64,
 }
 
-/// What became of one arrival.
+/// The course of one arrival.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct ArrivalResult {
     asked: Option<Time>,
     /// When it last reached a backend.
     began: Option<Time>,
     served: Option<Time>,
     refused: Option<bool>,
-    hurt: bool,
+    lost_attempt: bool,
 }
 
-/// Cores that serve, as the plan's acts have it.
+/// The health of the backends and their cores in service, according to the plan's acts.
 struct Cores {
     health: Vec<Health>,
     serving: f64,
@@ -62,7 +64,7 @@
 
 impl Cores {
     fn act(&mut self, plan: &Plan, act: &Act) {
-        let (whom, health) = match act {
+        let (which, health) = match act {
             Act::Kill(w) | Act::Remove(w) => (w, Health::Down),
             Act::Drain(w) => (w, Health::Draining),
             Act::Start(w) => (w, Health::Up),
@@ -70,63 +72,63 @@
             Act::Cordon(w, out) => (w, if *out { Health::Draining } else { Health::Up }),
             _ => return,
         };
-        for &b in whom {
+        for &b in which {
             let cores = plan.fleet[b].build.cores;
-            let was = self.health[b] == Health::Up;
-            self.serving += cores * (f64::from(health == Health::Up) - f64::from(was));
+            let was_up = self.health[b] == Health::Up;
+            self.serving += cores * (f64::from(health == Health::Up) - f64::from(was_up));
             self.health[b] = health;
         }
     }
 }
 
 impl Losses {
-    /// Of a run.
+    /// Computes the losses of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> Losses {
-        let mut fates = vec![Fate::default(); plan.arrivals.len()];
+        let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let serving = plan.fleet.iter().map(|b| b.build.cores).sum();
         let mut cores = Cores { health: vec![Health::Up; plan.fleet.len()], serving };
         let mut acts = plan.acts.iter().peekable();
-        // What is at each backend, by try.
-        let mut there: HashMap<(u32, u32, usize), u32> = HashMap::new();
+        // Requests at backends, by arrival, try and backend.
+        let mut at_backends: HashMap<(u32, u32, usize), u32> = HashMap::new();
         let (mut held, mut reached, mut used) = (0u64, 0u64, 0u64);
         for r in &outcome.records {
             while let Some((_, act)) = acts.next_if(|(at, _)| *at <= r.at) {
                 cores.act(plan, act);
             }
             let Some(id) = r.id() else { continue };
-            let Some(fate) = fates.get_mut(id.arrival as usize) else { continue };
+            let Some(result) = results.get_mut(id.arrival as usize) else { continue };
             match r.what {
-                Observation::Asked { .. } => fate.asked = fate.asked.or(Some(r.at)),
+                Observation::Asked { .. } => result.asked = result.asked.or(Some(r.at)),
                 Observation::Began { backend, .. } => {
-                    *there.entry((id.arrival, id.no, backend)).or_default() += 1;
+                    *at_backends.entry((id.arrival, id.no, backend)).or_default() += 1;
                     (held, reached) = (held + 1, reached + 1);
-                    fate.began = Some(r.at);
+                    result.began = Some(r.at);
                 }
                 Observation::Ended { backend, how, .. } => {
-                    if there.remove(&(id.arrival, id.no, backend)).is_some() {
+                    if at_backends.remove(&(id.arrival, id.no, backend)).is_some() {
                         held = held.saturating_sub(1);
                     }
-                    fate.hurt |=
+                    result.lost_attempt |=
                         matches!(how, RequestEnd::Died | RequestEnd::TurnedAway | RequestEnd::Withdrawn);
                     reached -= u64::from(how == RequestEnd::TurnedAway && reached > 0);
                 }
                 Observation::Answered { status: 200, own: true, .. } => {
-                    used += u64::from(fate.served.is_none());
-                    fate.served = fate.served.or(Some(r.at));
+                    used += u64::from(result.served.is_none());
+                    result.served = result.served.or(Some(r.at));
                 }
                 Observation::Answered { status, .. } => {
                     let room = (held as f64) < cores.serving;
-                    fate.refused = matches!(status, 429 | 503).then_some(room);
+                    result.refused = matches!(status, 429 | 503).then_some(room);
                 }
                 _ => {}
             }
         }
         let mut out = Losses::default();
         let mut asked = 0.0;
-        for (arrival, fate) in plan.arrivals.iter().zip(&fates) {
+        for (arrival, result) in plan.arrivals.iter().zip(&results) {
             let class = &plan.experiment.class[arrival.class];
             asked += class.worth;
-            let Some((cause, lost)) = judge(class, arrival.at, fate) else { continue };
+            let Some((cause, lost)) = judge(class, arrival.at, result) else { continue };
             let at = CAUSES.iter().position(|c| c.0 == cause).unwrap_or(0);
             out.by_cause[at] += lost;
         }
@@ -136,19 +138,19 @@
     }
 }
 
-/// Why it earned less than its worth, and by how much.
-fn judge(class: &crate::experiment::Class, due: Time, fate: &Fate) -> Option<(Cause, f64)> {
-    if let Some(at) = fate.served {
+/// Returns why an arrival earned less than its worth, and the worth lost; `None` when it was served in time.
+fn judge(class: &crate::experiment::Class, due: Time, result: &ArrivalResult) -> Option<(Cause, f64)> {
+    if let Some(at) = result.served {
         if (at - due).0 as f64 <= class.aim_ms * 1e3 {
             return None;
         }
-        // All before it reached the backend that served it was waiting, at clients and proxies.
-        let there = fate.began.map_or(0, |began| (at - began).0);
-        let cause = if (at - due).0 > 2 * there { Cause::Held } else { Cause::Slow };
+        // All the time before it reached the backend that served it was spent waiting at clients and proxies.
+        let at_backend = result.began.map_or(0, |began| (at - began).0);
+        let cause = if (at - due).0 > 2 * at_backend { Cause::Held } else { Cause::Slow };
         return Some((cause, class.worth * (1.0 - class.late_worth)));
     }
-    let cause = match fate.refused {
-        _ if fate.began.is_some() || fate.hurt => Cause::LostAtBackend,
+    let cause = match result.refused {
+        _ if result.began.is_some() || result.lost_attempt => Cause::LostAtBackend,
         Some(true) => Cause::RefusedWithRoom,
         Some(false) => Cause::RefusedFull,
         None => Cause::Unanswered,
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, from what the stand-ins saw.
+//! Figures of a run, from the stand-ins' records.
 
 use crate::driver::run::{Outcome, Sample};
 use crate::oracle::{judge, lost_with_proxies, Broken};
@@ -8,24 +8,24 @@
 use lotusdeck_policy::Time;
 use serde::{Deserialize, Serialize};
 
-/// A first try that the lab sent later than this, at the 99th percentile, makes the figures void, ms.
-const MOST_LATE_MS: f64 = 20.0;
+/// Delay of first tries at the 99th percentile, in ms, above which the figures are void.
+const MAX_LATE_MS: f64 = 20.0;
 
-/// A spread of times, ms.
+/// Percentiles of a time, in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Half of them are no longer.
+    /// The median.
     pub p50: f64,
-    /// Nine tenths.
+    /// The 90th percentile.
     pub p90: f64,
-    /// All but one in a hundred.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Spread {
-    /// Of a histogram in microseconds.
+    /// Reads the percentiles of a histogram in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Spread {
         let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
         if histogram.is_empty() {
@@ -35,31 +35,31 @@
     }
 }
 
-/// What became of a set of arrivals.
+/// Results of a set of arrivals.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tally {
-    /// Its name: a class, or a second.
+    /// Name of the set: a class, a second of the run, or `all`.
     pub name: String,
-    /// Things that clients wanted.
+    /// Number of arrivals.
     pub arrivals: u64,
-    /// Served in time.
+    /// Number served within the latency objective.
     pub in_time: u64,
-    /// Served after the aim.
+    /// Number served after the latency objective.
     pub late: u64,
-    /// The last word was a refusal.
+    /// Number whose last answer was a refusal.
     pub refused: u64,
-    /// Neither served nor refused.
+    /// Number neither served nor refused.
     pub failed: u64,
     /// Worth asked for.
     pub asked: f64,
-    /// Worth of the answers.
+    /// Worth earned by the answers.
     pub earned: f64,
-    /// From the time at which it was due to the answer, of those served.
+    /// Latency of those served, from the planned time of the first try to the answer.
     pub latency_ms: Spread,
 }
 
 impl Tally {
-    /// Worth earned over worth asked.
+    /// Returns worth earned divided by worth asked for; 1 where none was asked for.
     pub fn part(&self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
@@ -69,69 +69,69 @@
     }
 }
 
-/// A quarter of a proxy's run.
+/// A proxy's usage over a quarter of the run.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Quarter {
-    /// Cores used on average.
+    /// Mean number of cores used.
     pub cores: f64,
-    /// The most memory, MB.
+    /// Highest memory use, in MB.
     pub memory_mb: f64,
-    /// The most descriptors.
+    /// Highest number of descriptors.
     pub descriptors: usize,
 }
 
-/// One run in figures.
+/// The figures of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Figures {
     /// Seed of the plan.
     pub seed: u64,
-    /// Of the plan, in hex.
+    /// Hash of the plan, in hexadecimal.
     pub plan_hash: String,
     /// All arrivals.
     pub whole: Tally,
-    /// By class.
+    /// Arrivals by class.
     pub classes: Vec<Tally>,
-    /// By the second in which they were due.
+    /// Arrivals by the second in which the first try was planned.
     pub seconds: Vec<Tally>,
-    /// Requests that reached backends, for each that a client sent.
+    /// Requests that reached backends, per request that a client sent.
     pub attempts: f64,
-    /// Microseconds of processor for each request that a client sent.
+    /// Processor time of the proxies per request that a client sent, in microseconds.
     pub cpu_us: f64,
-    /// Quarters of each proxy's run.
+    /// Usage of each proxy, by quarter of the run.
     pub proxies: Vec<Vec<Quarter>>,
-    /// Out at a proxy when that was killed.
+    /// Requests whose connection broke because their proxy was killed or stopped.
     pub lost_with_proxies: usize,
-    /// How late the lab itself sent first tries.
+    /// Delay of first tries behind their planned time, caused by the testbed itself.
     pub lab_late_ms: Spread,
-    /// Why these figures count for nothing.
+    /// Why these figures are void, if they are.
     pub void: Option<String>,
-    /// How many rules were broken, by oracle.
+    /// Number of violations, by oracle.
     pub broken: Vec<(String, usize)>,
 }
 
-/// What became of one arrival.
+/// The result of one arrival.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct ArrivalResult {
     served: Option<Time>,
     refused: bool,
 }
 
-struct Counting {
+struct TallyBuilder {
     tally: Tally,
     latency: Histogram<u64>,
 }
 
-impl Counting {
-    fn new(name: String) -> Counting {
+impl TallyBuilder {
+    fn new(name: String) -> TallyBuilder {
         let latency = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds in order");
-        Counting { tally: Tally { name, ..Tally::default() }, latency }
+        TallyBuilder { tally: Tally { name, ..Tally::default() }, latency }
     }
 
-    fn add(&mut self, class: &crate::experiment::Class, due: Time, fate: Fate) {
+    fn add(&mut self, class: &crate::experiment::Class, due: Time, result: ArrivalResult) {
         let t = &mut self.tally;
         t.arrivals += 1;
         t.asked += class.worth;
-        match fate.served {
+        match result.served {
             Some(at) => {
                 let took = (at - due).0;
                 let in_time = took as f64 <= class.aim_ms * 1e3;
@@ -139,48 +139,49 @@
                 *(if in_time { &mut t.in_time } else { &mut t.late }) += 1;
                 self.latency.saturating_record(took.max(1));
             }
-            None if fate.refused => t.refused += 1,
+            None if result.refused => t.refused += 1,
             None => t.failed += 1,
         }
     }
 
-    fn done(mut self) -> Tally {
+    fn finish(mut self) -> Tally {
         self.tally.latency_ms = Spread::of(&self.latency);
         self.tally
     }
 }
 
 impl Figures {
-    /// Of a run, with what it broke.
+    /// Computes the figures and the violations of a run.
     pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Broken>) {
-        let mut fates = vec![Fate::default(); plan.arrivals.len()];
+        let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let (mut sent, mut reached) = (0u64, 0u64);
         for r in &outcome.records {
-            let Some(fate) = r.id().and_then(|id| fates.get_mut(id.arrival as usize)) else { continue };
+            let Some(result) = r.id().and_then(|id| results.get_mut(id.arrival as usize)) else { continue };
             match r.what {
                 Observation::Asked { .. } => sent += 1,
                 Observation::Ended { how: RequestEnd::TurnedAway, .. } => {}
                 Observation::Began { .. } => reached += 1,
                 Observation::Answered { status, own, .. } => {
                     if status == 200 && own {
-                        fate.served = fate.served.or(Some(r.at));
+                        result.served = result.served.or(Some(r.at));
                     }
-                    fate.refused = matches!(status, 429 | 503);
+                    result.refused = matches!(status, 429 | 503);
                 }
                 _ => {}
             }
         }
         let e = &plan.experiment;
-        let mut whole = Counting::new("all".into());
-        let mut classes: Vec<Counting> = e.class.iter().map(|c| Counting::new(c.name.clone())).collect();
+        let mut whole = TallyBuilder::new("all".into());
+        let mut classes: Vec<TallyBuilder> =
+            e.class.iter().map(|c| TallyBuilder::new(c.name.clone())).collect();
         let count = e.duration_s.ceil() as usize;
-        let mut seconds: Vec<Counting> = (0..count).map(|s| Counting::new(s.to_string())).collect();
+        let mut seconds: Vec<TallyBuilder> = (0..count).map(|s| TallyBuilder::new(s.to_string())).collect();
         let until = outcome.cut.unwrap_or(Time(u64::MAX));
-        for (arrival, fate) in plan.arrivals.iter().zip(&fates).filter(|(a, _)| a.at < until) {
+        for (arrival, result) in plan.arrivals.iter().zip(&results).filter(|(a, _)| a.at < until) {
             let class = &e.class[arrival.class];
             let second = ((arrival.at.0 / 1_000_000) as usize).min(count - 1);
-            for counting in [&mut whole, &mut classes[arrival.class], &mut seconds[second]] {
-                counting.add(class, arrival.at, *fate);
+            for builder in [&mut whole, &mut classes[arrival.class], &mut seconds[second]] {
+                builder.add(class, arrival.at, *result);
             }
         }
         let broken = judge(plan, &outcome.records);
@@ -192,17 +193,17 @@
             }
         }
         let late = Spread::of(&outcome.late);
-        let void = (late.p99 > MOST_LATE_MS).then(|| {
+        let void = (late.p99 > MAX_LATE_MS).then(|| {
             format!("the lab was too slow for its own schedule: first tries {:.0} ms late at the 99th percentile, {:.0} ms at most", late.p99, late.max)
         });
         let void = outcome.cut.map(|at| format!("ended by hand at {}", crate::record::seconds(at))).or(void);
-        let cpu: f64 = (0..e.proxies).filter_map(|p| cpu(&outcome.samples, p, 0.0, f64::MAX)).sum();
+        let cpu: f64 = (0..e.proxies).filter_map(|p| cpu_seconds(&outcome.samples, p, 0.0, f64::MAX)).sum();
         let figures = Figures {
             seed: plan.seed,
             plan_hash: format!("{:016x}", plan.hash),
-            whole: whole.done(),
-            classes: classes.into_iter().map(Counting::done).collect(),
-            seconds: seconds.into_iter().map(Counting::done).collect(),
+            whole: whole.finish(),
+            classes: classes.into_iter().map(TallyBuilder::finish).collect(),
+            seconds: seconds.into_iter().map(TallyBuilder::finish).collect(),
             attempts: reached as f64 / sent.max(1) as f64,
             cpu_us: cpu * 1e6 / sent.max(1) as f64,
             proxies: (0..e.proxies).map(|p| quarters(&outcome.samples, p, e.duration_s)).collect(),
@@ -215,8 +216,8 @@
     }
 }
 
-/// Seconds of processor that a proxy used between two times.
-fn cpu(samples: &[Sample], proxy: usize, from: f64, to: f64) -> Option<f64> {
+/// Returns the processor seconds that a proxy used between two times, by its samples.
+fn cpu_seconds(samples: &[Sample], proxy: usize, from: f64, to: f64) -> Option<f64> {
     let mut inside = samples.iter().filter(|s| s.proxy == proxy && s.at_s >= from && s.at_s < to);
     let first = inside.next()?;
     let last = inside.next_back().unwrap_or(first);
@@ -228,7 +229,7 @@
         let (from, to) = (duration * q as f64 / 4.0, duration * (q + 1) as f64 / 4.0);
         let inside = || samples.iter().filter(|s| s.proxy == proxy && s.at_s >= from && s.at_s < to);
         Quarter {
-            cores: cpu(samples, proxy, from, to).unwrap_or(0.0) / (duration / 4.0),
+            cores: cpu_seconds(samples, proxy, from, to).unwrap_or(0.0) / (duration / 4.0),
             memory_mb: inside().map(|s| s.usage.memory).max().unwrap_or(0) as f64 / 1e6,
             descriptors: inside().map(|s| s.usage.descriptors).max().unwrap_or(0),
         }
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -1,24 +1,24 @@
-//! Textbook policies, to be played against the module on the same arrivals and troubles. They keep the rules on
-//! repeats and drains, and know nothing of ramps, crowds or worth.
+//! Textbook policies, to compare with the decision module on the same arrivals and troubles. They keep the rules
+//! on retries and draining, and take no account of warm-up, other proxies or worth.
 
 use super::policy::{GlobalView, Policy};
 use crate::world::rng::Rng;
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// Weight of the newest latency in a peak-EWMA that falls.
-const EWMA_STEP: f64 = 0.1;
-/// Before anything is known of a backend's latency, s.
-const EWMA_START: f64 = 0.01;
+/// Weight of the newest latency in the peak-EWMA when it is lower than the average.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Latency, in seconds, assumed for a backend without any measurement; also the least one that counts.
+const MIN_LATENCY_S: f64 = 0.01;
 
-/// How a backend is chosen.
+/// How a policy chooses a backend.
 pub(super) enum Choice {
     Random,
     RoundRobin,
     LeastOutstanding,
     TwoChoices,
     PeakEwma,
-    /// In proportion to these weights, by the backend's number.
+    /// At random in proportion to these weights, indexed by backend.
     Weighted(Vec<f64>),
     Oracle,
 }
@@ -29,14 +29,14 @@
     ewma: f64,
 }
 
-struct Open {
+struct OpenRequest {
     class: usize,
     tried: Vec<(BackendId, Time, bool)>,
-    /// An attempt that ended may have run.
+    /// Whether an ended attempt may have run.
     ran: bool,
 }
 
-/// One proxy's rival policy.
+/// The baseline policy of one proxy.
 pub(super) struct BaselinePolicy {
     choice: Choice,
     config: Config,
@@ -45,12 +45,12 @@
     listed: BTreeMap<BackendId, bool>,
     cordoned: Vec<BackendId>,
     peers: HashMap<BackendId, Peer>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     turn: usize,
 }
 
 impl BaselinePolicy {
-    /// One that knows nothing yet.
+    /// Creates a policy with an empty list of backends.
     pub(super) fn new(choice: Choice, config: Config, seed: u64) -> BaselinePolicy {
         let rng = Rng::new(seed, "rival");
         let (ready, listed, cordoned) = (Vec::new(), BTreeMap::new(), Vec::new());
@@ -58,12 +58,13 @@
         BaselinePolicy { choice, config, rng, ready, listed, cordoned, peers, open, turn: 0 }
     }
 
-    fn list(&mut self) {
-        let may = |(id, ready): (&BackendId, &bool)| (*ready && !self.cordoned.contains(id)).then_some(*id);
-        self.ready = self.listed.iter().filter_map(may).collect();
+    fn update_ready(&mut self) {
+        let allowed =
+            |(id, ready): (&BackendId, &bool)| (*ready && !self.cordoned.contains(id)).then_some(*id);
+        self.ready = self.listed.iter().filter_map(allowed).collect();
     }
 
-    fn draw(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
+    fn choose_backend(&mut self, tried: &[BackendId], global_view: GlobalView) -> Option<BackendId> {
         let fresh: Vec<BackendId>;
         let from: &[BackendId] = if tried.is_empty() {
             &self.ready
@@ -77,7 +78,7 @@
         let held = |b: &BackendId| self.peers.get(b).map_or(0, |p| p.held);
         let cost = |b: &BackendId| {
             let p = self.peers.get(b);
-            p.map_or(EWMA_START, |p| p.ewma.max(EWMA_START) * f64::from(p.held + 1))
+            p.map_or(MIN_LATENCY_S, |p| p.ewma.max(MIN_LATENCY_S) * f64::from(p.held + 1))
         };
         let rng = &mut self.rng;
         let two = [from[rng.below(from.len())], from[rng.below(from.len())]];
@@ -88,7 +89,7 @@
                 from[self.turn % from.len()]
             }
             Choice::LeastOutstanding => {
-                // Ties are broken at random, or all proxies would go the same way.
+                // Ties are broken at random, or all proxies would choose the same backend.
                 let start = self.rng.below(from.len());
                 let order = (0..from.len()).map(|i| from[(start + i) % from.len()]);
                 order.min_by_key(held)?
@@ -119,14 +120,15 @@
         })
     }
 
-    /// Sends a request, or ends it where it may not or cannot be sent again.
+    /// Sends a request to a backend not tried yet, or ends it where no attempt is allowed or no such backend is
+    /// left.
     fn send(&mut self, now: Time, id: RequestId, global_view: GlobalView, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let free = matches!(self.config.classes[open.class].side_effects, SideEffects::None);
         let tried: Vec<BackendId> = open.tried.iter().map(|t| t.0).collect();
-        let may = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
+        let allowed = (free || !open.ran) && tried.len() < self.config.attempts.max_attempts as usize;
         let harmless = free || !open.ran;
-        match if may { self.draw(&tried, global_view) } else { None } {
+        match if allowed { self.choose_backend(&tried, global_view) } else { None } {
             Some(backend) => {
                 self.peers.entry(backend).or_default().held += 1;
                 if let Some(open) = self.open.get_mut(&id) {
@@ -147,8 +149,8 @@
         let p = self.peers.entry(backend).or_default();
         p.held = p.held.saturating_sub(1);
         if let Some(latency) = latency {
-            let faded = p.ewma + (latency - p.ewma) * EWMA_STEP;
-            p.ewma = if latency > p.ewma { latency } else { faded };
+            let smoothed = p.ewma + (latency - p.ewma) * EWMA_WEIGHT;
+            p.ewma = if latency > p.ewma { latency } else { smoothed };
         }
     }
 }
@@ -161,15 +163,15 @@
                     self.listed.clear();
                 }
                 self.listed.extend(backends.iter().map(|b| (b.id, b.state == BackendState::Ready)));
-                self.list();
+                self.update_ready();
             }
             Event::Cordoned { backends } => {
                 self.cordoned = backends;
-                self.list();
+                self.update_ready();
             }
             Event::ConfigApplied { config, .. } => self.config = *config,
             Event::Request(a) => {
-                self.open.insert(a.request, Open { class: a.class.0, tried: Vec::new(), ran: false });
+                self.open.insert(a.request, OpenRequest { class: a.class.0, tried: Vec::new(), ran: false });
                 self.send(now, a.request, global_view, actions);
             }
             Event::AttemptEnded(end) => {
@@ -207,7 +209,7 @@
         }
     }
 
-    fn sees(&self) -> bool {
+    fn uses_global_view(&self) -> bool {
         matches!(self.choice, Choice::Oracle)
     }
 }
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they ask, wait, leave, and try again.
+//! Clients: they send requests, wait, leave, and try again.
 
 use super::event::Event;
 use super::{Simulation, ONE_WAY};
@@ -6,25 +6,25 @@
 use crate::record::{Observation, TryId, LISTEN_ON};
 use lotusdeck_policy::{Micros, RequestId, Time};
 
-/// Kept of a client's time for the answer's way back, as the proxy does (`MARGIN` of the core's host).
+/// Part of a client's time that the proxy keeps for the way back of the answer (`MARGIN` of the core's host).
 const MARGIN: Micros = Micros(3_000);
 
-/// A client whose try is at a proxy or on its way there.
+/// A client with a try at a proxy or on its way there.
 pub(super) struct WaitingClient {
     proxy: usize,
-    /// The life of the proxy that took the request, and its number there.
+    /// The generation of the proxy that took the request, and the request's id there.
     request: Option<(u32, RequestId)>,
 }
 
 impl Simulation<'_> {
-    /// Lets an arrival of the plan happen, if there is one of that number.
+    /// Schedules the arrival of the plan with this index, if there is one.
     pub(super) fn next_arrival(&mut self, number: usize) {
         if let Some(arrival) = self.plan.arrivals.get(number) {
             self.at(arrival.at, Event::Ask(TryId { arrival: number as u32, no: 0 }));
         }
     }
 
-    /// A try is due; the first of an arrival calls the next arrival.
+    /// Starts a try that is due; the first try of an arrival also schedules the next arrival.
     pub(super) fn ask_due(&mut self, id: TryId) {
         if id.no == 0 {
             self.next_arrival(id.arrival as usize + 1);
@@ -38,30 +38,30 @@
         let deadline = arrival.at + Micros::from_secs(class.deadline_ms / 1e3);
         let leaves = (arrival.at + arrival.patience).min(deadline);
         let (shunned, now) = (&self.shunned, self.now);
-        let proxy = self.deal.next(|proxy| shunned[proxy] > now);
+        let proxy = self.dispatcher.next(|proxy| shunned[proxy] > now);
         if !self.proxies[proxy].alive() {
-            self.unreached(id, proxy);
+            self.proxy_unreached(id, proxy);
             return;
         }
         self.record(Observation::Asked { id, proxy, left: (deadline - self.now).0 });
         self.waiting.insert(id, WaitingClient { proxy, request: None });
-        let life = self.proxies[proxy].life();
-        self.after(ONE_WAY, Event::AtProxy { id, proxy, life, deadline });
+        let generation = self.proxies[proxy].generation();
+        self.after(ONE_WAY, Event::AtProxy { id, proxy, generation, deadline });
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
         self.at(until, Event::Leave(id));
     }
 
-    /// No connection to the proxy comes up: clients shun it for a while.
-    fn unreached(&mut self, id: TryId, proxy: usize) {
+    /// Handles a connection to a proxy that cannot be opened: clients avoid the proxy for a while.
+    fn proxy_unreached(&mut self, id: TryId, proxy: usize) {
         let shun = Micros::from_secs(self.plan.experiment.clients.shun_ms / 1e3);
         self.shunned[proxy] = self.now + shun;
         self.record(Observation::Unreached { id, proxy });
         self.retry(id, true, None);
     }
 
-    /// A try has reached its proxy.
-    pub(super) fn arrive(&mut self, id: TryId, proxy: usize, life: u32, deadline: Time) {
-        if !self.lives(proxy, life) {
+    /// Handles the arrival of a try at its proxy.
+    pub(super) fn arrive(&mut self, id: TryId, proxy: usize, generation: u32, deadline: Time) {
+        if !self.is_current(proxy, generation) {
             self.after(ONE_WAY, Event::Broke(id));
             return;
         }
@@ -69,12 +69,12 @@
         let class = self.plan.arrivals[id.arrival as usize].class;
         let left = Micros((deadline - self.now).0.saturating_sub(MARGIN.0));
         let request = self.proxies[proxy].take(id, class, left, id.no > 0);
-        waiting.request = Some((life, request));
-        self.after(left, Event::Deadline { proxy, life, request });
+        waiting.request = Some((generation, request));
+        self.after(left, Event::Deadline { proxy, generation, request });
         self.pump(proxy);
     }
 
-    /// An answer has reached its client, if that still waits.
+    /// Handles an answer that has reached its client, if the client still waits.
     pub(super) fn answered(&mut self, id: TryId, status: u16, retry_after: Option<f64>) {
         if self.waiting.remove(&id).is_none() {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The connection broke under a client, if that still waits.
+    /// Handles a broken connection of a client that still waits.
     pub(super) fn broke(&mut self, id: TryId) {
         if self.waiting.remove(&id).is_some() {
             self.record(Observation::Broke { id, reused: false, begun: false });
@@ -94,26 +94,26 @@
         }
     }
 
-    /// A client leaves, if it still waits.
+    /// Lets a client leave, if it still waits.
     pub(super) fn leave(&mut self, id: TryId) {
         let Some(waiting) = self.waiting.remove(&id) else { return };
         self.record(Observation::Left { id });
-        let Some((life, request)) = waiting.request else { return };
-        if self.lives(waiting.proxy, life) {
+        let Some((generation, request)) = waiting.request else { return };
+        if self.is_current(waiting.proxy, generation) {
             self.proxies[waiting.proxy].client_gone(request);
             self.pump(waiting.proxy);
         }
     }
 
-    /// A further try after one that was not served, where the client makes one: the class or the answer says that it
-    /// does no harm, and there is time.
+    /// Schedules another try after one that was not served, if the class or the answer says that a repeat is
+    /// harmless, a try is left and the client still has patience.
     fn retry(&mut self, id: TryId, harmless: bool, retry_after: Option<f64>) {
         let arrival = &self.plan.arrivals[id.arrival as usize];
-        let habits = &self.plan.experiment.clients;
+        let client_settings = &self.plan.experiment.clients;
         let harmless = harmless || self.plan.experiment.class[arrival.class].effect == Effect::Free;
-        let pause = retry_after.unwrap_or(habits.pause_ms / 1e3);
+        let pause = retry_after.unwrap_or(client_settings.pause_ms / 1e3);
         let at = self.now + Micros::from_secs(pause);
-        if harmless && id.no + 1 < habits.tries && at < arrival.at + arrival.patience {
+        if harmless && id.no + 1 < client_settings.tries && at < arrival.at + arrival.patience {
             self.at(at, Event::Ask(TryId { no: id.no + 1, ..id }));
         }
     }
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: proxies are told the list of backends, and changes to it.
+//! Discovery: sends proxies the endpoint list and its changes.
 
 use super::event::Event;
 use super::proxies::module_time;
@@ -8,7 +8,7 @@
 use lotusdeck_policy::settings::EndpointRecord;
 use lotusdeck_policy::{Backend, BackendId, BackendState, CellId, ListUpdate, Micros};
 
-/// A line of the list as a proxy reads it.
+/// A line of the list in the form that a proxy reads.
 struct ListedBackend {
     row: EndpointRecord,
     id: BackendId,
@@ -16,23 +16,25 @@
 }
 
 impl Simulation<'_> {
-    /// Tells a proxy the whole list, or what has changed since it was told last.
-    pub(super) fn list(&mut self, proxy: usize, update: ListUpdate) {
+    /// Sends a proxy the whole list, or what has changed since its version.
+    pub(super) fn send_list(&mut self, proxy: usize, update: ListUpdate) {
         let known = self.proxies[proxy].version();
         let version = self.discovery.version();
         let listed: Vec<ListedBackend> = match update {
-            ListUpdate::Changes => self.discovery.since(known).map(|line| self.listed(line)).collect(),
-            _ => self.discovery.whole().map(|line| self.listed(line)).collect(),
+            ListUpdate::Changes => {
+                self.discovery.since(known).map(|line| self.listed_backend(line)).collect()
+            }
+            _ => self.discovery.whole().map(|line| self.listed_backend(line)).collect(),
         };
         for ListedBackend { id, status, .. } in &listed {
             self.record(Observation::Told { proxy, backend: id.0 as usize, status: *status });
         }
         let rows = listed.into_iter().map(|listed| (listed.row, listed.id));
-        self.proxies[proxy].members(update, rows, version);
+        self.proxies[proxy].update_endpoints(update, rows, version);
         self.pump(proxy);
     }
 
-    fn listed(&self, line: &Line) -> ListedBackend {
+    fn listed_backend(&self, line: &Line) -> ListedBackend {
         let spec = &self.plan.fleet[line.backend];
         let state = match line.status {
             Status::Serving => BackendState::Ready,
@@ -48,35 +50,35 @@
         }
     }
 
-    /// The list may have changed.
-    pub(super) fn news(&mut self) {
+    /// Applies changes that have reached discovery, and answers all proxies if there are any.
+    pub(super) fn apply_list_changes(&mut self) {
         if self.discovery.due(self.now) {
-            self.spread();
+            self.answer_all_proxies();
         }
-        self.follow_news();
+        self.schedule_list_change();
     }
 
-    /// Every proxy is told, in turn.
-    pub(super) fn spread(&mut self) {
+    /// Answers the call of every proxy, in turn.
+    pub(super) fn answer_all_proxies(&mut self) {
         for proxy in 0..self.proxies.len() {
             let lines = self.discovery.since(self.proxies[proxy].version()).count();
-            self.call(proxy, lines);
+            self.schedule_answer(proxy, lines);
         }
     }
 
-    /// Discovery tells a proxy so many lines once it is through with the calls before.
-    pub(super) fn call(&mut self, proxy: usize, lines: usize) {
+    /// Schedules an answer of `lines` lines to a proxy, after the calls that are queued before it.
+    pub(super) fn schedule_answer(&mut self, proxy: usize, lines: usize) {
         let spec = &self.plan.experiment.discovery;
         let took = Micros::from_secs(spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64);
         self.calls_end = self.calls_end.max(self.now) + took;
-        let life = self.proxies[proxy].life();
-        self.at(self.calls_end + ONE_WAY, Event::Tell { proxy, life });
+        let generation = self.proxies[proxy].generation();
+        self.at(self.calls_end + ONE_WAY, Event::ListAnswer { proxy, generation });
     }
 
-    /// Looks again when discovery next hears of a change.
-    pub(super) fn follow_news(&mut self) {
+    /// Schedules the next change of the list.
+    pub(super) fn schedule_list_change(&mut self) {
         if let Some(at) = self.discovery.next() {
-            self.at(at, Event::News);
+            self.at(at, Event::ListChange);
         }
     }
 }
--- a/crates/testbed/src/virtual_time/gossip.rs
+++ b/crates/testbed/src/virtual_time/gossip.rs
@@ -1,28 +1,28 @@
-//! Proxies tell each other how many attempts they have out.
+//! Gossip: proxies tell each other how many attempts they have in flight.
 
 use super::event::Event;
 use super::Simulation;
 use lotusdeck_policy::Micros;
 
 impl Simulation<'_> {
-    /// Every proxy is told what the others had out some rounds ago.
+    /// Runs a round: sends each proxy what the others had in flight some rounds ago, and schedules the next round.
     pub(super) fn gossip(&mut self) {
-        let talk = &self.plan.experiment.talk;
-        let every = Micros::from_secs(talk.every_ms / 1e3);
-        let rounds_late = (talk.lag_ms / talk.every_ms).ceil() as usize;
-        let out = self.proxies.iter().map(|proxy| proxy.out() as f64).collect();
+        let settings = &self.plan.experiment.talk;
+        let every = Micros::from_secs(settings.every_ms / 1e3);
+        let rounds_late = (settings.lag_ms / settings.every_ms).ceil() as usize;
+        let out = self.proxies.iter().map(|proxy| proxy.in_flight() as f64).collect();
         self.gossip.push_back(out);
         if self.gossip.len() > rounds_late {
-            let told = self.gossip.pop_front().unwrap_or_default();
-            self.tell_others(&told);
+            let sent = self.gossip.pop_front().unwrap_or_default();
+            self.send_fleet_load(&sent);
         }
         if self.now < self.plan.end() {
             self.after(every, Event::Gossip);
         }
     }
 
-    /// Tells each proxy that is alive the sum of what the others had out.
-    fn tell_others(&mut self, out: &[f64]) {
+    /// Sends each live proxy the number of attempts that all others had in flight.
+    fn send_fleet_load(&mut self, out: &[f64]) {
         let all: f64 = out.iter().sum();
         for (proxy, own) in out.iter().enumerate() {
             if self.proxies[proxy].alive() {
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in virtual time: what the core does on sockets, without them.
+//! A proxy in virtual time: does what the core does, but without sockets.
 
 use super::policy::{GlobalView, Policy};
 use super::policy_choice::PolicyChoice;
@@ -9,7 +9,7 @@
 use lotusdeck_policy::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     Served,
@@ -17,67 +17,67 @@
     Failed,
 }
 
-/// What a proxy asks of the world.
-pub(super) enum Stage {
+/// A step that a proxy asks the simulation to carry out.
+pub(super) enum Step {
     Answer { id: TryId, answer: Answer },
     Timer { token: TimerToken, after: Micros },
     Connect { key: (RequestId, AttemptNo), backend: usize, warm: bool },
     Withdraw { backend: usize, ticket: Ticket },
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     pub backend: usize,
-    /// On a connection that stood already.
+    /// Whether it uses an idle connection.
     pub warm: bool,
     since: Time,
     ticket: Option<Ticket>,
 }
 
-struct Live {
+struct OpenRequest {
     id: TryId,
     attempts: u32,
 }
 
-/// One proxy.
+/// The state of one proxy.
 pub(super) struct Proxy {
     policy: Box<dyn Policy>,
     names: Names,
     alive: bool,
-    life: u32,
-    requests: HashMap<RequestId, Live>,
-    flights: BTreeMap<(RequestId, AttemptNo), Flight>,
-    /// Idle connections by backend.
+    generation: u32,
+    requests: HashMap<RequestId, OpenRequest>,
+    in_flight: BTreeMap<(RequestId, AttemptNo), InFlight>,
+    /// Number of idle connections by backend.
     idle: HashMap<usize, u32>,
     serving: HashMap<usize, bool>,
     cordoned: BTreeSet<BackendId>,
     events: VecDeque<Event>,
-    /// Requests whose answer goes out next.
+    /// Requests whose served answer goes out at the next [`Proxy::pump`].
     served: Vec<RequestId>,
-    last: u64,
+    last_request: u64,
     version: u64,
 }
 
 impl Proxy {
     pub(super) fn new(
-        number: usize, settings: &Settings, plan: &Plan, which: PolicyChoice, life: u32,
+        number: usize, settings: &Settings, plan: &Plan, choice: PolicyChoice, generation: u32,
     ) -> Result<Proxy, ConfigError> {
         let own = settings.clone();
-        let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(life) << 48;
+        let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(generation) << 48;
         Ok(Proxy {
-            policy: which.build(&own, plan, seed)?,
+            policy: choice.build(&own, plan, seed)?,
             names: own.names,
             alive: true,
-            life,
+            generation,
             requests: HashMap::new(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             idle: HashMap::new(),
             serving: HashMap::new(),
             cordoned: BTreeSet::new(),
             events: VecDeque::new(),
             served: Vec::new(),
-            last: 0,
+            last_request: 0,
             version: 0,
         })
     }
@@ -85,18 +85,18 @@
     pub(super) fn alive(&self) -> bool {
         self.alive
     }
-    pub(super) fn life(&self) -> u32 {
-        self.life
+    pub(super) fn generation(&self) -> u32 {
+        self.generation
     }
-    pub(super) fn lives(&self, life: u32) -> bool {
-        self.alive && self.life == life
+    pub(super) fn is_current(&self, generation: u32) -> bool {
+        self.alive && self.generation == generation
     }
-    /// Attempts that are out.
-    pub(super) fn out(&self) -> usize {
-        self.flights.len()
+    /// Returns the number of attempts in flight.
+    pub(super) fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
-    pub(super) fn sees(&self) -> bool {
-        self.policy.sees()
+    pub(super) fn uses_global_view(&self) -> bool {
+        self.policy.uses_global_view()
     }
     pub(super) fn version(&self) -> u64 {
         self.version
@@ -105,11 +105,11 @@
         self.events.push_back(event);
     }
 
-    /// Takes a client's request.
+    /// Takes a client's request and passes it to the policy.
     pub(super) fn take(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
-        self.last += 1;
-        let request = RequestId(self.last);
-        self.requests.insert(request, Live { id, attempts: 0 });
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
+        self.requests.insert(request, OpenRequest { id, attempts: 0 });
         let (tenant, work_hint, uploading) = (None, None, false);
         let class = ClassId(class);
         self.push(Event::Request(Arrival {
@@ -124,13 +124,13 @@
         request
     }
 
-    /// The attempts of a request that are out.
-    pub(super) fn out_of(&self, request: RequestId) -> Vec<(RequestId, AttemptNo)> {
+    /// Returns the attempts of a request that are in flight.
+    pub(super) fn in_flight_of(&self, request: RequestId) -> Vec<(RequestId, AttemptNo)> {
         let range = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
-        self.flights.range(range).map(|(key, _)| *key).collect()
+        self.in_flight.range(range).map(|(key, _)| *key).collect()
     }
 
-    /// The module stayed silent to the deadline: the request is over, and whose it was is told so.
+    /// Ends a request that the policy has not ended by its deadline, and returns the try to answer.
     pub(super) fn give_up(&mut self, request: RequestId) -> Option<TryId> {
         let live = self.requests.remove(&request)?;
         self.push(Event::ClientDisconnected { request });
@@ -143,11 +143,12 @@
         }
     }
 
-    pub(super) fn members(
-        &mut self, update: ListUpdate, lines: impl Iterator<Item = (EndpointRecord, BackendId)>, version: u64,
+    pub(super) fn update_endpoints(
+        &mut self, update: ListUpdate, endpoints: impl Iterator<Item = (EndpointRecord, BackendId)>,
+        version: u64,
     ) {
-        let lines: Vec<Backend> = lines.map(|(row, id)| self.names.resolve(&row, id)).collect();
-        for b in &lines {
+        let endpoints: Vec<Backend> = endpoints.map(|(row, id)| self.names.resolve(&row, id)).collect();
+        for b in &endpoints {
             let serves = b.state == BackendState::Ready;
             self.serving.insert(b.id.0 as usize, serves);
             if !serves {
@@ -155,7 +156,7 @@
             }
         }
         self.version = version;
-        self.push(Event::EndpointsUpdated { update, backends: lines });
+        self.push(Event::EndpointsUpdated { update, backends: endpoints });
     }
 
     pub(super) fn cordon(&mut self, which: &[BackendId], out: bool) {
@@ -174,31 +175,32 @@
         self.idle.remove(&backend);
     }
 
-    /// An attempt whose connection is up: where it goes, whose it is, and whether it may.
-    pub(super) fn ready(&self, key: (RequestId, AttemptNo)) -> Option<(Flight, TryId, bool)> {
-        let flight = *self.flights.get(&key)?;
+    /// Returns an attempt whose connection is ready, the try it belongs to, and whether it may still be sent: its
+    /// request is open, and its backend listed as ready and not cordoned.
+    pub(super) fn ready(&self, key: (RequestId, AttemptNo)) -> Option<(InFlight, TryId, bool)> {
+        let flight = *self.in_flight.get(&key)?;
         let live = self.requests.get(&key.0);
         let listed = self.serving.get(&flight.backend).copied().unwrap_or(false);
-        let may = listed && !self.cordoned.contains(&BackendId(flight.backend as u32));
-        Some((flight, live.map_or(TryId { arrival: 0, no: u32::MAX }, |l| l.id), may && live.is_some()))
+        let may_send = listed && !self.cordoned.contains(&BackendId(flight.backend as u32));
+        Some((flight, live.map_or(TryId { arrival: 0, no: u32::MAX }, |l| l.id), may_send && live.is_some()))
     }
 
     pub(super) fn sent(&mut self, key: (RequestId, AttemptNo), ticket: Ticket) {
-        if let Some(flight) = self.flights.get_mut(&key) {
+        if let Some(flight) = self.in_flight.get_mut(&key) {
             flight.ticket = Some(ticket);
         }
     }
 
-    /// An attempt ended; where it was, if it had been sent.
+    /// Ends an attempt and passes its outcome to the policy. Returns its backend and ticket if it had been sent.
     pub(super) fn attempt_ended(
         &mut self, now: Time, key: (RequestId, AttemptNo), outcome: Outcome,
     ) -> Option<(usize, Ticket)> {
-        let flight = self.flights.remove(&key)?;
+        let flight = self.in_flight.remove(&key)?;
         if matches!(outcome, Outcome::Success | Outcome::Rejected) {
             *self.idle.entry(flight.backend).or_default() += 1;
         }
         let (request, attempt) = key;
-        // The answer goes out before the module hears of it, as in the core.
+        // The client is answered before the policy handles the end, as in the core.
         let served = outcome == Outcome::Success && self.requests.contains_key(&request);
         let settled = served || !self.requests.contains_key(&request);
         let latency = now - flight.since;
@@ -217,27 +219,27 @@
         flight.ticket.map(|t| (flight.backend, t))
     }
 
-    /// Passes all events on and tells what is asked for.
-    pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, wishes: &mut Vec<Stage>) {
+    /// Passes all pending events to the policy and adds the resulting steps to `steps`.
+    pub(super) fn pump(&mut self, now: Time, global_view: GlobalView, steps: &mut Vec<Step>) {
         for request in std::mem::take(&mut self.served) {
-            self.finish(request, Answer::Served, wishes);
+            self.finish(request, Answer::Served, steps);
         }
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.policy.handle(now, event, global_view, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, wishes);
+                self.carry_out(now, action, steps);
             }
         }
     }
 
-    fn finish(&mut self, request: RequestId, answer: Answer, wishes: &mut Vec<Stage>) {
+    fn finish(&mut self, request: RequestId, answer: Answer, steps: &mut Vec<Step>) {
         if let Some(live) = self.requests.remove(&request) {
-            wishes.push(Stage::Answer { id: live.id, answer });
+            steps.push(Step::Answer { id: live.id, answer });
         }
     }
 
-    fn carry_out(&mut self, now: Time, action: Action, wishes: &mut Vec<Stage>) {
+    fn carry_out(&mut self, now: Time, action: Action, steps: &mut Vec<Step>) {
         match action {
             Action::Dispatch { request, backend } => {
                 let Some(live) = self.requests.get_mut(&request) else { return };
@@ -247,17 +249,16 @@
                 let idle = self.idle.entry(backend).or_default();
                 let warm = *idle > 0;
                 *idle -= u32::from(warm);
-                self.flights.insert(key, Flight { backend, warm, since: now, ticket: None });
-                wishes.push(Stage::Connect { key, backend, warm });
+                self.in_flight.insert(key, InFlight { backend, warm, since: now, ticket: None });
+                steps.push(Step::Connect { key, backend, warm });
             }
             Action::Reject { request, retry_after } => {
-                self.finish(request, Answer::Refused(retry_after), wishes)
+                self.finish(request, Answer::Refused(retry_after), steps)
             }
-            Action::Fail { request } => self.finish(request, Answer::Failed, wishes),
+            Action::Fail { request } => self.finish(request, Answer::Failed, steps),
             Action::Cancel { request, attempt } => {
-                let Some(flight) = self.flights.remove(&(request, attempt)) else { return };
-                wishes
-                    .extend(flight.ticket.map(|ticket| Stage::Withdraw { backend: flight.backend, ticket }));
+                let Some(flight) = self.in_flight.remove(&(request, attempt)) else { return };
+                steps.extend(flight.ticket.map(|ticket| Step::Withdraw { backend: flight.backend, ticket }));
                 let (outcome, latency) = (Outcome::Cancelled, now - flight.since);
                 let settled = !self.requests.contains_key(&request);
                 let end = AttemptEnd {
@@ -270,18 +271,18 @@
                 };
                 self.push(Event::AttemptEnded(end));
             }
-            Action::SetTimer { token, after } => wishes.push(Stage::Timer { token, after }),
+            Action::SetTimer { token, after } => steps.push(Step::Timer { token, after }),
             Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
-    /// The process ends: whom it leaves without an answer, and what it had sent.
-    pub(super) fn die(&mut self) -> (Vec<TryId>, Vec<(usize, Ticket)>) {
+    /// Ends the process. Returns the tries without an answer, and the attempts it had sent.
+    pub(super) fn kill(&mut self) -> (Vec<TryId>, Vec<(usize, Ticket)>) {
         self.alive = false;
         let mut clients: Vec<TryId> = self.requests.drain().map(|(_, l)| l.id).collect();
         clients.sort();
-        let flights = std::mem::take(&mut self.flights);
-        let sent = flights.values().filter_map(|f| Some((f.backend, f.ticket?))).collect();
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let sent = in_flight.values().filter_map(|f| Some((f.backend, f.ticket?))).collect();
         self.events.clear();
         (clients, sent)
     }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a run: all that is drawn by chance, before it begins. The same experiment and seed give the same
-//! plan on every machine, and its hash tells.
+//! The plan of a run: everything random, drawn before the run begins. The same experiment and seed give the same
+//! plan on every machine, which its hash shows.
 
 use super::backend::{FallRule, Spec};
 use super::rng::{Rng, Zipf};
@@ -8,81 +8,81 @@
 use lotusdeck_policy::{Micros, Time};
 use xxhash_rust::xxh3::Xxh3;
 
-/// One thing that a client wants.
+/// One thing that a client wants, for which it makes one or more tries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When its first try is due, from the start of the run.
+    /// When its first try is due.
     pub at: Time,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// What it concerns.
+    /// The key it asks for.
     pub key: u64,
-    /// Work of it, core-seconds on a standard core.
+    /// Its work, in core-seconds of a standard core.
     pub work: f64,
-    /// Its client leaves after this time, if that is before the deadline.
+    /// The client leaves this long after `at`, if that is before the deadline.
     pub patience: Micros,
 }
 
-/// What happens at one moment.
+/// Something that happens to backends, discovery or proxies at one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// Backends die.
+    /// Processes of backends die.
     Kill(Vec<usize>),
     /// Backends begin to drain.
     Drain(Vec<usize>),
-    /// Backends leave: drained or dead, they are off the list.
+    /// Backends are removed from the list; processes that still run end.
     Remove(Vec<usize>),
-    /// Backends start.
+    /// Backends start, cold.
     Start(Vec<usize>),
-    /// Backends keep that part of their speed.
+    /// Backends run at that part of their speed.
     Slow(Vec<usize>, f64),
-    /// All backends keep that part of their speed.
+    /// All backends run at that part of their speed, as a shared dependency is slow.
     SharedSlow(f64),
-    /// Machines go silent, or come back.
+    /// Machines hang, or come back.
     Hang(Vec<usize>, bool),
-    /// Operators take backends out, or give them back.
+    /// Operators cordon backends, or uncordon them.
     Cordon(Vec<usize>, bool),
-    /// Discovery fails, or works again.
+    /// Discovery goes down, or comes back.
     DiscoveryDown(bool),
-    /// Discovery hears so much later.
+    /// Discovery's delay is that multiple of the usual one.
     DiscoveryLag(f64),
     /// A proxy is killed.
     KillProxy(usize),
-    /// A proxy is told to stop.
+    /// A proxy is stopped in order, by a signal.
     StopProxy(usize),
     /// A proxy is started.
     StartProxy(usize),
-    /// A proxy reads its configuration anew.
+    /// A proxy reloads its configuration.
     Reload(usize),
 }
 
-/// All that is drawn.
+/// Everything drawn for a run.
 pub struct Plan {
-    /// What it was drawn from.
+    /// The experiment it was drawn from.
     pub experiment: Experiment,
     /// Seed of the draws.
     pub seed: u64,
-    /// In the order of time.
+    /// The arrivals, ordered by time.
     pub arrivals: Vec<Arrival>,
-    /// In the order of time.
+    /// The acts, ordered by time.
     pub acts: Vec<(Time, Act)>,
-    /// The fleet.
+    /// The backends.
     pub fleet: Vec<Spec>,
-    /// Of arrivals, acts and fleet.
+    /// Hash of the arrivals, acts and fleet.
     pub hash: u64,
 }
 
-/// A killed or restarted proxy comes back after this time where the experiment names none, s.
-const PROXY_BACK: f64 = 1.0;
-/// A drained backend leaves the list after this time, s.
-const DRAIN_TIME: f64 = 2.0;
+/// Seconds until a killed or stopped proxy starts again, where the experiment names no time.
+const PROXY_RESTART_S: f64 = 1.0;
+/// Seconds until a draining backend is removed from the list.
+const DRAIN_S: f64 = 2.0;
 
 fn time(seconds: f64) -> Time {
     Time((seconds * 1e6).round().max(0.0) as u64)
 }
 
 impl Plan {
-    /// Draws it.
+    /// Draws the plan of an experiment with a seed.
     pub fn draw(experiment: &Experiment, seed: u64) -> Plan {
         let fleet = fleet(experiment);
         let arrivals = arrivals(experiment, seed);
@@ -98,13 +98,13 @@
         Plan { experiment: experiment.clone(), seed, arrivals, acts, fleet, hash: hash.digest() }
     }
 
-    /// The bound on what a cold backend is sent.
+    /// Returns the limit on the work that a cold backend may be sent.
     pub fn fall_rule(&self) -> FallRule {
         let rules = &self.experiment.rules;
         FallRule { multiple: rules.fall_multiple, window: Micros::from_secs(rules.fall_window_ms / 1e3) }
     }
 
-    /// When the last request arrives at the latest.
+    /// Returns the time at which arrivals end.
     pub fn end(&self) -> Time {
         time(self.experiment.duration_s)
     }
@@ -135,7 +135,7 @@
     of_kind.enumerate().map(spec).collect()
 }
 
-/// A Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
+/// Draws arrivals from a Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
 fn arrivals(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
     let (mut when, mut what) = (Rng::new(seed, "arrivals"), Rng::new(seed, "requests"));
     let zipf = Zipf::new(experiment.clients.keys, experiment.clients.zipf);
@@ -170,7 +170,7 @@
     let mut out = Vec::new();
     for (i, t) in experiment.trouble.iter().enumerate() {
         let purpose = t.who.as_ref().map_or(format!("trouble {i}"), |who| format!("trouble of {who}"));
-        let whom = whom(t, fleet, &mut Rng::new(seed, &purpose));
+        let targets = targets(t, fleet, &mut Rng::new(seed, &purpose));
         let (at, end) = (time(t.at_s), t.for_s.map(|span| time(t.at_s + span)));
         let after = |span: f64| time(t.at_s + span);
         let factor = t.factor.unwrap_or(1.0);
@@ -180,30 +180,30 @@
             out.extend(end.map(|end| (end, over)));
         };
         match t.what {
-            What::Slow => both(Act::Slow(whom.clone(), factor), Act::Slow(whom, 1.0)),
+            What::Slow => both(Act::Slow(targets.clone(), factor), Act::Slow(targets, 1.0)),
             What::SharedSlow => both(Act::SharedSlow(factor), Act::SharedSlow(1.0)),
-            What::Hang => both(Act::Hang(whom.clone(), true), Act::Hang(whom, false)),
-            What::Cordon => both(Act::Cordon(whom.clone(), true), Act::Cordon(whom, false)),
+            What::Hang => both(Act::Hang(targets.clone(), true), Act::Hang(targets, false)),
+            What::Cordon => both(Act::Cordon(targets.clone(), true), Act::Cordon(targets, false)),
             What::DiscoveryDown => both(Act::DiscoveryDown(true), Act::DiscoveryDown(false)),
             What::DiscoveryLag => both(Act::DiscoveryLag(factor), Act::DiscoveryLag(1.0)),
             What::Kill => {
                 let noticed = experiment.discovery.detect_ms / 1e3;
                 if t.for_s.is_none_or(|span| span > noticed) {
-                    out.push((after(noticed), Act::Remove(whom.clone())));
+                    out.push((after(noticed), Act::Remove(targets.clone())));
                 }
-                out.push((at, Act::Kill(whom.clone())));
-                out.extend(end.map(|end| (end, Act::Start(whom))));
+                out.push((at, Act::Kill(targets.clone())));
+                out.extend(end.map(|end| (end, Act::Start(targets))));
             }
             What::Drain => {
-                out.push((at, Act::Drain(whom.clone())));
-                out.push((after(DRAIN_TIME), Act::Remove(whom.clone())));
-                out.extend(t.for_s.map(|span| (after(span.max(DRAIN_TIME)), Act::Start(whom))));
+                out.push((at, Act::Drain(targets.clone())));
+                out.push((after(DRAIN_S), Act::Remove(targets.clone())));
+                out.extend(t.for_s.map(|span| (after(span.max(DRAIN_S)), Act::Start(targets))));
             }
             What::KillProxy | What::RestartProxy => {
                 let stop =
                     if t.what == What::KillProxy { Act::KillProxy(proxy) } else { Act::StopProxy(proxy) };
                 out.push((at, stop));
-                out.push((after(t.for_s.unwrap_or(PROXY_BACK)), Act::StartProxy(proxy)));
+                out.push((after(t.for_s.unwrap_or(PROXY_RESTART_S)), Act::StartProxy(proxy)));
             }
             What::Reload => out.push((at, Act::Reload(proxy))),
         }
@@ -211,14 +211,14 @@
     out
 }
 
-fn whom(t: &Trouble, fleet: &[Spec], rng: &mut Rng) -> Vec<usize> {
-    let meant = |i: &usize| {
+fn targets(t: &Trouble, fleet: &[Spec], rng: &mut Rng) -> Vec<usize> {
+    let matches = |i: &usize| {
         t.kind.as_ref().is_none_or(|k| fleet[*i].kind == *k)
             && t.zone.as_ref().is_none_or(|z| fleet[*i].zone == *z)
     };
-    let may: Vec<usize> = (0..fleet.len()).filter(meant).collect();
-    let count = t.part.map_or(may.len(), |part| (part * may.len() as f64).round() as usize);
-    rng.sample(may.len(), count).into_iter().map(|i| may[i]).collect()
+    let candidates: Vec<usize> = (0..fleet.len()).filter(matches).collect();
+    let count = t.part.map_or(candidates.len(), |part| (part * candidates.len() as f64).round() as usize);
+    rng.sample(candidates.len(), count).into_iter().map(|i| candidates[i]).collect()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/world/plan/tests.rs
+++ b/crates/testbed/src/world/plan/tests.rs
@@ -29,7 +29,7 @@
     let (a, b, c) = (Plan::draw(&e, 7), Plan::draw(&e, 7), Plan::draw(&e, 8));
     assert_eq!((a.hash, &a.arrivals, &a.acts), (b.hash, &b.arrivals, &b.acts));
     assert_ne!(a.hash, c.hash);
-    // A change of the troubles leaves the arrivals as they were.
+    // Without the troubles the arrivals are the same, as each purpose has its own random stream.
     let calm = Experiment::parse("t", TEXT.split("[[trouble]]").next().unwrap()).unwrap();
     let calm = Plan::draw(&calm, 7);
     assert!(calm.arrivals == a.arrivals && calm.hash != a.hash);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn faults_are_named() {
+fn invalid_values_are_reported_by_key() {
     let fault = |text: String| Experiment::parse("f.toml", &text).unwrap_err().to_string();
     let zero = fault(TEXT.replace("work_ms = 5.0", "work_ms = 0.0"));
     assert!(zero.contains("class[0].work_ms: expected a number above 0"), "{zero}");
