--- a/crates/testbed/src/crowd_cost.rs
+++ b/crates/testbed/src/crowd_cost.rs
@@ -1,5 +1,5 @@
-//! What a new connection costs a proxy whose places are all held by clients that sent part of a head and no more:
-//! processor time by the number of connections that it keeps.
+//! Measures what a new connection costs a proxy whose connection limit is reached by clients that sent only part of a
+//! head: processor time, by the number of connections that the proxy keeps.
 
 use crate::driver::proxies::Proxy;
 use crate::driver::run::RunError;
@@ -12,50 +12,50 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Part of a head, as a client leaves it that opens a connection and goes on with nothing.
+/// What each client sends: part of a head, which it never completes.
 const PART_OF_A_HEAD: &[u8] = b"GET /read/k HTTP/1.1\r\nHost";
-/// Longer than the 500 ms after which a connection with part of a head may be closed (`HEAD_REST` of the proxy), and
-/// short enough that none is closed for its age (2.8 s) before the measurement.
+/// The pause before the measurement. Longer than the 500 ms after which a connection with part of a head may be
+/// evicted (`STALLED_HEAD_AGE` of the proxy), and short enough that none times out (2.8 s) before the measurement.
 const SETTLE: Duration = Duration::from_millis(600);
-/// Descriptors that a proxy keeps for all but clients and upstreams (`RESERVE` of `lotusdeck serve`).
+/// Descriptors that a proxy reserves for everything except clients and upstreams (`RESERVED` of `lotusdeck serve`).
 const RESERVED: usize = 64;
-/// Connections over their bound that a proxy takes (`OVER_BOUND` of `lotusdeck serve`).
+/// Connections that a proxy accepts beyond its limit (`EXCESS_CLIENTS` of `lotusdeck serve`).
 const OVER_BOUND: usize = 24;
-/// The end of a measurement at which the proxy has not taken all connections.
+/// Time limit for the proxy to become idle after the new connections.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// A look at whether the proxy has come to rest.
+/// Interval between checks whether the proxy is idle.
 const LOOK: Duration = Duration::from_millis(20);
-/// Less processor time than this between two looks is rest, in nanoseconds: timers alone take some 100 us a second.
+/// Processor time between two checks below which the proxy counts as idle, ns; timers alone take some 100 us a second.
 const REST_NS: u64 = 200_000;
 
-/// What to measure.
+/// Arguments of the `crowd-cost` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Connections that the proxy keeps, by steps.
+    /// Numbers of connections that the proxy keeps, one for each step.
     #[arg(long, value_delimiter = ',', default_value = "256,1024,4096,16384")]
     kept: Vec<usize>,
-    /// New connections in one measurement.
+    /// Number of new connections in one measurement.
     #[arg(long, default_value_t = 500)]
     connections: usize,
-    /// Rounds; each plays every program at every step.
+    /// Number of rounds; each measures every program at every step.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Another lotusdeck to play beside it, in turn.
+    /// Program of a second proxy, measured in turn with the first.
     #[arg(long)]
     beside: Option<PathBuf>,
-    /// Where configurations and logs go.
+    /// Folder for configurations and logs.
     #[arg(long, default_value = "lab-runs/crowd-cost")]
     out: PathBuf,
 }
 
-/// What one program needed at one step.
+/// The measurements of one program at one step.
 struct Row {
     program: PathBuf,
     kept: usize,
-    /// Microseconds of processor time a connection, one for each round.
+    /// Microseconds of processor time for each evicted connection, by round; NaN where a measurement is invalid.
     micros: Vec<f64>,
 }
 
@@ -67,9 +67,9 @@
     }
 }
 
-/// The experiment behind a proxy's configuration: one backend that is never asked.
+/// Builds the experiment that the proxy's configuration is made from; its one backend gets no requests.
 fn experiment(kept: usize) -> Result<Experiment, ExperimentError> {
-    // The proxy gives clients three fifths of what it may open.
+    // The proxy allots three fifths of its descriptors beyond the reserved ones to clients.
     let sockets = kept * 5 / 3 + RESERVED + 2;
     let text = format!(
         "name = 'crowd-cost'\nduration_s = 1.0\nproxies = 1\nload = {{ rps = 1.0 }}\n\
@@ -80,7 +80,7 @@
     Experiment::parse("crowd-cost", &text)
 }
 
-/// Nanoseconds that a process has run, by the scheduler's own count (proc(5), schedstat).
+/// Returns for how many nanoseconds a process has run, as counted by the scheduler (proc(5), schedstat).
 fn ran_ns(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     text.split_ascii_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
@@ -96,7 +96,7 @@
     Ok(clients)
 }
 
-/// Until the process uses no more processor time.
+/// Waits until the process is idle, for at most [`PATIENCE`].
 fn rest(pid: u32) {
     let end = Instant::now() + PATIENCE;
     let mut before = ran_ns(pid);
@@ -110,7 +110,7 @@
     }
 }
 
-/// How many of these the proxy has closed.
+/// Counts the connections that the proxy has closed.
 fn closed(clients: &[TcpStream]) -> std::io::Result<usize> {
     let mut count = 0;
     for client in clients {
@@ -121,7 +121,8 @@
     Ok(count)
 }
 
-/// Microseconds of processor time for each connection that the proxy closed to make room for a new one.
+/// Measures the microseconds of processor time for each connection that the proxy closed to make room for a new one.
+/// Returns NaN where it closed none, or more than the new connections account for.
 fn measure(proxy: &Proxy, kept: usize, connections: usize) -> std::io::Result<f64> {
     let pid = proxy.pid().unwrap_or_default();
     let old = connect(proxy.address, kept)?;
@@ -131,14 +132,14 @@
     rest(pid);
     let ran = ran_ns(pid).saturating_sub(before);
     let made_way = closed(&old)?;
-    // Where more have gone, their age has ended them while the others came: the figure would be of both.
+    // If more were closed, some timed out while the new ones connected, and the figure would include their cost.
     let sound = (1..=connections + OVER_BOUND).contains(&made_way);
     Ok(if sound { ran as f64 / 1e3 / made_way as f64 } else { f64::NAN })
 }
 
 async fn play(args: &Args, program: &Path, kept: usize) -> Result<f64, SessionError> {
     let plan = Plan::draw(&experiment(kept)?, 1);
-    // Nobody accepts there: discovery is silent.
+    // Discovery does not answer: nothing accepts on this listener.
     let silent = TcpListener::bind("127.0.0.1:0").map_err(RunError::Io)?;
     let discovery = silent.local_addr().map_err(RunError::Io)?;
     let folder = args.out.join(format!("kept-{kept}"));
@@ -163,7 +164,7 @@
     out
 }
 
-/// Measures and prints.
+/// Measures every program at every step and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let own = program(args.proxy.as_deref())?;
     let programs: Vec<PathBuf> = std::iter::once(own).chain(args.beside.clone()).collect();
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -1,4 +1,4 @@
-//! Several policies on the same arrivals and troubles, in virtual time.
+//! Compares several policies on the same arrivals and troubles, in virtual time.
 
 use crate::experiment::Experiment;
 use crate::report::causes::{Losses, CAUSES};
@@ -15,41 +15,42 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// What follows this long after the troubles is told apart, s: queues and retries have run out by then, unless they
-/// keep themselves alive.
+/// The length of the stretch after the troubles, s. Worth after it is reported separately: queues and retries have
+/// drained by then, unless they sustain themselves.
 const AFTER: f64 = 5.0;
 
-/// Who plays what, how often.
+/// Arguments of the `duel` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
     /// Experiment files.
     #[arg(required = true)]
     experiments: Vec<PathBuf>,
-    /// Policies; all where none is named.
+    /// Policies to play; by default all.
     #[arg(long, value_enum, value_delimiter = ',')]
     policies: Vec<PolicyChoice>,
-    /// Seeds for each: the experiment's own and those behind it.
+    /// Number of seeds for each policy: the experiment's own and those after it.
     #[arg(long, default_value_t = 8)]
     seeds: u64,
-    /// Tell also where worth is lost, by cause.
+    /// Print also how much worth is lost, by cause.
     #[arg(long)]
     causes: bool,
 }
 
 /// The figures of one policy over all seeds, in the order of the seeds.
 pub struct Row {
-    /// Which.
+    /// The policy.
     pub policy: PolicyChoice,
-    /// One a seed.
+    /// The figures of each seed.
     pub runs: Vec<Figures>,
-    /// Where worth was lost, one a seed.
+    /// The losses of worth of each seed.
     pub losses: Vec<Losses>,
 }
 
-/// Plays them all; the same result whatever the number of threads.
+/// Plays every policy with every seed, in parallel, and calls `done` after each run. The result does not depend on the
+/// number of threads.
 ///
 /// # Errors
-/// Where the experiment makes no settings for a proxy.
+/// No settings for a proxy can be made from the experiment.
 pub fn rows(
     experiment: &Experiment, policies: &[PolicyChoice], seeds: u64, done: &(dyn Fn() + Sync),
 ) -> Result<Vec<Row>, VirtualError> {
@@ -75,12 +76,12 @@
         .collect())
 }
 
-/// The name by which a policy is asked for.
+/// Returns the name of a policy on the command line.
 pub fn name(which: PolicyChoice) -> String {
     which.to_possible_value().map_or_else(String::new, |v| v.get_name().to_string())
 }
 
-/// A table of rows against the first of them.
+/// Formats a table of the rows, with the difference in worth of each to the first.
 pub fn table(rows: &[Row]) -> String {
     let mut out = format!(
         "{:<18} {:>8} {:>20} {:>9} {:>9} {:>9} {:>9} {:>8} {:>7}\n",
@@ -120,14 +121,15 @@
     out
 }
 
-/// The moments of the first and the last thing that happens, s: troubles, and turns of the load.
+/// Returns when the first trouble or load phase begins and the last one ends, s; `None` where there is none.
 fn troubled(experiment: &Experiment) -> Option<(f64, f64)> {
     let troubles = experiment.trouble.iter().map(|t| (t.at_s, t.at_s + t.for_s.unwrap_or(0.0)));
     let turns = experiment.load.phase.iter().map(|p| (p.at_s, p.at_s + p.over_s));
     troubles.chain(turns).reduce(|a, b| (a.0.min(b.0), a.1.max(b.1)))
 }
 
-/// Worth earned of that asked for by arrivals due in whole seconds between two times.
+/// Returns the part of the worth asked that was earned, over arrivals due in the whole seconds between two times; NaN
+/// where nothing was asked.
 fn part_between(f: &Figures, from: f64, to: f64) -> f64 {
     let inside = |s: &&Tally| s.name.parse::<f64>().is_ok_and(|at| at >= from && at + 1.0 <= to);
     let (asked, earned) =
@@ -139,7 +141,7 @@
     }
 }
 
-/// Worth before, during and after the troubles, and where it is lost.
+/// Formats the worth before, during and after the troubles and, with `causes`, where worth is lost.
 pub fn details(experiment: &Experiment, rows: &[Row], causes: bool) -> String {
     let mut out = String::new();
     if let Some((first, last)) = troubled(experiment) {
@@ -181,10 +183,10 @@
     out
 }
 
-/// Plays and prints.
+/// Plays each experiment and prints its tables.
 ///
 /// # Errors
-/// An experiment at fault.
+/// An experiment is invalid, or no settings for a proxy can be made from it.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let all = PolicyChoice::value_variants().to_vec();
     let policies = if args.policies.is_empty() { all } else { args.policies.clone() };
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet rig: several real processes of the program, behind the lab's relay, lose power or restart together, once
-//! blank and once with the lists that they kept on disk (docs/recovery.md); seeds in turn, both ways interleaved.
+//! Plays power losses and restarts of several real proxy processes behind the fault proxy, without state and with
+//! lists kept on disk (docs/recovery.md). Each seed is played both ways before the next one.
 
 use crate::driver::run::{play, Outcome};
 use crate::experiment::{Experiment, ExperimentError};
@@ -14,67 +14,69 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// The calm fleet that every script injures.
+/// The experiment without troubles that every script adds its troubles to.
 const BASE: &str = include_str!("../experiments/first-look.toml");
-/// When the power fails, s: five seconds of calm before, so that the steady worth is known.
+/// When the power fails, s; the five seconds before it give the steady worth.
 const LOSS_S: f64 = 6.0;
-/// Seconds played after the last restart: the last window ends 30 s after it.
+/// Seconds played after the last restart; the last window of [`PlayResult::worth`] ends then.
 const AFTER_S: f64 = 30.0;
-/// How long discovery answers nothing after the loss, s: longer than every restart, so that kept lists matter.
+/// How long discovery is down after the loss, s; longer than every restart, so that kept lists matter.
 const DISCOVERY_DOWN_S: f64 = 6.0;
-/// Plays of one seed and way that the machine may spoil by being too busy for the lab's schedule.
+/// The most plays of one seed and way. A play is repeated if it is void because the machine was too busy for the
+/// schedule.
 const TRIES: usize = 3;
 
-/// What fails.
+/// A scenario of failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Script {
-    /// Every proxy and backend at once; proxies back within one second, discovery six seconds after the loss.
+    /// Every proxy and backend dies at once; proxies are back within one second, discovery six seconds after the loss.
     PowerLoss,
-    /// The same, and a quarter of the backends drain and leave while discovery is down: the kept lists still name
-    /// them, and discovery tells of them once it is back.
+    /// As `power-loss`, and a quarter of the backends drain and leave while discovery is down. The kept lists still
+    /// contain them, until discovery is back and reports them.
     Gone,
     /// Half of the proxies are killed twice in five seconds while discovery is down; the backends stay up.
     RestartTwice,
-    /// Every backend starts anew, and while they are cold every proxy is killed twice, two seconds apart; discovery
-    /// stays up. What each process sent a cold backend is spent budget that the next one must not spend again.
+    /// Every backend restarts, and while they are cold every proxy is killed twice, two seconds apart; discovery stays
+    /// up. The cold budget of a backend that a process has spent must not be spent again by its successor.
     RestartCold,
 }
 
-/// Blank, as today, or with kept lists.
+/// Whether proxies keep their state across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Way {
-    /// No state outlives a process.
+    /// No state is kept.
     Blank,
-    /// `[state]` in the operator file, written every 200 ms.
+    /// State is kept on disk by `[state]` in the operator file, written every 200 ms.
     Kept,
 }
 
-/// Play a script on a fleet of real processes, blank and with kept lists.
+/// Arguments of the `fleet` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// What fails.
+    /// Scenario of failures.
     #[arg(long, value_enum, default_value_t = Script::PowerLoss)]
     pub script: Script,
-    /// Processes of the program, 3 to 30.
+    /// Number of proxy processes, 3 to 30.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u16).range(3..=30))]
     pub processes: u16,
-    /// Seeds, each played both ways in turn.
+    /// Seeds, each played blank and with kept lists.
     #[arg(long, value_delimiter = ',', default_values_t = [7, 8, 9])]
     pub seeds: Vec<u64>,
-    /// The lotusdeck to play; the one beside this program, or the one that cargo builds, where absent.
+    /// Program of the proxy; by default the lotusdeck beside this program, which is built first under `cargo run`.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
-    /// Where the plays' folders and the figures go.
+    /// Folder for the plays and the figures.
     #[arg(long, default_value = "lab-runs/fleet")]
     pub out: PathBuf,
 }
 
-/// A script on a fleet of `processes`, one way, with `after_s` seconds played after the last restart.
+/// Builds the experiment of a script with `processes` proxies, one way, that ends `after_s` seconds after the last
+/// restart.
 ///
 /// # Errors
-/// None for the scripts here; the experiment's own checks stand.
+/// The experiment does not parse or fails a check; neither happens with the scripts here.
 pub fn experiment(
     script: Script, way: Way, processes: usize, after_s: f64,
 ) -> Result<Experiment, ExperimentError> {
@@ -85,7 +87,7 @@
             "{{ at_s = {at_s}, what = \"kill-proxy\", proxy = {proxy}, for_s = {for_s} }},"
         );
     };
-    // Restarts spread over one second, in fifths, so that no two neighbours start together.
+    // Downtimes of 0.5 s to 1 s in five steps, so that processes next to each other in number do not start together.
     let spread = |proxy: usize| 0.5 + (proxy % 5) as f64 * 0.125;
     match script {
         Script::RestartCold => (0..processes).for_each(|p| {
@@ -131,7 +133,7 @@
     Experiment::of_table(&name, whole)
 }
 
-/// When the last proxy is back, s.
+/// Returns when the last proxy is back, s.
 pub fn last_restart(script: Script, processes: usize) -> f64 {
     let latest = LOSS_S + 0.5 + (processes.min(5) - 1) as f64 * 0.125;
     match script {
@@ -161,32 +163,33 @@
     }
 }
 
-/// What one play showed.
+/// The figures of one play.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct PlayResult {
-    /// Its seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Worth earned of worth asked, of what was due in seconds 0 to 1, 1 to 5 and 5 to 30 after the last restart.
+    /// Worth earned over worth asked, of arrivals due in seconds 0 to 1, 1 to 5 and 5 to 30 after the last restart.
     pub worth: [f64; 3],
-    /// Worth of what was due in the five seconds before the loss.
+    /// Worth earned over worth asked, of arrivals due in the five seconds before the loss.
     pub steady: f64,
     /// Seconds from the last restart to the first of three seconds in a row at 90 % of steady or more; `None` if
     /// never.
     pub to_ninety_s: Option<f64>,
-    /// Windows in which a cold backend was sent more than it bears, over all proxies.
+    /// Number of cold backends that were sent more than they can take in a window, over all proxies.
     pub cold_over: usize,
-    /// The most that a backend was sent in a fall window while it was cold, over all proxies, as a part of what it
-    /// bears then.
+    /// The most work that a cold backend was sent in a window of the cold budget, over all proxies, as a part of what
+    /// it can take in that window.
     pub cold_peak: f64,
-    /// Rules broken, all oracles.
+    /// Number of violations of rules, over all oracles.
     pub broken: usize,
-    /// The first of them, in words.
+    /// The first violation, as text.
     pub first_broken: Option<String>,
-    /// Of sends to a backend after discovery told that proxy it drains or is gone, the latest, ms after the telling.
+    /// The longest time, ms, between discovery reporting to a proxy that a backend drains or is gone and a later
+    /// request of that proxy to the backend.
     pub drain_heeded_ms: Option<f64>,
 }
 
-/// The figures of a play that counts, or `None` where the machine spoilt it.
+/// Computes the figures of a play; `None` if it is void.
 pub fn evaluate(plan: &Plan, outcome: &Outcome, restart_s: f64) -> Option<PlayResult> {
     let (figures, broken) = Figures::of(plan, outcome);
     if figures.void.is_some() {
@@ -224,8 +227,8 @@
     outcome.records.iter().map(|r| part(&r.what)).fold(0.0, f64::max)
 }
 
-/// The latest send to a backend after discovery had told the sending proxy that it no longer serves, ms after; 0
-/// where it was told and nothing followed, `None` where discovery never told of such a backend.
+/// Returns the longest time, ms, between discovery reporting to a proxy that a backend no longer serves and a later
+/// request of that proxy to the backend; 0 if no request followed, `None` if discovery never reported such a backend.
 fn drain_heeded(outcome: &Outcome) -> Option<f64> {
     let mut sender = HashMap::new();
     let mut barred: HashMap<(usize, usize), Time> = HashMap::new();
@@ -255,7 +258,8 @@
     latest
 }
 
-/// Plays every seed both ways, prints each play and the medians, and writes them; whether every rule held.
+/// Plays every seed both ways, prints each play and the medians, and writes all plays to a file. Returns whether every
+/// play counted and every rule held.
 pub fn main(args: &Args) -> Result<bool, SessionError> {
     let program = session::program(args.proxy.as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -314,13 +318,14 @@
     )
 }
 
-/// The median of each figure on its own, the highest cold peak and the most cold windows over of any play, and all rules broken; the seed is 0.
+/// Summarises plays: the median of each figure, but the maximum of `cold_over`, `cold_peak` and `drain_heeded_ms`, the
+/// sum of `broken`, and 0 as the seed.
 fn median(plays: &[PlayResult]) -> PlayResult {
     let mid = |mut v: Vec<f64>| {
         v.sort_by(f64::total_cmp);
         v.get(v.len() / 2).copied().unwrap_or(0.0)
     };
-    // A play that never came back counts as the longest.
+    // A play that never reached 90 % counts as the longest.
     let ninety = mid(plays.iter().map(|r| r.to_ninety_s.unwrap_or(f64::INFINITY)).collect());
     PlayResult {
         seed: 0,
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against the truth: kills under load, compared with what the stand-ins saw; and what it costs alone.
+//! Checks the ledger after kills under load against what the stand-ins recorded, and measures its cost alone.
 
 use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, What as Happens};
@@ -16,35 +16,35 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A proxy that is killed again and again.
+/// Arguments of the `ledger-soak` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Soak {
-    /// Kills.
+    /// Number of kills.
     #[arg(long, default_value_t = 20)]
     pub kills: usize,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 400.0)]
     pub rps: f64,
     /// Seed of the plan.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// `process` or `power`.
+    /// Mode of the ledger: `process` or `power`.
     #[arg(long, default_value = "process")]
     pub mode: String,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
-    /// Where the results go.
+    /// Folder for the results.
     #[arg(long, default_value = "lab-runs/ledger-soak")]
     pub out: PathBuf,
 }
 
-/// Seconds from one kill to the next, at least and at most.
+/// The shortest and the longest time between two kills, s.
 const BETWEEN: (f64, f64) = (0.12, 0.42);
-/// A killed proxy is started again after this time, s.
+/// Delay before a killed proxy is started again, s.
 const BACK: f64 = 0.05;
 
-/// The experiment of a soak: orders and a few reads, backends that die as well, kills at random moments.
+/// Builds the experiment of a soak: orders and some reads, kills of the proxy at random times, and deaths of backends.
 pub fn experiment(kills: usize, rps: f64, seed: u64, mode: &str) -> Result<Experiment, SessionError> {
     let text = format!(
         "name = 'ledger-soak'\nduration_s = 1.0\nproxies = 1\nload = {{ rps = {rps} }}\n\
@@ -82,22 +82,22 @@
     Ok(experiment)
 }
 
-/// The ledger compared with the truth.
+/// The result of comparing the ledger with the stand-ins' records.
 #[derive(Debug, Default)]
 pub struct Compared {
-    /// Non-repeatable requests that clients wrote.
+    /// Number of non-repeatable requests that clients sent.
     pub requests: usize,
-    /// Answers of the ledger that are not true: there must be none.
+    /// False answers of the ledger, as text; there must be none.
     pub wrong: Vec<String>,
-    /// Certainly never sent, certainly sent.
+    /// Number of requests whose verdict is never sent or sent.
     pub certain: usize,
-    /// Possibly sent, by what really became of them.
+    /// Numbers of requests whose verdict is possibly sent, by what really happened to them.
     pub uncertain: BTreeMap<&'static str, usize>,
-    /// No record, and none is missing.
+    /// Number of requests without a record; it is a false answer if a backend ran one of them.
     pub absent: usize,
 }
 
-/// What a backend saw of a request.
+/// The backends that received a request, that answered it, and that rejected it.
 #[derive(Default)]
 struct Seen {
     began: Vec<usize>,
@@ -105,7 +105,7 @@
     away: Vec<usize>,
 }
 
-/// Compares every answer with what the backends saw.
+/// Compares the ledger's answer about each non-repeatable request with what the backends recorded.
 pub fn compare(plan: &Plan, outcome: &Outcome, history: &History) -> Compared {
     let mut truth: HashMap<TryId, Seen> = HashMap::new();
     for r in &outcome.records {
@@ -186,10 +186,10 @@
     out
 }
 
-/// Plays a plan and reads the ledger back.
+/// Plays a plan, reads the ledger back and compares it.
 ///
 /// # Errors
-/// Those of the run and of the folder.
+/// The run fails, or the ledger's folder cannot be read.
 pub fn play(
     plan: &Arc<Plan>, program: &Path, folder: &Path, progress: run::Progress<'_>,
 ) -> Result<(Outcome, Compared, History), SessionError> {
@@ -203,10 +203,10 @@
     Ok((outcome, compared, history))
 }
 
-/// Kills, compares and prints; whether nothing was wrong.
+/// Plays a soak and prints the result. Returns whether every answer of the ledger was true and every oracle held.
 ///
 /// # Errors
-/// Those of the run and of the folder.
+/// The run fails, or a folder cannot be read or removed.
 pub fn soak(args: &Soak) -> Result<bool, SessionError> {
     let own = program(args.proxy.as_deref())?;
     let plan = Arc::new(Plan::draw(&experiment(args.kills, args.rps, args.seed, &args.mode)?, args.seed));
@@ -247,19 +247,19 @@
     Ok(compared.wrong.is_empty() && broken.is_empty())
 }
 
-/// The writer and the reader alone.
+/// Arguments of the `ledger-bench` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Bench {
-    /// Records to write and to read back.
+    /// Number of records to write and read back.
     #[arg(long, default_value_t = 1_000_000)]
     records: u64,
-    /// Records of one write.
+    /// Number of records in one write.
     #[arg(long, default_value_t = 64)]
     batch: usize,
-    /// Writes of the floor and of each mode that are timed.
+    /// Number of timed writes, bare and in each mode; at most 500 where each is synced.
     #[arg(long, default_value_t = 2000)]
     timed: usize,
-    /// A folder on the disk to measure.
+    /// Folder on the disk to measure.
     #[arg(long, default_value = "lab-runs/ledger-bench")]
     out: PathBuf,
 }
@@ -293,10 +293,10 @@
     Ok(out)
 }
 
-/// Measures and prints.
+/// Measures the writer and the reader alone, and prints the results.
 ///
 /// # Errors
-/// Those of the disk.
+/// The folder cannot be written or read.
 pub fn bench(args: &Bench) -> Result<(), SessionError> {
     measure(args).map_err(|e| SessionError::File(args.out.display().to_string(), e))
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! The testbed of lotusdeck: a model of the systems that it serves, a driver that plays the model around real
-//! processes on loopback, oracles that judge by what the stand-ins saw, and figures.
+//! The testbed of lotusdeck: a model of clients, backends and discovery, a driver that plays the model around real
+//! proxy processes on loopback, oracles that check rules on what the stand-ins recorded, and figures.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command.
+//! The command line of the testbed.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -35,7 +35,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A fleet that is injured half-way: half a minute, a table and a page.
+    /// Play a built-in experiment of half a minute, with a failure half-way; prints a table and writes a page.
     Demo {
         #[command(flatten)]
         options: Options,
@@ -47,59 +47,61 @@
         #[command(flatten)]
         options: Options,
     },
-    /// Tell what an experiment would do, without playing it.
+    /// Print what an experiment would do, without playing it.
     Plan {
         /// An experiment file.
         experiment: PathBuf,
-        /// Another seed than the file's.
+        /// Seed to use in place of the file's.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// What a proxy costs: direct, through a plain relay and through lotusdeck, interleaved.
+    /// Measure what a proxy costs: direct, through a plain relay and through lotusdeck, interleaved.
     Overhead(overhead::Args),
-    /// What a new connection costs a proxy whose places are all held by clients that sent half a head and stay.
+    /// Measure what a new connection costs a proxy whose connections are all taken by clients that sent part of a
+    /// head.
     CrowdCost(crowd_cost::Args),
-    /// Play several policies on the same arrivals and troubles, in virtual time.
+    /// Compare several policies on the same arrivals and troubles, in virtual time.
     Duel(duel::Args),
-    /// Whether many proxies swing together: how the kinds' shares move, beyond chance.
+    /// Measure whether many proxies oscillate together: how much the kinds' shares vary, beyond chance.
     Swings(swings::Args),
-    /// The paper's table and plot, by formula and simulated.
+    /// Reproduce the paper's table and plot, by formula and simulated.
     Paper(paper::Args),
-    /// Kill a proxy again and again under load, and compare its ledger with what the backends saw.
+    /// Kill a proxy repeatedly under load, and compare its ledger with what the backends saw.
     LedgerSoak(ledger::Soak),
-    /// Drivers write through a proxy to PostgreSQL servers that die, and what they were told is compared with the truth.
+    /// Write through a proxy to PostgreSQL servers that die, and compare the reported results with what was committed.
     PgSoak(postgres::Soak),
-    /// What the PostgreSQL front costs: direct, through a plain relay and through lotusdeck, interleaved; and idle clients.
+    /// Measure what the PostgreSQL front costs: direct, through a plain relay and through lotusdeck, interleaved; and
+    /// idle clients.
     PgOverhead(postgres::Cost),
-    /// How fast the ledger writes and is read back, beside the machine's own floor.
+    /// Measure how fast the ledger is written and read back, next to bare writes of the same disk.
     LedgerBench(ledger::Bench),
-    /// Several processes of the program lose power or restart together, blank and with kept lists (docs/recovery.md).
+    /// Play power losses and restarts of several proxy processes, blank and with kept lists (docs/recovery.md).
     Fleet(fleet::Args),
-    /// Search for faults that break a rule: draw them from seeds, play them, and shrink what breaks one.
+    /// Search for faults that break a rule: draw them from seeds, play them, and shrink those that break one.
     Campaign(campaign::Args),
-    /// Stand between sockets and injure what passes, by a script (docs/fault-proxy.md); it ends with its standard input.
+    /// Relay connections and inject faults by a script (docs/fault-proxy.md); ends when its standard input is closed.
     Relay(fault_proxy::Args),
-    /// What a relay adds that meets no fault: direct and through it, interleaved; and idle connections.
+    /// Measure what a relay without faults adds: direct and through it, interleaved; and idle connections.
     RelayCost(fault_proxy::cost::Args),
-    /// Copy bytes between sockets: the floor that `overhead` measures against.
+    /// Copy bytes between sockets: the baseline of `overhead`.
     #[command(hide = true)]
     PlainRelay {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: SocketAddr,
-        /// Where connections go on to, in turn.
+        /// Addresses to forward connections to, in turn.
         #[arg(long, required = true)]
         to: Vec<SocketAddr>,
     },
-    /// Walk axes of size, real processes beside hollow ones, and print slopes (docs/CAPACITY.md).
+    /// Measure real and hollow processes along axes of size, and print slopes (docs/CAPACITY.md).
     Scale(scale::Args),
     /// Write the tables of docs/CAPACITY.md from the records of `scale`, or check that they agree.
     Capacity(scale::capacity::Args),
-    /// Set two folders of results side by side.
+    /// Compare two folders of results.
     Compare {
-        /// The folder of the first.
+        /// The first folder.
         a: PathBuf,
-        /// The folder of the second.
+        /// The second folder.
         b: PathBuf,
     },
 }
@@ -124,7 +126,7 @@
     }
 }
 
-/// Whether all rules held and the figures count.
+/// Runs a command. Returns whether all of its rules held and its figures are valid.
 fn run(what: Command) -> Result<bool, SessionError> {
     match what {
         Command::Demo { options } => session::play(&session::demo()?, &options),
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What a proxy costs: the same load direct, through a plain byte relay, and through lotusdeck, interleaved.
+//! Measures what a proxy costs: the same load direct, through a plain byte relay, and through lotusdeck, interleaved.
 
 use crate::driver::discovery::Service;
 use crate::driver::proxies::Proxy;
@@ -24,40 +24,40 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What to measure.
+/// Arguments of the `overhead` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Rounds; each plays every way once, in turn.
+    /// Number of rounds; each measures every way once, in turn.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Seconds of one measurement.
+    /// Duration of one measurement, s.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Connections at saturation.
+    /// Number of connections at saturation.
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Bytes of an answer.
+    /// Size of an answer's body, bytes.
     #[arg(long, default_value_t = 512)]
     bytes: usize,
-    /// Backends.
+    /// Number of backends.
     #[arg(long, default_value_t = 10)]
     backends: usize,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Another lotusdeck to play beside it, as a fourth way.
+    /// Program of a second proxy, measured as a fourth way.
     #[arg(long)]
     beside: Option<PathBuf>,
-    /// Instead: lotusdeck without a ledger, with one that survives the process, and with one that survives power,
-    /// each on requests that must never run twice and on others.
+    /// Measure instead lotusdeck without a ledger, with one that survives the death of the process, and with one that
+    /// survives a loss of power, each on requests that must never run twice and on others.
     #[arg(long)]
     ledger: bool,
-    /// Where configurations and logs go.
+    /// Folder for configurations and logs.
     #[arg(long, default_value = "lab-runs/overhead")]
     out: PathBuf,
 }
 
-/// One measurement.
+/// The results of one measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Point {
     pub rate: f64,
@@ -67,21 +67,21 @@
     pub failed: u64,
 }
 
-/// A way that a load takes, and what was measured of it. `Traffic` tells what is sent.
+/// A way for the load to reach the backends, with its measurements. `Traffic` selects what is sent.
 pub(crate) struct Way<Traffic> {
     pub name: &'static str,
     pub to: Vec<SocketAddr>,
-    /// The process whose processor time counts.
+    /// The process whose processor time is measured.
     pub pid: Option<u32>,
     pub traffic: Traffic,
-    /// At saturation, one for each round.
+    /// Measurements at saturation, one for each round.
     pub full: Vec<Point>,
-    /// With one connection, one for each round.
+    /// Measurements with one connection, one for each round.
     pub alone: Vec<Point>,
 }
 
 impl<Traffic> Way<Traffic> {
-    /// One that nothing was measured of.
+    /// Creates a way without measurements.
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
     ) -> Way<Traffic> {
@@ -89,16 +89,17 @@
     }
 }
 
-/// How much is measured of each way.
+/// The extent of the measurements of each way.
 pub(crate) struct Rounds {
     pub count: usize,
-    /// Of the measurement at saturation; the one alone takes half of it.
+    /// Duration of the measurement at saturation; the one with a single connection takes half of it.
     pub span: Duration,
-    /// Connections at saturation.
+    /// Number of connections at saturation.
     pub connections: usize,
 }
 
-/// Backends that answer at once, each on a port of its own.
+/// Starts backends that answer immediately with a body of `bytes` bytes, each on its own port. Returns their
+/// addresses.
 pub(crate) async fn answering_backends(count: usize, bytes: usize) -> std::io::Result<Vec<SocketAddr>> {
     let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n").into_bytes();
     answer.resize(answer.len() + bytes, b'x');
@@ -125,7 +126,7 @@
     Ok(out)
 }
 
-/// A closed loop on so many connections for that time; `post` sends requests that must never run twice.
+/// Runs a closed loop on `connections` connections for `span`; `post` sends requests that must never run twice.
 async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<Seen> {
     let (seen, number, mut tasks) = (Seen::start(span), Rc::new(Cell::new(0u64)), Vec::new());
     for n in 0..connections {
@@ -174,12 +175,13 @@
     }
 }
 
-/// Keeps a process, or this thread, on some processors, so that the rest are for the stand-ins.
+/// Pins a process, or this thread if `pid` is `None`, to a range of processors; the others stay free for the
+/// stand-ins.
 pub(crate) fn pin(pid: Option<u32>, processors: std::ops::Range<usize>) {
     let mut set = rustix::thread::CpuSet::new();
     processors.for_each(|p| set.set(p));
     let pid = pid.and_then(|p| rustix::process::Pid::from_raw(p as i32));
-    let _ = rustix::thread::sched_setaffinity(pid, &set); // where it is not allowed the figures are noisier
+    let _ = rustix::thread::sched_setaffinity(pid, &set); // where this is not permitted, the figures are noisier
 }
 
 fn experiment(backends: usize) -> Result<Experiment, ExperimentError> {
@@ -194,7 +196,7 @@
     Experiment::parse("overhead", &text)
 }
 
-/// What a closed loop saw.
+/// The latencies and failures of a closed loop.
 pub(crate) struct Seen {
     latency: RefCell<Histogram<u64>>,
     failed: Cell<u64>,
@@ -203,7 +205,7 @@
 }
 
 impl Seen {
-    /// A loop that goes on for that time.
+    /// Starts the clock of a loop that runs for `span`.
     pub(crate) fn start(span: Duration) -> Rc<Seen> {
         let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
         Rc::new(Seen { latency: latency.into(), failed: Cell::new(0), began: Instant::now(), span })
@@ -222,7 +224,7 @@
     }
 }
 
-/// Runs a closed loop on a thread of its own, beside the process whose processor time counts.
+/// Runs a closed loop on its own thread, and measures the processor time of `pid` meanwhile.
 pub(crate) async fn measure<F>(
     pid: Option<u32>, load: impl FnOnce() -> F + Send + 'static,
 ) -> Result<Point, RunError>
@@ -251,7 +253,8 @@
     })
 }
 
-/// Measures every way in every round, in turn, each on one processor: at saturation, and with one connection.
+/// Measures every way in every round, in turn: at saturation, and with one connection. The measured processes share
+/// the first processor.
 pub(crate) async fn interleave<Traffic, Load, F>(
     ways: &mut [Way<Traffic>], rounds: &Rounds, load: Load,
 ) -> Result<(), RunError>
@@ -279,7 +282,7 @@
     Ok(())
 }
 
-/// The middle one of a figure.
+/// Returns the median of a figure; 0 without points.
 pub(crate) fn median(points: &[Point], of: impl Fn(&Point) -> f64) -> f64 {
     let mut values: Vec<f64> = points.iter().map(of).collect();
     values.sort_by(f64::total_cmp);
@@ -331,7 +334,7 @@
     out
 }
 
-/// The relay in a process of its own, so that its processor time can be told.
+/// Starts the plain relay in its own process, so that its processor time can be measured.
 pub(crate) fn start_relay(to: &[SocketAddr]) -> std::io::Result<(Child, SocketAddr)> {
     let at = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let mut command = Command::new(std::env::current_exe()?);
@@ -343,7 +346,7 @@
     Ok((command.spawn()?, at))
 }
 
-/// Measures and prints.
+/// Measures all ways and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let own = program(args.proxy.as_deref())?;
     let file = |e| SessionError::File("overhead".into(), e);
--- a/crates/testbed/src/paper.rs
+++ b/crates/testbed/src/paper.rs
@@ -1,6 +1,6 @@
-//! The paper's table: how much HALB's split improves the mean response time over a split in proportion to speed, from
-//! the closed formula and from simulated processor-sharing stations, side by side. (Gandhi, Mittal, Zhang: Optimal
-//! Load-Balancing for Heterogeneous Clusters, figure 1.)
+//! Reproduces the paper's table: how much HALB's split improves the mean response time over a split in proportion to
+//! speed, by the closed formula and with simulated processor-sharing stations, side by side. (Gandhi, Mittal, Zhang:
+//! Optimal Load-Balancing for Heterogeneous Clusters, figure 1.)
 
 use crate::report::plot::{self, Field, Line};
 use crate::session::{say, SessionError};
@@ -11,24 +11,24 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// What to reckon and simulate.
+/// Arguments of the `paper` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Jobs of one simulated point.
+    /// Number of jobs for each simulated point.
     #[arg(long, default_value_t = 200_000)]
     jobs: usize,
-    /// Seed of the draws.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where the plot goes.
+    /// File for the plot.
     #[arg(long, default_value = "docs/plots/paper.svg")]
     out: PathBuf,
 }
 
-/// A cluster: for each kind how many servers and their speed, requests a second.
+/// A cluster: for each kind the number of servers and the speed of one, in requests a second.
 pub type Kinds = Vec<(f64, f64)>;
 
-/// The mean response time of a split by kind over M/G/1/PS servers, s; infinite where one is overfull.
+/// Returns the mean response time of a split by kind over M/G/1/PS servers, s; infinite where a server is overloaded.
 pub fn response(kinds: &Kinds, shares: &[f64], rate: f64) -> f64 {
     let one = |((count, speed), share): (&(f64, f64), &f64)| {
         let left = speed - rate * share / count;
@@ -41,14 +41,14 @@
     kinds.iter().zip(shares).map(one).sum()
 }
 
-/// The split in proportion to speed.
+/// Returns the split in proportion to speed.
 pub fn proportional(kinds: &Kinds) -> Vec<f64> {
     let all: f64 = kinds.iter().map(|k| k.0 * k.1).sum();
     kinds.iter().map(|k| k.0 * k.1 / all).collect()
 }
 
-/// The mean response time of such a split as simulated: Poisson arrivals, exponential work, one station a server.
-/// With the error of the mean, by batches of jobs.
+/// Simulates a split with Poisson arrivals, exponential work and one station for each server. Returns the mean
+/// response time, s, and the half-width of its 95 % interval, by batches of jobs.
 pub fn simulate(kinds: &Kinds, shares: &[f64], rate: f64, jobs: usize, seed: u64) -> (f64, f64) {
     const BATCHES: usize = 20;
     let mut rng = Rng::new(seed, "paper");
@@ -68,7 +68,8 @@
         servers.iter().map(|s| Station::new(build(s.1), None, Time(0))).collect();
     let mut came: Vec<f64> = Vec::with_capacity(jobs);
     let mut took = vec![0.0; jobs];
-    // A job of mean work 1 ms on a server of 1 req/s takes 1 ms: time is scaled so that microseconds are fine enough.
+    // A job of mean work takes 1 s on a server of 1 request a second. Stations count whole microseconds, so all times
+    // are scaled by 1000 to make the rounding negligible.
     let unit = 1e3;
     let (mut now, mut ended) = (0.0, Vec::new());
     for job in 0..jobs {
@@ -86,7 +87,7 @@
     ended.clear();
     stations.iter_mut().for_each(|s| s.due(Time(u64::MAX / 2), &mut ended));
     ended.iter().for_each(|(end, job)| took[*job as usize] = end.0 as f64 / unit / 1e6 - came[*job as usize]);
-    // The first batch warms the stations up.
+    // The first batch is left out: the stations start empty.
     let size = jobs / BATCHES;
     let means: Vec<f64> =
         took.chunks(size).skip(1).take(BATCHES - 1).map(|b| b.iter().sum::<f64>() / b.len() as f64).collect();
@@ -99,15 +100,15 @@
 pub struct Point {
     /// Load, from 0 to 1.
     pub load: f64,
-    /// Improvement by the closed formula, a part.
+    /// Improvement by the closed formula, as a fraction.
     pub formula: f64,
-    /// ... as simulated, with the half-width of its 95 % interval.
+    /// Improvement as simulated, as a fraction.
     pub simulated: f64,
-    /// Half-width of that.
+    /// Half-width of the 95 % interval of `simulated`.
     pub half: f64,
 }
 
-/// The points of a cluster over its loads.
+/// Computes and simulates the points of a cluster at each load.
 pub fn points(kinds: &Kinds, jobs: usize, seed: u64) -> Vec<Point> {
     let capacity: f64 = kinds.iter().map(|k| k.0 * k.1).sum();
     let loads = [0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9];
@@ -124,7 +125,7 @@
     loads.par_iter().map(point).collect()
 }
 
-/// The clusters of the table.
+/// Returns the clusters of the table, with their names.
 pub fn clusters() -> Vec<(&'static str, Kinds)> {
     vec![
         ("5 nodes: 2 of speed 2, 3 of 1", vec![(2.0, 2.0), (3.0, 1.0)]),
@@ -150,10 +151,10 @@
     }
 }
 
-/// Reckons, simulates, prints and plots.
+/// Computes and simulates all clusters, prints the table and writes the plot.
 ///
 /// # Errors
-/// Where the plot cannot be written.
+/// The plot cannot be written.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let all: Vec<(&str, Vec<Point>)> =
         clusters().into_iter().map(|(name, kinds)| (name, points(&kinds, args.jobs, args.seed))).collect();
--- a/crates/testbed/src/paper/tests.rs
+++ b/crates/testbed/src/paper/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// The module's shares are those of the closed formula: no other split of two kinds is better.
+/// The decision module's shares minimise the mean response time of the closed formula: no other split of two kinds, in
+/// steps of 0.001, is better.
 #[test]
 fn no_other_split_is_better() {
     let kinds = vec![(2.0, 4.0), (3.0, 1.0)];
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -1,5 +1,5 @@
-//! What the PostgreSQL front costs: the same statements direct, through a plain byte relay, and through lotusdeck,
-//! interleaved; and what an idle client holds.
+//! Measures what the PostgreSQL front costs: the same statements direct, through a plain byte relay, and through
+//! lotusdeck, interleaved; and the memory of an idle client.
 
 use super::server::{Chance, Committed, Server};
 use super::{front, Front, PASSWORD};
@@ -14,28 +14,28 @@
 use tokio::time::Instant;
 use tokio_postgres::{Client, NoTls};
 
-/// What to measure.
+/// Arguments of the `pg-overhead` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Cost {
-    /// Rounds; each plays every way once, in turn.
+    /// Number of rounds; each measures every way once, in turn.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Seconds of one measurement.
+    /// Duration of one measurement, s.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Drivers at saturation.
+    /// Number of drivers at saturation.
     #[arg(long, default_value_t = 32)]
     connections: usize,
-    /// Servers.
+    /// Number of servers.
     #[arg(long, default_value_t = 4)]
     servers: usize,
-    /// Idle clients whose memory is measured.
+    /// Number of idle clients whose memory is measured.
     #[arg(long, default_value_t = 2000)]
     idle: usize,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Where the proxy's configuration and log go.
+    /// Folder for the proxy's configuration and log.
     #[arg(long, default_value = "lab-runs/pg-overhead")]
     out: PathBuf,
 }
@@ -48,7 +48,8 @@
     Ok(client)
 }
 
-/// A closed loop on so many drivers for that time; `prepared` repeats a prepared statement, else it is a simple one.
+/// Runs a closed loop on `drivers` drivers for `span`. With `prepared` each repeats a prepared statement, otherwise a
+/// simple query.
 async fn load(to: Vec<SocketAddr>, drivers: usize, span: Duration, prepared: bool) -> Rc<Seen> {
     let (seen, mut tasks) = (Seen::start(span), Vec::new());
     for n in 0..drivers {
@@ -144,10 +145,10 @@
     Ok(out)
 }
 
-/// Measures and prints.
+/// Measures all ways and the idle clients, and prints the results.
 ///
 /// # Errors
-/// Where no proxy can be started.
+/// The proxy, the relay or a server cannot be started.
 pub fn main(args: &Cost) -> Result<(), SessionError> {
     let own = program(args.proxy.as_deref())?;
     let file = |e| SessionError::File(args.out.display().to_string(), e);
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -1,5 +1,5 @@
-//! The PostgreSQL front against the truth: drivers write through a real proxy to servers that die at the worst moments, and
-//! what they were told is compared with what the servers committed.
+//! Checks the PostgreSQL front while servers die: drivers write through a real proxy, and the results reported to
+//! them are compared with what the servers committed.
 
 mod cost;
 mod server;
@@ -27,63 +27,64 @@
 use tokio::time::Instant;
 use tokio_postgres::{Client, NoTls};
 
-/// What to play.
+/// Arguments of the `pg-soak` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Soak {
-    /// Seconds.
+    /// Duration, s.
     #[arg(long, default_value_t = 20.0)]
     pub seconds: f64,
-    /// Servers.
+    /// Number of servers.
     #[arg(long, default_value_t = 6)]
     pub servers: usize,
-    /// Drivers that write at once.
+    /// Number of drivers that write concurrently.
     #[arg(long, default_value_t = 24)]
     pub clients: usize,
-    /// Connections of the proxy to all servers.
+    /// Number of the proxy's connections to all servers together.
     #[arg(long, default_value_t = 12)]
     pub connections: usize,
-    /// Seed of the deaths.
+    /// Seed of the servers' deaths.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
-    /// Where the proxy's configuration and log go.
+    /// Folder for the proxy's configuration and log.
     #[arg(long, default_value = "lab-runs/pg-soak")]
     pub out: PathBuf,
 }
 
-/// The password of the one user, and what is stored of it.
+/// The password of the only user.
 const PASSWORD: &str = "do re mi";
+/// The SCRAM verifier of [`PASSWORD`].
 const VERIFIER: &str = "SCRAM-SHA-256$64:bG90dXNkZWNrLWxhYi0wMQ==$nj2bFIaealt9OKAetROt8V6HkenGqIQgtnsew+ynTKw=:PF6AnPrR+HvDM+ZGMltxVprMyAvwt4RjjJU9FX4y+n8=";
-/// A driver that cannot connect tries again after this time.
+/// Delay before a driver that could not connect tries again.
 const AGAIN: Duration = Duration::from_millis(20);
 
-/// What a client may believe of a write.
+/// What a client knows of a write from the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reported {
     Done,
-    /// With the code that says so; `None` where its commit was never sent.
+    /// An error code says that it did not run, or its commit was never sent.
     NotDone,
     Unknown,
 }
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Debug, Default)]
 pub struct SoakResult {
-    /// Writes that clients tried.
+    /// Number of writes that clients tried.
     pub writes: usize,
-    /// Told as done, as not done, and as unknown.
+    /// Numbers of writes reported as done, as not done, and as unknown.
     pub reported: [usize; 3],
-    /// Unknown ones that were committed.
+    /// Number of writes reported as unknown that were committed.
     pub unknown_done: usize,
-    /// How often servers died.
+    /// Number of deaths of servers.
     pub deaths: usize,
-    /// Sessions that were opened.
+    /// Number of sessions opened.
     pub sessions: usize,
-    /// Codes of all errors.
+    /// Number of errors by code.
     pub codes: BTreeMap<String, usize>,
-    /// What must not be: each in words.
+    /// Writes reported falsely or committed more than once, as text; there must be none.
     pub wrong: Vec<String>,
 }
 
@@ -118,7 +119,7 @@
         }
     }
 
-    /// What an error lets a client believe of a statement that commits.
+    /// Derives from an error what a client knows of a statement that commits, and counts the error's code.
     fn judge(&self, e: &tokio_postgres::Error) -> Reported {
         let code = e.code().map_or("connection lost", |c| c.code()).to_string();
         let reported =
@@ -135,14 +136,14 @@
                 Ok(statement) => client.execute(&statement, &[]).await.map(|_| ()),
                 Err(e) => {
                     self.judge(&e);
-                    return Reported::NotDone; // it was never asked to run
+                    return Reported::NotDone; // only prepared, never executed
                 }
             },
             _ => {
                 for statement in ["begin", &insert] {
                     if let Err(e) = client.simple_query(statement).await {
                         self.judge(&e);
-                        // The transaction is gone with its server, or the client ends it.
+                        // Ends the transaction, if it did not end with its server.
                         let _ = client.simple_query("rollback").await;
                         return Reported::NotDone;
                     }
@@ -154,7 +155,7 @@
     }
 }
 
-/// What is wrong with what clients were told.
+/// Compares what clients were told of their writes with what was committed, and counts the results into `out`.
 fn compare(reported: &HashMap<u64, Reported>, committed: &[(u64, usize)], out: &mut SoakResult) {
     let mut ran: HashMap<u64, Vec<usize>> = HashMap::new();
     committed.iter().for_each(|(number, server)| ran.entry(*number).or_default().push(*server));
@@ -181,16 +182,16 @@
     out.writes = reported.len();
 }
 
-/// A real proxy before some servers.
+/// A running proxy with a PostgreSQL front.
 struct Front {
     proxy: Proxy,
-    /// Where drivers connect; the port is held for the proxy.
+    /// The address that drivers connect to; `_held` reserves its port for the proxy.
     at: SocketAddr,
     _held: Reserved,
     _discovery: Rc<Service>,
 }
 
-/// Starts one.
+/// Starts a proxy with a PostgreSQL front before `servers`.
 async fn front(
     servers: &[SocketAddr], connections: usize, clients: usize, deadline_ms: u64, own: &Path, out: &Path,
     seed: u64,
@@ -272,7 +273,7 @@
 /// Plays a soak.
 ///
 /// # Errors
-/// Where no proxy can be started.
+/// The proxy or a server cannot be started.
 pub fn run(args: &Soak) -> Result<SoakResult, SessionError> {
     let own = program(args.proxy.as_deref())?;
     let file = |e| SessionError::File(args.out.display().to_string(), e);
@@ -280,10 +281,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, play(args, &own))
 }
 
-/// Plays and prints; whether nothing was wrong.
+/// Plays a soak and prints the result. Returns whether nothing was wrong.
 ///
 /// # Errors
-/// Where no proxy can be started.
+/// The proxy or a server cannot be started.
 pub fn main(args: &Soak) -> Result<bool, SessionError> {
     let s = run(args)?;
     let mut out = format!(
--- a/crates/testbed/src/postgres/server.rs
+++ b/crates/testbed/src/postgres/server.rs
@@ -1,5 +1,5 @@
-//! A model of a server of the PostgreSQL protocol (version 3; PostgreSQL documentation, "Message Formats"). It keeps a log
-//! of what was committed, dies at moments drawn by chance, and comes back on the same port.
+//! A model of a PostgreSQL server (protocol version 3; PostgreSQL documentation, "Message Formats"). It records what
+//! was committed, dies at random, and restarts on the same port.
 
 use crate::driver::wire::Reserved;
 use crate::world::rng::Rng;
@@ -12,23 +12,23 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// What all servers of a run have committed, in order: the number that was written, and where.
+/// The commits of all servers of a run, in order: the number written and the server.
 pub(super) type Committed = Rc<RefCell<Vec<(u64, usize)>>>;
 
-/// When a server dies.
+/// The probabilities of a server's death at each point of a statement, and its downtime.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Chance {
-    /// At a statement, before it has run.
+    /// Probability of death before a statement runs.
     pub before: f64,
-    /// ... when its work is committed, before anybody is told.
+    /// Probability of death after the statement ran and, if it commits, is committed, before its result is sent.
     pub after: f64,
-    /// ... when the answer is written and the word that it is ready is not.
+    /// Probability of death after the result is sent, before `ReadyForQuery`.
     pub halfway: f64,
-    /// It is away for so long, s.
+    /// Mean downtime after a death, s.
     pub away: f64,
 }
 
-/// One server.
+/// A stand-in for a PostgreSQL server.
 pub(super) struct Server {
     number: usize,
     place: Reserved,
@@ -39,10 +39,10 @@
     deaths: Cell<usize>,
 }
 
-/// What a client's session has said and not been through with.
+/// The state of a client's session.
 #[derive(Default)]
 struct Session {
-    /// Written and not committed.
+    /// Numbers inserted but not committed yet.
     pending: Vec<u64>,
     open: bool,
     named: HashMap<Vec<u8>, Vec<u8>>,
@@ -56,7 +56,7 @@
     out.extend(body);
 }
 
-/// The text up to the next zero byte, and what is behind that.
+/// Splits `bytes` at the first zero byte, which is dropped; without one the second part is empty.
 fn text(bytes: &[u8]) -> (&[u8], &[u8]) {
     let end = bytes.iter().position(|b| *b == 0).unwrap_or(bytes.len());
     (&bytes[..end], bytes.get(end + 1..).unwrap_or_default())
@@ -69,10 +69,10 @@
 }
 
 impl Server {
-    /// One that is not running yet.
+    /// Creates a server on a reserved port, without starting it.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// No port is free.
     pub(super) fn new(
         number: usize, chance: Chance, committed: Committed, seed: u64,
     ) -> std::io::Result<Rc<Server>> {
@@ -81,12 +81,12 @@
         Ok(Rc::new(Server { number, place, chance, committed, rng, dies, deaths }))
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub(super) fn address(&self) -> std::net::SocketAddr {
         self.place.address()
     }
 
-    /// How often it died.
+    /// Returns how often it died.
     pub(super) fn deaths(&self) -> usize {
         self.deaths.get()
     }
@@ -98,10 +98,10 @@
         socket.listen(256)
     }
 
-    /// Serves, dies and comes back, for as long as it is polled.
+    /// Serves, dies and restarts in a loop, until it is dropped.
     ///
     /// # Errors
-    /// Where it cannot listen.
+    /// It cannot listen on its address or accept a connection.
     pub(super) async fn run(self: Rc<Self>) -> std::io::Result<()> {
         loop {
             let listener = self.listen()?;
@@ -111,7 +111,7 @@
                     accepted = listener.accept() => {
                         let (tcp, _) = accepted?;
                         let server = self.clone();
-                        // A client that leaves in the middle is no fault.
+                        // Errors are ignored: a client may disconnect at any point.
                         sessions.spawn_local(async move { drop(server.session(tcp).await) });
                     }
                     Some(_) = sessions.join_next() => {}
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Dies here, with that chance: nothing of this session happens any more.
+    /// Kills the server with probability `chance`; this session then never continues.
     async fn perhaps_die(&self, chance: f64) {
         if self.rng.borrow_mut().unit() < chance {
             self.dies.notify_one();
@@ -141,7 +141,7 @@
             tcp.read_exact(&mut packet).await?;
             match packet.get(..4) {
                 Some([0, 3, 0, 0]) => break,
-                Some([4, 210, 22, 46]) => return Ok(()), // a cancel: nothing here runs for long
+                Some([4, 210, 22, 46]) => return Ok(()), // CancelRequest: statements end too soon to cancel
                 _ => tcp.write_all(b"N").await?,
             }
         }
--- a/crates/testbed/src/postgres/tests.rs
+++ b/crates/testbed/src/postgres/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A comparison that finds nothing would prove nothing.
+/// The comparison finds each kind of false report. If it found none, a soak without findings would prove nothing.
 #[test]
 fn each_wrong_word_is_found() {
     let wrong = |reported, committed: &[(u64, usize)]| {
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,21 +1,22 @@
-//! What the stand-ins saw. Verdicts and figures are drawn from these alone, never from the proxy's own words.
+//! The records of what the stand-ins observed. Verdicts and figures are derived from these alone, never from what the
+//! proxy reports about itself.
 
 use crate::world::discovery::Status;
 use lotusdeck_policy::{Micros, Time};
 use serde::Serialize;
 use std::fmt;
 
-/// One try of a client: the arrival and the number of the try, from 0.
+/// Identifies one try of a client, by its arrival and the number of the try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TryId {
     /// Index of the arrival in the plan.
     pub arrival: u32,
-    /// Number of the try.
+    /// Number of the try, from 0.
     pub no: u32,
 }
 
 impl TryId {
-    /// The id that the client gives it.
+    /// Parses an id as clients send it: two hexadecimal numbers of 8 digits each. Returns `None` for other text.
     pub fn parse(text: &[u8]) -> Option<TryId> {
         let text = std::str::from_utf8(text).ok().filter(|t| t.len() == 16)?;
         let part = |range: std::ops::Range<usize>| u32::from_str_radix(&text[range], 16).ok();
@@ -39,71 +40,74 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestEnd {
-    /// Its answer was written.
+    /// The backend wrote its answer.
     Served,
-    /// It was turned away unseen.
+    /// The backend rejected it without processing.
     TurnedAway,
-    /// The proxy gave it up.
+    /// The proxy cancelled it.
     Withdrawn,
-    /// The process died.
+    /// The backend's process died.
     Died,
 }
 
-/// One thing that a stand-in saw.
+/// An event that a stand-in observed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "saw", rename_all = "snake_case")]
 pub enum Observation {
-    /// A client wrote the last byte of a request; it said that it waits so many microseconds.
+    /// A client wrote the last byte of a request. `left`: the time that it said it waits, in microseconds.
     Asked { id: TryId, proxy: usize, left: u64 },
     /// A client could not connect or write.
     Unreached { id: TryId, proxy: usize },
-    /// A whole answer came. `own`: a served one's body is what a backend made for this request.
+    /// A client received a whole answer. `own`: its body is the one that a backend makes for this request; only
+    /// meaningful for answers that a backend sent.
     Answered { id: TryId, status: u16, retry_after: Option<f64>, own: bool },
-    /// The connection ended before a whole answer. `reused`: it had served others before; `begun`: some of it came.
+    /// The connection ended before a whole answer. `reused`: it had served other requests before; `begun`: part of the
+    /// answer was received.
     Broke { id: TryId, reused: bool, begun: bool },
     /// The client stopped waiting.
     Left { id: TryId },
-    /// Bytes came behind a whole answer.
+    /// A client received bytes after a whole answer.
     Extra { id: TryId },
-    /// A backend has the whole of a request.
+    /// A backend received the whole of a request.
     Began { id: TryId, backend: usize },
-    /// It is over there.
+    /// A request ended at a backend.
     Ended { id: TryId, backend: usize, how: RequestEnd },
-    /// A backend was sent what no client sent in this form.
+    /// A backend received something that no client sent in this form.
     Foreign { backend: usize, text: String },
-    /// Discovery told a proxy.
+    /// Discovery sent a proxy the status of a backend.
     Told { proxy: usize, backend: usize, status: Status },
-    /// Operators' call was answered yes.
+    /// A proxy accepted an operator's call that cordons a backend (`out`) or lifts the cordon.
     Cordoned { proxy: usize, backend: usize, out: bool },
-    /// A proxy was killed, told to stop, or takes clients.
+    /// A proxy changed its state.
     Proxy { proxy: usize, turn: ProxyEvent },
-    /// The worst that a cold backend was sent, and what it bears.
+    /// The work sent to a cold backend and what it can take, core-seconds, in the window with the highest ratio of
+    /// the two.
     Pressure { backend: usize, sent: f64, bears: f64 },
-    /// A relay did what an injury says, on a connection to that backend.
+    /// A relay injected a fault into a connection to that backend.
     Injured { backend: usize, injury: usize },
-    /// Something of the plan happened.
+    /// An act of the plan was carried out.
     Act { text: String },
 }
 
-/// A turn in a proxy's life.
+/// A change of a proxy's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProxyEvent {
-    /// It takes clients.
+    /// It accepts clients.
     Ready,
-    /// It was told to stop.
+    /// It received the signal to stop.
     Stopping,
     /// It was killed.
     Killed,
 }
 
-/// What was seen, and when, from the start of the run.
+/// An observation and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Record {
-    /// When.
+    /// The time since the start of the run.
     #[serde(serialize_with = "micros")]
     pub at: Time,
-    /// What.
+    /// The observation.
     #[serde(flatten)]
     pub what: Observation,
 }
@@ -113,7 +117,7 @@
 }
 
 impl Record {
-    /// The try that it is about.
+    /// Returns the try that the observation belongs to, if any.
     pub fn id(&self) -> Option<TryId> {
         match &self.what {
             Observation::Asked { id, .. }
@@ -129,18 +133,18 @@
     }
 }
 
-/// The span from `from` on, as text for people.
+/// Formats a time in seconds, for reports.
 pub fn seconds(at: Time) -> String {
     format!("{:.3} s", at.0 as f64 / 1e6)
 }
 
-/// The body that a backend makes for a request: so many bytes that say whose it is.
+/// Builds the body that a backend answers a request with: the request's id, repeated up to `bytes` but at least once.
 pub fn body(id: TryId, bytes: usize) -> Vec<u8> {
     let name = id.to_string();
     name.bytes().cycle().take(bytes.max(name.len())).collect()
 }
 
-/// How long after its deadline a client still listens, to see a late answer.
+/// The time after its deadline for which a client keeps listening, to observe a late answer.
 pub const LISTEN_ON: Micros = Micros(400_000);
 
 #[cfg(test)]
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -1,4 +1,4 @@
-//! A session at the lab: an experiment played so many times, its results in a folder.
+//! Plays an experiment one or more times and writes the results to a folder.
 
 use crate::driver::run::{self, RunError};
 use crate::experiment::{Experiment, ExperimentError};
@@ -15,67 +15,68 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a session failed.
+/// The errors of the testbed's commands.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The experiment is at fault.
+    /// The experiment is invalid.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// The run is.
+    /// A run failed.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A file is.
+    /// A file or folder could not be read or written; with its path.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// Results that cannot be read.
+    /// Results could not be written as JSON or parsed; with the path of their file.
     #[error("{0}: {1}")]
     Results(String, serde_json::Error),
-    /// The run in virtual time is.
+    /// A run in virtual time failed.
     #[error(transparent)]
     Virtual(#[from] VirtualError),
-    /// The relay's script is at fault.
+    /// The fault proxy's script is invalid.
     #[error(transparent)]
     Script(#[from] ScriptError),
-    /// A scale experiment is at fault.
+    /// A scale experiment is invalid.
     #[error(transparent)]
     ScaleExperiment(crate::scale::experiment::ScaleError),
-    /// A run of a scale experiment is.
+    /// A run of a scale experiment failed.
     #[error("{0}")]
     Scale(Box<crate::scale::ScaleRunError>),
-    /// There is no proxy to play.
+    /// The proxy's program was not found or could not be built.
     #[error("no proxy: {0}")]
     Program(String),
 }
 
-/// How to play.
+/// Options of the commands that play an experiment.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
-    /// Another seed than the experiment's.
+    /// Seed to use in place of the experiment's.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Play it so many times, each with the next seed.
+    /// Number of runs, each with the next seed.
     #[arg(long, default_value_t = 1)]
     pub repeat: u32,
-    /// Where the results go.
+    /// Folder for the results.
     #[arg(long, default_value = "lab-runs")]
     pub out: PathBuf,
-    /// In virtual time: the decision module itself, without processes and sockets.
+    /// Run in virtual time: only the decision module, without processes and sockets.
     #[arg(long = "virtual")]
     pub virtual_time: bool,
-    /// Another policy than the product's, in virtual time only.
+    /// Policy to use in place of the product's; in virtual time only.
     #[arg(long, value_enum, default_value_t = PolicyChoice::Halb, requires = "virtual_time")]
     pub policy: PolicyChoice,
-    /// The lotusdeck to play; the one beside this program, or the one that cargo builds, where absent.
+    /// Program of the proxy; by default the lotusdeck beside this program, which is built first under `cargo run`.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
 }
 
-/// The experiment that a first-time reader sees.
+/// Returns the built-in experiment of the `demo` command.
 pub fn demo() -> Result<Experiment, ExperimentError> {
     Experiment::parse("demo.toml", include_str!("../experiments/demo.toml"))
 }
 
-/// The proxy's program: under `cargo run` the one of this very tree, built now.
+/// Returns the path of the proxy's program: `asked`, or the lotusdeck beside this program. Under `cargo run` the
+/// latter is built first, with the same profile.
 pub fn program(asked: Option<&Path>) -> Result<PathBuf, SessionError> {
     if let Some(path) = asked {
         return Ok(path.to_path_buf());
@@ -101,17 +102,18 @@
     )))
 }
 
-/// Writes to standard output; whoever reads it may have left, which is no fault.
+/// Writes to standard output. Errors are ignored: the reader may have closed its end of the pipe.
 pub fn say(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
 
+/// Adds the path to an I/O error.
 fn file<T>(path: &Path, done: std::io::Result<T>) -> Result<T, SessionError> {
     done.map_err(|e| SessionError::File(path.display().to_string(), e))
 }
 
-/// Plays an experiment and writes its results; whether all rules held and all figures count.
+/// Plays an experiment and writes its results. Returns whether every oracle held and no run was void.
 pub fn play(experiment: &Experiment, options: &Options) -> Result<bool, SessionError> {
     let program = match options.virtual_time {
         true => PathBuf::new(),
@@ -190,7 +192,8 @@
     Ok(good)
 }
 
-/// The parts of a run between its troubles.
+/// Splits a run into named stretches at the acts of its plan. An act less than 1 s after the start of a stretch begins
+/// no new one, but renames it.
 fn stretches(plan: &Plan) -> Vec<(String, f64, f64)> {
     let (end, mut out) = (plan.experiment.duration_s, Vec::new());
     let (mut name, mut from) = ("before any trouble".to_string(), 0.0);
@@ -207,7 +210,7 @@
     out
 }
 
-/// What an experiment would do.
+/// Describes what an experiment would do, without playing it.
 pub fn outline(experiment: &Experiment, seed: Option<u64>) -> String {
     let plan = Plan::draw(experiment, seed.unwrap_or(experiment.seed));
     let mut out = format!(
@@ -228,7 +231,7 @@
     out
 }
 
-/// The figures in a folder of results.
+/// Reads the figures of all runs from a folder of results.
 pub fn figures(folder: &Path) -> Result<Vec<Figures>, SessionError> {
     let path = folder.join("summary.json");
     let text = file(&path, std::fs::read_to_string(&path))?;
--- a/crates/testbed/src/swings.rs
+++ b/crates/testbed/src/swings.rs
@@ -1,4 +1,5 @@
-//! Whether many proxies that learn alike swing together, policy by policy, with a plot of the shares.
+//! Measures whether many proxies that learn in the same way oscillate together, for each policy, and plots the shares
+//! of the kinds.
 
 use crate::experiment::Experiment;
 use crate::report::compare::interval;
@@ -14,29 +15,29 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// What to play.
+/// Arguments of the `swings` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
     /// An experiment file.
     experiment: PathBuf,
-    /// Policies.
+    /// Policies to play.
     #[arg(long, value_enum, value_delimiter = ',', default_value = "halb,true-halb,peak-ewma")]
     policies: Vec<PolicyChoice>,
-    /// Seeds for each; the first one is plotted.
+    /// Number of seeds for each policy; the first one is plotted.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// Shares count from this time on, s.
+    /// Time from which shares are counted, s.
     #[arg(long, default_value_t = 3.0)]
     from: f64,
-    /// Where the plot goes; none is made where absent.
+    /// File for the plot; by default none is written.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Plays, prints and plots.
+/// Plays the experiment with each policy and seed, prints the table and writes the plot.
 ///
 /// # Errors
-/// An experiment at fault, or a plot that cannot be written.
+/// The experiment is invalid, a run fails, or the plot cannot be written.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let experiment = Experiment::load(&args.experiment)?;
     let bar = ProgressBar::new(args.seeds * args.policies.len() as u64);
