--- a/crates/testbed/src/crowd_cost.rs
+++ b/crates/testbed/src/crowd_cost.rs
@@ -13,20 +13,20 @@
 use std::time::{Duration, Instant};
 
 /// What each client sends: part of a head, which it never completes.
-const PART_OF_A_HEAD: &[u8] = b"GET /read/k HTTP/1.1\r\nHost";
+const PARTIAL_HEAD: &[u8] = b"GET /read/k HTTP/1.1\r\nHost";
 /// The pause before the measurement. Longer than the 500 ms after which a connection with part of a head may be
 /// evicted (`STALLED_HEAD_AGE` of the proxy), and short enough that none times out (2.8 s) before the measurement.
 const SETTLE: Duration = Duration::from_millis(600);
 /// Descriptors that a proxy reserves for everything except clients and upstreams (`RESERVED` of `lotusdeck serve`).
 const RESERVED: usize = 64;
 /// Connections that a proxy accepts beyond its limit (`EXCESS_CLIENTS` of `lotusdeck serve`).
-const OVER_BOUND: usize = 24;
+const EXCESS_CLIENTS: usize = 24;
 /// Time limit for the proxy to become idle after the new connections.
-const PATIENCE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between checks whether the proxy is idle.
-const LOOK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Processor time between two checks below which the proxy counts as idle, ns; timers alone take some 100 us a second.
-const REST_NS: u64 = 200_000;
+const IDLE_NS: u64 = 200_000;
 
 /// Arguments of the `crowd-cost` command.
 #[derive(Clone, Debug, clap::Args)]
@@ -81,7 +81,7 @@
 }
 
 /// Returns for how many nanoseconds a process has run, as counted by the scheduler (proc(5), schedstat).
-fn ran_ns(pid: u32) -> u64 {
+fn cpu_time_ns(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     text.split_ascii_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
 }
@@ -90,20 +90,20 @@
     let mut clients = Vec::with_capacity(count);
     for _ in 0..count {
         let mut client = TcpStream::connect(to)?;
-        client.write_all(PART_OF_A_HEAD)?;
+        client.write_all(PARTIAL_HEAD)?;
         clients.push(client);
     }
     Ok(clients)
 }
 
-/// Waits until the process is idle, for at most [`PATIENCE`].
-fn rest(pid: u32) {
-    let end = Instant::now() + PATIENCE;
-    let mut before = ran_ns(pid);
+/// Waits until the process is idle, for at most [`IDLE_TIMEOUT`].
+fn wait_until_idle(pid: u32) {
+    let end = Instant::now() + IDLE_TIMEOUT;
+    let mut before = cpu_time_ns(pid);
     while Instant::now() < end {
-        std::thread::sleep(LOOK);
-        let now = ran_ns(pid);
-        if now.saturating_sub(before) < REST_NS {
+        std::thread::sleep(CHECK_INTERVAL);
+        let now = cpu_time_ns(pid);
+        if now.saturating_sub(before) < IDLE_NS {
             return;
         }
         before = now;
@@ -111,7 +111,7 @@
 }
 
 /// Counts the connections that the proxy has closed.
-fn closed(clients: &[TcpStream]) -> std::io::Result<usize> {
+fn count_closed(clients: &[TcpStream]) -> std::io::Result<usize> {
     let mut count = 0;
     for client in clients {
         client.set_nonblocking(true)?;
@@ -127,14 +127,14 @@
     let pid = proxy.pid().unwrap_or_default();
     let old = connect(proxy.address, kept)?;
     std::thread::sleep(SETTLE);
-    let before = ran_ns(pid);
+    let before = cpu_time_ns(pid);
     let _new = connect(proxy.address, connections)?;
-    rest(pid);
-    let ran = ran_ns(pid).saturating_sub(before);
-    let made_way = closed(&old)?;
+    wait_until_idle(pid);
+    let used_ns = cpu_time_ns(pid).saturating_sub(before);
+    let evicted = count_closed(&old)?;
     // If more were closed, some timed out while the new ones connected, and the figure would include their cost.
-    let sound = (1..=connections + OVER_BOUND).contains(&made_way);
-    Ok(if sound { ran as f64 / 1e3 / made_way as f64 } else { f64::NAN })
+    let is_valid = (1..=connections + EXCESS_CLIENTS).contains(&evicted);
+    Ok(if is_valid { used_ns as f64 / 1e3 / evicted as f64 } else { f64::NAN })
 }
 
 async fn play(args: &Args, program: &Path, kept: usize) -> Result<f64, SessionError> {
@@ -166,15 +166,15 @@
 
 /// Measures every program at every step and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
-    let own = program(args.proxy.as_deref())?;
-    let programs: Vec<PathBuf> = std::iter::once(own).chain(args.beside.clone()).collect();
-    let file = |e| SessionError::File("crowd-cost".into(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
-    let empty = |kept: &usize| {
+    let proxy_program = program(args.proxy.as_deref())?;
+    let programs: Vec<PathBuf> = std::iter::once(proxy_program).chain(args.beside.clone()).collect();
+    let io_error = |e| SessionError::File("crowd-cost".into(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
+    let empty_rows = |kept: &usize| {
         let row = |program: &PathBuf| Row { program: program.clone(), kept: *kept, micros: Vec::new() };
         programs.iter().map(row).collect::<Vec<Row>>()
     };
-    let mut rows: Vec<Row> = args.kept.iter().flat_map(empty).collect();
+    let mut rows: Vec<Row> = args.kept.iter().flat_map(empty_rows).collect();
     for _ in 0..args.rounds {
         for row in &mut rows {
             let micros = runtime.block_on(play(args, &row.program, row.kept))?;
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -17,7 +17,7 @@
 
 /// The length of the stretch after the troubles, s. Worth after it is reported separately: queues and retries have
 /// drained by then, unless they sustain themselves.
-const AFTER: f64 = 5.0;
+const AFTER_S: f64 = 5.0;
 
 /// Arguments of the `duel` command.
 #[derive(Clone, Debug, clap::Args)]
@@ -77,7 +77,7 @@
 }
 
 /// Returns the name of a policy on the command line.
-pub fn name(which: PolicyChoice) -> String {
+pub fn policy_name(which: PolicyChoice) -> String {
     which.to_possible_value().map_or_else(String::new, |v| v.get_name().to_string())
 }
 
@@ -99,15 +99,16 @@
         let of = |f: &dyn Fn(&Figures) -> f64| -> Vec<f64> { row.runs.iter().map(f).collect() };
         let mean = |f: &dyn Fn(&Figures) -> f64| interval(&of(f)).0;
         let worth = of(&|f| f.whole.part());
-        let apart: Vec<f64> = rows[0].runs.iter().zip(&worth).map(|(a, b)| b - a.whole.part()).collect();
-        let (difference, half) = interval(&apart);
-        let against = half.map_or("one seed".into(), |h| format!("{difference:+.4} ± {h:.4}"));
+        let differences: Vec<f64> =
+            rows[0].runs.iter().zip(&worth).map(|(a, b)| b - a.whole.part()).collect();
+        let (difference, half_width) = interval(&differences);
+        let against = half_width.map_or("one seed".into(), |h| format!("{difference:+.4} ± {h:.4}"));
         let weakest = |f: &Figures| f.classes.iter().map(|c| c.part()).fold(1.0, f64::min);
         let broken: usize = row.runs.iter().flat_map(|f| &f.broken).map(|b| b.1).sum();
         let _ = writeln!(
             out,
             "{:<18} {:>8.4} {:>20} {:>9.1} {:>9.1} {:>8.2}% {:>9.3} {:>8.4} {:>7}",
-            name(row.policy),
+            policy_name(row.policy),
             interval(&worth).0,
             against,
             mean(&|f| f.whole.latency_ms.p50),
@@ -122,7 +123,7 @@
 }
 
 /// Returns when the first trouble or load phase begins and the last one ends, s; `None` where there is none.
-fn troubled(experiment: &Experiment) -> Option<(f64, f64)> {
+fn trouble_span(experiment: &Experiment) -> Option<(f64, f64)> {
     let troubles = experiment.trouble.iter().map(|t| (t.at_s, t.at_s + t.for_s.unwrap_or(0.0)));
     let turns = experiment.load.phase.iter().map(|p| (p.at_s, p.at_s + p.over_s));
     troubles.chain(turns).reduce(|a, b| (a.0.min(b.0), a.1.max(b.1)))
@@ -130,7 +131,7 @@
 
 /// Returns the part of the worth asked that was earned, over arrivals due in the whole seconds between two times; NaN
 /// where nothing was asked.
-fn part_between(f: &Figures, from: f64, to: f64) -> f64 {
+fn worth_between(f: &Figures, from: f64, to: f64) -> f64 {
     let inside = |s: &&Tally| s.name.parse::<f64>().is_ok_and(|at| at >= from && at + 1.0 <= to);
     let (asked, earned) =
         f.seconds.iter().filter(inside).fold((0.0, 0.0), |n, s| (n.0 + s.asked, n.1 + s.earned));
@@ -144,22 +145,24 @@
 /// Formats the worth before, during and after the troubles and, with `causes`, where worth is lost.
 pub fn details(experiment: &Experiment, rows: &[Row], causes: bool) -> String {
     let mut out = String::new();
-    if let Some((first, last)) = troubled(experiment) {
+    if let Some((first, last)) = trouble_span(experiment) {
         let end = experiment.duration_s;
         let _ = writeln!(
             out,
             "worth by stretch: to {first} s, to {last} s, to {:.0} s, then to the end",
-            last + AFTER
+            last + AFTER_S
         );
         for row in rows {
             let mean = |from: f64, to: f64| {
-                interval(&row.runs.iter().map(|f| part_between(f, from, to)).collect::<Vec<_>>()).0
+                interval(&row.runs.iter().map(|f| worth_between(f, from, to)).collect::<Vec<_>>()).0
             };
-            let parts = [(0.0, first), (first.floor(), last.ceil()), (last.ceil(), last.ceil() + AFTER)];
-            let _ = write!(out, "{:<18}", name(row.policy));
-            for (from, to) in parts.into_iter().chain([(last.ceil() + AFTER, end)]) {
-                let part = mean(from, to);
-                let _ = if part.is_nan() { write!(out, " {:>8}", "-") } else { write!(out, " {part:>8.4}") };
+            let stretches =
+                [(0.0, first), (first.floor(), last.ceil()), (last.ceil(), last.ceil() + AFTER_S)];
+            let _ = write!(out, "{:<18}", policy_name(row.policy));
+            for (from, to) in stretches.into_iter().chain([(last.ceil() + AFTER_S, end)]) {
+                let worth = mean(from, to);
+                let _ =
+                    if worth.is_nan() { write!(out, " {:>8}", "-") } else { write!(out, " {worth:>8.4}") };
             }
             out.push('\n');
         }
@@ -171,7 +174,7 @@
         });
         let _ = writeln!(out, " {:>14}", "work wasted, %");
         for row in rows {
-            let _ = write!(out, "{:<18}", name(row.policy));
+            let _ = write!(out, "{:<18}", policy_name(row.policy));
             for c in 0..CAUSES.len() {
                 let lost: Vec<f64> = row.losses.iter().map(|l| l.by_cause[c] * 100.0).collect();
                 let _ = write!(out, " {:>14.2}", interval(&lost).0);
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -15,16 +15,16 @@
 use std::sync::Arc;
 
 /// The experiment without troubles that every script adds its troubles to.
-const BASE: &str = include_str!("../experiments/first-look.toml");
+const BASE_EXPERIMENT: &str = include_str!("../experiments/first-look.toml");
 /// When the power fails, s; the five seconds before it give the steady worth.
 const LOSS_S: f64 = 6.0;
-/// Seconds played after the last restart; the last window of [`PlayResult::worth`] ends then.
+/// Seconds played after the last restart; the last window of [`PlayResult::worth`] ends 30 s after it.
 const AFTER_S: f64 = 30.0;
 /// How long discovery is down after the loss, s; longer than every restart, so that kept lists matter.
 const DISCOVERY_DOWN_S: f64 = 6.0;
 /// The most plays of one seed and way. A play is repeated if it is void because the machine was too busy for the
 /// schedule.
-const TRIES: usize = 3;
+const MAX_PLAYS: usize = 3;
 
 /// A scenario of failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum, serde::Serialize)]
@@ -88,16 +88,16 @@
         );
     };
     // Downtimes of 0.5 s to 1 s in five steps, so that processes next to each other in number do not start together.
-    let spread = |proxy: usize| 0.5 + (proxy % 5) as f64 * 0.125;
+    let downtime_s = |proxy: usize| 0.5 + (proxy % 5) as f64 * 0.125;
     match script {
         Script::RestartCold => (0..processes).for_each(|p| {
-            kill(p, LOSS_S + 1.5, spread(p) - 0.3);
-            kill(p, LOSS_S + 3.5, spread(p) - 0.3);
+            kill(p, LOSS_S + 1.5, downtime_s(p) - 0.3);
+            kill(p, LOSS_S + 3.5, downtime_s(p) - 0.3);
         }),
-        Script::PowerLoss | Script::Gone => (0..processes).for_each(|p| kill(p, LOSS_S, spread(p))),
+        Script::PowerLoss | Script::Gone => (0..processes).for_each(|p| kill(p, LOSS_S, downtime_s(p))),
         Script::RestartTwice => (0..processes / 2).for_each(|p| {
-            kill(p, LOSS_S, spread(p));
-            kill(p, LOSS_S + 5.0, spread(p));
+            kill(p, LOSS_S, downtime_s(p));
+            kill(p, LOSS_S + 5.0, downtime_s(p));
         }),
     }
     if script != Script::RestartTwice {
@@ -106,13 +106,16 @@
     if script == Script::Gone {
         let _ = writeln!(troubles, "{{ at_s = {}, what = \"drain\", part = 0.25 }},", LOSS_S + 2.0);
     }
-    let down = match script {
+    let discovery_down_s = match script {
         Script::RestartTwice => DISCOVERY_DOWN_S + 5.0,
         Script::RestartCold => 0.0,
         Script::PowerLoss | Script::Gone => DISCOVERY_DOWN_S,
     };
-    if down > 0.0 {
-        let _ = writeln!(troubles, "{{ at_s = {LOSS_S}, what = \"discovery-down\", for_s = {down} }},");
+    if discovery_down_s > 0.0 {
+        let _ = writeln!(
+            troubles,
+            "{{ at_s = {LOSS_S}, what = \"discovery-down\", for_s = {discovery_down_s} }},"
+        );
     }
     let operator = match way {
         Way::Blank => String::new(),
@@ -128,9 +131,10 @@
          {{ way = \"down\", part = 0.05, message = 2, place = \"start\", do = \"reset\" }},\n]\n",
         last_restart(script, processes) + after_s
     );
-    let mut whole: toml::Table = BASE.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
-    whole.extend(text.parse::<toml::Table>().map_err(|e| ExperimentError::Malformed(name.clone(), e))?);
-    Experiment::of_table(&name, whole)
+    let mut table: toml::Table =
+        BASE_EXPERIMENT.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
+    table.extend(text.parse::<toml::Table>().map_err(|e| ExperimentError::Malformed(name.clone(), e))?);
+    Experiment::of_table(&name, table)
 }
 
 /// Returns when the last proxy is back, s.
@@ -195,16 +199,18 @@
     if figures.void.is_some() {
         return None;
     }
-    let part = |from: f64, to: f64| {
+    let worth_between = |from: f64, to: f64| {
         let seconds = figures.seconds.get(from as usize..(to as usize).min(figures.seconds.len()))?;
         let asked: f64 = seconds.iter().map(|s| s.asked).sum();
         (asked > 0.0).then(|| seconds.iter().map(|s| s.earned).sum::<f64>() / asked)
     };
     let at = restart_s.ceil();
-    let worth = [(0.0, 1.0), (1.0, 5.0), (5.0, 30.0)].map(|(a, b)| part(at + a, at + b).unwrap_or(0.0));
-    let steady = part(LOSS_S - 5.0, LOSS_S).unwrap_or(0.0);
-    let good = |s: usize| part(s as f64, s as f64 + 1.0).is_some_and(|w| w >= 0.9 * steady);
-    let first = (at as usize..figures.seconds.len().saturating_sub(2)).find(|&s| (s..s + 3).all(good));
+    let worth =
+        [(0.0, 1.0), (1.0, 5.0), (5.0, 30.0)].map(|(a, b)| worth_between(at + a, at + b).unwrap_or(0.0));
+    let steady = worth_between(LOSS_S - 5.0, LOSS_S).unwrap_or(0.0);
+    let is_recovered = |s: usize| worth_between(s as f64, s as f64 + 1.0).is_some_and(|w| w >= 0.9 * steady);
+    let first =
+        (at as usize..figures.seconds.len().saturating_sub(2)).find(|&s| (s..s + 3).all(is_recovered));
     let cold_over = figures.broken.iter().filter(|(name, _)| name == "cold budget kept").map(|b| b.1).sum();
     Some(PlayResult {
         seed: plan.seed,
@@ -231,31 +237,31 @@
 /// request of that proxy to the backend; 0 if no request followed, `None` if discovery never reported such a backend.
 fn drain_heeded(outcome: &Outcome) -> Option<f64> {
     let mut sender = HashMap::new();
-    let mut barred: HashMap<(usize, usize), Time> = HashMap::new();
-    let mut latest: Option<f64> = None;
+    let mut not_serving_since: HashMap<(usize, usize), Time> = HashMap::new();
+    let mut longest: Option<f64> = None;
     for r in &outcome.records {
         match r.what {
             Observation::Asked { id, proxy, .. } => {
                 sender.insert(id, proxy);
             }
             Observation::Told { proxy, backend, status } if status != Status::Serving => {
-                barred.entry((proxy, backend)).or_insert(r.at);
-                latest = latest.or(Some(0.0));
+                not_serving_since.entry((proxy, backend)).or_insert(r.at);
+                longest = longest.or(Some(0.0));
             }
             Observation::Told { proxy, backend, .. } => {
-                barred.remove(&(proxy, backend));
+                not_serving_since.remove(&(proxy, backend));
             }
             Observation::Began { id, backend } => {
-                let since = sender.get(&id).and_then(|p| barred.get(&(*p, backend)));
+                let since = sender.get(&id).and_then(|p| not_serving_since.get(&(*p, backend)));
                 if let Some(since) = since {
                     let ms = (r.at - *since).0 as f64 / 1e3;
-                    latest = Some(latest.map_or(ms, |l| l.max(ms)));
+                    longest = Some(longest.map_or(ms, |longest_ms| longest_ms.max(ms)));
                 }
             }
             _ => {}
         }
     }
-    latest
+    longest
 }
 
 /// Plays every seed both ways, prints each play and the medians, and writes all plays to a file. Returns whether every
@@ -271,30 +277,30 @@
         for way in [Way::Blank, Way::Kept] {
             let experiment = experiment(args.script, way, processes, AFTER_S)?;
             let plan = Arc::new(Plan::draw(&experiment, seed));
-            let mut judged = None;
-            for attempt in 0..TRIES {
+            let mut result = None;
+            for attempt in 0..MAX_PLAYS {
                 let folder = args.out.join(format!("{}-seed-{seed}-{attempt}", experiment.name));
                 let outcome = runtime.block_on(play(plan.clone(), &program, &folder, &|_| {}))?;
-                judged = evaluate(&plan, &outcome, restart_s);
-                if judged.is_some() {
+                result = evaluate(&plan, &outcome, restart_s);
+                if result.is_some() {
                     break;
                 }
                 session::say(&format!("{} seed {seed}: the machine was too busy; again\n", experiment.name));
             }
-            let Some(judged) = judged else { continue };
-            session::say(&format!("{:<6} {}\n", way.as_str(), line(&judged)));
-            all.entry(way.as_str()).or_default().push(judged);
+            let Some(result) = result else { continue };
+            session::say(&format!("{:<6} {}\n", way.as_str(), format_row(&result)));
+            all.entry(way.as_str()).or_default().push(result);
         }
     }
     let mut text = format!(
         "{} on {processes} processes, seeds {:?}; medians, but cold peak and cold over: the most of a play, broken: of all plays\nway    {}\n",
         args.script.as_str(),
         args.seeds,
-        HEAD
+        HEADER
     );
     for way in [Way::Blank, Way::Kept] {
         if let Some(plays) = all.get(way.as_str()) {
-            let _ = writeln!(text, "{:<6} {}", way.as_str(), line(&median(plays)));
+            let _ = writeln!(text, "{:<6} {}", way.as_str(), format_row(&median(plays)));
         }
     }
     session::say(&text);
@@ -307,13 +313,14 @@
     Ok(played == 2 * args.seeds.len() && all.values().flatten().all(|r| r.broken == 0))
 }
 
-const HEAD: &str = "seed  0-1 s  1-5 s  5-30 s  steady  to 90 %  cold peak  cold over  broken  drain heeded";
+const HEADER: &str =
+    "seed  0-1 s  1-5 s  5-30 s  steady  to 90 %  cold peak  cold over  broken  drain heeded";
 
-fn line(r: &PlayResult) -> String {
-    let ninety = r.to_ninety_s.map_or("never".into(), |s| format!("{s:.1} s"));
+fn format_row(r: &PlayResult) -> String {
+    let to_ninety = r.to_ninety_s.map_or("never".into(), |s| format!("{s:.1} s"));
     let drain = r.drain_heeded_ms.map_or("-".into(), |ms| format!("{ms:.0} ms"));
     format!(
-        "{:>4}  {:.3}  {:.3}  {:.3}   {:.3}  {ninety:>7}  {:>9.2}  {:>9}  {:>6}  {drain:>12}",
+        "{:>4}  {:.3}  {:.3}  {:.3}   {:.3}  {to_ninety:>7}  {:>9.2}  {:>9}  {:>6}  {drain:>12}",
         r.seed, r.worth[0], r.worth[1], r.worth[2], r.steady, r.cold_peak, r.cold_over, r.broken
     )
 }
@@ -321,17 +328,17 @@
 /// Summarises plays: the median of each figure, but the maximum of `cold_over`, `cold_peak` and `drain_heeded_ms`, the
 /// sum of `broken`, and 0 as the seed.
 fn median(plays: &[PlayResult]) -> PlayResult {
-    let mid = |mut v: Vec<f64>| {
+    let median_of = |mut v: Vec<f64>| {
         v.sort_by(f64::total_cmp);
         v.get(v.len() / 2).copied().unwrap_or(0.0)
     };
     // A play that never reached 90 % counts as the longest.
-    let ninety = mid(plays.iter().map(|r| r.to_ninety_s.unwrap_or(f64::INFINITY)).collect());
+    let to_ninety_s = median_of(plays.iter().map(|r| r.to_ninety_s.unwrap_or(f64::INFINITY)).collect());
     PlayResult {
         seed: 0,
-        worth: [0, 1, 2].map(|i| mid(plays.iter().map(|r| r.worth[i]).collect())),
-        steady: mid(plays.iter().map(|r| r.steady).collect()),
-        to_ninety_s: ninety.is_finite().then_some(ninety),
+        worth: [0, 1, 2].map(|i| median_of(plays.iter().map(|r| r.worth[i]).collect())),
+        steady: median_of(plays.iter().map(|r| r.steady).collect()),
+        to_ninety_s: to_ninety_s.is_finite().then_some(to_ninety_s),
         cold_over: plays.iter().map(|r| r.cold_over).max().unwrap_or(0),
         cold_peak: plays.iter().map(|r| r.cold_peak).fold(0.0, f64::max),
         broken: plays.iter().map(|r| r.broken).sum(),
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Checks the ledger after kills under load against what the stand-ins recorded, and measures its cost alone.
 
 use crate::driver::run::{self, Outcome};
-use crate::experiment::{Effect, Experiment, Trouble, What as Happens};
+use crate::experiment::{Effect, Experiment, Trouble, What as TroubleKind};
 use crate::oracle::{judge, timeline};
 use crate::record::{seconds, Observation, RequestEnd, TryId};
 use crate::report::figures::Spread;
@@ -40,9 +40,9 @@
 }
 
 /// The shortest and the longest time between two kills, s.
-const BETWEEN: (f64, f64) = (0.12, 0.42);
+const KILL_INTERVAL_S: (f64, f64) = (0.12, 0.42);
 /// Delay before a killed proxy is started again, s.
-const BACK: f64 = 0.05;
+const RESTART_DELAY_S: f64 = 0.05;
 
 /// Builds the experiment of a soak: orders and some reads, kills of the proxy at random times, and deaths of backends.
 pub fn experiment(kills: usize, rps: f64, seed: u64, mode: &str) -> Result<Experiment, SessionError> {
@@ -60,7 +60,7 @@
     let mut experiment = Experiment::parse("ledger-soak", &text)?;
     let mut rng = Rng::new(seed, "kills");
     let mut at = 0.5;
-    let one = |what, at_s, for_s, proxy, part| Trouble {
+    let trouble = |what, at_s, for_s, proxy, part| Trouble {
         at_s,
         what,
         part,
@@ -72,11 +72,11 @@
         factor: None,
     };
     for n in 0..kills {
-        experiment.trouble.push(one(Happens::KillProxy, at, BACK, Some(0), None));
+        experiment.trouble.push(trouble(TroubleKind::KillProxy, at, RESTART_DELAY_S, Some(0), None));
         if n % 5 == 2 {
-            experiment.trouble.push(one(Happens::Kill, at + 0.1, 0.2, None, Some(0.1)));
+            experiment.trouble.push(trouble(TroubleKind::Kill, at + 0.1, 0.2, None, Some(0.1)));
         }
-        at += BETWEEN.0 + (BETWEEN.1 - BETWEEN.0) * rng.unit();
+        at += KILL_INTERVAL_S.0 + (KILL_INTERVAL_S.1 - KILL_INTERVAL_S.0) * rng.unit();
     }
     experiment.duration_s = at + 0.5;
     Ok(experiment)
@@ -99,45 +99,45 @@
 
 /// The backends that received a request, that answered it, and that rejected it.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     began: Vec<usize>,
     served: Vec<usize>,
-    away: Vec<usize>,
+    rejected: Vec<usize>,
 }
 
 /// Compares the ledger's answer about each non-repeatable request with what the backends recorded.
 pub fn compare(plan: &Plan, outcome: &Outcome, history: &History) -> Compared {
-    let mut truth: HashMap<TryId, Seen> = HashMap::new();
+    let mut observed: HashMap<TryId, Observed> = HashMap::new();
     for r in &outcome.records {
         match r.what {
-            Observation::Asked { id, .. } => drop(truth.entry(id).or_default()),
-            Observation::Began { id, backend } => truth.entry(id).or_default().began.push(backend),
+            Observation::Asked { id, .. } => drop(observed.entry(id).or_default()),
+            Observation::Began { id, backend } => observed.entry(id).or_default().began.push(backend),
             Observation::Ended { id, backend, how: RequestEnd::Served } => {
-                truth.entry(id).or_default().served.push(backend)
+                observed.entry(id).or_default().served.push(backend)
             }
             Observation::Ended { id, backend, how: RequestEnd::TurnedAway } => {
-                truth.entry(id).or_default().away.push(backend)
+                observed.entry(id).or_default().rejected.push(backend)
             }
             _ => {}
         }
     }
-    let number = |name: &str| plan.fleet.iter().position(|b| b.name == name);
+    let backend_index = |name: &str| plan.fleet.iter().position(|b| b.name == name);
     let requests = history.requests();
-    let told: HashMap<&str, &lotusdeck_ledger::Request> =
+    let recorded: HashMap<&str, &lotusdeck_ledger::Request> =
         requests.iter().map(|r| (r.id.as_str(), r)).collect();
     let mut out = Compared::default();
-    let mut ids: Vec<_> = truth.keys().copied().collect();
+    let mut ids: Vec<_> = observed.keys().copied().collect();
     ids.sort();
     for id in ids {
-        let single =
+        let is_single_shot =
             |a: &crate::world::plan::Arrival| plan.experiment.class[a.class].effect == Effect::SingleShot;
-        if !plan.arrivals.get(id.arrival as usize).is_some_and(single) {
+        if !plan.arrivals.get(id.arrival as usize).is_some_and(is_single_shot) {
             continue;
         }
         out.requests += 1;
-        let seen = &truth[&id];
-        let ran: Vec<usize> = seen.began.iter().copied().filter(|b| !seen.away.contains(b)).collect();
-        let Some(r) = told.get(id.to_string().as_str()) else {
+        let seen = &observed[&id];
+        let ran: Vec<usize> = seen.began.iter().copied().filter(|b| !seen.rejected.contains(b)).collect();
+        let Some(r) = recorded.get(id.to_string().as_str()) else {
             out.absent += 1;
             if !ran.is_empty() {
                 out.wrong.push(format!("{id}: no record, and backend {} ran it", ran[0]));
@@ -162,7 +162,9 @@
             Verdict::Sent => {
                 out.certain += 1;
                 let listed = |b: &usize| {
-                    r.attempts.iter().any(|a| number(&a.backend) == Some(*b) && a.fate != Fate::NeverSent)
+                    r.attempts
+                        .iter()
+                        .any(|a| backend_index(&a.backend) == Some(*b) && a.fate != Fate::NeverSent)
                 };
                 if let Some(b) = ran.iter().find(|b| !listed(b)) {
                     out.wrong.push(format!("{id}: backend {b} ran it and is not told of"));
@@ -170,8 +172,8 @@
             }
         }
         for a in &r.attempts {
-            let there = number(&a.backend);
-            let had = |list: &[usize]| there.is_some_and(|b| list.contains(&b));
+            let backend = backend_index(&a.backend);
+            let had = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
             match a.fate {
                 Fate::NeverSent if had(&ran) => {
                     out.wrong.push(format!("{id}: never sent to {}, which ran it", a.backend));
@@ -193,12 +195,12 @@
 pub fn play(
     plan: &Arc<Plan>, program: &Path, folder: &Path, progress: run::Progress<'_>,
 ) -> Result<(Outcome, Compared, History), SessionError> {
-    let file = |e| SessionError::File(folder.display().to_string(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
+    let io_error = |e| SessionError::File(folder.display().to_string(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
     let outcome = runtime.block_on(run::play(plan.clone(), program, folder, progress))?;
     let mut history = History::default();
-    let disk = Folder::existing(&folder.join("proxy-0/ledger")).map_err(file)?;
-    history.add("proxy-0", &disk, None).map_err(file)?;
+    let disk = Folder::existing(&folder.join("proxy-0/ledger")).map_err(io_error)?;
+    history.add("proxy-0", &disk, None).map_err(io_error)?;
     let compared = compare(plan, &outcome, &history);
     Ok((outcome, compared, history))
 }
@@ -208,7 +210,7 @@
 /// # Errors
 /// The run fails, or a folder cannot be read or removed.
 pub fn soak(args: &Soak) -> Result<bool, SessionError> {
-    let own = program(args.proxy.as_deref())?;
+    let proxy_program = program(args.proxy.as_deref())?;
     let plan = Arc::new(Plan::draw(&experiment(args.kills, args.rps, args.seed, &args.mode)?, args.seed));
     let folder = args.out.join(format!("seed-{}", args.seed));
     if folder.exists() {
@@ -216,7 +218,7 @@
     }
     let bar = ProgressBar::new((plan.experiment.duration_s * 1e3) as u64);
     let progress = |at: lotusdeck_policy::Time| bar.set_position(at.0 / 1000);
-    let (outcome, compared, history) = play(&plan, &own, &folder, &progress)?;
+    let (outcome, compared, history) = play(&plan, &proxy_program, &folder, &progress)?;
     bar.finish_and_clear();
     let broken = judge(&plan, &outcome.records);
     say(&format!(
@@ -227,15 +229,15 @@
         compared.requests,
         compared.wrong.len()
     ));
-    let of = |n: usize| n as f64 * 100.0 / compared.requests.max(1) as f64;
+    let percent = |n: usize| n as f64 * 100.0 / compared.requests.max(1) as f64;
     let uncertain: usize = compared.uncertain.values().sum();
     say(&format!(
         "certain {} ({:.2} %), never taken {} ({:.2} %), possibly sent {uncertain} ({:.2} %):\n",
         compared.certain,
-        of(compared.certain),
+        percent(compared.certain),
         compared.absent,
-        of(compared.absent),
-        of(uncertain)
+        percent(compared.absent),
+        percent(uncertain)
     ));
     compared.uncertain.iter().for_each(|(why, n)| say(&format!("  {n:>6}  {why}\n")));
     compared.wrong.iter().take(20).for_each(|w| say(&format!("WRONG: {w}\n")));
@@ -264,7 +266,7 @@
     out: PathBuf,
 }
 
-fn records(request: u64) -> [Record; 4] {
+fn records_of(request: u64) -> [Record; 4] {
     let id = format!("{request:016x}");
     let (class, key, at) =
         ("print-order".into(), format!("k{}", request % 5000), 1_796_000_000_000 + request);
@@ -278,12 +280,14 @@
     ]
 }
 
-fn spread(times: &Histogram<u64>) -> String {
+fn format_spread(times: &Histogram<u64>) -> String {
     let s = Spread::of(times);
     format!("p50 {:.1} us, p99 {:.1} us, worst {:.0} us", s.p50 * 1e3, s.p99 * 1e3, s.max * 1e3)
 }
 
-fn timed(count: usize, mut one: impl FnMut(usize) -> std::io::Result<()>) -> std::io::Result<Histogram<u64>> {
+fn time_each(
+    count: usize, mut one: impl FnMut(usize) -> std::io::Result<()>,
+) -> std::io::Result<Histogram<u64>> {
     let mut out = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds in order");
     for n in 0..count {
         let began = Instant::now();
@@ -308,42 +312,46 @@
     let mut disk = Folder::open(&args.out.join("floor"))?;
     let mut file = disk.create("bare", 64 << 20)?;
     let bytes = vec![7u8; 256];
-    let bare = timed(args.timed, |n| disk.write(&mut file, n as u64 * 256, &bytes))?;
-    let synced = timed(args.timed.min(500), |n| {
+    let write_times = time_each(args.timed, |n| disk.write(&mut file, n as u64 * 256, &bytes))?;
+    let sync_times = time_each(args.timed.min(500), |n| {
         disk.write(&mut file, n as u64 * 256, &bytes)?;
         disk.sync(&mut file)
     })?;
-    say(&format!("floor, 256 bytes: write {}; write and fdatasync {}\n", spread(&bare), spread(&synced)));
-    let wrong = |e: lotusdeck_ledger::WriteError| std::io::Error::other(e.to_string());
+    say(&format!(
+        "floor, 256 bytes: write {}; write and fdatasync {}\n",
+        format_spread(&write_times),
+        format_spread(&sync_times)
+    ));
+    let write_error = |e: lotusdeck_ledger::WriteError| std::io::Error::other(e.to_string());
     for (name, mode, count) in
         [("process", Mode::Process, args.timed), ("power", Mode::Power, args.timed.min(500))]
     {
         let options = Options::new("bench", mode, OnFailure::RejectRequests);
         let (mut writer, begun) = Writer::open(Folder::open(&args.out.join(name))?, options, 1, 0);
-        begun.map_err(wrong)?;
-        let times = timed(count, |n| {
-            let intent = &records(n as u64)[1..2];
-            writer.append(n as u64, intent).map_err(wrong)
+        begun.map_err(write_error)?;
+        let times = time_each(count, |n| {
+            let intent = &records_of(n as u64)[1..2];
+            writer.append(n as u64, intent).map_err(write_error)
         })?;
-        say(&format!("{name}, one record a write: {}\n", spread(&times)));
+        say(&format!("{name}, one record a write: {}\n", format_spread(&times)));
     }
     let mut options = Options::new("bench", Mode::Process, OnFailure::RejectRequests);
     options.keep_bytes = u64::MAX;
-    let many = args.out.join("many");
-    let (mut writer, begun) = Writer::open(Folder::open(&many)?, options, 1, 0);
-    begun.map_err(wrong)?;
+    let many_folder = args.out.join("many");
+    let (mut writer, begun) = Writer::open(Folder::open(&many_folder)?, options, 1, 0);
+    begun.map_err(write_error)?;
     let bar = ProgressBar::new(args.records);
     let (began, mut batch, mut written) = (Instant::now(), Vec::with_capacity(args.batch + 4), 0);
     for request in 0..args.records / 4 {
-        batch.extend(records(request));
+        batch.extend(records_of(request));
         if batch.len() >= args.batch {
-            writer.append(request, &batch).map_err(wrong)?;
+            writer.append(request, &batch).map_err(write_error)?;
             written += batch.len() as u64;
             batch.clear();
             bar.set_position(written);
         }
     }
-    writer.append(0, &batch).map_err(wrong)?;
+    writer.append(0, &batch).map_err(write_error)?;
     let took = began.elapsed().as_secs_f64();
     let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
@@ -355,27 +363,27 @@
         bytes as f64 * 4.0 / args.records as f64
     ));
     drop(writer);
-    let folder = Folder::existing(&many)?;
+    let folder = Folder::existing(&many_folder)?;
     let began = Instant::now();
-    let mut one = History::default();
+    let mut single = History::default();
     let id = format!("{:016x}", args.records / 9);
-    one.add("many", &folder, Some(&id))?;
-    let found = one.find(&id).len();
+    single.add("many", &folder, Some(&id))?;
+    let found = single.find(&id).len();
     say(&format!(
         "one id: {:.1} ms, {} segments read and {} spared by their index, {found} found\n",
         began.elapsed().as_secs_f64() * 1e3,
-        one.segments_read,
-        one.segments_skipped
+        single.segments_read,
+        single.segments_skipped
     ));
     let began = Instant::now();
-    let mut all = History::default();
-    all.add("many", &folder, None)?;
+    let mut history = History::default();
+    history.add("many", &folder, None)?;
     let read = began.elapsed().as_secs_f64();
-    let count = all.requests().len();
-    let whole = began.elapsed().as_secs_f64();
+    let count = history.requests().len();
+    let concluded = began.elapsed().as_secs_f64();
     let memory = crate::driver::usage::Usage::of(std::process::id()).map_or(0, |u| u.memory);
     say(&format!(
-        "all read back in {read:.2} s, {count} requests concluded in {whole:.2} s, {} MB in memory\n",
+        "all read back in {read:.2} s, {count} requests concluded in {concluded:.2} s, {} MB in memory\n",
         memory >> 20
     ));
     Ok(())
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -151,20 +151,20 @@
         Command::Relay(args) => fault_proxy::main(&args).map(|()| true),
         Command::RelayCost(args) => fault_proxy::cost::main(&args).map(|()| true),
         Command::PlainRelay { listen, to } => {
-            let fault = |e| SessionError::File(listen.to_string(), e);
+            let io_error = |e| SessionError::File(listen.to_string(), e);
             let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
+                tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
             let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, driver::relay::run(listen, to)).map_err(fault)?;
+            local.block_on(&runtime, driver::relay::run(listen, to)).map_err(io_error)?;
             Ok(true)
         }
         Command::Compare { a, b } => {
             let read = |folder: &Path| -> Result<Vec<Figures>, SessionError> { session::figures(folder) };
             let (a, b) = (read(&a)?, read(&b)?);
             session::say(&compare::compare(&a, &b));
-            let void = a.iter().chain(&b).filter(|f| f.void.is_some()).count();
-            if void > 0 {
-                session::say(&format!("{void} void runs are left out\n"));
+            let void_runs = a.iter().chain(&b).filter(|f| f.void.is_some()).count();
+            if void_runs > 0 {
+                session::say(&format!("{void_runs} void runs are left out\n"));
             }
             Ok(true)
         }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -75,7 +75,7 @@
     pub pid: Option<u32>,
     pub traffic: Traffic,
     /// Measurements at saturation, one for each round.
-    pub full: Vec<Point>,
+    pub saturated: Vec<Point>,
     /// Measurements with one connection, one for each round.
     pub alone: Vec<Point>,
 }
@@ -85,7 +85,7 @@
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
     ) -> Way<Traffic> {
-        Way { name, to, pid, traffic, full: Vec::new(), alone: Vec::new() }
+        Way { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
     }
 }
 
@@ -136,7 +136,7 @@
             while seen.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
-                let served = ask(&mut link, at, number.get(), post).await;
+                let served = send_request(&mut link, at, number.get(), post).await;
                 seen.count(asked, served);
             }
         }));
@@ -147,8 +147,8 @@
     seen
 }
 
-async fn ask(kept: &mut Option<Link>, to: SocketAddr, number: u64, post: bool) -> bool {
-    let mut link = match kept.take() {
+async fn send_request(idle: &mut Option<Link>, to: SocketAddr, number: u64, post: bool) -> bool {
+    let mut link = match idle.take() {
         Some(link) => link,
         None => match tokio::net::TcpStream::connect(to).await {
             Ok(tcp) => Link::new(tcp),
@@ -167,7 +167,7 @@
     match link.answer().await {
         Ok(answer) => {
             if !answer.close {
-                *kept = Some(link);
+                *idle = Some(link);
             }
             answer.status == 200
         }
@@ -267,13 +267,13 @@
     let bar = ProgressBar::new((rounds.count * ways.len() * 2) as u64);
     for _ in 0..rounds.count {
         for way in ways.iter_mut() {
-            let play = |connections, span| {
+            let measure_way = |connections, span| {
                 let (to, traffic) = (way.to.clone(), way.traffic);
                 measure(way.pid, move || load(to, connections, span, traffic))
             };
-            let full = play(rounds.connections, rounds.span).await?;
-            let alone = play(1, rounds.span / 2).await?;
-            way.full.push(full);
+            let saturated = measure_way(rounds.connections, rounds.span).await?;
+            let alone = measure_way(1, rounds.span / 2).await?;
+            way.saturated.push(saturated);
             way.alone.push(alone);
             bar.inc(2);
         }
@@ -300,30 +300,30 @@
         "way", "req/s", "cpu us", "p50 us", "p99 us", "p50 us", "p99 us", "failed"
     );
     for w in ways {
-        let failed: u64 = w.full.iter().chain(&w.alone).map(|p| p.failed).sum();
+        let failed: u64 = w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum();
         let _ = writeln!(
             out,
             "{:<12} {:>10.0} {:>8.1} {:>9.0} {:>9.0} | alone: {:>8.0} {:>8.0} | {:>7}",
             w.name,
-            median(&w.full, |p| p.rate),
-            median(&w.full, |p| p.cpu_us),
-            median(&w.full, |p| p.p50_us),
-            median(&w.full, |p| p.p99_us),
+            median(&w.saturated, |p| p.rate),
+            median(&w.saturated, |p| p.cpu_us),
+            median(&w.saturated, |p| p.p50_us),
+            median(&w.saturated, |p| p.p99_us),
             median(&w.alone, |p| p.p50_us),
             median(&w.alone, |p| p.p99_us),
             failed
         );
     }
-    let by = |name: &str| ways.iter().find(|w| w.name == name);
-    if let (Some(direct), Some(relay)) = (by("direct"), by("relay")) {
+    let way_named = |name: &str| ways.iter().find(|w| w.name == name);
+    if let (Some(direct), Some(relay)) = (way_named("direct"), way_named("relay")) {
         for w in ways.iter().filter(|w| w.name != "direct" && w.name != "relay") {
             let ratio = |a: f64, b: f64| a / b.max(1e-9);
             let _ = writeln!(
                 out,
                 "{}: {:.2} of the relay's rate, {:.2} times its processor time; adds {:.0} us at p50 and {:.0} us at p99 alone, the relay {:.0} and {:.0}",
                 w.name,
-                ratio(median(&w.full, |p| p.rate), median(&relay.full, |p| p.rate)),
-                ratio(median(&w.full, |p| p.cpu_us), median(&relay.full, |p| p.cpu_us)),
+                ratio(median(&w.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
+                ratio(median(&w.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
                 median(&w.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
                 median(&w.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
                 median(&relay.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
@@ -348,39 +348,43 @@
 
 /// Measures all ways and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
-    let own = program(args.proxy.as_deref())?;
-    let file = |e| SessionError::File("overhead".into(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
-    let text = runtime.block_on(all(args, &own))?;
+    let proxy_program = program(args.proxy.as_deref())?;
+    let io_error = |e| SessionError::File("overhead".into(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
+    let text = runtime.block_on(measure_all(args, &proxy_program))?;
     say(&text);
     Ok(())
 }
 
-async fn all(args: &Args, own: &Path) -> Result<String, SessionError> {
+async fn measure_all(args: &Args, proxy_program: &Path) -> Result<String, SessionError> {
     let plan = Arc::new(Plan::draw(&experiment(args.backends)?, 1));
-    let (count, bytes, its) = (args.backends, args.bytes, plan.clone());
-    let (ready, standing) = oneshot::channel();
+    let (count, bytes, service_plan) = (args.backends, args.bytes, plan.clone());
+    let (ready, started) = oneshot::channel();
     let (stop, stopped) = oneshot::channel::<()>();
     let served = thread("backends", move || async move {
         let started = answering_backends(count, bytes).await;
         let clock = Clock::default();
         clock.start_in(Duration::ZERO);
         let log = Log::new(clock.clone());
-        let all = started.and_then(|to| {
-            let (service, at) = Service::start(its, clock, log, to.clone())?;
+        let backends = started.and_then(|to| {
+            let (service, at) = Service::start(service_plan, clock, log, to.clone())?;
             Ok((to, at, service.whole()))
         });
-        let _ = ready.send(all);
+        let _ = ready.send(backends);
         let _ = stopped.await;
     })
     .map_err(RunError::Io)?;
-    let (to, discovery, known) = standing.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
+    let (to, discovery, known) = started.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
     let (relay, relay_at) = start_relay(&to).map_err(RunError::Io)?;
     let mut ways = Vec::new();
     let beside = args.beside.as_deref().map(|program| ("beside", program, None));
-    let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", own, None)];
+    let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", proxy_program, None)];
     if args.ledger {
-        played = vec![("off", own, None), ("process", own, Some("process")), ("power", own, Some("power"))];
+        played = vec![
+            ("off", proxy_program, None),
+            ("process", proxy_program, Some("process")),
+            ("power", proxy_program, Some("power")),
+        ];
     } else {
         ways.extend([
             Way::new("direct", to, None, false),
--- a/crates/testbed/src/overhead/tests.rs
+++ b/crates/testbed/src/overhead/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn medians_are_of_the_middle() {
+fn the_median_is_the_middle_value() {
     let of = |rates: &[f64]| -> Vec<Point> {
         rates.iter().map(|r| Point { rate: *r, ..Point::default() }).collect()
     };
--- a/crates/testbed/src/paper.rs
+++ b/crates/testbed/src/paper.rs
@@ -66,33 +66,39 @@
     let weights: Vec<f64> = servers.iter().map(|(i, _)| shares[*i] / kinds[*i].0).collect();
     let mut stations: Vec<Station> =
         servers.iter().map(|s| Station::new(build(s.1), None, Time(0))).collect();
-    let mut came: Vec<f64> = Vec::with_capacity(jobs);
-    let mut took = vec![0.0; jobs];
+    let mut arrived: Vec<f64> = Vec::with_capacity(jobs);
+    let mut response_times = vec![0.0; jobs];
     // A job of mean work takes 1 s on a server of 1 request a second. Stations count whole microseconds, so all times
     // are scaled by 1000 to make the rounding negligible.
-    let unit = 1e3;
+    let time_scale = 1e3;
     let (mut now, mut ended) = (0.0, Vec::new());
     for job in 0..jobs {
         now += rng.exponential(1.0 / rate);
-        let at = Time((now * unit * 1e6) as u64);
+        let at = Time((now * time_scale * 1e6) as u64);
         let server = rng.weighted(&weights);
         ended.clear();
         stations[server].due(at, &mut ended);
-        ended
-            .iter()
-            .for_each(|(end, job)| took[*job as usize] = end.0 as f64 / unit / 1e6 - came[*job as usize]);
-        came.push(now);
-        stations[server].submit(at, job as u64, rng.exponential(unit));
+        ended.iter().for_each(|(end, job)| {
+            response_times[*job as usize] = end.0 as f64 / time_scale / 1e6 - arrived[*job as usize]
+        });
+        arrived.push(now);
+        stations[server].submit(at, job as u64, rng.exponential(time_scale));
     }
     ended.clear();
     stations.iter_mut().for_each(|s| s.due(Time(u64::MAX / 2), &mut ended));
-    ended.iter().for_each(|(end, job)| took[*job as usize] = end.0 as f64 / unit / 1e6 - came[*job as usize]);
+    ended.iter().for_each(|(end, job)| {
+        response_times[*job as usize] = end.0 as f64 / time_scale / 1e6 - arrived[*job as usize]
+    });
     // The first batch is left out: the stations start empty.
     let size = jobs / BATCHES;
-    let means: Vec<f64> =
-        took.chunks(size).skip(1).take(BATCHES - 1).map(|b| b.iter().sum::<f64>() / b.len() as f64).collect();
-    let (mean, half) = crate::report::compare::interval(&means);
-    (mean, half.unwrap_or(f64::INFINITY))
+    let means: Vec<f64> = response_times
+        .chunks(size)
+        .skip(1)
+        .take(BATCHES - 1)
+        .map(|b| b.iter().sum::<f64>() / b.len() as f64)
+        .collect();
+    let (mean, half_width) = crate::report::compare::interval(&means);
+    (mean, half_width.unwrap_or(f64::INFINITY))
 }
 
 /// One cluster at one load.
@@ -105,7 +111,7 @@
     /// Improvement as simulated, as a fraction.
     pub simulated: f64,
     /// Half-width of the 95 % interval of `simulated`.
-    pub half: f64,
+    pub half_width: f64,
 }
 
 /// Computes and simulates the points of a cluster at each load.
@@ -114,13 +120,13 @@
     let loads = [0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9];
     let point = |load: &f64| {
         let rate = load * capacity;
-        let (own, other) = (halb_shares(kinds, Some(rate)), proportional(kinds));
-        let formula = 1.0 - response(kinds, &own, rate) / response(kinds, &other, rate);
-        let (a, ea) = simulate(kinds, &own, rate, jobs, seed);
-        let (b, eb) = simulate(kinds, &other, rate, jobs, seed + 1);
+        let (halb_split, proportional_split) = (halb_shares(kinds, Some(rate)), proportional(kinds));
+        let formula = 1.0 - response(kinds, &halb_split, rate) / response(kinds, &proportional_split, rate);
+        let (a, a_half) = simulate(kinds, &halb_split, rate, jobs, seed);
+        let (b, b_half) = simulate(kinds, &proportional_split, rate, jobs, seed + 1);
         let simulated = 1.0 - a / b;
-        let half = (a / b) * ((ea / a).powi(2) + (eb / b).powi(2)).sqrt();
-        Point { load: *load, formula, simulated, half }
+        let half_width = (a / b) * ((a_half / a).powi(2) + (b_half / b).powi(2)).sqrt();
+        Point { load: *load, formula, simulated, half_width }
     };
     loads.par_iter().map(point).collect()
 }
@@ -168,7 +174,7 @@
         let _ = write!(out, "{name:<38}");
         for p in points {
             let _ = write!(out, "{:>14}", format!("{:.1} | {:.1}", p.formula * 100.0, p.simulated * 100.0));
-            inside += usize::from((p.formula - p.simulated).abs() <= p.half);
+            inside += usize::from((p.formula - p.simulated).abs() <= p.half_width);
             count += 1;
         }
         out.push('\n');
--- a/crates/testbed/src/paper/tests.rs
+++ b/crates/testbed/src/paper/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn stations_hold_the_formula() {
+fn simulated_stations_match_the_formula() {
     let kinds = vec![(1.0, 4.0), (2.0, 1.0)];
     let shares = halb_shares(&kinds, Some(3.0));
     let (mean, half) = simulate(&kinds, &shares, 3.0, 60_000, 4);
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -1,7 +1,7 @@
 //! Measures what the PostgreSQL front costs: the same statements direct, through a plain byte relay, and through
 //! lotusdeck, interleaved; and the memory of an idle client.
 
-use super::server::{Chance, Committed, Server};
+use super::server::{Committed, DeathChances, Server};
 use super::{front, Front, PASSWORD};
 use crate::driver::run::{thread, RunError};
 use crate::overhead::{interleave, median, start_relay, Rounds, Seen, Way};
@@ -40,7 +40,7 @@
     out: PathBuf,
 }
 
-async fn driver(to: SocketAddr) -> Result<Client, tokio_postgres::Error> {
+async fn connect(to: SocketAddr) -> Result<Client, tokio_postgres::Error> {
     let mut config = tokio_postgres::Config::new();
     config.host("127.0.0.1").port(to.port()).user("ann").password(PASSWORD).dbname("scores");
     let (client, connection) = config.connect(NoTls).await?;
@@ -55,7 +55,7 @@
     for n in 0..drivers {
         let (seen, at) = (seen.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
-            let Ok(client) = driver(at).await else { return seen.count(Instant::now(), false) };
+            let Ok(client) = connect(at).await else { return seen.count(Instant::now(), false) };
             let statement = if prepared { client.prepare("select").await.ok() } else { None };
             while seen.is_running() {
                 let asked = Instant::now();
@@ -73,14 +73,14 @@
     seen
 }
 
-async fn all(args: &Cost, own: &Path) -> Result<String, SessionError> {
-    let never = Chance { before: 0.0, after: 0.0, halfway: 0.0, away: 1.0 };
-    let (ready, standing) = tokio::sync::oneshot::channel();
+async fn measure_all(args: &Cost, proxy_program: &Path) -> Result<String, SessionError> {
+    let no_deaths = DeathChances { before: 0.0, after: 0.0, halfway: 0.0, downtime_s: 1.0 };
+    let (ready, started) = tokio::sync::oneshot::channel();
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
     let count = args.servers;
     let served = thread("servers", move || async move {
-        let one = |n| Server::new(n, never, Committed::default(), 1);
-        let servers: std::io::Result<Vec<Rc<Server>>> = (0..count).map(one).collect();
+        let new_server = |n| Server::new(n, no_deaths, Committed::default(), 1);
+        let servers: std::io::Result<Vec<Rc<Server>>> = (0..count).map(new_server).collect();
         let addresses = servers.map(|all| {
             all.into_iter()
                 .map(|server| {
@@ -94,18 +94,18 @@
         let _ = stopped.await;
     });
     let served = served.map_err(RunError::Io)?;
-    let to = standing.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
+    let to = started.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
     let (relay, relay_at) = start_relay(&to).map_err(RunError::Io)?;
-    let most = args.connections.max(1);
+    let connections = args.connections.max(1);
     let Front { mut proxy, at, .. } =
-        front(&to, most, args.idle + 2 * most, 60_000, own, &args.out, 1).await?;
+        front(&to, connections, args.idle + 2 * connections, 60_000, proxy_program, &args.out, 1).await?;
     let mut ways = Vec::new();
     for (prepared, names) in [
         (false, ["direct", "relay", "lotusdeck"]),
         (true, ["direct, prep.", "relay, prep.", "lotusdeck, prep."]),
     ] {
-        let places = [(to.clone(), None), (vec![relay_at], relay.id()), (vec![at], proxy.pid())];
-        for (name, (to, pid)) in names.into_iter().zip(places) {
+        let targets = [(to.clone(), None), (vec![relay_at], relay.id()), (vec![at], proxy.pid())];
+        for (name, (to, pid)) in names.into_iter().zip(targets) {
             ways.push(Way::new(name, to, pid, prepared));
         }
     }
@@ -115,10 +115,10 @@
     let memory = || proxy.usage().map_or(0, |u| u.memory);
     let (before, mut idle) = (memory(), Vec::new());
     for _ in 0..args.idle {
-        let Ok(client) = driver(at).await else { break };
+        let Ok(client) = connect(at).await else { break };
         idle.push(client);
     }
-    let each = memory().saturating_sub(before) as f64 / idle.len().max(1) as f64;
+    let bytes_per_client = memory().saturating_sub(before) as f64 / idle.len().max(1) as f64;
     let mut out = format!(
         "medians of {} rounds of {} s; {} servers, {} drivers and as many connections at saturation, proxy on one core\n",
         args.rounds, args.seconds, args.servers, args.connections
@@ -128,16 +128,21 @@
             out,
             "{:<16} {:>8.0} /s {:>6.1} cpu us, p50 {:>6.0} us, p99 {:>6.0} us | alone p50 {:>5.0} us, p99 {:>5.0} us | {} failed",
             w.name,
-            median(&w.full, |p| p.rate),
-            median(&w.full, |p| p.cpu_us),
-            median(&w.full, |p| p.p50_us),
-            median(&w.full, |p| p.p99_us),
+            median(&w.saturated, |p| p.rate),
+            median(&w.saturated, |p| p.cpu_us),
+            median(&w.saturated, |p| p.p50_us),
+            median(&w.saturated, |p| p.p99_us),
             median(&w.alone, |p| p.p50_us),
             median(&w.alone, |p| p.p99_us),
-            w.full.iter().chain(&w.alone).map(|p| p.failed).sum::<u64>()
+            w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum::<u64>()
         );
     }
-    let _ = writeln!(out, "{} idle clients hold {:.1} KB of the proxy's memory each", idle.len(), each / 1e3);
+    let _ = writeln!(
+        out,
+        "{} idle clients hold {:.1} KB of the proxy's memory each",
+        idle.len(),
+        bytes_per_client / 1e3
+    );
     proxy.kill().await;
     drop((relay, idle));
     let _ = stop.send(());
@@ -150,9 +155,9 @@
 /// # Errors
 /// The proxy, the relay or a server cannot be started.
 pub fn main(args: &Cost) -> Result<(), SessionError> {
-    let own = program(args.proxy.as_deref())?;
-    let file = |e| SessionError::File(args.out.display().to_string(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
-    say(&tokio::task::LocalSet::new().block_on(&runtime, all(args, &own))?);
+    let proxy_program = program(args.proxy.as_deref())?;
+    let io_error = |e| SessionError::File(args.out.display().to_string(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
+    say(&tokio::task::LocalSet::new().block_on(&runtime, measure_all(args, &proxy_program))?);
     Ok(())
 }
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -15,7 +15,7 @@
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
 use indicatif::ProgressBar;
-use server::{Chance, Committed, Server};
+use server::{Committed, DeathChances, Server};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -58,7 +58,7 @@
 /// The SCRAM verifier of [`PASSWORD`].
 const VERIFIER: &str = "SCRAM-SHA-256$64:bG90dXNkZWNrLWxhYi0wMQ==$nj2bFIaealt9OKAetROt8V6HkenGqIQgtnsew+ynTKw=:PF6AnPrR+HvDM+ZGMltxVprMyAvwt4RjjJU9FX4y+n8=";
 /// Delay before a driver that could not connect tries again.
-const AGAIN: Duration = Duration::from_millis(20);
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
 /// What a client knows of a write from the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,39 +88,39 @@
     pub wrong: Vec<String>,
 }
 
-struct Play {
+struct SoakRun {
     at: SocketAddr,
     until: Instant,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
     reported: RefCell<HashMap<u64, Reported>>,
     codes: RefCell<BTreeMap<String, usize>>,
     sessions: Cell<usize>,
 }
 
-impl Play {
+impl SoakRun {
     async fn client(self: Rc<Self>) {
         while Instant::now() < self.until {
             let mut config = tokio_postgres::Config::new();
             config.host("127.0.0.1").port(self.at.port()).user("ann").password(PASSWORD).dbname("scores");
             let Ok((client, connection)) = config.connect(NoTls).await else {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
                 continue;
             };
             self.sessions.set(self.sessions.get() + 1);
-            let driven = tokio::task::spawn_local(async move { drop(connection.await) });
+            let connection_task = tokio::task::spawn_local(async move { drop(connection.await) });
             while Instant::now() < self.until && !client.is_closed() {
-                let number = self.next.get();
-                self.next.set(number + 1);
+                let number = self.next_number.get();
+                self.next_number.set(number + 1);
                 let reported = self.write(&client, number).await;
                 self.reported.borrow_mut().insert(number, reported);
             }
             drop(client);
-            let _ = driven.await;
+            let _ = connection_task.await;
         }
     }
 
     /// Derives from an error what a client knows of a statement that commits, and counts the error's code.
-    fn judge(&self, e: &tokio_postgres::Error) -> Reported {
+    fn classify_error(&self, e: &tokio_postgres::Error) -> Reported {
         let code = e.code().map_or("connection lost", |c| c.code()).to_string();
         let reported =
             if matches!(code.as_str(), "53300" | "08006") { Reported::NotDone } else { Reported::Unknown };
@@ -135,14 +135,14 @@
             1 => match client.prepare(&insert).await {
                 Ok(statement) => client.execute(&statement, &[]).await.map(|_| ()),
                 Err(e) => {
-                    self.judge(&e);
+                    self.classify_error(&e);
                     return Reported::NotDone; // only prepared, never executed
                 }
             },
             _ => {
                 for statement in ["begin", &insert] {
                     if let Err(e) = client.simple_query(statement).await {
-                        self.judge(&e);
+                        self.classify_error(&e);
                         // Ends the transaction, if it did not end with its server.
                         let _ = client.simple_query("rollback").await;
                         return Reported::NotDone;
@@ -151,33 +151,35 @@
                 client.simple_query("commit").await.map(|_| ())
             }
         };
-        ended.map_or_else(|e| self.judge(&e), |()| Reported::Done)
+        ended.map_or_else(|e| self.classify_error(&e), |()| Reported::Done)
     }
 }
 
 /// Compares what clients were told of their writes with what was committed, and counts the results into `out`.
 fn compare(reported: &HashMap<u64, Reported>, committed: &[(u64, usize)], out: &mut SoakResult) {
-    let mut ran: HashMap<u64, Vec<usize>> = HashMap::new();
-    committed.iter().for_each(|(number, server)| ran.entry(*number).or_default().push(*server));
+    let mut servers: HashMap<u64, Vec<usize>> = HashMap::new();
+    committed.iter().for_each(|(number, server)| servers.entry(*number).or_default().push(*server));
     let mut numbers: Vec<&u64> = reported.keys().collect();
     numbers.sort();
     for number in numbers {
-        let there = ran.get(number).map_or(&[][..], Vec::as_slice);
-        if there.len() > 1 {
-            out.wrong.push(format!("write {number} was committed by servers {there:?}"));
+        let committed_by = servers.get(number).map_or(&[][..], Vec::as_slice);
+        if committed_by.len() > 1 {
+            out.wrong.push(format!("write {number} was committed by servers {committed_by:?}"));
         }
-        match (reported[number], there.is_empty()) {
+        match (reported[number], committed_by.is_empty()) {
             (Reported::Done, true) => {
                 out.wrong.push(format!("write {number} was told as done and is nowhere"))
             }
             (Reported::NotDone, false) => {
-                out.wrong
-                    .push(format!("write {number} was told as not done, and server {} has it", there[0]));
+                out.wrong.push(format!(
+                    "write {number} was told as not done, and server {} has it",
+                    committed_by[0]
+                ));
             }
             _ => {}
         }
         out.reported[reported[number] as usize] += 1;
-        out.unknown_done += usize::from(reported[number] == Reported::Unknown && !there.is_empty());
+        out.unknown_done += usize::from(reported[number] == Reported::Unknown && !committed_by.is_empty());
     }
     out.writes = reported.len();
 }
@@ -193,14 +195,14 @@
 
 /// Starts a proxy with a PostgreSQL front before `servers`.
 async fn front(
-    servers: &[SocketAddr], connections: usize, clients: usize, deadline_ms: u64, own: &Path, out: &Path,
-    seed: u64,
+    servers: &[SocketAddr], connections: usize, clients: usize, deadline_ms: u64, proxy_program: &Path,
+    out: &Path, seed: u64,
 ) -> Result<Front, SessionError> {
     let io = RunError::Io;
     let held = Reserved::take(None).map_err(io)?;
     let at = held.address();
-    let line = |s: &SocketAddr| format!("{{ name = \"{s}\", address = \"{s}\" }}");
-    let list: Vec<String> = servers.iter().map(line).collect();
+    let entry = |s: &SocketAddr| format!("{{ name = \"{s}\", address = \"{s}\" }}");
+    let entries: Vec<String> = servers.iter().map(entry).collect();
     let mut experiment = Experiment::parse(
         "postgres",
         "name = 'postgres'\nduration_s = 1.0\nproxies = 1\nload = { rps = 1.0 }\nlimits = { sockets = 16384 }\n\
@@ -212,24 +214,24 @@
          user = [{{ name = \"ann\", verifier = \"{VERIFIER}\" }}]\n\
          login = {{ user = \"deck\", database = \"scores\" }}\nserver = [{}]\n\
          connections = {connections}\nclients = {clients}\naim_ms = 500\ndeadline_ms = {deadline_ms}\n",
-        list.join(", "),
+        entries.join(", "),
     ));
     let plan = Arc::new(Plan::draw(&experiment, seed));
     let clock = Clock::default();
     clock.start_in(Duration::ZERO);
-    let nobody = Reserved::take(None).map_err(io)?;
+    let unused = Reserved::take(None).map_err(io)?;
     let log = Log::new(clock.clone());
-    let service = Service::start(plan.clone(), clock, log, vec![nobody.address()]);
-    let (discovery, places) = service.map_err(io)?;
-    let prepared = Proxy::prepare(0, &plan, own, out, places[0], &discovery.whole());
+    let service = Service::start(plan.clone(), clock, log, vec![unused.address()]);
+    let (discovery, addresses) = service.map_err(io)?;
+    let prepared = Proxy::prepare(0, &plan, proxy_program, out, addresses[0], &discovery.whole());
     let mut proxy = prepared.map_err(RunError::Proxy)?;
     proxy.start().await.map_err(RunError::Proxy)?;
     Ok(Front { proxy, at, _held: held, _discovery: discovery })
 }
 
-async fn play(args: &Soak, own: &Path) -> Result<SoakResult, SessionError> {
+async fn play(args: &Soak, proxy_program: &Path) -> Result<SoakResult, SessionError> {
     let io = RunError::Io;
-    let chance = Chance { before: 0.002, after: 0.002, halfway: 0.001, away: 0.3 };
+    let chance = DeathChances { before: 0.002, after: 0.002, halfway: 0.001, downtime_s: 0.3 };
     let committed = Committed::default();
     let mut servers = Vec::new();
     for number in 0..args.servers {
@@ -237,21 +239,22 @@
         tokio::task::spawn_local(server.clone().run());
         servers.push(server);
     }
-    let list: Vec<SocketAddr> = servers.iter().map(|s| s.address()).collect();
+    let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address()).collect();
     let Front { mut proxy, at, .. } =
-        front(&list, args.connections, 2 * args.clients, 3000, own, &args.out, args.seed).await?;
-    let play = Rc::new(Play {
+        front(&addresses, args.connections, 2 * args.clients, 3000, proxy_program, &args.out, args.seed)
+            .await?;
+    let soak = Rc::new(SoakRun {
         at,
         until: Instant::now() + Duration::from_secs_f64(args.seconds),
-        next: Cell::new(0),
+        next_number: Cell::new(0),
         reported: RefCell::default(),
         codes: RefCell::default(),
         sessions: Cell::new(0),
     });
     let bar = ProgressBar::new((args.seconds * 10.0) as u64);
     let clients: Vec<_> =
-        (0..args.clients).map(|_| tokio::task::spawn_local(play.clone().client())).collect();
-    while Instant::now() < play.until {
+        (0..args.clients).map(|_| tokio::task::spawn_local(soak.clone().client())).collect();
+    while Instant::now() < soak.until {
         tokio::time::sleep(Duration::from_millis(100)).await;
         bar.inc(1);
     }
@@ -262,11 +265,11 @@
     proxy.kill().await;
     let mut out = SoakResult {
         deaths: servers.iter().map(|s| s.deaths()).sum(),
-        sessions: play.sessions.get(),
-        codes: play.codes.take(),
+        sessions: soak.sessions.get(),
+        codes: soak.codes.take(),
         ..SoakResult::default()
     };
-    compare(&play.reported.borrow(), &committed.borrow(), &mut out);
+    compare(&soak.reported.borrow(), &committed.borrow(), &mut out);
     Ok(out)
 }
 
@@ -275,10 +278,10 @@
 /// # Errors
 /// The proxy or a server cannot be started.
 pub fn run(args: &Soak) -> Result<SoakResult, SessionError> {
-    let own = program(args.proxy.as_deref())?;
-    let file = |e| SessionError::File(args.out.display().to_string(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
-    tokio::task::LocalSet::new().block_on(&runtime, play(args, &own))
+    let proxy_program = program(args.proxy.as_deref())?;
+    let io_error = |e| SessionError::File(args.out.display().to_string(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
+    tokio::task::LocalSet::new().block_on(&runtime, play(args, &proxy_program))
 }
 
 /// Plays a soak and prints the result. Returns whether nothing was wrong.
--- a/crates/testbed/src/postgres/server.rs
+++ b/crates/testbed/src/postgres/server.rs
@@ -17,7 +17,7 @@
 
 /// The probabilities of a server's death at each point of a statement, and its downtime.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Chance {
+pub(super) struct DeathChances {
     /// Probability of death before a statement runs.
     pub before: f64,
     /// Probability of death after the statement ran and, if it commits, is committed, before its result is sent.
@@ -25,17 +25,17 @@
     /// Probability of death after the result is sent, before `ReadyForQuery`.
     pub halfway: f64,
     /// Mean downtime after a death, s.
-    pub away: f64,
+    pub downtime_s: f64,
 }
 
 /// A stand-in for a PostgreSQL server.
 pub(super) struct Server {
     number: usize,
-    place: Reserved,
-    chance: Chance,
+    reserved: Reserved,
+    chances: DeathChances,
     committed: Committed,
     rng: RefCell<Rng>,
-    dies: Notify,
+    death: Notify,
     deaths: Cell<usize>,
 }
 
@@ -50,22 +50,22 @@
     failed: bool,
 }
 
-fn put(out: &mut Vec<u8>, kind: u8, body: &[u8]) {
+fn push_message(out: &mut Vec<u8>, kind: u8, body: &[u8]) {
     out.push(kind);
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend(body);
 }
 
 /// Splits `bytes` at the first zero byte, which is dropped; without one the second part is empty.
-fn text(bytes: &[u8]) -> (&[u8], &[u8]) {
+fn split_at_zero(bytes: &[u8]) -> (&[u8], &[u8]) {
     let end = bytes.iter().position(|b| *b == 0).unwrap_or(bytes.len());
     (&bytes[..end], bytes.get(end + 1..).unwrap_or_default())
 }
 
-async fn word(tcp: &mut TcpStream) -> std::io::Result<usize> {
-    let mut word = [0; 4];
-    tcp.read_exact(&mut word).await?;
-    Ok(u32::from_be_bytes(word) as usize)
+async fn read_u32(tcp: &mut TcpStream) -> std::io::Result<usize> {
+    let mut bytes = [0; 4];
+    tcp.read_exact(&mut bytes).await?;
+    Ok(u32::from_be_bytes(bytes) as usize)
 }
 
 impl Server {
@@ -74,16 +74,16 @@
     /// # Errors
     /// No port is free.
     pub(super) fn new(
-        number: usize, chance: Chance, committed: Committed, seed: u64,
+        number: usize, chances: DeathChances, committed: Committed, seed: u64,
     ) -> std::io::Result<Rc<Server>> {
         let rng = RefCell::new(Rng::new(seed, &format!("postgres {number}")));
-        let (place, dies, deaths) = (Reserved::take(None)?, Notify::new(), Cell::new(0));
-        Ok(Rc::new(Server { number, place, chance, committed, rng, dies, deaths }))
+        let (reserved, death, deaths) = (Reserved::take(None)?, Notify::new(), Cell::new(0));
+        Ok(Rc::new(Server { number, reserved, chances, committed, rng, death, deaths }))
     }
 
     /// Returns the address that it listens on.
     pub(super) fn address(&self) -> std::net::SocketAddr {
-        self.place.address()
+        self.reserved.address()
     }
 
     /// Returns how often it died.
@@ -115,20 +115,20 @@
                         sessions.spawn_local(async move { drop(server.session(tcp).await) });
                     }
                     Some(_) = sessions.join_next() => {}
-                    _ = self.dies.notified() => break,
+                    _ = self.death.notified() => break,
                 }
             }
             self.deaths.set(self.deaths.get() + 1);
             drop((listener, sessions));
-            let away = self.rng.borrow_mut().exponential(self.chance.away);
-            tokio::time::sleep(Duration::from_secs_f64(away)).await;
+            let downtime_s = self.rng.borrow_mut().exponential(self.chances.downtime_s);
+            tokio::time::sleep(Duration::from_secs_f64(downtime_s)).await;
         }
     }
 
     /// Kills the server with probability `chance`; this session then never continues.
-    async fn perhaps_die(&self, chance: f64) {
+    async fn maybe_die(&self, chance: f64) {
         if self.rng.borrow_mut().unit() < chance {
-            self.dies.notify_one();
+            self.death.notify_one();
             std::future::pending::<()>().await;
         }
     }
@@ -136,7 +136,7 @@
     async fn session(&self, mut tcp: TcpStream) -> std::io::Result<()> {
         tcp.set_nodelay(true)?;
         loop {
-            let length = word(&mut tcp).await?;
+            let length = read_u32(&mut tcp).await?;
             let mut packet = vec![0; length.saturating_sub(4).min(10_000)];
             tcp.read_exact(&mut packet).await?;
             match packet.get(..4) {
@@ -146,15 +146,15 @@
             }
         }
         let (mut out, mut s) = (Vec::new(), Session::default());
-        put(&mut out, b'R', &[0; 4]);
-        put(&mut out, b'S', b"server_version\x0016.0\0");
-        put(&mut out, b'K', &[0, 0, 0, 1, 0, 0, 0, 2]);
-        put(&mut out, b'Z', b"I");
+        push_message(&mut out, b'R', &[0; 4]);
+        push_message(&mut out, b'S', b"server_version\x0016.0\0");
+        push_message(&mut out, b'K', &[0, 0, 0, 1, 0, 0, 0, 2]);
+        push_message(&mut out, b'Z', b"I");
         loop {
             tcp.write_all(&out).await?;
             out.clear();
             let kind = tcp.read_u8().await?;
-            let mut body = vec![0; word(&mut tcp).await?.saturating_sub(4).min(1 << 20)];
+            let mut body = vec![0; read_u32(&mut tcp).await?.saturating_sub(4).min(1 << 20)];
             tcp.read_exact(&mut body).await?;
             if s.failed && !matches!(kind, b'S' | b'Q') {
                 continue;
@@ -163,30 +163,30 @@
             match kind {
                 b'X' => return Ok(()),
                 b'P' => {
-                    let (name, rest) = text(&body);
+                    let (name, rest) = split_at_zero(&body);
                     match !name.is_empty() && s.named.contains_key(name) {
-                        true => self.fail(&mut s, &mut out, "42P05"),
+                        true => self.push_error(&mut s, &mut out, "42P05"),
                         false => {
-                            s.named.insert(name.to_vec(), text(rest).0.to_vec());
-                            put(&mut out, b'1', b"");
+                            s.named.insert(name.to_vec(), split_at_zero(rest).0.to_vec());
+                            push_message(&mut out, b'1', b"");
                         }
                     }
                 }
-                b'B' => match s.named.get(text(text(&body).1).0) {
+                b'B' => match s.named.get(split_at_zero(split_at_zero(&body).1).0) {
                     Some(statement) => {
                         s.bound.clone_from(statement);
-                        put(&mut out, b'2', b"");
+                        push_message(&mut out, b'2', b"");
                     }
-                    None => self.fail(&mut s, &mut out, "26000"),
+                    None => self.push_error(&mut s, &mut out, "26000"),
                 },
                 b'D' if body.first() == Some(&b'S') => {
-                    put(&mut out, b't', &[0, 0]);
-                    put(&mut out, b'n', b"");
+                    push_message(&mut out, b't', &[0, 0]);
+                    push_message(&mut out, b'n', b"");
                 }
-                b'D' => put(&mut out, b'n', b""),
-                b'C' => put(&mut out, b'3', b""),
+                b'D' => push_message(&mut out, b'n', b""),
+                b'C' => push_message(&mut out, b'3', b""),
                 b'Q' => {
-                    let statement = text(&body).0.to_vec();
+                    let statement = split_at_zero(&body).0.to_vec();
                     self.execute(&mut s, &statement, &mut out).await;
                 }
                 b'E' => {
@@ -196,24 +196,24 @@
                 _ => {}
             }
             if matches!(kind, b'Q' | b'S') {
-                if self.rng.borrow_mut().unit() < self.chance.halfway {
+                if self.rng.borrow_mut().unit() < self.chances.halfway {
                     tcp.write_all(&out).await?;
-                    self.perhaps_die(1.0).await;
+                    self.maybe_die(1.0).await;
                 }
-                put(&mut out, b'Z', if s.open { b"T" } else { b"I" });
+                push_message(&mut out, b'Z', if s.open { b"T" } else { b"I" });
             }
         }
     }
 
-    fn fail(&self, s: &mut Session, out: &mut Vec<u8>, code: &str) {
+    fn push_error(&self, s: &mut Session, out: &mut Vec<u8>, code: &str) {
         s.failed = true;
-        put(out, b'E', format!("SERROR\0C{code}\0Mstand-in {}\0\0", self.number).as_bytes());
+        push_message(out, b'E', format!("SERROR\0C{code}\0Mstand-in {}\0\0", self.number).as_bytes());
     }
 
     async fn execute(&self, s: &mut Session, statement: &[u8], out: &mut Vec<u8>) {
-        self.perhaps_die(self.chance.before).await;
-        let words = String::from_utf8_lossy(statement).into_owned();
-        let tag = match words.split_once(' ').unwrap_or((&words, "")) {
+        self.maybe_die(self.chances.before).await;
+        let statement_text = String::from_utf8_lossy(statement).into_owned();
+        let tag = match statement_text.split_once(' ').unwrap_or((&statement_text, "")) {
             ("begin", _) => {
                 s.open = true;
                 "BEGIN"
@@ -235,7 +235,7 @@
         if !s.open {
             self.committed.borrow_mut().extend(s.pending.drain(..).map(|n| (n, self.number)));
         }
-        self.perhaps_die(self.chance.after).await;
-        put(out, b'C', format!("{tag}\0").as_bytes());
+        self.maybe_die(self.chances.after).await;
+        push_message(out, b'C', format!("{tag}\0").as_bytes());
     }
 }
--- a/crates/testbed/src/postgres/tests.rs
+++ b/crates/testbed/src/postgres/tests.rs
@@ -2,7 +2,7 @@
 
 /// The comparison finds each kind of false report. If it found none, a soak without findings would prove nothing.
 #[test]
-fn each_wrong_word_is_found() {
+fn each_false_report_is_found() {
     let wrong = |reported, committed: &[(u64, usize)]| {
         let mut out = SoakResult::default();
         compare(&HashMap::from([(7, reported)]), committed, &mut out);
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ids_survive_the_way() {
+fn ids_round_trip() {
     let id = TryId { arrival: 77, no: 2 };
     assert_eq!(TryId::parse(id.to_string().as_bytes()), Some(id));
     for bad in ["", "0000004d0000000", "0000004d0000000x", "é000004d000000x"] {
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -75,18 +75,18 @@
     Experiment::parse("demo.toml", include_str!("../experiments/demo.toml"))
 }
 
-/// Returns the path of the proxy's program: `asked`, or the lotusdeck beside this program. Under `cargo run` the
+/// Returns the path of the proxy's program: `requested`, or the lotusdeck beside this program. Under `cargo run` the
 /// latter is built first, with the same profile.
-pub fn program(asked: Option<&Path>) -> Result<PathBuf, SessionError> {
-    if let Some(path) = asked {
+pub fn program(requested: Option<&Path>) -> Result<PathBuf, SessionError> {
+    if let Some(path) = requested {
         return Ok(path.to_path_buf());
     }
-    let own = std::env::current_exe().map_err(|e| SessionError::Program(e.to_string()))?;
-    let beside = own.with_file_name("lotusdeck");
+    let own_path = std::env::current_exe().map_err(|e| SessionError::Program(e.to_string()))?;
+    let beside = own_path.with_file_name("lotusdeck");
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = std::process::Command::new(cargo);
         build.args(["build", "--quiet", "-p", "lotusdeck"]);
-        build.args((own.parent().is_some_and(|p| p.ends_with("release"))).then_some("--release"));
+        build.args((own_path.parent().is_some_and(|p| p.ends_with("release"))).then_some("--release"));
         match build.status() {
             Ok(status) if status.success() => {}
             Ok(status) => return Err(SessionError::Program(format!("cargo build ended with {status}"))),
@@ -109,7 +109,7 @@
 }
 
 /// Adds the path to an I/O error.
-fn file<T>(path: &Path, done: std::io::Result<T>) -> Result<T, SessionError> {
+fn with_path<T>(path: &Path, done: std::io::Result<T>) -> Result<T, SessionError> {
     done.map_err(|e| SessionError::File(path.display().to_string(), e))
 }
 
@@ -120,18 +120,18 @@
         false => program(options.proxy.as_deref())?,
     };
     let folder = options.out.join(&experiment.name);
-    file(&folder, std::fs::create_dir_all(&folder))?;
+    with_path(&folder, std::fs::create_dir_all(&folder))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = file(Path::new("event loop"), runtime)?;
-    let first = options.seed.unwrap_or(experiment.seed);
-    let (mut all, mut good) = (Vec::new(), true);
+    let runtime = with_path(Path::new("event loop"), runtime)?;
+    let first_seed = options.seed.unwrap_or(experiment.seed);
+    let (mut all_figures, mut all_passed) = (Vec::new(), true);
     for n in 0..u64::from(options.repeat) {
-        let plan = Arc::new(Plan::draw(experiment, first + n));
-        let place = folder.join(format!("seed-{}", plan.seed));
-        if place.exists() {
-            file(&place, std::fs::remove_dir_all(&place))?;
+        let plan = Arc::new(Plan::draw(experiment, first_seed + n));
+        let run_folder = folder.join(format!("seed-{}", plan.seed));
+        if run_folder.exists() {
+            with_path(&run_folder, std::fs::remove_dir_all(&run_folder))?;
         }
-        file(&place, std::fs::create_dir_all(&place))?;
+        with_path(&run_folder, std::fs::create_dir_all(&run_folder))?;
         say(&format!(
             "{}: seed {}, plan {:016x}: {} arrivals in {} s, {} backends, {} proxies\n",
             experiment.name,
@@ -153,12 +153,12 @@
         };
         let outcome = match options.virtual_time {
             true => virtual_time::play(&plan, options.policy)?,
-            false => runtime.block_on(run::play(plan.clone(), &program, &place, &progress))?,
+            false => runtime.block_on(run::play(plan.clone(), &program, &run_folder, &progress))?,
         };
         bar.finish_and_clear();
         let (figures, broken) = Figures::of(&plan, &outcome);
         say(&table::table(&figures, &stretches(&plan)));
-        let stories: Vec<String> = broken
+        let violations: Vec<String> = broken
             .iter()
             .take(MAX_LISTED)
             .map(|b| {
@@ -166,30 +166,30 @@
                 format!("{}: {}\n{timeline}", b.oracle, b.text)
             })
             .collect();
-        stories.iter().for_each(|s| say(s));
-        let events = place.join("events.jsonl");
-        let mut to = std::io::BufWriter::new(file(&events, std::fs::File::create(&events))?);
+        violations.iter().for_each(|s| say(s));
+        let events = run_folder.join("events.jsonl");
+        let mut writer = std::io::BufWriter::new(with_path(&events, std::fs::File::create(&events))?);
         for record in &outcome.records {
             let line = serde_json::to_string(record);
             let line = line.map_err(|e| SessionError::Results(events.display().to_string(), e))?;
-            file(&events, writeln!(to, "{line}"))?;
+            with_path(&events, writeln!(writer, "{line}"))?;
         }
-        file(&events, to.flush())?;
-        let html = place.join("page.html");
-        file(&html, std::fs::write(&html, page::page(&plan, &figures, &outcome.samples, &stories)))?;
+        with_path(&events, writer.flush())?;
+        let html = run_folder.join("page.html");
+        with_path(&html, std::fs::write(&html, page::page(&plan, &figures, &outcome.samples, &violations)))?;
         say(&format!("page: {}\n", html.display()));
-        good &= figures.broken.is_empty() && figures.void.is_none();
-        all.push(figures);
+        all_passed &= figures.broken.is_empty() && figures.void.is_none();
+        all_figures.push(figures);
         if outcome.cut.is_some() {
             break;
         }
     }
     let summary = folder.join("summary.json");
-    let text = serde_json::to_string_pretty(&all);
+    let text = serde_json::to_string_pretty(&all_figures);
     let text = text.map_err(|e| SessionError::Results(summary.display().to_string(), e))?;
-    file(&summary, std::fs::write(&summary, text))?;
+    with_path(&summary, std::fs::write(&summary, text))?;
     say(&format!("figures: {}\n", summary.display()));
-    Ok(good)
+    Ok(all_passed)
 }
 
 /// Splits a run into named stretches at the acts of its plan. An act less than 1 s after the start of a stretch begins
@@ -234,6 +234,6 @@
 /// Reads the figures of all runs from a folder of results.
 pub fn figures(folder: &Path) -> Result<Vec<Figures>, SessionError> {
     let path = folder.join("summary.json");
-    let text = file(&path, std::fs::read_to_string(&path))?;
+    let text = with_path(&path, std::fs::read_to_string(&path))?;
     serde_json::from_str(&text).map_err(|e| SessionError::Results(path.display().to_string(), e))
 }
--- a/crates/testbed/src/swings.rs
+++ b/crates/testbed/src/swings.rs
@@ -41,7 +41,7 @@
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let experiment = Experiment::load(&args.experiment)?;
     let bar = ProgressBar::new(args.seeds * args.policies.len() as u64);
-    let one = |which: PolicyChoice, seed: u64| -> Result<Vec<Swing>, SessionError> {
+    let play_seed = |which: PolicyChoice, seed: u64| -> Result<Vec<Swing>, SessionError> {
         let plan = Arc::new(Plan::draw(&experiment, experiment.seed + seed));
         let outcome = play(&plan, which)?;
         bar.inc(1);
@@ -65,25 +65,25 @@
     let mut fields = Vec::new();
     for which in &args.policies {
         let runs: Vec<Vec<Swing>> =
-            (0..args.seeds).into_par_iter().map(|s| one(*which, s)).collect::<Result<_, _>>()?;
+            (0..args.seeds).into_par_iter().map(|s| play_seed(*which, s)).collect::<Result<_, _>>()?;
         for k in 0..experiment.kind.len() {
             let of = |f: &dyn Fn(&Swing) -> f64| interval(&runs.iter().map(|r| f(&r[k])).collect::<Vec<_>>());
-            let (step, half) = of(&|s| s.in_step);
+            let (step, half_width) = of(&|s| s.in_step);
             let periods: Vec<f64> = runs.iter().filter_map(|r| r[k].period).map(|p| p.0).collect();
-            let stands = match periods.is_empty() {
+            let period = match periods.is_empty() {
                 true => "none".into(),
                 false => format!("{:.1} s in {} of {}", interval(&periods).0, periods.len(), runs.len()),
             };
             let _ = writeln!(
                 out,
                 "{:<18} {:<10} {:>7.1}% {:>18.2} {:>8.2} {:>16} {:>24}",
-                crate::duel::name(*which),
+                crate::duel::policy_name(*which),
                 experiment.kind[k].name,
                 of(&|s| s.mean).0 * 100.0,
                 of(&|s| s.deviation).0 * 100.0,
                 of(&|s| s.chance).0 * 100.0,
-                half.map_or(format!("{step:.2}"), |h| format!("{step:.2} ± {h:.2}")),
-                stands
+                half_width.map_or(format!("{step:.2}"), |h| format!("{step:.2} ± {h:.2}")),
+                period
             );
         }
         let line = |s: &Swing| {
@@ -92,7 +92,7 @@
             Line { name: s.kind.clone(), points, dots: Vec::new() }
         };
         fields.push(Field {
-            caption: format!("{}: {}", experiment.name, crate::duel::name(*which)),
+            caption: format!("{}: {}", experiment.name, crate::duel::policy_name(*which)),
             x: ("time, s".into(), args.from..experiment.duration_s),
             y: ("share of the traffic, %".into(), 0.0..100.0),
             lines: runs.first().map(|r| r.iter().map(line).collect()).unwrap_or_default(),
