--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What a proxy costs: the same load direct, through a plain byte relay, and through lotusdeck, interleaved.
+//! Measures what a proxy costs: the same load direct, through a plain byte relay, and through lotusdeck, interleaved.
 
 use crate::driver::discovery::Service;
 use crate::driver::proxies::Proxy;
@@ -24,40 +24,40 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What to measure.
+/// Arguments of the `overhead` command.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Rounds; each plays every way once, in turn.
+    /// Number of rounds; each measures every way once, in turn.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Seconds of one measurement.
+    /// Duration of one measurement, s.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Connections at saturation.
+    /// Number of connections at saturation.
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Bytes of an answer.
+    /// Size of an answer's body, bytes.
     #[arg(long, default_value_t = 512)]
     bytes: usize,
-    /// Backends.
+    /// Number of backends.
     #[arg(long, default_value_t = 10)]
     backends: usize,
-    /// The lotusdeck to play.
+    /// Program of the proxy.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Another lotusdeck to play beside it, as a fourth way.
+    /// Program of a second proxy, measured as a fourth way.
     #[arg(long)]
     beside: Option<PathBuf>,
-    /// Instead: lotusdeck without a ledger, with one that survives the process, and with one that survives power,
-    /// each on requests that must never run twice and on others.
+    /// Measure instead lotusdeck without a ledger, with one that survives the death of the process, and with one that
+    /// survives a loss of power, each on requests that must never run twice and on others.
     #[arg(long)]
     ledger: bool,
-    /// Where configurations and logs go.
+    /// Folder for configurations and logs.
     #[arg(long, default_value = "lab-runs/overhead")]
     out: PathBuf,
 }
 
-/// One measurement.
+/// The results of one measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Point {
     pub rate: f64,
@@ -67,38 +67,39 @@
     pub failed: u64,
 }
 
-/// A way that a load takes, and what was measured of it. `Traffic` tells what is sent.
+/// A way for the load to reach the backends, with its measurements. `Traffic` selects what is sent.
 pub(crate) struct Way<Traffic> {
     pub name: &'static str,
     pub to: Vec<SocketAddr>,
-    /// The process whose processor time counts.
+    /// The process whose processor time is measured.
     pub pid: Option<u32>,
     pub traffic: Traffic,
-    /// At saturation, one for each round.
-    pub full: Vec<Point>,
-    /// With one connection, one for each round.
+    /// Measurements at saturation, one for each round.
+    pub saturated: Vec<Point>,
+    /// Measurements with one connection, one for each round.
     pub alone: Vec<Point>,
 }
 
 impl<Traffic> Way<Traffic> {
-    /// One that nothing was measured of.
+    /// Creates a way without measurements.
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
     ) -> Way<Traffic> {
-        Way { name, to, pid, traffic, full: Vec::new(), alone: Vec::new() }
+        Way { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
     }
 }
 
-/// How much is measured of each way.
+/// The extent of the measurements of each way.
 pub(crate) struct Rounds {
     pub count: usize,
-    /// Of the measurement at saturation; the one alone takes half of it.
+    /// Duration of the measurement at saturation; the one with a single connection takes half of it.
     pub span: Duration,
-    /// Connections at saturation.
+    /// Number of connections at saturation.
     pub connections: usize,
 }
 
-/// Backends that answer at once, each on a port of its own.
+/// Starts backends that answer immediately with a body of `bytes` bytes, each on its own port. Returns their
+/// addresses.
 pub(crate) async fn answering_backends(count: usize, bytes: usize) -> std::io::Result<Vec<SocketAddr>> {
     let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n").into_bytes();
     answer.resize(answer.len() + bytes, b'x');
@@ -125,7 +126,7 @@
     Ok(out)
 }
 
-/// A closed loop on so many connections for that time; `post` sends requests that must never run twice.
+/// Runs a closed loop on `connections` connections for `span`; `post` sends requests that must never run twice.
 async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<Seen> {
     let (seen, number, mut tasks) = (Seen::start(span), Rc::new(Cell::new(0u64)), Vec::new());
     for n in 0..connections {
@@ -135,7 +136,7 @@
             while seen.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
-                let served = ask(&mut link, at, number.get(), post).await;
+                let served = send_request(&mut link, at, number.get(), post).await;
                 seen.count(asked, served);
             }
         }));
@@ -146,8 +147,8 @@
     seen
 }
 
-async fn ask(kept: &mut Option<Link>, to: SocketAddr, number: u64, post: bool) -> bool {
-    let mut link = match kept.take() {
+async fn send_request(idle: &mut Option<Link>, to: SocketAddr, number: u64, post: bool) -> bool {
+    let mut link = match idle.take() {
         Some(link) => link,
         None => match tokio::net::TcpStream::connect(to).await {
             Ok(tcp) => Link::new(tcp),
@@ -166,7 +167,7 @@
     match link.answer().await {
         Ok(answer) => {
             if !answer.close {
-                *kept = Some(link);
+                *idle = Some(link);
             }
             answer.status == 200
         }
@@ -174,12 +175,13 @@
     }
 }
 
-/// Keeps a process, or this thread, on some processors, so that the rest are for the stand-ins.
+/// Pins a process, or this thread if `pid` is `None`, to a range of processors; the others stay free for the
+/// stand-ins.
 pub(crate) fn pin(pid: Option<u32>, processors: std::ops::Range<usize>) {
     let mut set = rustix::thread::CpuSet::new();
     processors.for_each(|p| set.set(p));
     let pid = pid.and_then(|p| rustix::process::Pid::from_raw(p as i32));
-    let _ = rustix::thread::sched_setaffinity(pid, &set); // where it is not allowed the figures are noisier
+    let _ = rustix::thread::sched_setaffinity(pid, &set); // where this is not permitted, the figures are noisier
 }
 
 fn experiment(backends: usize) -> Result<Experiment, ExperimentError> {
@@ -194,7 +196,7 @@
     Experiment::parse("overhead", &text)
 }
 
-/// What a closed loop saw.
+/// The latencies and failures of a closed loop.
 pub(crate) struct Seen {
     latency: RefCell<Histogram<u64>>,
     failed: Cell<u64>,
@@ -203,7 +205,7 @@
 }
 
 impl Seen {
-    /// A loop that goes on for that time.
+    /// Starts the clock of a loop that runs for `span`.
     pub(crate) fn start(span: Duration) -> Rc<Seen> {
         let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
         Rc::new(Seen { latency: latency.into(), failed: Cell::new(0), began: Instant::now(), span })
@@ -222,7 +224,7 @@
     }
 }
 
-/// Runs a closed loop on a thread of its own, beside the process whose processor time counts.
+/// Runs a closed loop on its own thread, and measures the processor time of `pid` meanwhile.
 pub(crate) async fn measure<F>(
     pid: Option<u32>, load: impl FnOnce() -> F + Send + 'static,
 ) -> Result<Point, RunError>
@@ -251,7 +253,8 @@
     })
 }
 
-/// Measures every way in every round, in turn, each on one processor: at saturation, and with one connection.
+/// Measures every way in every round, in turn: at saturation, and with one connection. The measured processes share
+/// the first processor.
 pub(crate) async fn interleave<Traffic, Load, F>(
     ways: &mut [Way<Traffic>], rounds: &Rounds, load: Load,
 ) -> Result<(), RunError>
@@ -264,13 +267,13 @@
     let bar = ProgressBar::new((rounds.count * ways.len() * 2) as u64);
     for _ in 0..rounds.count {
         for way in ways.iter_mut() {
-            let play = |connections, span| {
+            let measure_way = |connections, span| {
                 let (to, traffic) = (way.to.clone(), way.traffic);
                 measure(way.pid, move || load(to, connections, span, traffic))
             };
-            let full = play(rounds.connections, rounds.span).await?;
-            let alone = play(1, rounds.span / 2).await?;
-            way.full.push(full);
+            let saturated = measure_way(rounds.connections, rounds.span).await?;
+            let alone = measure_way(1, rounds.span / 2).await?;
+            way.saturated.push(saturated);
             way.alone.push(alone);
             bar.inc(2);
         }
@@ -279,7 +282,7 @@
     Ok(())
 }
 
-/// The middle one of a figure.
+/// Returns the median of a figure; 0 without points.
 pub(crate) fn median(points: &[Point], of: impl Fn(&Point) -> f64) -> f64 {
     let mut values: Vec<f64> = points.iter().map(of).collect();
     values.sort_by(f64::total_cmp);
@@ -297,30 +300,30 @@
         "way", "req/s", "cpu us", "p50 us", "p99 us", "p50 us", "p99 us", "failed"
     );
     for w in ways {
-        let failed: u64 = w.full.iter().chain(&w.alone).map(|p| p.failed).sum();
+        let failed: u64 = w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum();
         let _ = writeln!(
             out,
             "{:<12} {:>10.0} {:>8.1} {:>9.0} {:>9.0} | alone: {:>8.0} {:>8.0} | {:>7}",
             w.name,
-            median(&w.full, |p| p.rate),
-            median(&w.full, |p| p.cpu_us),
-            median(&w.full, |p| p.p50_us),
-            median(&w.full, |p| p.p99_us),
+            median(&w.saturated, |p| p.rate),
+            median(&w.saturated, |p| p.cpu_us),
+            median(&w.saturated, |p| p.p50_us),
+            median(&w.saturated, |p| p.p99_us),
             median(&w.alone, |p| p.p50_us),
             median(&w.alone, |p| p.p99_us),
             failed
         );
     }
-    let by = |name: &str| ways.iter().find(|w| w.name == name);
-    if let (Some(direct), Some(relay)) = (by("direct"), by("relay")) {
+    let way_named = |name: &str| ways.iter().find(|w| w.name == name);
+    if let (Some(direct), Some(relay)) = (way_named("direct"), way_named("relay")) {
         for w in ways.iter().filter(|w| w.name != "direct" && w.name != "relay") {
             let ratio = |a: f64, b: f64| a / b.max(1e-9);
             let _ = writeln!(
                 out,
                 "{}: {:.2} of the relay's rate, {:.2} times its processor time; adds {:.0} us at p50 and {:.0} us at p99 alone, the relay {:.0} and {:.0}",
                 w.name,
-                ratio(median(&w.full, |p| p.rate), median(&relay.full, |p| p.rate)),
-                ratio(median(&w.full, |p| p.cpu_us), median(&relay.full, |p| p.cpu_us)),
+                ratio(median(&w.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
+                ratio(median(&w.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
                 median(&w.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
                 median(&w.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
                 median(&relay.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
@@ -331,7 +334,7 @@
     out
 }
 
-/// The relay in a process of its own, so that its processor time can be told.
+/// Starts the plain relay in its own process, so that its processor time can be measured.
 pub(crate) fn start_relay(to: &[SocketAddr]) -> std::io::Result<(Child, SocketAddr)> {
     let at = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let mut command = Command::new(std::env::current_exe()?);
@@ -343,41 +346,45 @@
     Ok((command.spawn()?, at))
 }
 
-/// Measures and prints.
+/// Measures all ways and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
-    let own = program(args.proxy.as_deref())?;
-    let file = |e| SessionError::File("overhead".into(), e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(file)?;
-    let text = runtime.block_on(all(args, &own))?;
+    let proxy_program = program(args.proxy.as_deref())?;
+    let io_error = |e| SessionError::File("overhead".into(), e);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
+    let text = runtime.block_on(measure_all(args, &proxy_program))?;
     say(&text);
     Ok(())
 }
 
-async fn all(args: &Args, own: &Path) -> Result<String, SessionError> {
+async fn measure_all(args: &Args, proxy_program: &Path) -> Result<String, SessionError> {
     let plan = Arc::new(Plan::draw(&experiment(args.backends)?, 1));
-    let (count, bytes, its) = (args.backends, args.bytes, plan.clone());
-    let (ready, standing) = oneshot::channel();
+    let (count, bytes, service_plan) = (args.backends, args.bytes, plan.clone());
+    let (ready, started) = oneshot::channel();
     let (stop, stopped) = oneshot::channel::<()>();
     let served = thread("backends", move || async move {
         let started = answering_backends(count, bytes).await;
         let clock = Clock::default();
         clock.start_in(Duration::ZERO);
         let log = Log::new(clock.clone());
-        let all = started.and_then(|to| {
-            let (service, at) = Service::start(its, clock, log, to.clone())?;
+        let backends = started.and_then(|to| {
+            let (service, at) = Service::start(service_plan, clock, log, to.clone())?;
             Ok((to, at, service.whole()))
         });
-        let _ = ready.send(all);
+        let _ = ready.send(backends);
         let _ = stopped.await;
     })
     .map_err(RunError::Io)?;
-    let (to, discovery, known) = standing.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
+    let (to, discovery, known) = started.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
     let (relay, relay_at) = start_relay(&to).map_err(RunError::Io)?;
     let mut ways = Vec::new();
     let beside = args.beside.as_deref().map(|program| ("beside", program, None));
-    let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", own, None)];
+    let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", proxy_program, None)];
     if args.ledger {
-        played = vec![("off", own, None), ("process", own, Some("process")), ("power", own, Some("power"))];
+        played = vec![
+            ("off", proxy_program, None),
+            ("process", proxy_program, Some("process")),
+            ("power", proxy_program, Some("power")),
+        ];
     } else {
         ways.extend([
             Way::new("direct", to, None, false),
