--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -1,11 +1,11 @@
-//! What a campaign plays: a small deployment, and injuries and troubles drawn from a seed.
+//! The experiments of a campaign: a small deployment with injuries and troubles drawn from a seed.
 
 use crate::experiment::{Experiment, ExperimentError, Trouble, What as Turn};
 use crate::fault_proxy::script::{Fault, Place, Way, What};
 use crate::world::rng::Rng;
 
-/// A deployment in which every path of a request is met within seconds. Connections are few, so that answers and
-/// their faults come on connections that are used again.
+/// A deployment that exercises every path of a request within seconds. Connections are few, so that faults
+/// occur on reused connections.
 const BASE: &str = r#"
     name = "campaign"
     about = "Drawn by a campaign."
@@ -19,18 +19,20 @@
     kind = [{ name = "small", count = 4 }, { name = "big", count = 2, cores = 2.0 }]
     discovery = { lag_ms = 100, detect_ms = 400 }
 "#;
-/// Injuries and troubles of one script at most: more hide each other, and shrink slowly.
+/// Largest number of injuries in a script, and exclusive bound of its troubles: more would hide each other and
+/// shrink slowly.
 const MOST: usize = 5;
-/// What may lie behind an answer: another one, the beginning of one, noise.
+/// Bytes inserted after an answer: another answer, the beginning of one, noise.
 const BEHIND: [&str; 3] =
     ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", "HTTP/1.1 200 OK\r\nContent-Le", "\r\n\r\nnoise"];
-/// A request that is late at a backend for the relay's sake must not look sent after the grace of a drain.
+/// Largest delay of a request in the relay, ms. A longer one could make a request look as if it was sent after
+/// the grace period of a drain.
 const MOST_UP_MS: u64 = 60;
 
-/// The experiment of a seed.
+/// Draws the experiment of a seed.
 ///
 /// # Errors
-/// It does not read as an experiment: a fault in this file.
+/// Fails if the built-in deployment is not a valid experiment, which would be a bug in this file.
 pub fn experiment(seed: u64) -> Result<Experiment, ExperimentError> {
     let mut e = Experiment::parse("campaign", BASE)?;
     let mut rng = Rng::new(seed, "campaign");
@@ -53,13 +55,14 @@
         4 => What::Blackhole,
         5 => What::Split { bytes },
         6 => What::Stall { ms },
-        // A request that is changed is not what the proxy sent, and a body that is changed on its way cannot be told
-        // from a good one: only heads of answers are.
+        // A changed request is not what the proxy sent, and a changed body cannot be told from a good one, so
+        // that only heads of answers are changed.
         _ if way == Way::Up => What::Stall { ms },
         7 => What::Flip { bytes },
-        // Behind an answer lies what nobody asked for: it must never pass for the answer to the next request.
+        // Inserts bytes after an answer that belong to no request; the proxy must not take them for the answer
+        // to the next one.
         8 => What::Insert { text: BEHIND[rng.below(BEHIND.len())].into() },
-        // No longer than the first line: a body that a repeat of more has shifted is as long as it should be.
+        // At most the first line: a longer repeat would shift the body while its length stays correct.
         _ => What::Repeat { bytes },
     };
     let fixed = match what {
--- a/crates/testbed/src/campaign/draw/tests.rs
+++ b/crates/testbed/src/campaign/draw/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Each is sound, the same for the same seed, and reads back as it was written: what breaks a rule is saved.
+/// Each drawn experiment is valid, depends only on its seed, and is unchanged after it is saved and read, as
+/// experiments that break a rule are saved.
 #[test]
 fn every_script_is_sound_and_can_be_saved() {
     for seed in 0..300 {
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -1,5 +1,6 @@
-//! Campaigns: faults drawn from seeds are played around real proxies, the oracles judge, and what breaks a rule is
-//! shrunk to the least that still does and saved as an experiment (docs/fault-proxy.md).
+//! Campaigns run real proxies under faults drawn from seeds and check the results with the oracles. A script
+//! that breaks a rule is reduced to a minimal one that still does, and saved as an experiment
+//! (docs/fault-proxy.md).
 
 mod draw;
 
@@ -19,62 +20,62 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Plays of a candidate while shrinking: what hangs on time may hold once by chance.
+/// Runs of a candidate while shrinking: a violation that depends on timing may not occur in a single run.
 const TRIES: usize = 3;
 
-/// What to search.
+/// Options of a campaign.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Scripts are begun for so long.
+    /// Seconds during which new scripts are started.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// The first seed, where the folder holds no campaign that goes on.
+    /// The first seed, if the folder holds no campaign to continue.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Plays beside each other; each keeps about one processor busy.
+    /// Concurrent runs; each keeps about one processor busy.
     #[arg(long, default_value_t = 2)]
     jobs: usize,
-    /// End with the first that breaks a rule, as it was drawn.
+    /// Stop at the first script that breaks a rule, and save it as drawn.
     #[arg(long)]
     first: bool,
-    /// The lotusdeck to play.
+    /// The lotusdeck binary to run.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Where findings go, and how far the campaign is.
+    /// Folder for findings and the progress of the campaign.
     #[arg(long, default_value = "lab-runs/campaign")]
     out: PathBuf,
 }
 
-/// How far a campaign is, and what it met.
+/// The progress of a campaign, and counts of what happened in it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Progress {
     /// The next seed.
     pub next: u64,
-    /// Scripts that were judged, and that gave no verdict as the lab was late.
+    /// Scripts with a verdict.
     pub judged: u64,
-    /// See there.
+    /// Scripts without a verdict, as the testbed was late.
     pub void: u64,
     /// Seeds that broke a rule.
     pub broke: Vec<u64>,
-    /// How often each injury happened, as way, place and kind.
+    /// How often each injury happened, by direction, place and kind.
     pub injuries: BTreeMap<String, u64>,
     /// How often each trouble was part of a script.
     pub troubles: BTreeMap<String, u64>,
-    /// Requests by what had become of them when their backend's part ended.
+    /// Requests by class effect and by how their processing at the backend ended.
     pub states: BTreeMap<String, u64>,
 }
 
-/// A verdict: what was broken, told; `None` where the lab was late.
+/// The verdict on a run.
 pub struct Verdict {
-    /// Rules that were broken, and the course of the first request concerned.
+    /// The broken rules and the timeline of the first request concerned; `None` if the testbed was late.
     pub broken: Option<(Vec<Broken>, String)>,
     met: Progress,
 }
 
-/// Plays an experiment and judges it. Blocks.
+/// Runs an experiment and checks it with the oracles. Blocks the thread.
 ///
 /// # Errors
-/// It cannot be played.
+/// Fails if the experiment cannot be run.
 pub fn judge(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
     let plan = Arc::new(Plan::draw(e, e.seed));
     let fault = |e| SessionError::File(folder.display().to_string(), e);
@@ -115,7 +116,7 @@
     Ok(Verdict { broken: Some((broken, told)), met })
 }
 
-/// Whether it breaks a rule in some of a few plays.
+/// Returns whether the experiment breaks a rule in any of a few runs.
 fn breaks(e: &Experiment, proxy: &Path, folder: &Path) -> Result<bool, SessionError> {
     for _ in 0..TRIES {
         if judge(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
@@ -125,10 +126,10 @@
     Ok(false)
 }
 
-/// The least of an experiment that still breaks a rule: injuries and troubles are taken away one by one.
+/// Reduces an experiment to one that still breaks a rule, by removing injuries and troubles one by one.
 ///
 /// # Errors
-/// It cannot be played.
+/// Fails if `breaks` does.
 pub fn shrink(
     mut e: Experiment, mut breaks: impl FnMut(&Experiment) -> Result<bool, SessionError>,
 ) -> Result<Experiment, SessionError> {
@@ -172,10 +173,10 @@
     }
 }
 
-/// Searches until the time is over; whether no rule was broken.
+/// Runs scripts until the time is over, and returns whether no rule was broken.
 ///
 /// # Errors
-/// A script cannot be played, or the folder not be written.
+/// Fails if a script cannot be run or the folder not be written.
 pub fn main(args: &Args) -> Result<bool, SessionError> {
     let proxy = program(args.proxy.as_deref())?;
     let fault = |e| SessionError::File(args.out.display().to_string(), e);
@@ -214,7 +215,7 @@
     Ok(progress.broke.is_empty())
 }
 
-/// Plays the script of one seed; what breaks a rule is shrunk and saved.
+/// Runs the script of one seed; if it breaks a rule, shrinks and saves it.
 fn one(seed: u64, proxy: &Path, args: &Args, progress: &Mutex<Progress>) -> Result<(), SessionError> {
     let out = &args.out;
     let folder = out.join(format!("seed-{seed}"));
@@ -229,7 +230,7 @@
         p.broke.extend(found.map(|_| seed));
     }
     let Some((broken, told)) = found else {
-        let _ = std::fs::remove_dir_all(&folder); // nothing in it is of interest
+        let _ = std::fs::remove_dir_all(&folder); // holds only the files of a run that broke no rule
         return Ok(());
     };
     for b in broken.iter().take(3) {
--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -1,24 +1,24 @@
-//! Which values of an experiment make sense.
+//! Checks of the values of an experiment.
 
 use super::format::{Class, Experiment, Kind, Trouble, What};
 
-/// Bytes of an answer or a body, at most: a run holds thousands of them at a time.
+/// Largest size of an answer or a body, bytes: a run holds thousands of them at a time.
 const MOST_BYTES: usize = 65_536;
-/// How often proxies may tell each other what they hold, and how late, ms: most runs are over after a minute.
+/// Largest interval and delay of the proxies' load reports, ms: most runs end within a minute.
 const MOST_TALK_MS: f64 = 60_000.0;
-/// The power by which a proxy's part falls with its number, at most: at 8 the second has under a hundredth of the
-/// first's.
+/// Largest exponent by which a proxy's traffic falls with its number: at 8 the second proxy gets less than a
+/// hundredth of the first's.
 const MOST_SKEW: f64 = 8.0;
 
-/// A value that makes no sense.
+/// An invalid value.
 pub(super) struct FieldFault {
-    /// Its key, with tables and positions.
+    /// Key of the value, with tables and positions.
     pub key: String,
-    /// What was expected of it.
+    /// What was expected.
     pub expected: &'static str,
 }
 
-/// The first value that makes no sense, in the order of the keys below.
+/// Returns the first invalid value, in the order of the checks below.
 pub(super) fn first_fault(experiment: &Experiment) -> Option<FieldFault> {
     let classes =
         || experiment.class.iter().enumerate().find_map(|(n, class)| in_class(experiment, n, class));
@@ -28,7 +28,7 @@
     in_whole(experiment).or_else(|| in_load(experiment)).or_else(classes).or_else(kinds).or_else(troubles)
 }
 
-/// The keys that stand for the whole run.
+/// Checks the keys that apply to the whole run.
 fn in_whole(experiment: &Experiment) -> Option<FieldFault> {
     let (clients, talk) = (&experiment.clients, &experiment.talk);
     let talks = |ms: f64| (0.0..=MOST_TALK_MS).contains(&ms);
@@ -47,7 +47,7 @@
     ])
 }
 
-/// `[load]`.
+/// Checks `[load]`.
 fn in_load(experiment: &Experiment) -> Option<FieldFault> {
     match (experiment.load.part, experiment.load.rps) {
         (Some(load), None) | (None, Some(load)) => above_zero("load", load),
@@ -55,7 +55,7 @@
     }
 }
 
-/// `[[class]]`, by its position.
+/// Checks the `[[class]]` at a position.
 fn in_class(experiment: &Experiment, position: usize, class: &Class) -> Option<FieldFault> {
     let key = |name: &str| format!("class[{position}].{name}");
     let twice = experiment.class[..position].iter().any(|before| before.name == class.name);
@@ -72,7 +72,7 @@
     ])
 }
 
-/// `[[kind]]`, by its position.
+/// Checks the `[[kind]]` at a position.
 fn in_kind(position: usize, kind: &Kind) -> Option<FieldFault> {
     let key = |name: &str| format!("kind[{position}].{name}");
     first([
@@ -84,7 +84,7 @@
     ])
 }
 
-/// `[[trouble]]`, by its position.
+/// Checks the `[[trouble]]` at a position.
 fn in_trouble(experiment: &Experiment, position: usize, trouble: &Trouble) -> Option<FieldFault> {
     let key = |name: &str| format!("trouble[{position}].{name}");
     let is_kind = |name: &String| experiment.kind.iter().any(|kind| kind.name == *name);
@@ -106,7 +106,7 @@
     ])
 }
 
-/// The first of these faults.
+/// Returns the first of the faults.
 fn first(faults: impl IntoIterator<Item = Option<FieldFault>>) -> Option<FieldFault> {
     faults.into_iter().flatten().next()
 }
--- a/crates/testbed/src/experiment/defaults.rs
+++ b/crates/testbed/src/experiment/defaults.rs
@@ -1,52 +1,52 @@
-//! What holds where an experiment leaves out a key of a table that it writes. Tables that may be left out whole have
-//! their defaults beside them in `format`.
+//! Default values of keys that a table of an experiment may omit. Tables that may be omitted as a whole have
+//! their defaults in `format`.
 
-/// Seed of all draws.
+/// Returns the seed of all random draws.
 pub(super) fn seed() -> u64 {
     1
 }
 
-/// Proxies that share the traffic.
+/// Returns the number of proxies that share the traffic.
 pub(super) fn proxies() -> usize {
     3
 }
 
-/// One zone for all.
+/// Returns a single zone.
 pub(super) fn zones() -> Vec<String> {
     vec!["east".into()]
 }
 
-/// A multiple that changes nothing, one core, or one unit of worth.
+/// Returns a factor of one, one core, or one unit of worth.
 pub(super) fn one() -> f64 {
     1.0
 }
 
-/// Requests that run at once, and that wait.
+/// Returns the number of requests that run at the same time, and that may wait.
 pub(super) fn slots() -> usize {
     16
 }
 
-/// Bytes of an answer.
+/// Returns the size of an answer, bytes.
 pub(super) fn answer_bytes() -> usize {
     512
 }
 
-/// Bytes of a request's body.
+/// Returns the size of a request's body, bytes.
 pub(super) fn body_bytes() -> usize {
     200
 }
 
-/// Connections that a machine holds.
+/// Returns the largest number of connections of a machine.
 pub(super) fn connections() -> u32 {
     256
 }
 
-/// Work of a new connection, core-ms.
+/// Returns the work of a new connection, core-ms.
 pub(super) fn handshake_ms() -> f64 {
     1.0
 }
 
-/// Keys that a machine remembers.
+/// Returns the number of keys in a machine's cache.
 pub(super) fn keys() -> usize {
     1000
 }
--- a/crates/testbed/src/experiment/format.rs
+++ b/crates/testbed/src/experiment/format.rs
@@ -1,186 +1,187 @@
-//! The form of an experiment: its tables and keys, as serde reads them.
+//! The tables and keys of an experiment, as read by serde.
 
 use super::defaults;
 use crate::fault_proxy::script::Fault;
 use serde::{Deserialize, Serialize};
 
-/// A fleet, its load, what happens to it, and the limits of the proxies before it.
+/// A fleet of backends, its load, the troubles it meets, and the limits of the proxies in front of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name; it also names the folder of its results.
+    /// Name of the experiment and of the folder of its results.
     pub name: String,
-    /// One line on what it shows.
+    /// One-line description of what the experiment shows.
     #[serde(default)]
     pub about: String,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// How long requests arrive, s.
+    /// Time during which requests arrive, s.
     pub duration_s: f64,
     /// Proxies that share the traffic.
     #[serde(default = "defaults::proxies")]
     pub proxies: usize,
-    /// How many each proxy is told there are, where that figure is stale.
+    /// Number of proxies in each proxy's configuration, to simulate a stale value.
     #[serde(default)]
     pub told_proxies: Option<usize>,
-    /// The zones: backends and proxies are dealt out over them in turn.
+    /// The zones, to which backends and proxies are assigned in turn.
     #[serde(default = "defaults::zones")]
     pub zones: Vec<String>,
-    /// The first of the proxies' ports, two for each; the kernel picks them where it is absent.
+    /// First of the proxies' ports, two for each proxy; if absent, the kernel picks them.
     #[serde(default)]
     pub base_port: Option<u16>,
-    /// The proxies' operator file, TOML; `{folder}` in it stands for a folder of each proxy's own.
+    /// Operator file of the proxies, TOML; `{folder}` in it stands for a separate folder of each proxy.
     #[serde(default)]
     pub operator: Option<String>,
-    /// How much comes, and when.
+    /// The load over time.
     pub load: Load,
-    /// The sorts of requests.
+    /// The classes of requests.
     pub class: Vec<Class>,
-    /// The machines.
+    /// The kinds of machines.
     pub kind: Vec<Kind>,
-    /// Where the list of them comes from.
+    /// The service that sends the list of backends.
     #[serde(default)]
     pub discovery: DiscoverySpec,
-    /// How clients behave.
+    /// The behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
-    /// Whether proxies tell each other what they hold.
+    /// The exchange of load reports between proxies.
     #[serde(default)]
     pub talk: Talk,
-    /// The figures that the rules go by.
+    /// The parameters of the rules.
     #[serde(default)]
     pub rules: Rules,
-    /// What a proxy may use.
+    /// The limits of a proxy.
     #[serde(default)]
     pub limits: Limits,
-    /// What happens.
+    /// Events that disturb the run.
     #[serde(default)]
     pub trouble: Vec<Trouble>,
-    /// Faults between proxies and backends: a relay stands before each backend (docs/fault-proxy.md). On sockets only.
+    /// Faults between proxies and backends, injected by a relay in front of each backend (docs/fault-proxy.md).
+    /// On sockets only.
     #[serde(default)]
     pub injury: Vec<Fault>,
 }
 
-/// How much comes.
+/// The load over time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Part of the whole fleet's capacity that is asked for; or else `rps`.
+    /// Load as a part of the whole fleet's capacity; either this or `rps`.
     #[serde(default)]
     pub part: Option<f64>,
-    /// First tries a second, over all proxies.
+    /// First tries a second over all proxies.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Times from which the load is multiplied.
+    /// Changes of the load over time.
     #[serde(default)]
     pub phase: Vec<Phase>,
 }
 
-/// A stretch of the load.
+/// A phase of the load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// Its beginning, s.
+    /// Start of the phase, s.
     pub at_s: f64,
-    /// Multiple of the load.
+    /// Multiple of the base load.
     pub factor: f64,
-    /// The multiple is reached in a straight line over this time, s.
+    /// Time over which the load changes linearly to the multiple, s.
     #[serde(default)]
     pub over_s: f64,
 }
 
-/// A sort of requests.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The first part of the path.
+    /// Name of the class, the first part of the path.
     pub name: String,
-    /// Whether a repeat does harm.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// Its part of all arrivals, against the others'.
+    /// Weight of the class among all arrivals.
     pub share: f64,
-    /// Answers earn full worth until then, ms.
+    /// Time within which an answer earns its full worth, ms.
     pub aim_ms: f64,
-    /// Clients wait so long, ms.
+    /// Time that clients wait for an answer, ms.
     pub deadline_ms: f64,
-    /// Worth of an answer in time.
+    /// Worth of an answer within the aim.
     #[serde(default = "defaults::one")]
     pub worth: f64,
-    /// Part of the worth of an answer after the aim.
+    /// Part of the worth that an answer after the aim earns.
     #[serde(default)]
     pub late_worth: f64,
-    /// Mean work, core-ms on a standard core; exponential around it.
+    /// Mean of the exponentially distributed work, core-ms on a standard core.
     pub work_ms: f64,
-    /// Bytes of an answer.
+    /// Size of an answer, bytes.
     #[serde(default = "defaults::answer_bytes")]
     pub answer_bytes: usize,
-    /// Bytes of a request's body, for a class that is not free.
+    /// Size of a request's body, bytes, for a class whose effect is not `free`.
     #[serde(default = "defaults::body_bytes")]
     pub body_bytes: usize,
 }
 
-/// Whether a repeat does harm.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It may run any number of times.
+    /// A request may run any number of times.
     Free,
-    /// It must never run twice.
+    /// A request must never run twice.
     SingleShot,
 }
 
-/// A sort of machines.
+/// A kind of machine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name in the list.
+    /// Name of the kind in the list of backends.
     pub name: String,
-    /// How many there are.
+    /// Number of machines.
     pub count: usize,
-    /// Cores of one.
+    /// Cores of a machine.
     #[serde(default = "defaults::one")]
     pub cores: f64,
-    /// Speed of a core against a standard one.
+    /// Speed of a core relative to a standard one.
     #[serde(default = "defaults::one")]
     pub speed: f64,
-    /// Requests that run at once.
+    /// Requests that run at the same time.
     #[serde(default = "defaults::slots")]
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// Requests that may wait for a slot.
     #[serde(default = "defaults::slots")]
     pub room: usize,
-    /// Part of its speed that it loses when the room is full.
+    /// Part of its speed that a machine loses when `room` is full.
     #[serde(default)]
     pub drag: f64,
-    /// Connections that one holds.
+    /// Largest number of connections of a machine.
     #[serde(default = "defaults::connections")]
     pub connections: u32,
     /// Work of a new connection, core-ms.
     #[serde(default = "defaults::handshake_ms")]
     pub handshake_ms: f64,
-    /// Keys that one remembers.
+    /// Number of keys in a machine's cache.
     #[serde(default = "defaults::keys")]
     pub keys: usize,
-    /// A new key multiplies the work.
+    /// Multiple of the work for a key that is not in the cache.
     #[serde(default = "defaults::one")]
     pub miss: f64,
 }
 
-/// Where the list comes from.
+/// The service that sends the list of backends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoverySpec {
-    /// How late it hears of changes, ms.
+    /// Delay until it learns of a change, ms.
     pub lag_ms: f64,
-    /// It notices a dead backend after this time, ms.
+    /// Delay until it detects a dead backend, ms.
     pub detect_ms: f64,
-    /// What a call takes it; calls are handled in turn, ms.
+    /// Time to handle a call, ms; calls are handled one at a time.
     pub call_ms: f64,
-    /// ... and for each line that it tells, us.
+    /// Additional time for each line of an answer, us.
     pub line_us: f64,
-    /// The platform hands each proxy the whole list at its start; where not, as after a loss of power of the
-    /// platform itself, a proxy knows only what it kept.
+    /// Whether the platform gives each proxy the whole list at its start. If not, as after a power loss of the
+    /// platform itself, a proxy knows only what it has stored.
     pub handed: bool,
 }
 
@@ -190,33 +191,33 @@
     }
 }
 
-/// Whether proxies tell each other what they hold; in virtual time only.
+/// The exchange of load reports between proxies; in virtual time only.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Talk {
-    /// How often, ms; 0 where they do not talk.
+    /// Interval of the reports, ms; 0 for none.
     pub every_ms: f64,
-    /// How old what is told is, ms.
+    /// Age of a report on arrival, ms.
     pub lag_ms: f64,
 }
 
-/// How clients behave.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries that a client makes for one thing it wants, the first included.
+    /// Largest number of tries for one request of a client, including the first.
     pub tries: u32,
-    /// Pause before a further try, where no time was advised, ms.
+    /// Pause before another try if the answer advised none, ms.
     pub pause_ms: f64,
-    /// Part of the clients that leave early.
+    /// Part of the clients that give up early.
     pub impatient: f64,
-    /// Different keys.
+    /// Number of different keys.
     pub keys: usize,
-    /// Exponent of Zipf's law over them.
+    /// Exponent of the Zipf distribution of the keys.
     pub zipf: f64,
-    /// A dead proxy gets no new connections for so long, ms.
+    /// Time for which a dead proxy gets no new connections, ms.
     pub shun_ms: f64,
-    /// Proxies get unequal parts: a proxy's falls with its number, from 1, to this power.
+    /// Exponent of unequal traffic: the part of a proxy falls with its number, from 1, to this power.
     pub skew: f64,
 }
 
@@ -234,21 +235,21 @@
     }
 }
 
-/// The figures that the rules go by.
+/// The parameters of the rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Part of its capacity with which a backend starts.
+    /// Part of its capacity that a backend has at its start.
     pub cold_from: f64,
-    /// It is warm after this time, ms.
+    /// Time until a backend is warm, ms.
     pub ramp_ms: f64,
-    /// More than this multiple of what a cold backend can do ...
+    /// Largest allowed multiple of a cold backend's capacity ...
     pub fall_multiple: f64,
-    /// ... over this time is too much, ms.
+    /// ... over a window of this length, ms.
     pub fall_window_ms: f64,
-    /// A backend that drains gets nothing new after this time, ms.
+    /// Time after which a draining backend must get no new requests, ms.
     pub drain_grace_ms: f64,
-    /// An answer after its deadline still counts for so long, ms.
+    /// Time after its deadline for which an answer still counts, ms.
     pub answer_slack_ms: f64,
 }
 
@@ -265,15 +266,15 @@
     }
 }
 
-/// What a proxy may use.
+/// The limits of a proxy.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Attempts for a request.
+    /// Largest number of attempts for a request.
     pub attempts: u32,
-    /// Descriptors that it is told of and held to.
+    /// Limit of descriptors, both configured and enforced.
     pub sockets: usize,
-    /// Memory that it is told of, MB.
+    /// Configured limit of memory, MB; not enforced.
     pub memory_mb: usize,
 }
 
@@ -283,61 +284,61 @@
     }
 }
 
-/// Something that happens.
+/// An event that disturbs the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// When, s.
+    /// Time of the event, s.
     pub at_s: f64,
-    /// What.
+    /// The kind of event.
     pub what: What,
-    /// To which part of the fleet, drawn at random; or one `kind`, one `zone`, or one `proxy`.
+    /// Part of the fleet that it affects, drawn at random; or one `kind`, one `zone`, or one `proxy`.
     #[serde(default)]
     pub part: Option<f64>,
-    /// To the machines of that kind.
+    /// The kind of machines that it affects.
     #[serde(default)]
     pub kind: Option<String>,
-    /// To the machines of that zone.
+    /// The zone whose machines it affects.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Troubles of the same name meet the same machines, where part, kind and zone are the same too.
+    /// Name of the choice of machines: troubles with equal name, part, kind and zone affect the same machines.
     #[serde(default)]
     pub who: Option<String>,
-    /// To that proxy, from 0.
+    /// Number of the proxy that it affects, from 0.
     #[serde(default)]
     pub proxy: Option<usize>,
-    /// It lasts so long, s; for ever where absent.
+    /// Duration, s; permanent if absent.
     #[serde(default)]
     pub for_s: Option<f64>,
-    /// The part of its speed that a slowed backend keeps; or the discovery's lag as a multiple.
+    /// The part of its speed that a slowed backend keeps, or the multiple of the discovery's lag.
     #[serde(default)]
     pub factor: Option<f64>,
 }
 
-/// What may happen.
+/// A kind of event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Backends die; they come back cold.
+    /// Backends die, and return cold.
     Kill,
-    /// Backends drain and go; they come back cold.
+    /// Backends drain and leave, and return cold.
     Drain,
-    /// Backends keep a part of their speed.
+    /// Backends slow down to a part of their speed.
     Slow,
-    /// What all share keeps a part of its speed.
+    /// A resource shared by all backends slows down to a part of its speed.
     SharedSlow,
-    /// Machines go silent.
+    /// Machines stop responding.
     Hang,
-    /// Operators take backends out.
+    /// Operators cordon backends.
     Cordon,
     /// Discovery answers no call.
     DiscoveryDown,
-    /// Discovery hears later, by a multiple.
+    /// Discovery learns of changes later, by a multiple.
     DiscoveryLag,
-    /// A proxy is killed, and started again.
+    /// A proxy is killed and started again.
     KillProxy,
-    /// A proxy is told to stop, and started again.
+    /// A proxy is asked to stop and started again.
     RestartProxy,
-    /// A proxy reads its configuration anew.
+    /// A proxy reloads its configuration.
     Reload,
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,7 +1,8 @@
-//! Experiments: what an operator of the lab writes down, as TOML. docs/testbed.md lists every key.
+//! Experiments of the testbed, as TOML files. docs/testbed.md lists every key.
 //!
-//! `format` holds the tables and keys, `defaults` what holds where one is absent, `check` which values make sense, and
-//! `error` why one is not played. Reading, and figures that follow from the whole, lie here.
+//! `format` holds the tables and keys, `defaults` their default values, `check` the checks of values, and
+//! `error` the reasons why an experiment cannot be run. This module reads experiments and computes values
+//! derived from them.
 
 mod check;
 mod defaults;
@@ -18,10 +19,10 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Files that an experiment extends, one by the other: far more than anyone needs, and a loop of them ends.
+/// Longest chain of files that extend each other; it ends a loop and is far more than needed.
 const MOST_BASES: usize = 8;
 
-/// The script of the relays before backends that listen there: `backend-0` and so on.
+/// Returns the script of the relays in front of the backends at these addresses, named `backend-0` and so on.
 pub fn relay_script(experiment: &Experiment, backends: impl IntoIterator<Item = SocketAddr>) -> Script {
     let route = |(number, to)| Route {
         name: format!("backend-{number}"),
@@ -34,26 +35,27 @@
 }
 
 impl Experiment {
-    /// Reads and checks a file. Where it names another as `extends`, beside it, what it does not say itself is as
-    /// there, and so on down: a table or an array that it has replaces the other's.
+    /// Reads and checks a file. If it names another file of its folder as `extends`, keys that it lacks are
+    /// taken from there, recursively. A table or an array of the file replaces the other's as a whole.
     ///
     /// # Errors
-    /// A file that cannot be read, a chain of more than eight files, or the first thing that is wrong.
+    /// Fails if a file cannot be read or is malformed, if a chain is longer than eight files, or with the first
+    /// invalid value.
     pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
         Experiment::of_table(&path.display().to_string(), Experiment::table(path, MOST_BASES)?)
     }
 
-    /// Reads and checks a table of keys; `name` is where it came from.
+    /// Reads and checks a table of keys; errors name `name` as its source.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Fails if the table is malformed, or with the first invalid value.
     pub fn of_table(name: &str, whole: toml::Table) -> Result<Experiment, ExperimentError> {
         let experiment =
             Experiment::deserialize(whole).map_err(|e| ExperimentError::Malformed(name.into(), e))?;
         experiment.checked(name)
     }
 
-    /// A file with all that it extends; `depth` files more at most, so that a loop of them ends.
+    /// Reads a file and the files that it extends, at most `depth` more, so that a loop ends.
     fn table(path: &Path, depth: usize) -> Result<toml::Table, ExperimentError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ExperimentError::Unreadable(name.clone(), e))?;
@@ -67,17 +69,17 @@
         Ok(whole)
     }
 
-    /// Reads and checks a text; `name` is where it came from.
+    /// Parses and checks a text; errors name `name` as its source.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Fails if the text is malformed, or with the first invalid value.
     pub fn parse(name: &str, text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment =
             toml::from_str(text).map_err(|e| ExperimentError::Malformed(name.into(), e))?;
         experiment.checked(name)
     }
 
-    /// The experiment, where all its values make sense.
+    /// Returns the experiment if all its values are valid.
     fn checked(self, name: &str) -> Result<Experiment, ExperimentError> {
         let script = relay_script(&self, [([127, 0, 0, 1], 1).into()]);
         script.check(name).map_err(|e| match e {
@@ -90,18 +92,18 @@
         }
     }
 
-    /// Core-seconds a second that the whole fleet can do, warm.
+    /// Returns the capacity of the whole warm fleet, core-seconds a second.
     pub fn capacity(&self) -> f64 {
         self.kind.iter().map(|kind| kind.count as f64 * kind.cores * kind.speed).sum()
     }
 
-    /// Mean work of an arrival, core-seconds.
+    /// Returns the mean work of an arrival, core-seconds.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|class| class.share).sum();
         self.class.iter().map(|class| class.share * class.work_ms / 1e3).sum::<f64>() / shares
     }
 
-    /// First tries a second at `at` seconds from the start.
+    /// Returns the rate of first tries, per second, at `at` seconds from the start.
     pub fn rate(&self, at: f64) -> f64 {
         let by_part = || self.load.part.unwrap_or(0.0) * self.capacity() / self.mean_work();
         let base = self.load.rps.unwrap_or_else(by_part);
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -1,5 +1,5 @@
-//! What a relay adds that meets no fault: a byte there and back, direct and through it, interleaved; and with many
-//! idle connections beside it.
+//! The cost of a relay without faults: round-trip times on a direct connection and through the relay, interleaved,
+//! and through the relay with many idle connections.
 
 use super::run::Relay;
 use super::script::{Framing, Route, Script};
@@ -15,24 +15,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes that go there and back.
+/// Bytes of a round trip.
 const BYTES: usize = 512;
 
-/// What to measure.
+/// Options of the measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Rounds; each plays every way once, in turn.
+    /// Number of rounds; each measures every way once, in turn.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
     /// Seconds of one measurement.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Idle connections through the relay in the last way; each takes four descriptors of this process.
+    /// Idle connections through the relay in the last measurement; each takes four descriptors of this process.
     #[arg(long, default_value_t = 4000)]
     idle: usize,
 }
 
-/// A server that sends back what it gets.
+/// Starts an echo server, and returns its address.
 async fn echo() -> std::io::Result<SocketAddr> {
     let listener = listen(None)?;
     let at = listener.local_addr()?;
@@ -41,7 +41,7 @@
             let _ = tcp.set_nodelay(true);
             tokio::task::spawn_local(async move {
                 let (mut read, mut write) = tcp.into_split();
-                let _ = tokio::io::copy(&mut read, &mut write).await; // an end is an end
+                let _ = tokio::io::copy(&mut read, &mut write).await; // an error ends the connection like its close
             });
         }
     });
@@ -64,20 +64,20 @@
     seen
 }
 
-/// Measures and says it.
+/// Measures the cost and prints it.
 ///
 /// # Errors
-/// Sockets or threads cannot be had.
+/// Fails if a socket or thread cannot be opened or started.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
-    raise_descriptor_limit(4 * args.idle + 64)?; // with some for all else
+    raise_descriptor_limit(4 * args.idle + 64)?; // 64 for everything else
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     tokio::task::LocalSet::new().block_on(&runtime, rounds(args))
 }
 
 async fn rounds(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
-    // Server and relay on threads of their own, as they would be processes of their own.
+    // Server and relay run on their own threads, as they would be separate processes.
     let (told, server) = tokio::sync::oneshot::channel();
     let _server = thread("echo", move || async move {
         let _ = told.send(echo().await);
@@ -115,7 +115,7 @@
     for _ in 0..args.idle {
         idle.push(TcpStream::connect(relay).await.map_err(fault)?);
     }
-    // The last of them is through once its byte is back.
+    // The last of them is relayed once its byte has returned.
     if let Some(last) = idle.last_mut() {
         last.write_all(b"x").await.map_err(fault)?;
         last.read_exact(&mut [0]).await.map_err(fault)?;
--- a/crates/testbed/src/fault_proxy/frame.rs
+++ b/crates/testbed/src/fault_proxy/frame.rs
@@ -1,21 +1,22 @@
-//! Where messages begin and end in one direction's bytes. Sans-IO and cut at any byte: what has come so far is enough
-//! to name every place that it reaches. What it cannot read it lets pass, and names no place any more.
+//! Finds the places of messages in the bytes of one direction. Sans-IO, and independent of how the bytes are
+//! split: each place is reported at the latest when the bytes before it have arrived. After bytes that it
+//! cannot parse, it reports no more places.
 
 use super::script::{Framing, Place, Way};
 
-/// A head that is longer is none.
+/// Longest head, bytes; a longer one is not parsed.
 const MAX_HEAD: usize = 64 * 1024;
-/// SSLRequest and GSSENCRequest: start-up messages behind which another start-up message comes.
+/// Codes of SSLRequest and GSSENCRequest, which are followed by another start-up message.
 const ASKS_ENCRYPTION: [u32; 2] = [80_877_103, 80_877_104];
 
 /// A place in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
-    /// Bytes before it; it may lie ahead of what has come.
+    /// Bytes before the place, which may be more than have arrived.
     pub at: u64,
-    /// Which message, from 1. An HTTP answer of status 1xx has the number of the one that it precedes.
+    /// Number of the message, from 1. An HTTP answer of status 1xx has the number of the one that it precedes.
     pub message: u64,
-    /// Where in it.
+    /// Place in the message.
     pub place: Place,
 }
 
@@ -25,39 +26,43 @@
     Ready,
     /// Inside an HTTP head.
     Head,
-    /// So many bytes of a body are to come.
+    /// Inside a body, of which this number of bytes remain.
     Body(u64),
-    /// Inside the line of a chunk's size, of its data with the line end, or of the lines behind the last.
+    /// Inside the line with a chunk's size.
     Size,
+    /// Inside a chunk's data and its line end, of which this number of bytes remain.
     Data(u64),
+    /// Inside the trailer lines after the last chunk.
     Trailers,
-    /// Inside type and length of a PostgreSQL message.
+    /// Inside the type and length of a PostgreSQL message.
     Length,
-    /// To the connection's end, or unreadable.
+    /// In a body that lasts to the end of the connection, or in bytes that cannot be parsed.
     Rest,
 }
 
-/// Follows one direction.
+/// Parses one direction.
 pub struct Framer {
     framing: Framing,
     way: Way,
     state: State,
     at: u64,
     message: u64,
-    /// The line, or type and length, so far.
+    /// The incomplete line, or type and length.
     kept: Vec<u8>,
-    /// Bytes of the head so far.
+    /// Bytes of the current head.
     head: usize,
-    /// Of an HTTP head: its first line was read; its status; its length; its chunks.
+    /// The status of an HTTP answer, or 0 for a request, once the first line was read.
     status: Option<u16>,
+    /// The declared length of an HTTP body.
     length: Option<u64>,
+    /// Whether an HTTP body is chunked.
     chunked: bool,
-    /// A PostgreSQL message without a type may still come.
+    /// Whether a PostgreSQL message without a type may still arrive.
     untyped: bool,
 }
 
 impl Framer {
-    /// From the connection's first byte on.
+    /// Creates a framer that starts at the first byte of a connection.
     pub fn new(framing: Framing, way: Way) -> Framer {
         Framer {
             framing,
@@ -74,7 +79,7 @@
         }
     }
 
-    /// Takes the next bytes; the places that they reach or tell of.
+    /// Parses the next bytes, and adds the places that they reach or announce to `marks`.
     pub fn feed(&mut self, mut bytes: &[u8], marks: &mut Vec<Mark>) {
         while !bytes.is_empty() && self.state != State::Rest {
             let used = match self.state {
@@ -120,7 +125,7 @@
         self.state = State::Size;
     }
 
-    /// A body of that length begins here.
+    /// Starts a body of the given length.
     fn body(&mut self, length: u64, marks: &mut Vec<Mark>) {
         self.mark(0, Place::Body, marks);
         if length > 0 {
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Takes up to a line's end; how much that was.
+    /// Parses up to the end of a line, and returns the number of bytes used.
     fn line(&mut self, bytes: &[u8], marks: &mut Vec<Mark>) -> usize {
         let end = bytes.iter().position(|b| *b == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
@@ -156,7 +161,7 @@
     }
 
     fn size(&mut self, line: &[u8]) {
-        self.head = 0; // the bound is for a head or one line, not for all sizes together
+        self.head = 0; // the limit applies to a head or one line, not to all chunk sizes together
         let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let size = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
         self.state = match size {
@@ -186,7 +191,7 @@
 
     fn head_ends(&mut self, marks: &mut Vec<Mark>) {
         let Some(status) = self.status else {
-            self.state = State::Head; // an empty line before a message is passed over (RFC 9112, 2.2)
+            self.state = State::Head; // empty lines before a message are skipped (RFC 9112, 2.2)
             return;
         };
         let none = matches!(status, 100..=199 | 204 | 304) || self.way == Way::Up && !self.chunked;
@@ -204,9 +209,10 @@
         }
     }
 
-    /// Takes type and length of a PostgreSQL message, or what of them has come.
+    /// Parses type and length of a PostgreSQL message as far as they have arrived, and returns the number of
+    /// bytes used.
     fn length(&mut self, bytes: &[u8], marks: &mut Vec<Mark>) -> usize {
-        // A server's word on encryption is one byte.
+        // A server answers a request for encryption with a single byte.
         let first = self.kept.first().copied().unwrap_or(bytes[0]);
         if self.untyped && self.way == Way::Down {
             if matches!(first, b'N' | b'S') {
@@ -217,7 +223,7 @@
             self.untyped = false;
         }
         let typed = usize::from(!self.untyped);
-        // A client that asks for encryption sends another untyped message: its code tells.
+        // A client that asks for encryption, as shown by the code, sends another untyped message afterwards.
         let whole = 4 + typed;
         let used = (whole - self.kept.len()).min(bytes.len());
         self.kept.extend_from_slice(&bytes[..used]);
@@ -229,8 +235,8 @@
                 return used;
             }
             let code = bytes.get(used..used + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-            // Where the code has not come with it, an untyped message of eight bytes is taken for such a question:
-            // the only other one of that length would name no user, and no server takes it.
+            // If the code has not arrived yet, an untyped message of eight bytes is taken for a request for
+            // encryption: the only other one of that length would name no user, and no server accepts it.
             let asks = length == 8 && code.is_none_or(|c| ASKS_ENCRYPTION.contains(&c));
             self.untyped &= asks;
             self.body(length - 4, marks);
--- a/crates/testbed/src/fault_proxy/frame/tests.rs
+++ b/crates/testbed/src/fault_proxy/frame/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The same places, however the bytes are cut.
+/// Checks that the places do not depend on how the bytes are split, and returns them.
 fn places(framing: Framing, way: Way, bytes: &[u8]) -> Vec<(u64, u64, Place)> {
     let cut = |size: usize| {
         let (mut framer, mut marks) = (Framer::new(framing, way), Vec::new());
--- a/crates/testbed/src/fault_proxy/links.rs
+++ b/crates/testbed/src/fault_proxy/links.rs
@@ -1,6 +1,6 @@
-//! Datagrams between the proxies of a fleet, injured link by link: each member has one socket here, which it gives the
-//! others as its address. What happens to a datagram is drawn by seed, link and its number on that link, never by the
-//! order in which links are used.
+//! Injects faults into the datagrams between the proxies of a fleet, separately for each link. Each member has
+//! one socket here, whose address it gives the others as its own. The faults of a datagram are drawn by seed,
+//! link and its number on that link, and do not depend on the order in which links are used.
 
 use crate::world::rng::Rng;
 use std::collections::HashMap;
@@ -11,48 +11,48 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-/// The longest datagram that is carried.
+/// Longest datagram that is forwarded, bytes.
 const MOST: usize = 65_536;
 
-/// What a link does to what is sent over it; nothing by default.
+/// The faults of a link; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
-    /// The part that is lost, from 0 to 1; 1 is a cut.
+    /// Part of the datagrams that is lost, from 0 to 1; 1 cuts the link.
     pub loss: f64,
-    /// The part that comes twice.
+    /// Part of the datagrams that arrives twice.
     pub doubled: f64,
-    /// Each takes so long, ms, ...
+    /// Delay of each datagram, ms, ...
     pub delay_ms: f64,
-    /// ... and up to so much more.
+    /// ... and upper bound of a random delay in addition, ms.
     pub jitter_ms: f64,
 }
 
-/// A link that carries nothing.
+/// A link that loses every datagram.
 pub const CUT: Link = Link { loss: 1.0, doubled: 0.0, delay_ms: 0.0, jitter_ms: 0.0 };
 
 #[derive(Default)]
 struct Wires {
-    /// Where each member really listens, as it told.
+    /// The members by the address at which they listen.
     members: HashMap<SocketAddr, usize>,
     places: Vec<Option<SocketAddr>>,
     links: HashMap<(usize, usize), Link>,
-    /// Datagrams sent, by link: passed and lost.
+    /// Numbers of forwarded and lost datagrams, by link.
     counts: HashMap<(usize, usize), (u64, u64)>,
 }
 
-/// The links between so many members.
+/// The links between the members of a fleet.
 pub struct Links {
-    /// What each member gives the others as its address.
+    /// The address that each member gives the others as its own.
     pub addresses: Vec<SocketAddr>,
     wires: Arc<Mutex<Wires>>,
     _stop: oneshot::Sender<()>,
 }
 
 impl Links {
-    /// Listens for `members` of them, on a thread of its own that ends with this.
+    /// Listens for `members` members on a thread of its own, which ends when the value is dropped.
     ///
     /// # Errors
-    /// No sockets are to be had.
+    /// Fails if a socket cannot be opened or the runtime not be created.
     pub fn start(members: usize, seed: u64) -> std::io::Result<Links> {
         let wires = Wires { places: vec![None; members], ..Wires::default() };
         let wires = Arc::new(Mutex::new(wires));
@@ -85,7 +85,7 @@
         self.wires.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A member listens there from now on.
+    /// Sets the address at which a member listens from now on.
     pub fn set_member_address(&self, number: usize, at: SocketAddr) {
         let mut wires = self.wires();
         wires.members.retain(|_, n| *n != number);
@@ -95,28 +95,28 @@
         }
     }
 
-    /// What the link from one member to another does from now on.
+    /// Sets the faults of the link from one member to another.
     pub fn set(&self, from: usize, to: usize, link: Link) {
         self.wires().links.insert((from, to), link);
     }
 
-    /// What every link does from now on.
+    /// Sets the faults of every link.
     pub fn set_all(&self, link: Link) {
         let n = self.addresses.len();
         (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).for_each(|(a, b)| self.set(a, b, link));
     }
 
-    /// Datagrams that one member sent to another: passed on, and lost.
+    /// Returns the numbers of forwarded and lost datagrams from one member to another.
     pub fn count(&self, from: usize, to: usize) -> (u64, u64) {
         self.wires().counts.get(&(from, to)).copied().unwrap_or_default()
     }
 }
 
-/// Passes on what comes for one member.
+/// Forwards the datagrams for one member.
 async fn carry(socket: UdpSocket, to: usize, wires: Arc<Mutex<Wires>>, seed: u64) {
     let socket = Rc::new(socket);
     let mut buffer = vec![0; MOST];
-    // An error is of an earlier send that found nobody there: a member that is dead.
+    // A receive error reports an earlier send to a member that is down.
     loop {
         let Ok((n, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let (copies, place) = {
--- a/crates/testbed/src/fault_proxy/links/tests.rs
+++ b/crates/testbed/src/fault_proxy/links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Two members: what a cut link loses is lost in that direction only, and a healed one carries again.
+/// A cut link loses datagrams in its direction only, and forwards them again once it is restored.
 #[test]
 fn links_are_cut_and_healed_by_direction() {
     let links = Links::start(2, 7).unwrap();
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -1,8 +1,10 @@
-//! A relay that stands between any two sockets on loopback and injures what passes on a schedule (docs/fault-proxy.md).
+//! A TCP relay between two sockets on loopback that injects faults into the traffic on a schedule
+//! (docs/fault-proxy.md).
 //!
-//! `script` is what an operator of the lab writes, `plan` what a seed makes of it for each connection, `frame` finds
-//! messages in the bytes, `links` injures datagrams, `pipe` decides what becomes of each byte, and `run` does it on sockets. `cost` measures what
-//! a relay that does nothing adds.
+//! `script` is the format of a fault script, `plan` draws the faults of each connection from the script and its
+//! seed, `frame` finds messages in a byte stream, `pipe` applies faults to one direction of a connection, and
+//! `run` does so on sockets. `links` injects faults into datagrams. `cost` measures the latency and memory of a
+//! relay without faults.
 
 pub mod cost;
 pub mod frame;
@@ -19,29 +21,29 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Connections of each route whose faults go into a plan's hash.
+/// Connections of each route that are included in the hash of a plan.
 const HASHED: u64 = 1000;
 
-/// What to relay.
+/// Options of the relay.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
     /// The script, TOML.
     script: PathBuf,
-    /// Another seed than the script's.
+    /// Seed to use in place of the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Only tell what the first so many connections of each route would meet.
+    /// Only print the faults of this number of connections of each route.
     #[arg(long, value_name = "CONNECTIONS")]
     plan: Option<u64>,
-    /// Where callers give words and ask what was done; on loopback.
+    /// Loopback address of the control socket, where callers give words and ask which faults have happened.
     #[arg(long)]
     control: Option<SocketAddr>,
 }
 
-/// Relays until its standard input ends; then tells what was done.
+/// Relays until its standard input ends, and then prints the number and the hash of the faults that happened.
 ///
 /// # Errors
-/// The script is at fault, or an address cannot be listened on.
+/// Fails if the script is invalid, or if an address cannot be listened on.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let mut script = Script::load(&args.script)?;
     script.seed = args.seed.unwrap_or(script.seed);
@@ -80,7 +82,7 @@
             None => std::future::pending().await,
         }
     };
-    // It ends with whoever started it, however that ended.
+    // The end of standard input stops the relay when the process that started it ends in any way.
     let (over, ended) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -1,5 +1,5 @@
-//! What becomes of one direction's bytes. Sans-IO: whoever drives it brings bytes, times and words, and carries out
-//! what is due. Times are microseconds since the connection came.
+//! Applies faults to the bytes of one direction. Sans-IO: the caller passes bytes, times and words, and carries
+//! out the returned actions. Times are microseconds since the connection was accepted.
 
 use super::frame::{Framer, Mark};
 use super::plan::{Due, When};
@@ -7,38 +7,38 @@
 use crate::world::rng::Rng;
 use std::collections::VecDeque;
 
-/// Bytes held at most before the sender is read no more.
+/// Number of held bytes at which reading from the sender stops.
 const MOST_HELD: usize = 256 * 1024;
-/// A narrowed direction passes pieces of this part of a second.
+/// Pieces per second in a direction with a limited rate.
 const SLICES: u64 = 50;
 
-/// What is to be done now.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     /// Write this, as one piece.
     Bytes(Vec<u8>),
-    /// End this direction in order.
+    /// Close this direction in an orderly way.
     HalfClose,
-    /// End both in order.
+    /// Close both directions in an orderly way.
     Cut,
-    /// Reset both.
+    /// Reset the connections to both ends.
     Reset,
-    /// Let nothing pass in either direction.
+    /// Drop everything in both directions.
     Blackhole,
 }
 
-/// A fault that happened: which, and before which byte of its direction.
+/// A fault that happened, and the byte of its direction before which it did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Did {
-    /// Its place in the route's list.
+    /// The index of the fault in the route's list.
     pub index: usize,
-    /// Bytes of the direction before it, where the script or the messages say where; a time or a word does not.
+    /// Bytes of the direction before the fault; `None` for faults that a time or a word triggers.
     pub at: Option<u64>,
-    /// The word that it gives.
+    /// The word that it gives when it happens.
     pub gives: Option<String>,
 }
 
-/// Bytes that are changed or sent twice once they are all there.
+/// A fault that changes bytes or sends them twice once all of them have arrived.
 struct Change {
     what: What,
     left: usize,
@@ -47,35 +47,36 @@
 
 /// One direction of a connection.
 pub struct Pipe {
-    /// Those that have not happened yet, in the script's order.
+    /// Faults that have not happened yet, in the script's order.
     waiting: Vec<Due>,
     framer: Option<Framer>,
     marks: Vec<Mark>,
-    /// Bytes that have come.
+    /// Number of bytes that have arrived.
     came: u64,
-    /// What goes out, each with its time, in order.
+    /// Pending actions with the time at which each is due, in order.
     queue: VecDeque<(u64, Out)>,
     held: usize,
     change: Option<Change>,
-    /// Nothing goes out before this time.
+    /// Time before which nothing is sent.
     hold: u64,
-    /// When the last piece goes out, and when a narrowed direction is free again.
+    /// The time at which the last action is due.
     last: u64,
+    /// The time at which a direction with a limited rate can send again.
     free: u64,
     latency: Option<(u64, u64, Rng)>,
     rate: Option<u64>,
     split: Option<usize>,
-    /// Pieces that come within so long go out together; those of now go at this time.
+    /// Time within which arriving pieces are merged, and the time at which the current ones are due.
     merge: Option<(u64, Option<u64>)>,
     unread_until: u64,
     hung: bool,
     ended: bool,
-    /// What happened, until it is fetched.
+    /// Faults that have happened, until the caller takes them.
     pub did: Vec<Did>,
 }
 
 impl Pipe {
-    /// Of a connection that has just come, with those of its faults that are of this direction.
+    /// Creates the pipe of one direction of a new connection, with the faults of this direction.
     pub fn new(framing: Framing, way: Way, dues: &[Due]) -> Pipe {
         let waiting: Vec<Due> = dues.iter().filter(|d| d.way == way).cloned().collect();
         let framed = waiting.iter().any(|d| matches!(d.when, When::Message(..)));
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Takes what the sender sent.
+    /// Accepts bytes from the sender.
     pub fn take(&mut self, now: u64, mut bytes: &[u8]) {
         self.tick(now);
         if let Some(framer) = &mut self.framer {
@@ -114,7 +115,7 @@
         while !bytes.is_empty() {
             self.reach(now);
             if self.hung {
-                return; // what would come later never does, however much has come at once
+                return; // faults behind this place do not happen, even if their bytes are in this piece
             }
             let next = self.waiting.iter().filter_map(|d| match d.when {
                 When::Byte(at) if at > self.came => Some(at - self.came),
@@ -126,29 +127,29 @@
             self.pass(now, piece);
             bytes = rest;
         }
-        self.reach(now); // what is due behind the last byte that came
+        self.reach(now); // faults after the last byte that arrived
     }
 
-    /// The sender ended its direction.
+    /// Ends the direction after the sender has closed it.
     pub fn end(&mut self, now: u64) {
         self.ended = true;
         if let Some(change) = self.change.take() {
-            self.emit(now, change.kept); // too few came to be changed
+            self.emit(now, change.kept); // too few bytes arrived to be changed
         }
         self.push(now, Out::HalfClose);
     }
 
-    /// Time has passed.
+    /// Triggers the faults whose time has come.
     pub fn tick(&mut self, now: u64) {
         self.happen(now, |when| matches!(when, When::After(at) if *at <= now));
     }
 
-    /// A word was given.
+    /// Triggers the faults that wait for a word.
     pub fn word(&mut self, now: u64, word: &str) {
         self.happen(now, |when| matches!(when, When::Word(on) if on == word));
     }
 
-    /// The words that are waited for.
+    /// Returns the words for which faults wait.
     pub fn awaits(&self) -> impl Iterator<Item = &str> {
         self.waiting.iter().filter_map(|d| match &d.when {
             When::Word(word) => Some(word.as_str()),
@@ -156,24 +157,24 @@
         })
     }
 
-    /// Nothing passes any more, and what is held is dropped.
+    /// Drops held bytes and all that arrive from now on.
     pub fn hang(&mut self) {
         self.hung = true;
         self.queue.clear();
         self.held = 0;
     }
 
-    /// The sender may be read.
+    /// Returns whether the sender may be read.
     pub fn reads(&self, now: u64) -> bool {
         !self.ended && now >= self.unread_until && self.held < MOST_HELD
     }
 
-    /// Its sender ended, and nothing of it is left to go out.
+    /// Returns whether the sender has closed the direction and nothing remains to be sent.
     pub fn over(&self) -> bool {
         self.ended && self.queue.is_empty()
     }
 
-    /// When something is due though nothing comes.
+    /// Returns the next time at which something is due without further input.
     pub fn next(&self, now: u64) -> Option<u64> {
         let times = self.waiting.iter().filter_map(|d| match d.when {
             When::After(at) => Some(at),
@@ -183,14 +184,14 @@
         times.chain(unread).chain(self.queue.front().map(|q| q.0)).min()
     }
 
-    /// The next thing that is due.
+    /// Returns the next action that is due.
     pub fn pop(&mut self, now: u64) -> Option<Out> {
         if self.queue.front()?.0 > now {
             return None;
         }
         let (at, mut out) = self.queue.pop_front()?;
         if let Out::Bytes(bytes) = &mut out {
-            // Merged pieces have the same time, and no others are put together.
+            // Only merged pieces are joined; they are due at the same time.
             while let Some((_, Out::Bytes(more))) =
                 self.queue.front().filter(|q| self.merge.is_some() && q.0 == at)
             {
@@ -202,7 +203,7 @@
         Some(out)
     }
 
-    /// Those due before the next byte happen.
+    /// Triggers the faults that are due before the next byte.
     fn reach(&mut self, now: u64) {
         let came = self.came;
         self.happen(now, |when| matches!(when, When::Byte(at) if *at <= came));
@@ -228,7 +229,7 @@
             What::Split { bytes } => self.split = Some(bytes),
             What::Merge { ms } => self.merge = Some((us(ms), None)),
             What::Unread { ms } => self.unread_until = now.saturating_add(us(ms)),
-            What::Hang => self.hung = true, // what came before goes out
+            What::Hang => self.hung = true, // bytes queued earlier are still sent
             What::Blackhole => self.last_of(now, Out::Blackhole),
             What::HalfClose => self.last_of(now, Out::HalfClose),
             What::Cut => self.last_of(now, Out::Cut),
@@ -243,13 +244,13 @@
         }
     }
 
-    /// Nothing of this direction goes out behind it.
+    /// Queues the last action of this direction.
     fn last_of(&mut self, now: u64, out: Out) {
         self.push(now, out);
         self.hung = true;
     }
 
-    /// Bytes go on, changed where a change is under way.
+    /// Forwards bytes, changed if a change is active.
     fn pass(&mut self, now: u64, mut bytes: &[u8]) {
         if let Some(mut change) = self.change.take() {
             let (mine, rest) = bytes.split_at(change.left.min(bytes.len()));
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Behind all that is there, at the time that it is due.
+    /// Queues an action after all others, and computes the time at which it is due.
     fn push(&mut self, now: u64, out: Out) {
         if self.hung {
             return;
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -5,7 +5,7 @@
     Due { index: 0, way: Way::Down, when, gives: None, what, seed: 1 }
 }
 
-/// All that goes out by a time, bytes put together.
+/// Returns all that is sent by a time: the bytes joined, and the other actions.
 fn out(pipe: &mut Pipe, now: u64) -> (String, Vec<Out>) {
     let (mut text, mut rest) = (Vec::new(), Vec::new());
     while let Some(out) = pipe.pop(now) {
--- a/crates/testbed/src/fault_proxy/plan.rs
+++ b/crates/testbed/src/fault_proxy/plan.rs
@@ -1,46 +1,47 @@
-//! What a seed makes of a script: which faults each connection meets, and where. Drawn by route and number of the
-//! connection, never by the order in which connections come, so that the same seed always gives the same plan.
+//! The faults of each connection, drawn from the script's seed by route and number of the connection. They do
+//! not depend on the order in which connections of different routes arrive, so that the same seed always gives
+//! the same plan.
 
 use super::script::{Fault, Place, Script, Way, What};
 use crate::world::rng::Rng;
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
 
-/// When a fault happens.
+/// The trigger of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum When {
     /// Before this byte of its direction.
     Byte(u64),
     /// At this message, counted from 1.
     Message(u64, Place),
-    /// So many microseconds after the connection came.
+    /// This number of microseconds after the connection was accepted.
     After(u64),
     /// When this word is given.
     Word(String),
 }
 
-/// A fault that a connection is to meet.
+/// A fault planned for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Due {
-    /// Its place in the route's list.
+    /// The index of the fault in the route's list.
     pub index: usize,
     /// Its direction.
     pub way: Way,
-    /// When.
+    /// Its trigger.
     pub when: When,
-    /// The word that it gives.
+    /// The word that it gives when it happens.
     pub gives: Option<String>,
-    /// What.
+    /// Its effect.
     pub what: What,
-    /// Seed of draws while it lasts.
+    /// Seed of random draws during its effect.
     pub seed: u64,
 }
 
-/// The faults of one connection.
+/// Draws the faults of one connection.
 pub fn draw(script: &Script, route: usize, connection: u64) -> Vec<Due> {
     let Some(from) = script.route.get(route) else { return Vec::new() };
     let one = |(index, fault): (usize, &Fault)| {
-        // A stream for each fault: another one beside it leaves its draws as they were.
+        // Each fault has its own random stream, so that adding another fault does not change its draws.
         let mut rng = Rng::new(script.seed, &format!("relay/{}/{connection}/{index}", from.name));
         let meant = fault.connections.as_ref().is_none_or(|c| c.contains(&connection));
         if rng.unit() >= fault.part || !meant {
@@ -59,7 +60,7 @@
     from.fault.iter().enumerate().filter_map(one).collect()
 }
 
-/// A number that stands for what the first so many connections of each route are to meet.
+/// Hashes the planned faults of the first `connections` connections of each route.
 pub fn hash(script: &Script, connections: u64) -> u64 {
     let mut hash = Xxh3::new();
     for (route, of) in script.route.iter().enumerate() {
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -1,4 +1,4 @@
-//! The relay on sockets: connections, words, and the record of what was done.
+//! The relay on sockets: connections, words, and the record of the faults that happened.
 
 use super::pipe::{Out, Pipe};
 use super::plan::{draw, Due};
@@ -17,11 +17,11 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Read at a time. One buffer serves all connections: 20,000 with one each would hold hundreds of megabytes.
+/// Size of the read buffer, which all connections share: a buffer for each of 20,000 would take hundreds of megabytes.
 const PIECE: usize = 64 * 1024;
-/// A caller's line may be so long.
+/// Longest line of a caller, bytes.
 const MOST_LINE: u64 = 1024;
-/// A pause before a listener that fails is asked again: it is out of descriptors.
+/// Pause before accepting again after an error, usually a lack of descriptors.
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// A fault that happened on a connection.
@@ -29,37 +29,38 @@
 pub struct Done {
     /// The route's name.
     pub route: String,
-    /// The connection's number on it, from 0.
+    /// The number of the connection on the route, from 0.
     pub connection: u64,
-    /// The fault's place in the route's list.
+    /// The index of the fault in the route's list.
     pub fault: usize,
-    /// Bytes of its direction before it; a time or a word tells no such place.
+    /// Bytes of its direction before the fault; `None` for faults that a time or a word triggers.
     pub at: Option<u64>,
 }
 
-/// What all connections of a relay share.
+/// State shared by all connections of a relay.
 struct Shared {
     words: RefCell<BTreeSet<String>>,
-    /// Told of every word that is given.
+    /// Notified of every given word.
     given: watch::Sender<()>,
     done: RefCell<Vec<Done>>,
     open: Cell<usize>,
     buffer: RefCell<Vec<u8>>,
 }
 
-/// A relay that runs on the present thread's local tasks.
+/// A relay that runs as local tasks of the current thread.
 pub struct Relay {
-    /// Where its routes listen, in the script's order.
+    /// The addresses of its routes, in the script's order.
     pub addresses: Vec<SocketAddr>,
     shared: Rc<Shared>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Relay {
-    /// Listens on every route and relays until it is dropped; connections that are open then go on to their ends.
+    /// Listens on every route and relays until the value is dropped; connections open at that time continue
+    /// until they end.
     ///
     /// # Errors
-    /// A route's address cannot be listened on.
+    /// Fails if the address of a route cannot be listened on.
     pub fn start(script: Script) -> std::io::Result<Relay> {
         let shared = Rc::new(Shared {
             words: RefCell::default(),
@@ -78,32 +79,33 @@
         Ok(Relay { addresses, shared, tasks })
     }
 
-    /// Gives a word: faults that wait for it happen, on connections to come as well.
+    /// Gives a word, which triggers the faults that wait for it on current and future connections.
     pub fn give(&self, word: &str) {
         self.shared.give(word);
     }
 
-    /// Takes a word back, for connections to come.
+    /// Takes a word back, so that it no longer triggers faults.
     pub fn take_back(&self, word: &str) {
         self.shared.words.borrow_mut().remove(word);
     }
 
-    /// What happened so far, sorted: the order in which connections ran beside each other is left out.
+    /// Returns the faults that happened so far, sorted, so that they do not depend on the order of concurrent
+    /// connections.
     pub fn done(&self) -> Vec<Done> {
         let mut done = self.shared.done.borrow().clone();
         done.sort();
         done
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.shared.open.get()
     }
 
-    /// Answers callers on a socket: `give WORD`, `take WORD`, `done`, `status`, a line each.
+    /// Answers the commands `give WORD`, `take WORD`, `done` and `status`, one per line, on a control socket.
     ///
     /// # Errors
-    /// The listener fails for good.
+    /// Fails if the listener does.
     pub async fn control(&self, listener: TcpListener) -> std::io::Result<()> {
         loop {
             let (mut tcp, _) = listener.accept().await?;
@@ -127,7 +129,7 @@
                     })),
                     _ => "expected: give WORD, take WORD, done or status\n".to_string(),
                 };
-                lines.get_mut().get_mut().set_limit(MOST_LINE); // for the next line anew
+                lines.get_mut().get_mut().set_limit(MOST_LINE); // the limit is per line
                 if write.write_all(answer.as_bytes()).await.is_err() {
                     break;
                 }
@@ -146,7 +148,7 @@
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
-/// A number that stands for what was done, whatever ran beside what.
+/// Hashes the faults that happened, given in sorted order.
 pub fn hash(done: &[Done]) -> u64 {
     let mut hash = Xxh3::new();
     for d in done {
@@ -184,7 +186,7 @@
     }
 }
 
-/// Where a connection's faults are written down.
+/// The record to which a connection adds its faults.
 #[derive(Clone, Copy)]
 struct Told<'a> {
     shared: &'a Shared,
@@ -192,18 +194,18 @@
     connection: u64,
 }
 
-/// How a connection goes on for both directions.
+/// The state of a connection, common to both directions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
     Open,
-    /// Nothing passes any more.
+    /// Drops everything in both directions.
     Silent,
     Over,
 }
 
 async fn connection_of(here: TcpStream, to: SocketAddr, pipes: [Pipe; 2], dues: &[Due], told: Told<'_>) {
     let Ok(there) = TcpStream::connect(to).await else {
-        // What is behind is not there: whoever connected is told in the same way.
+        // The destination refused the connection, and a reset tells the client.
         reset(&here);
         return;
     };
@@ -214,13 +216,13 @@
     tokio::join!(pump(&here, &there, up, both, told), pump(&there, &here, down, both, told));
 }
 
-/// What the two directions of a connection share.
+/// State shared by the two directions of a connection.
 #[derive(Clone, Copy)]
 struct Both<'a> {
     fate: &'a Cell<Fate>,
     woken: &'a tokio::sync::Notify,
     ends: [&'a TcpStream; 2],
-    /// It meets no fault: bytes go straight through.
+    /// The connection has no faults.
     plain: bool,
 }
 
@@ -236,14 +238,14 @@
 }
 
 fn reset(tcp: &TcpStream) {
-    let _ = socket2::SockRef::from(tcp).set_linger(Some(Duration::ZERO)); // the close that follows is a reset
+    let _ = socket2::SockRef::from(tcp).set_linger(Some(Duration::ZERO)); // makes the close that follows a reset
 }
 
 fn half_close(tcp: &TcpStream) {
     let _ = socket2::SockRef::from(tcp).shutdown(std::net::Shutdown::Write);
 }
 
-/// One direction, to its end or the connection's.
+/// Relays one direction until it or the connection ends.
 async fn pump(from: &TcpStream, to: &TcpStream, mut pipe: Pipe, both: Both<'_>, told: Told<'_>) {
     let begun = Instant::now();
     let now = || begun.elapsed().as_micros() as u64;
@@ -255,7 +257,7 @@
                 Out::Bytes(bytes) => {
                     let written = write(to, &bytes, both).await;
                     if written.is_err() {
-                        // The far end is gone; the near one learns of it as it would without a relay.
+                        // The receiver is gone; resets the sender's connection as if there were no relay.
                         reset(from);
                         return both.becomes(Fate::Over);
                     }
@@ -318,7 +320,7 @@
     }
 }
 
-/// Words that were given meet those who wait for them, and what happened is written down.
+/// Triggers the faults that wait for given words, and records all faults that have happened.
 fn heed(pipe: &mut Pipe, now: u64, told: Told) {
     let awaited: Vec<String> = {
         let given = told.shared.words.borrow();
@@ -334,7 +336,7 @@
     }
 }
 
-/// Writes all of it, unless the connection ends meanwhile.
+/// Writes all bytes unless the connection ends first.
 async fn write(to: &TcpStream, mut bytes: &[u8], both: Both<'_>) -> std::io::Result<()> {
     while !bytes.is_empty() {
         match to.try_write(bytes) {
--- a/crates/testbed/src/fault_proxy/script.rs
+++ b/crates/testbed/src/fault_proxy/script.rs
@@ -1,4 +1,4 @@
-//! What a relay is told: routes, and the faults on them.
+//! The script of a relay: its routes, and the faults on them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -6,54 +6,54 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a script cannot be played.
+/// Why a script cannot be run.
 #[derive(Debug, Error)]
 pub enum ScriptError {
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no TOML, or not of this form; the text says where.
+    /// The file is not valid TOML or not a script; the error says where.
     #[error("{0}: {1}")]
     Malformed(String, toml::de::Error),
-    /// A value makes no sense.
+    /// A value is invalid.
     #[error("{0}: expected {1}")]
     Value(String, &'static str),
 }
 
-/// Routes and what happens on them.
+/// A fault script: routes and the faults on them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Seed of all draws.
+    /// Seed of all random draws.
     #[serde(default)]
     pub seed: u64,
-    /// Where connections come in and go on to.
+    /// The routes of the relay.
     pub route: Vec<Route>,
 }
 
-/// One way through the relay.
+/// A route through the relay: a listener and its destination.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name: draws and records go by it.
+    /// Name of the route, which identifies it in random draws and records.
     pub name: String,
-    /// Where it listens; port 0 lets the kernel pick.
+    /// Address to listen on; with port 0 the kernel picks the port.
     pub listen: SocketAddr,
-    /// Where its connections go on to.
+    /// Address of the destination.
     pub to: SocketAddr,
-    /// What the bytes are.
+    /// Protocol of the byte stream.
     #[serde(default)]
     pub frame: Framing,
-    /// What happens, in the order in which equal places are met.
+    /// The faults; those at the same place happen in this order.
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
 
-/// How messages are told apart.
+/// How messages are found in the byte stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Framing {
-    /// Not at all.
+    /// No messages are recognized.
     #[default]
     None,
     /// HTTP/1.1 (RFC 9112).
@@ -62,13 +62,13 @@
     Postgres,
 }
 
-/// The direction that a fault is about.
+/// The direction that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Way {
-    /// From whoever connected.
+    /// From the end that connected.
     Up,
-    /// To them.
+    /// To the end that connected.
     Down,
 }
 
@@ -76,98 +76,98 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Place {
-    /// Before its first byte.
+    /// Before the first byte.
     #[default]
     Start,
-    /// Behind its head: an empty line of HTTP, type and length of a PostgreSQL message.
+    /// After the head, which is up to the empty line in HTTP, and type and length in a PostgreSQL message.
     Body,
-    /// In the middle of a body whose length is told.
+    /// In the middle of a body of declared length.
     Middle,
-    /// Before the line that gives a chunk's size.
+    /// Before the line with the size of a chunk.
     Chunk,
-    /// Behind its last byte.
+    /// After the last byte.
     End,
 }
 
-/// One fault: on which connections, when, and what.
+/// A fault: on which connections it happens, when, and what it does.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Only on these connections of the route, counted from 0.
+    /// Connections of the route that it is limited to, counted from 0.
     #[serde(default)]
     pub connections: Option<Vec<u64>>,
-    /// On this part of them, drawn by the seed.
+    /// Part of these connections, drawn by the seed.
     #[serde(default = "all")]
     pub part: f64,
-    /// Which direction.
+    /// The direction.
     pub way: Way,
-    /// After so many bytes of it.
+    /// Happens after this number of bytes of the direction ...
     #[serde(default)]
     pub after_bytes: Option<u64>,
-    /// ... or up to this many, drawn evenly from `after_bytes` on.
+    /// ... or after a number drawn uniformly from `after_bytes` to this one.
     #[serde(default)]
     pub until_bytes: Option<u64>,
-    /// At this message of it, counted from 1.
+    /// Happens at this message of the direction, counted from 1.
     #[serde(default)]
     pub message: Option<u64>,
-    /// Where in the message.
+    /// The place in the message.
     #[serde(default)]
     pub place: Option<Place>,
-    /// So long after the connection came.
+    /// Happens at this time after the connection was accepted.
     #[serde(default)]
     pub after_ms: Option<u64>,
-    /// When this word is given, by another fault or by a caller.
+    /// Happens when this word is given by another fault or by a caller.
     #[serde(default)]
     pub on: Option<String>,
-    /// The word that is given when this one happens.
+    /// Word to give when the fault happens.
     #[serde(default)]
     pub gives: Option<String>,
-    /// What happens.
+    /// The effect.
     #[serde(rename = "do")]
     pub what: What,
 }
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Everything behind the place waits so long, once.
+    /// Holds back everything after the place once, for this time.
     Stall { ms: u64 },
-    /// From then on each piece that comes is late by so much, and by up to so much more.
+    /// Delays each piece from then on by `ms`, and by a random time up to `jitter_ms` more.
     Latency {
         ms: u64,
         #[serde(default)]
         jitter_ms: u64,
     },
-    /// From then on no more than this passes.
+    /// Limits the rate from then on.
     Bandwidth { bytes_per_s: u64 },
-    /// From then on pieces of this size go out one by one.
+    /// Sends the bytes from then on in pieces of this size.
     Split { bytes: usize },
-    /// Pieces that come within this time go out as one.
+    /// Sends pieces that arrive within this time as one.
     Merge { ms: u64 },
-    /// Nothing of this direction passes any more, and nobody is told.
+    /// Drops everything in this direction, without any sign to the ends.
     Hang,
-    /// Nothing passes in either direction any more.
+    /// Drops everything in both directions.
     Blackhole,
-    /// The relay reads nothing for so long: the sender's window closes.
+    /// Reads nothing for this time, so that the sender's window closes.
     Unread { ms: u64 },
-    /// This direction ends in order, the other goes on.
+    /// Closes this direction in an orderly way, and leaves the other open.
     HalfClose,
-    /// Both ends see an orderly end.
+    /// Closes the connections to both ends in an orderly way.
     Cut,
-    /// Both ends see a reset.
+    /// Resets the connections to both ends.
     Reset,
-    /// The next bytes go out twice.
+    /// Sends the next bytes twice.
     Repeat { bytes: usize },
-    /// The next bytes go out with all bits turned.
+    /// Inverts all bits of the next bytes.
     Flip { bytes: usize },
-    /// These bytes go out beside what was sent.
+    /// Sends these bytes in addition.
     Insert { text: String },
-    /// These bytes go out in place of as many.
+    /// Sends these bytes in place of the same number of bytes.
     Replace { text: String },
 }
 
-/// Bytes that one fault may change or send twice: they are held until all are there.
+/// Largest number of bytes that a fault may change or send twice, as they are held until all have arrived.
 pub const MOST_CHANGED: usize = 1 << 20;
 
 fn all() -> f64 {
@@ -175,30 +175,30 @@
 }
 
 impl Script {
-    /// Reads a file.
+    /// Reads and checks a file.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// Returns the first error with its place.
     pub fn load(path: &Path) -> Result<Script, ScriptError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ScriptError::Unreadable(name.clone(), e))?;
         Script::read(&text, &name)
     }
 
-    /// Reads a text; `name` is what faults in it are told under.
+    /// Parses and checks a text; errors name `name` as its source.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// Returns the first error with its place.
     pub fn read(text: &str, name: &str) -> Result<Script, ScriptError> {
         let script: Script = toml::from_str(text).map_err(|e| ScriptError::Malformed(name.into(), e))?;
         script.check(name)?;
         Ok(script)
     }
 
-    /// The first value that makes no sense.
+    /// Checks all values.
     ///
     /// # Errors
-    /// It, with its place.
+    /// Returns the first invalid value with its place.
     pub fn check(&self, name: &str) -> Result<(), ScriptError> {
         let mut names = BTreeSet::new();
         for (r, route) in self.route.iter().enumerate() {
--- a/crates/testbed/src/scale/backends.rs
+++ b/crates/testbed/src/scale/backends.rs
@@ -1,5 +1,5 @@
-//! The axis of backends: what the length of the list costs a real proxy in memory and processor time, and how soon
-//! a change is in force at real and hollow proxies.
+//! The axis of backends: the memory and processor time that a real proxy needs for a list of each length, and
+//! the time until a change is in force at real and hollow proxies.
 
 use super::directory::Follower;
 use super::document::Size;
@@ -11,15 +11,15 @@
 use super::{Rig, ScaleRunError};
 use std::time::Duration;
 
-/// Time to settle after a list was taken, before memory and processor time are read.
+/// Time to settle after a list was received, before memory and processor time are read.
 const SETTLE: Duration = Duration::from_millis(500);
-/// The list of the floor: a proxy without any backend would serve nothing.
+/// Length of the list for the floor: a proxy without any backend would not serve.
 const FLOOR_BACKENDS: usize = 1;
 
-/// Walks the axis in interleaved repetitions.
+/// Measures all steps of the axis in interleaved repetitions.
 ///
 /// # Errors
-/// A process or socket that cannot be had.
+/// Fails if a process or socket cannot be opened, or if a follower is too late.
 pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
     let mut floors = Floors::default();
     for repeat in 0..rig.experiment.repeats {
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// What a process uses that knows one backend.
+/// Memory and processor time of a process that knows one backend.
 #[derive(Default)]
 struct Floors {
     memory: Vec<f64>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A real process that has its list and has settled.
+/// Starts a real process and waits until it has its list and has settled.
 async fn listed(rig: &Rig<'_>, stand_ins: &StandIns) -> Result<Process, ScaleRunError> {
     let base = &rig.experiment.base;
     let size =
--- a/crates/testbed/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -1,4 +1,4 @@
-//! The generated part of docs/CAPACITY.md: tables made from records, and the check that page and records agree.
+//! The generated part of docs/CAPACITY.md: tables created from records, and the check that page and records agree.
 
 use super::record::{short, Record, Series};
 use super::rows::{Laws, Row};
@@ -8,28 +8,29 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Where the generated part of the page begins and ends.
+/// Marker before the generated part of the page.
 const BEGIN: &str = "<!-- capacity: generated from docs/capacity, do not edit -->";
+/// Marker after the generated part of the page.
 const END: &str = "<!-- capacity: end -->";
 
 /// Write the tables of the capacity page from the records, or check that they agree.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// The page.
+    /// The capacity page.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     pub page: PathBuf,
-    /// The records and the target.
+    /// Folder of the records and the target.
     #[arg(long, default_value = "docs/capacity")]
     pub records: PathBuf,
-    /// Write nothing; fail where page and records differ.
+    /// Write nothing; fail if page and records differ.
     #[arg(long)]
     pub check: bool,
 }
 
-/// Writes or checks the page; whether it agreed.
+/// Writes or checks the page. Returns whether a checked page agrees with its records.
 ///
 /// # Errors
-/// A file cannot be read or written, or the page has no place for the tables.
+/// Fails if a file cannot be read or written, or if the page lacks the markers.
 pub fn main(args: &Args) -> Result<bool, ScaleRunError> {
     let old = std::fs::read_to_string(&args.page)?;
     let new = with_block(&old, &block(&args.records)?)?;
@@ -46,10 +47,10 @@
     Ok(true)
 }
 
-/// The page with its generated part replaced.
+/// Returns the page with its generated part replaced.
 ///
 /// # Errors
-/// The markers are not there, once each and in order.
+/// Fails if the page lacks the two markers in their order.
 pub fn with_block(page: &str, block: &str) -> Result<String, ScaleRunError> {
     let parts = page.split_once(BEGIN).and_then(|(head, rest)| Some((head, rest.split_once(END)?.1)));
     let (head, tail) = parts.ok_or_else(|| {
@@ -58,10 +59,10 @@
     Ok(format!("{head}{BEGIN}\n\n{block}\n{END}{tail}"))
 }
 
-/// All tables, from the records of a folder.
+/// Generates all tables from the records of a folder.
 ///
 /// # Errors
-/// A record or the target cannot be read.
+/// Fails if a record or the target cannot be read.
 pub fn block(folder: &Path) -> Result<String, ScaleRunError> {
     let target = Target::load(&folder.join("target.toml"))?;
     let records = records(folder)?;
@@ -69,7 +70,7 @@
     Ok([sources(&records), costs(&rows), ranking(&rows), laws(&records)].join("\n"))
 }
 
-/// All records of a folder: in the order of their dates, and `before` before any other label of a day.
+/// Reads all records of a folder, sorted by date, with the label `before` ahead of other labels of the same day.
 fn records(folder: &Path) -> Result<Vec<Record>, ScaleRunError> {
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(folder)? {
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -1,5 +1,5 @@
-//! Stand-in discovery of fixed capacity for long lists and many followers: it tells a list of any length by version
-//! over HTTP/1.1 long polls, and counts what it tells.
+//! A stand-in discovery service of fixed capacity for long lists and many followers: it serves a versioned list
+//! of any length over HTTP/1.1 long polls, and counts its answers.
 
 use super::document;
 use super::experiment::Capacity;
@@ -15,21 +15,21 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The longest that a call may wait (the protocol's bound).
+/// Longest wait of a call, the bound of the protocol.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Where backends that get no requests are said to listen: one address each, of loopback.
+/// Port of the listed backends that get no requests; each has a loopback address of its own.
 const PORT: u16 = 8_443;
 
-/// Who follows on a listener.
+/// The kind of followers on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Follower {
-    /// A process of the program.
+    /// Processes of the program.
     Real,
-    /// A stand-in.
+    /// Hollow proxies.
     Hollow,
 }
 
-/// What was told in one kind of answer.
+/// Counters of one kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Told {
     /// Calls answered.
@@ -56,19 +56,19 @@
     }
 }
 
-/// All that was told, by kind of answer.
+/// Counters by kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counters {
     /// Whole lists.
     pub whole: Told,
-    /// Changes.
+    /// Answers with changes.
     pub changes: Told,
-    /// Waits that ended without news.
+    /// Long polls that ended without a change.
     pub empty: Told,
 }
 
 impl Counters {
-    /// What came since `before`.
+    /// Returns the difference to the earlier counters `before`.
     pub fn since(self, before: Counters) -> Counters {
         Counters {
             whole: self.whole.less(before.whole),
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Bytes of all kinds.
+    /// Returns the bytes of all kinds.
     pub fn bytes(self) -> u64 {
         self.whole.bytes + self.changes.bytes + self.empty.bytes
     }
 
-    /// Calls of all kinds.
+    /// Returns the calls of all kinds.
     pub fn calls(self) -> u64 {
         self.whole.calls + self.changes.calls + self.empty.calls
     }
 
-    /// Lines of all kinds.
+    /// Returns the lines of all kinds.
     pub fn lines(self) -> u64 {
         self.whole.lines + self.changes.lines + self.empty.lines
     }
@@ -102,20 +102,20 @@
 /// A change of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its number.
+    /// Number of the backend.
     pub backend: usize,
-    /// What it is from now on.
+    /// Its new status.
     pub status: Status,
 }
 
 struct Version {
-    /// When it was made.
+    /// When the version was created.
     made: Instant,
-    /// The backends that it changed.
+    /// The backends changed by it.
     backends: Vec<usize>,
 }
 
-/// An answer that many followers get alike.
+/// An answer that is sent to many followers unchanged.
 struct Answer {
     after: Option<u64>,
     version: u64,
@@ -123,11 +123,11 @@
     text: Bytes,
 }
 
-/// The service.
+/// The discovery service.
 pub struct Directory {
     capacity: Capacity,
     zones: usize,
-    /// The backend that requests reach, in place of the first line's own address.
+    /// Address of the backend that requests reach, which replaces the address of the first line.
     real_backend: Option<SocketAddr>,
     lines: RefCell<Vec<Line>>,
     versions: RefCell<Vec<Version>>,
@@ -139,17 +139,17 @@
     listed: Cell<Listed>,
 }
 
-/// Followers that have asked for what is newer than a whole list, and so have taken one.
+/// Number of followers that have a whole list, as shown by their first call for newer changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
-    /// Real ones.
+    /// Real processes.
     pub real: usize,
-    /// Hollow ones.
+    /// Hollow proxies.
     pub hollow: usize,
 }
 
 impl Directory {
-    /// A list of so many backends, all serving since long ago.
+    /// Creates the service with a list of `backends` that have all been serving for a long time.
     pub fn new(
         backends: usize, zones: usize, capacity: Capacity, real_backend: Option<SocketAddr>,
     ) -> Rc<Directory> {
@@ -170,10 +170,10 @@
         })
     }
 
-    /// Listens for followers of one sort.
+    /// Listens for followers of one kind.
     ///
     /// # Errors
-    /// No socket can be had.
+    /// Fails if no socket can be opened.
     pub fn listen(self: &Rc<Self>, follower: Follower) -> std::io::Result<SocketAddr> {
         let listener = listen(None)?;
         let address = listener.local_addr()?;
@@ -186,12 +186,12 @@
         Ok(address)
     }
 
-    /// The version that is told.
+    /// Returns the current version of the list.
     pub fn version(&self) -> u64 {
         self.versions.borrow().len() as u64
     }
 
-    /// Changes the list, all at once.
+    /// Applies all changes as one new version of the list.
     pub fn change(&self, changes: &[Change], unix_ms: u64) {
         let version = self.version() + 1;
         let mut lines = self.lines.borrow_mut();
@@ -208,23 +208,24 @@
         self.news.send_replace(version);
     }
 
-    /// What was told so far.
+    /// Returns the counters of all answers so far.
     pub fn counters(&self) -> Counters {
         self.counters.get()
     }
 
-    /// How long after each change each follower had it in force, as its next call showed; empty then.
+    /// Returns and clears the recorded times from a change until a follower had it in force, as shown by the
+    /// follower's next call.
     pub fn take_in_force(&self) -> Vec<(Follower, Duration)> {
         self.in_force.take()
     }
 
-    /// Who has a list.
+    /// Returns the number of followers that have a list.
     pub fn listed(&self) -> Listed {
         self.listed.get()
     }
 
     async fn serve(self: Rc<Self>, follower: Follower, mut link: Link) {
-        // Followers have everything of a version in force before they ask for what is newer.
+        // A follower has a whole version in force before it asks for newer changes.
         let mut held = None;
         while let Ok(Some(request)) = link.request().await {
             let (after, wait) = query(&request.target);
@@ -269,7 +270,7 @@
         self.in_force.borrow_mut().extend(ages);
     }
 
-    /// Calls are handled one after the other, each for what it costs.
+    /// Waits for the calls before this one and then for the cost of this one: calls are handled one at a time.
     async fn take_turn(&self, lines: usize) {
         let cost = self.capacity.call_us + self.capacity.line_us * lines as f64;
         let done = self.free_at.get().max(Instant::now()) + Duration::from_secs_f64(cost / 1e6);
@@ -288,10 +289,10 @@
         self.counters.set(counters);
     }
 
-    /// What is newer than `after`, or the whole list.
+    /// Returns the changes since version `after`, or the whole list.
     fn answer(&self, after: Option<u64>) -> Rc<Answer> {
         let version = self.version();
-        // Who is ahead of the list knows another discovery's: it is told all.
+        // A follower that is ahead of the list has the version of another discovery and gets the whole list.
         let after = after.filter(|after| *after <= version);
         let last = self.last.borrow().clone();
         if let Some(answer) = last.filter(|last| (last.after, last.version) == (after, version)) {
@@ -351,18 +352,18 @@
 
     fn address(&self, backend: usize) -> SocketAddr {
         let [_, high, middle, low] = (backend as u32 + 1).to_be_bytes();
-        // Not 127.0.*.*, where real listeners are.
+        // Avoids 127.0.*.*, which is used by real listeners.
         let own = SocketAddr::from((Ipv4Addr::new(127, 64 + high, middle, low), PORT));
         self.real_backend.filter(|_| backend == 0).unwrap_or(own)
     }
 }
 
-/// Backends of one group of the list (a cell).
+/// Backends in one group of the list (a cell).
 const GROUP: usize = 40;
-/// Bytes of a follower's request beside its target: `GET  HTTP/1.1`, `host: 127.0.0.1:NNNNN` and line ends.
+/// Bytes of a follower's request without its target: `GET  HTTP/1.1`, `host: 127.0.0.1:NNNNN` and line ends.
 const REQUEST_HEAD: usize = "GET  HTTP/1.1\r\nhost: 127.0.0.1:12345\r\n\r\n".len();
 
-/// Version and wait of a call.
+/// Parses the version and the wait of a call.
 fn query(target: &str) -> (Option<u64>, Duration) {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = |key: &str| -> Option<u64> {
--- a/crates/testbed/src/scale/document.rs
+++ b/crates/testbed/src/scale/document.rs
@@ -1,64 +1,64 @@
-//! Node configurations and list lines of any size, as a real proxy reads them.
+//! Generates node configurations of any size, as a real proxy reads them, and the names in them.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Every class has so long, us: longer than any pause that is measured, so that a pause shows as a late answer and
-/// not as a failure.
+/// Deadline of every class, us: longer than any measured pause, so that a pause shows as a late answer and not
+/// as a failure.
 const DEADLINE_US: u64 = 60_000_000;
-/// Kinds of machines that backends are dealt out over: a few generations of hardware.
+/// Kinds of machines over which backends are distributed, like a few generations of hardware.
 pub const KINDS: [&str; 4] = ["m1", "m2", "m3", "m4"];
-/// First seconds of a configuration's seed; any will do, as no decision is judged here.
+/// The random seed of a configuration; any value will do, as no decision is checked here.
 const SEED: &str = "00000000000000a7";
 
-/// A tenant's quota, requests a second: never reached by a measured load, so that none is refused for it.
+/// A tenant's quota, requests a second: never reached by a measured load, so that no request is rejected for it.
 const QUOTA: f64 = 1e6;
 
 /// The size of a node configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Proxies that share the traffic.
+    /// Number of proxies that share the traffic.
     pub proxies: usize,
 }
 
-/// Where a proxy listens and whom it follows.
+/// The addresses of a proxy and its discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
-    /// For clients.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
 }
 
-/// The name of a tenant.
+/// Returns the name of a tenant.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number:06}")
 }
 
-/// The name of a route's class, which is also the first part of its path.
+/// Returns the name of a route's class, which is also the first part of its path.
 pub fn route(number: usize) -> String {
     format!("route-{number:06}")
 }
 
-/// The name of a zone.
+/// Returns the name of a zone.
 pub fn zone(number: usize) -> String {
     format!("zone-{number:03}")
 }
 
-/// The name of a backend.
+/// Returns the name of a backend.
 pub fn backend(number: usize) -> String {
     format!("backend-{number:06}")
 }
 
-/// The settings alone. `edition` makes each differ from the last in one quota, as a change of configuration does.
+/// Generates the settings alone. Each `edition` differs from the others in one quota, like a change of configuration.
 pub fn settings(size: Size, edition: usize) -> Value {
     let quota = |number: usize| if number == 0 { QUOTA + edition as f64 } else { QUOTA };
     let customers: Vec<Value> =
@@ -88,7 +88,7 @@
     })
 }
 
-/// A whole node configuration. It knows no backend: discovery tells it all.
+/// Generates a whole node configuration. It contains no backends: the proxy gets them from discovery.
 pub fn node(size: Size, place: Place, edition: usize) -> String {
     let Place { listen, admin, discovery } = place;
     let whole = json!({
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -1,4 +1,4 @@
-//! The events of an experiment, all drawn ahead from its seed: which backends restart, which go in one group.
+//! The events of an experiment, drawn in advance from its seed: which backends restart, and which leave as a group.
 
 use super::directory::Change;
 use super::experiment::Churn;
@@ -8,19 +8,20 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A restarting backend drains, leaves, and serves anew: a third of the time between two restarts each.
+/// States of a restarting backend: it drains, leaves and serves again, each for a third of the time between two
+/// restarts.
 const STAGES: [Status; 3] = [Status::Draining, Status::Deleted, Status::Serving];
 
-/// What happens to some backends at one time.
+/// Changes of some backends at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// After the first event's start.
+    /// Time since the first event.
     pub at: Duration,
-    /// What the list says from then on.
+    /// The changes of the list.
     pub changes: Vec<Change>,
 }
 
-/// Restarts of single backends, drawn evenly, one after the other.
+/// Draws the restarts of single backends, uniformly, one after the other.
 pub fn restarts(churn: &Churn, backends: usize, seed: u64) -> Vec<Event> {
     let mut rng = Rng::new(seed, "scale restarts");
     let every = 1.0 / churn.restarts_per_s;
@@ -35,17 +36,17 @@
     (0..churn.restarts).flat_map(restart).collect()
 }
 
-/// The backends of a group that goes at once; as many as there are, where it is larger.
+/// Draws the backends of a group that leaves at once; all backends if `count` is larger than their number.
 pub fn group(count: usize, backends: usize, seed: u64) -> Vec<usize> {
     Rng::new(seed, "scale group").sample(backends, count)
 }
 
-/// The same change for all of them.
+/// Returns the change to `status` for each of the backends.
 pub fn all(backends: &[usize], status: Status) -> Vec<Change> {
     backends.iter().map(|backend| Change { backend: *backend, status }).collect()
 }
 
-/// A hash of all events of a number of backends: the same for the same churn and seed on every machine.
+/// Hashes all events for a number of backends. The hash is the same on every machine for the same churn and seed.
 pub fn hash(churn: &Churn, backends: usize, seed: u64) -> u64 {
     let mut hasher = Xxh3::new();
     for event in restarts(churn, backends, seed) {
--- a/crates/testbed/src/scale/experiment.rs
+++ b/crates/testbed/src/scale/experiment.rs
@@ -1,53 +1,54 @@
-//! Scale experiments: which axes are walked in which steps, as TOML. docs/testbed.md lists every key.
+//! The TOML format of scale experiments: which axes are measured at which steps. docs/testbed.md lists every key.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 use std::path::Path;
 use thiserror::Error;
 
-/// A slope over fewer steps is no slope; more would take hours.
+/// Steps of an axis: fewer do not give a reliable slope, more would take hours.
 const STEPS: std::ops::RangeInclusive<usize> = 4..=12;
-/// Tenants, routes or backends of one proxy: twice the largest known target, within the memory of one machine.
+/// Largest number of tenants, routes or backends of one proxy: twice the largest known target, within the
+/// memory of one machine.
 const MOST_ENTRIES: usize = 70_000;
-/// Hollow proxies of one process: each takes two descriptors, of some 20,000 that a process may hold.
+/// Largest number of hollow proxies in one process: each takes two of the about 20,000 descriptors of a process.
 const MOST_PROXIES: usize = 4_000;
-/// Repetitions: a median needs one, and an hour is enough for any axis with this many.
+/// Largest number of repetitions (a median needs one): with this many, any axis takes at most an hour.
 const MOST_REPEATS: usize = 50;
-/// Requests a second of the measured load: few enough that one client thread is never what limits it.
+/// Largest rate of the measured load, requests a second: low enough that one client thread never limits it.
 const MOST_RATE: f64 = 5_000.0;
-/// Seconds of one measured window.
+/// Length of a measured window, s.
 const WINDOW: std::ops::RangeInclusive<f64> = 0.2..=120.0;
-/// What a call or a line costs the stand-in discovery at most, us.
+/// Largest cost of a call or a line at the stand-in discovery, us.
 const MOST_COST_US: f64 = 1e6;
-/// Restarts played a second at most: followers must have asked again between two.
+/// Largest rate of restarts, per second: followers must poll again between two restarts.
 const MOST_CHURN: f64 = 100.0;
-/// Restarts of one step at most.
+/// Largest number of restarts in one step.
 const MOST_RESTARTS: usize = 5_000;
 
-/// Why a scale experiment cannot be played.
+/// Why a scale experiment cannot be run.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no TOML, has an unknown key or lacks one; the text says where.
+    /// The file is not valid TOML, has an unknown key or lacks one; the error says where.
     #[error("{0}: {1}")]
     Malformed(String, toml::de::Error),
-    /// A value lies outside its range.
+    /// A value is outside its range.
     #[error("{file}: {key}: expected {expected}, got {got}")]
     Value {
-        /// The experiment.
+        /// The file of the experiment.
         file: String,
         /// The key, as `axis[1].steps[0]`.
         key: String,
-        /// The range.
+        /// The expected range.
         expected: String,
-        /// What stands there.
+        /// The value found.
         got: String,
     },
 }
 
-/// What is walked.
+/// The quantity whose size an axis varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AxisKind {
@@ -57,14 +58,14 @@
     Routes,
     /// Backends in the list of a proxy.
     Backends,
-    /// Proxies that follow discovery.
+    /// Proxies that poll discovery.
     Proxies,
-    /// Members of the proxies' own membership and talk.
+    /// Members of the gossip between proxies.
     Members,
 }
 
 impl AxisKind {
-    /// Its name as it stands in experiments and tables.
+    /// Returns the name of the axis in experiments and tables.
     pub fn name(self) -> &'static str {
         match self {
             AxisKind::Tenants => "tenants",
@@ -80,13 +81,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AxisPlan {
-    /// What is walked.
+    /// The quantity that varies.
     pub of: AxisKind,
-    /// How many there are at each step, rising.
+    /// The size at each step, increasing.
     pub steps: Vec<usize>,
 }
 
-/// What stays the same while an axis is walked.
+/// The sizes that stay fixed while an axis is measured.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Base {
@@ -96,9 +97,9 @@
     pub routes: usize,
     /// Backends.
     pub backends: usize,
-    /// Zones that the backends are dealt out over.
+    /// Zones over which the backends are distributed.
     pub zones: usize,
-    /// Hollow proxies beside the real ones on the axis of backends.
+    /// Hollow proxies in addition to the real ones on the axis of backends.
     pub proxies: usize,
 }
 
@@ -112,9 +113,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second, each due at its time whether or not others were answered.
+    /// Requests a second, each sent on schedule whether or not earlier ones were answered.
     pub rate_per_s: f64,
-    /// Seconds of one window.
+    /// Length of a measured window, s.
     pub window_s: f64,
 }
 
@@ -124,13 +125,13 @@
     }
 }
 
-/// What the stand-in discovery can do.
+/// The capacity of the stand-in discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Capacity {
-    /// What a call costs, us; calls are handled in turn.
+    /// Cost of a call, us; calls are handled one at a time.
     pub call_us: f64,
-    /// What each line of an answer costs beyond it, us.
+    /// Additional cost of each line of an answer, us.
     pub line_us: f64,
 }
 
@@ -140,17 +141,17 @@
     }
 }
 
-/// What happens to the backends while proxies follow.
+/// Changes of the backends while proxies poll discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Churn {
-    /// Seconds of rest that are measured first; over 10 s hold one expired wait of every follower.
+    /// Length of the idle window measured first, s; more than 10 s include one expired long poll of every follower.
     pub rest_s: f64,
-    /// Backends that restart, one after the other.
+    /// Number of backends that restart, one after the other.
     pub restarts: usize,
-    /// How many a second.
+    /// Rate of these restarts, per second.
     pub restarts_per_s: f64,
-    /// Groups of backends that go and come back at once: a rack, a zone.
+    /// Sizes of groups of backends that leave and return at once, such as a rack or a zone.
     pub groups: Vec<usize>,
 }
 
@@ -164,17 +165,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScaleExperiment {
-    /// Its name; it also names its record.
+    /// Name of the experiment and of its record.
     pub name: String,
-    /// One line on what it shows.
+    /// One-line description of what the experiment shows.
     pub about: String,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How often each step is measured; steps are interleaved.
+    /// Number of measurements of each step; the steps are interleaved.
     pub repeats: usize,
-    /// What is walked.
+    /// The axes to measure.
     pub axis: Vec<AxisPlan>,
-    /// What stays the same meanwhile.
+    /// The sizes that stay fixed.
     #[serde(default)]
     pub base: Base,
     /// The load on real proxies.
@@ -183,7 +184,7 @@
     /// The stand-in discovery.
     #[serde(default)]
     pub discovery: Capacity,
-    /// What happens to the backends.
+    /// Changes of the backends.
     #[serde(default)]
     pub churn: Churn,
 }
@@ -192,17 +193,17 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Its first fault, with key, value and range.
+    /// Returns the first error, with key, value and range.
     pub fn load(path: &Path) -> Result<ScaleExperiment, ScaleError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ScaleError::Unreadable(name.clone(), e))?;
         ScaleExperiment::parse(&name, &text)
     }
 
-    /// Reads and checks a text; `file` is named in errors.
+    /// Parses and checks a text; errors name `file`.
     ///
     /// # Errors
-    /// Its first fault, with key, value and range.
+    /// Returns the first error, with key, value and range.
     pub fn parse(file: &str, text: &str) -> Result<ScaleExperiment, ScaleError> {
         let experiment: ScaleExperiment =
             toml::from_str(text).map_err(|e| ScaleError::Malformed(file.into(), e))?;
@@ -240,9 +241,9 @@
     }
 }
 
-/// Axes of one experiment at most: there are no more kinds.
+/// Largest number of axes in an experiment: the number of variants of [`AxisKind`].
 const AXES: usize = 5;
-/// Zones at most: each backend names one of them, as short text.
+/// Largest number of zones; each backend names one of them as short text.
 const MOST_ZONES: usize = 1_000;
 
 impl AxisPlan {
@@ -262,7 +263,7 @@
     }
 }
 
-/// Words faults of one file.
+/// Checks values and creates the errors for one file.
 struct Checker<'a> {
     file: &'a str,
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,24 +1,24 @@
-//! Power laws fitted to measured points: `y = factor * x^power`, by least squares on the logarithms of both.
+//! Power laws fitted to measured points: `y = factor * x^power`, by least squares on the logarithms of `x` and `y`.
 
 use serde::{Deserialize, Serialize};
 
-/// A law with fewer points than this would pass through all of them and say nothing of its residual.
+/// Minimum number of points: a law through fewer passes through all of them and has no meaningful residual.
 const LEAST_POINTS: usize = 3;
 
-/// A fitted law.
+/// A fitted power law.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// What one of `x` brings.
+    /// The value of `y` at `x` = 1.
     pub factor: f64,
-    /// 0 where `x` does not matter, 1 where `y` grows with it, 2 where it grows with its square.
+    /// The exponent: 0 if `y` does not depend on `x`, 1 if it is linear, 2 if it is quadratic.
     pub power: f64,
-    /// The standard deviation of the points from the law, as a ratio: 0.1 means about ten percent.
+    /// The residual standard deviation of the points, as a ratio: 0.1 is about 10 percent.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The law of points whose coordinates are above 0; the others are left out, as they have no logarithm. `None`
-    /// where fewer than three remain or all have one `x`.
+    /// Fits a law to the points whose coordinates are above 0; the others have no logarithm and are left out.
+    /// Returns `None` if fewer than three remain or all have the same `x`.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let logs: Vec<(f64, f64)> =
             points.iter().filter(|(x, y)| *x > 0.0 && *y > 0.0).map(|(x, y)| (x.ln(), y.ln())).collect();
@@ -39,7 +39,7 @@
         Some(Fit { factor: intercept.exp(), power, residual })
     }
 
-    /// What the law gives for `x`.
+    /// Evaluates the law at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.factor * x.powf(self.power)
     }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow proxies: they follow discovery as a real one does, read every line and hold what each says, and serve no
-//! requests. Hundreds to thousands share a process.
+//! Hollow proxies: they poll discovery like a real proxy, parse and store every line, and serve no requests.
+//! Hundreds to thousands of them share a process.
 
 use crate::world::discovery::Status;
 use serde::Deserialize;
@@ -10,13 +10,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// One call waits so long for news, as a real proxy's does.
+/// Time that a long poll waits for changes, as in a real proxy.
 const WAIT: Duration = Duration::from_secs(10);
 /// Pause after a failed call.
 const BACKOFF: Duration = Duration::from_millis(200);
-/// The longest list that is read, as by a real proxy.
+/// Longest list that is read, bytes, as in a real proxy.
 const MAX_LIST: usize = 4 * 1024 * 1024;
-/// Headers of an answer.
+/// Largest number of headers of an answer.
 const MAX_HEADERS: usize = 16;
 
 /// Why a call failed.
@@ -42,7 +42,7 @@
     status: &'a str,
 }
 
-/// What a hollow proxy holds of the list: the state of each backend by the hash of its name.
+/// The stored list: the state of each backend by the hash of its name.
 #[derive(Default)]
 struct Held(HashMap<u64, Status>);
 
@@ -62,11 +62,11 @@
     }
 }
 
-/// Follows discovery until it is dropped.
+/// Polls discovery until the future is dropped.
 pub async fn follow(discovery: SocketAddr) {
     let mut held = Held::default();
     loop {
-        // What ends a connection is told by the next call, after a pause.
+        // The error needs no handling: after a pause the next connection polls again.
         let _ = follow_connection(discovery, &mut held).await;
         tokio::time::sleep(BACKOFF).await;
     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Lengths of head and body, once the head is whole.
+/// Returns the lengths of head and body, or `None` if the head is incomplete.
 fn parse_head(text: &[u8]) -> Result<Option<(usize, usize)>, CallError> {
     let unreadable = |what: &str| CallError::Unreadable(what.into());
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -1,5 +1,5 @@
-//! A bounded open-loop load on one proxy: each request is due at its time, and its latency counts from then on, so
-//! that a pause of the proxy shows in every request that fell into it.
+//! A bounded open-loop load on one proxy: each request has a scheduled time from which its latency is measured,
+//! so that a pause of the proxy shows in every request that was due during it.
 
 use super::document;
 use crate::driver::wire::Link;
@@ -11,38 +11,38 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Connections that the requests are dealt out over: more than are ever busy without a pause.
+/// Connections over which the requests are distributed: more than are ever busy without a pause.
 const CONNECTIONS: usize = 8;
-/// Requests that are due in a pause are sent after it; so long after the window's end the rest counts as failed.
+/// Time after the end of the window for requests that were due during a pause; the rest counts as failed.
 const GRACE: Duration = Duration::from_secs(45);
-/// The longest latency that is told apart, us.
+/// Upper bound of the recorded latencies, us.
 const LONGEST_US: u64 = 200_000_000;
 
-/// Which requests are sent.
+/// The requests to send.
 #[derive(Clone, Copy, Debug)]
 pub struct Requests {
-    /// To whom.
+    /// The address to send to.
     pub to: SocketAddr,
-    /// A second.
+    /// Requests a second.
     pub rate_per_s: f64,
-    /// For so long.
+    /// Duration of the load.
     pub window: Duration,
-    /// Of this route.
+    /// Number of the route.
     pub route: usize,
-    /// Of this tenant.
+    /// Number of the tenant.
     pub tenant: usize,
 }
 
-/// What became of them.
+/// The results of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct Seen {
     /// Median latency, us.
     pub p50_us: f64,
-    /// Its 99th percentile, us.
+    /// 99th percentile of the latency, us.
     pub p99_us: f64,
-    /// The longest, us.
+    /// Longest latency, us.
     pub longest_us: f64,
-    /// Requests without a served answer.
+    /// Requests that were not served.
     pub failed: u64,
 }
 
@@ -55,7 +55,7 @@
     failed: Cell<u64>,
 }
 
-/// Sends them all.
+/// Sends all requests, and returns the latencies and failures.
 pub async fn send(requests: Requests) -> Seen {
     let total = (requests.rate_per_s * requests.window.as_secs_f64()).ceil() as u64;
     let latency = Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds in order");
@@ -99,7 +99,7 @@
         }
     }
 
-    /// One request; whether it was served.
+    /// Sends one request, and returns whether it was served.
     async fn ask(&self, kept: &mut Option<Link>, number: u64) -> bool {
         let Requests { to, route, tenant, .. } = self.requests;
         let mut link = match kept.take() {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! The scale rig: real processes of the program beside hollow proxies and backends, walked along one axis at a time
-//! up to the size of a target, so that costs at the target are worked out from measured slopes.
+//! The scale rig: measures real processes of the program next to hollow proxies and stand-in backends while one
+//! axis of size grows step by step towards a target, so that costs at the target can be extrapolated from the
+//! measured slopes.
 
 pub mod backends;
 pub mod capacity;
@@ -28,21 +29,21 @@
 use thiserror::Error;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Walk axes of size and print slopes.
+/// Measure how costs grow along axes of size, and print the slopes.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
     /// A scale experiment, as `crates/testbed/scale/settings.toml`.
     pub experiment: PathBuf,
-    /// Sets runs of one experiment on different code apart in names of records.
+    /// Label in the names of the records, to tell apart runs of one experiment on different code.
     #[arg(long, default_value = "before")]
     pub label: String,
-    /// The lotusdeck to measure; the one beside this program where absent.
+    /// The lotusdeck binary to measure; by default the one in the folder of this program.
     #[arg(long)]
     pub proxy: Option<PathBuf>,
-    /// Where records and plots go.
+    /// Folder for records and plots.
     #[arg(long, default_value = "docs/capacity")]
     pub out: PathBuf,
-    /// Where processes keep their files.
+    /// Folder for the files of the measured processes.
     #[arg(long, default_value = "lab-runs/scale")]
     pub folder: PathBuf,
 }
@@ -50,37 +51,37 @@
 /// Why a scale experiment failed.
 #[derive(Debug, Error)]
 pub enum ScaleRunError {
-    /// The experiment is at fault.
+    /// The experiment is invalid.
     #[error(transparent)]
     Experiment(#[from] ScaleError),
-    /// A process is.
+    /// A process failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A file, thread or socket cannot be had.
+    /// A file, thread or socket could not be opened or started.
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// A thread of the rig has ended.
     #[error("a thread of the rig has ended")]
     Thread,
-    /// A signal ended it.
+    /// A signal interrupted the run.
     #[error("interrupted: nothing is written")]
     Interrupted,
-    /// Followers did not get what they wait for.
+    /// Followers did not receive a list or a change in time.
     #[error("too late: {0}")]
     Late(String),
-    /// Descriptors cannot be had.
+    /// The limit of file descriptors could not be raised.
     #[error(transparent)]
     Descriptors(#[from] crate::driver::run::RunError),
     /// Generated settings were not accepted.
     #[error("settings: {0}")]
     Settings(String),
-    /// No program, or its results cannot be written.
+    /// The program was not found, or its results cannot be written.
     #[error("{0}")]
     Session(Box<SessionError>),
     /// A record cannot be read or written.
     #[error("{0}: {1}")]
     Record(String, serde_json::Error),
-    /// The page of capacity cannot be made from the records.
+    /// The capacity page cannot be generated from the records.
     #[error("{0}")]
     Page(String),
 }
@@ -94,13 +95,13 @@
     }
 }
 
-/// What all axes share.
+/// What the measurements of all axes share.
 pub struct Rig<'a> {
     /// The experiment.
     pub experiment: &'a ScaleExperiment,
-    /// The program.
+    /// The program to measure.
     pub program: &'a Path,
-    /// Where its processes keep files.
+    /// Folder for the files of its processes.
     pub folder: PathBuf,
 }
 
@@ -110,17 +111,17 @@
     }
 }
 
-/// Plays an experiment, prints its table, and writes its record and plot.
+/// Runs an experiment, prints its table, and writes its record and plot.
 ///
 /// # Errors
-/// The experiment is at fault, or what it needs cannot be had.
+/// Fails if the experiment is invalid or cannot be run, or if its results cannot be written.
 pub fn main(args: &Args) -> Result<(), ScaleRunError> {
     let experiment = ScaleExperiment::load(&args.experiment)?;
     let session = |error| ScaleRunError::Session(Box::new(error));
     let program = program(args.proxy.as_deref()).map_err(session)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let rig = Rig { experiment: &experiment, program: &program, folder: args.folder.join(&experiment.name) };
-    // Before the run: what is checked out may change while it goes on.
+    // Read before the run, as the checkout may change while the experiment runs.
     let commit = commit();
     let date = output_of("date", &["+%Y-%m-%d"]);
     let series = runtime.block_on(interruptible(&rig))?;
@@ -138,7 +139,7 @@
     Ok(())
 }
 
-/// Ends at SIGINT and SIGTERM, and with it all processes and threads that it started.
+/// Measures all axes, and stops at SIGINT and SIGTERM together with all processes and threads that it started.
 async fn interruptible(rig: &Rig<'_>) -> Result<Vec<record::Series>, ScaleRunError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -149,10 +150,10 @@
     }
 }
 
-/// Walks all axes of an experiment.
+/// Measures all axes of an experiment.
 ///
 /// # Errors
-/// What it needs cannot be had.
+/// Fails if a process, thread or socket cannot be started, or if followers are too late.
 pub async fn walk(rig: &Rig<'_>) -> Result<Vec<record::Series>, ScaleRunError> {
     let mut gathered = Gathered::default();
     for axis in &rig.experiment.axis {
@@ -166,7 +167,7 @@
     Ok(gathered.finish())
 }
 
-/// The hash of all events of an experiment.
+/// Returns the hash of all events of an experiment.
 pub fn events_hash(experiment: &ScaleExperiment) -> u64 {
     let steps = experiment.axis.iter().filter(|axis| axis.of == AxisKind::Backends);
     let most = steps.flat_map(|axis| axis.steps.iter().copied()).max().unwrap_or(experiment.base.backends);
@@ -189,10 +190,10 @@
     Ok(())
 }
 
-/// What the program is made of, of all that is checked out: not the lab, nor tests.
+/// Git path specifications of the program's sources, without the testbed and tests.
 const PROGRAM: [&str; 3] = ["crates", ":!crates/testbed", ":!crates/*/tests/*"];
 
-/// The last commit that touched the program, marked where it was changed since.
+/// Returns the last commit that touched the program, with the suffix `-changed` if the checkout differs from it.
 fn commit() -> String {
     let last = ["log", "-1", "--abbrev=10", "--format=%h", "--"];
     let commit = output_of("git", &[last.as_slice(), PROGRAM.as_slice()].concat());
@@ -205,7 +206,7 @@
     }
 }
 
-/// What a command prints on one line; `unknown` where it fails.
+/// Returns the trimmed output of a command, or `unknown` if it fails.
 fn output_of(command: &str, arguments: &[&str]) -> String {
     let output = std::process::Command::new(command).args(arguments).output();
     let text = output.ok().filter(|output| output.status.success()).map(|output| output.stdout);
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,4 +1,5 @@
-//! Real processes of the program under a scale experiment: start, new settings, and what they use.
+//! Processes of the program in a scale experiment: starting them, changing their settings, and measuring their
+//! use of memory and processor time.
 
 use super::document::{self, Place, Size};
 use crate::driver::proxies::call;
@@ -12,48 +13,49 @@
 use thiserror::Error;
 use tokio::process::{Child, Command};
 
-/// A process takes clients so soon after its start, or it has failed: many times what the largest settings take.
+/// Time for a process to accept clients after its start: many times what the largest settings take.
 const START: Duration = Duration::from_secs(120);
-/// New settings are in force so soon, or they were lost.
+/// Time for new settings to come into force.
 const RELOAD: Duration = Duration::from_secs(120);
-/// Between two looks at whether something has happened: the error of every time measured here.
+/// Interval of polling, which is the error of every time measured here.
 const LOOK: Duration = Duration::from_millis(2);
-/// What a process logs once new settings are in force, and once they are refused.
+/// Log message of a process when new settings are in force.
 const TAKEN: &str = "configuration applied";
+/// Log message of a process when new settings are rejected.
 const REFUSED: &str = "configuration rejected";
 
 /// Why a real process could not be measured.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A file or process cannot be had.
+    /// A file could not be written or a process not started.
     #[error("proxy: {0}")]
     Io(#[from] std::io::Error),
-    /// It ended or never took clients.
+    /// The process ended or did not accept clients in time.
     #[error("proxy did not take clients in time; last line: {0}")]
     Start(String),
-    /// New settings were refused or never taken.
+    /// New settings were rejected or not applied in time.
     #[error("proxy did not take new settings in time; last line: {0}")]
     Reload(String),
 }
 
-/// A running process; it ends with this value.
+/// A running process, killed when this value is dropped.
 pub struct Process {
     child: Child,
     folder: PathBuf,
     place: Place,
     size: Size,
     edition: usize,
-    /// From the start of the process to its first answer on `/-/ready`.
+    /// Time from the start of the process to its first answer on `/-/ready`.
     pub ready: Duration,
-    /// Its ports, so that nobody else gets them.
+    /// The ports of the process, reserved so that no other process gets them.
     _ports: [Reserved; 2],
 }
 
 impl Process {
-    /// Starts `program` in `folder` and waits until it takes clients.
+    /// Starts `program` in `folder` and waits until it accepts clients.
     ///
     /// # Errors
-    /// It does not.
+    /// Fails if the process cannot be started or does not accept clients in time.
     pub async fn start(
         program: &Path, folder: &Path, size: Size, discovery: SocketAddr,
     ) -> Result<Process, ProcessError> {
@@ -86,34 +88,34 @@
         Err(ProcessError::Start(self.last_line()))
     }
 
-    /// Where clients connect.
+    /// Returns the address for clients.
     pub fn address(&self) -> SocketAddr {
         self.place.listen
     }
 
-    /// Bytes of its configuration.
+    /// Returns the size of its configuration, bytes.
     ///
     /// # Errors
-    /// The file cannot be read.
+    /// Fails if the file cannot be read.
     pub fn document_bytes(&self) -> std::io::Result<u64> {
         Ok(std::fs::metadata(self.folder.join("config.json"))?.len())
     }
 
-    /// Bytes that it holds in memory.
+    /// Returns its resident memory, bytes.
     pub fn memory(&self) -> u64 {
         self.child.id().and_then(Usage::of).map_or(0, |usage| usage.memory)
     }
 
-    /// Processor time of all its threads since its start, exact to the nanosecond where the kernel counts it
-    /// (`/proc/PID/task/*/schedstat`).
+    /// Returns the processor time of all its threads since its start, exact to the nanosecond where the kernel
+    /// counts it (`/proc/PID/task/*/schedstat`).
     pub fn processor_time(&self) -> Duration {
         self.child.id().map_or(Duration::ZERO, processor_time)
     }
 
-    /// Writes changed settings of the same size, for the next [`Process::reload`] to take.
+    /// Writes changed settings of the same size, to be applied by the next [`Process::reload`].
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write_next_settings(&mut self) -> Result<(), ProcessError> {
         self.edition += 1;
         let text = document::node(self.size, self.place, self.edition);
@@ -124,10 +126,10 @@
         Ok(())
     }
 
-    /// Has it read its settings anew; the time until they are in force.
+    /// Makes the process reload its settings (SIGHUP), and returns the time until they are in force.
     ///
     /// # Errors
-    /// They are refused, or not in force in time.
+    /// Fails if the settings are rejected or not in force in time.
     pub async fn reload(&self) -> Result<Duration, ProcessError> {
         let before = self.lines_with(TAKEN);
         let refused = self.lines_with(REFUSED);
@@ -156,13 +158,13 @@
         self.log().lines().last().unwrap_or("none").to_string()
     }
 
-    /// Ends it.
+    /// Kills the process.
     pub async fn end(mut self) {
-        let _ = self.child.kill().await; // one that has ended already is as good
+        let _ = self.child.kill().await; // the process may have ended already
     }
 }
 
-/// Processor time of a process.
+/// Returns the processor time of a process, 0 if it does not exist.
 pub fn processor_time(pid: u32) -> Duration {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return Duration::ZERO };
     let nanoseconds = |task: std::fs::DirEntry| -> Option<u64> {
--- a/crates/testbed/src/scale/proxies.rs
+++ b/crates/testbed/src/scale/proxies.rs
@@ -1,5 +1,5 @@
-//! The axis of proxies: what hollow followers cost discovery at rest, at restarts of single backends, and where a
-//! rack or a zone goes and comes back.
+//! The axis of proxies: what hollow followers cost discovery without changes, at restarts of single backends,
+//! and when a rack or a zone leaves and returns.
 
 use super::directory::{Counters, Follower};
 use super::events;
@@ -12,17 +12,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Hollow proxies of one thread: more threads than processors would only add noise.
+/// Hollow proxies per thread; more threads than processors would add noise.
 const THREAD_PROXIES: usize = 400;
-/// Descriptors beside the two of each follower's connection.
+/// Descriptors in addition to the two of each follower's connection.
 const OTHER_DESCRIPTORS: usize = 256;
-/// Time for the last answers of a stage to be counted.
+/// Time to wait until the last answers of a stage are counted.
 const SETTLE: Duration = Duration::from_millis(500);
 
-/// Walks the axis in interleaved repetitions.
+/// Measures all steps of the axis in interleaved repetitions.
 ///
 /// # Errors
-/// Sockets or threads that cannot be had, or followers that are too late.
+/// Fails if a socket or thread cannot be opened or started, or if followers are too late.
 pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
     let most = axis.steps.iter().copied().max().unwrap_or(0);
     raise_descriptor_limit(2 * most + OTHER_DESCRIPTORS)?;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// A group of backends that went and came back.
+/// The cost of a group of backends that left and returned.
 struct Group {
     bytes: f64,
     in_force_s: f64,
@@ -107,7 +107,7 @@
     Ok(Group { bytes: told.changes.bytes as f64, in_force_s: slowest })
 }
 
-/// What discovery told while something happened.
+/// Returns the counters of discovery for the time that `meanwhile` takes and a pause for the last answers.
 async fn told_during(
     stand_ins: &StandIns, meanwhile: impl std::future::Future<Output = Result<(), ScaleRunError>>,
 ) -> Result<Counters, ScaleRunError> {
--- a/crates/testbed/src/scale/record.rs
+++ b/crates/testbed/src/scale/record.rs
@@ -1,4 +1,4 @@
-//! What a scale experiment measured, as JSON, and as a table and a plot.
+//! The results of a scale experiment, as JSON, as a table and as a plot.
 
 use super::experiment::{AxisKind, ScaleExperiment};
 use super::fit::Fit;
@@ -12,80 +12,80 @@
 pub enum Metric {
     /// Bytes of the node configuration.
     DocumentBytes,
-    /// `Settings::read` in this process, s.
+    /// Duration of `Settings::read` in this process, s.
     ReadSeconds,
-    /// `Settings::succeeded_by` in this process, s.
+    /// Duration of `Settings::merge_successor` in this process, s.
     SucceedSeconds,
-    /// The look-up of the last name, as each request does, s.
+    /// Duration of the look-up of the last tenant and route, as for each request, s.
     LookupSeconds,
-    /// From a process's start to its first answer on `/-/ready`, s.
+    /// Time from the start of a process to its first answer on `/-/ready`, s.
     ReadySeconds,
     /// Resident memory, bytes.
     MemoryBytes,
     /// Resident memory after the reloads, bytes.
     ReloadedMemoryBytes,
-    /// From SIGHUP until the settings are in force, s.
+    /// Time from SIGHUP until the settings are in force, s.
     ReloadSeconds,
     /// Processor time of one reload, s.
     ReloadProcessorSeconds,
     /// Median latency without a reload, s.
     QuietP50Seconds,
-    /// 99th percentile without a reload, s.
+    /// 99th percentile of the latency without a reload, s.
     QuietP99Seconds,
     /// Longest latency without a reload, s.
     QuietLongestSeconds,
     /// Median latency in a window with a reload, s.
     ReloadP50Seconds,
-    /// 99th percentile in a window with a reload, s.
+    /// 99th percentile of the latency in a window with a reload, s.
     ReloadP99Seconds,
     /// Longest latency in a window with a reload, s.
     ReloadLongestSeconds,
-    /// Requests without a served answer, in all windows of one repetition.
+    /// Requests that were not served, in all windows of one repetition.
     Failed,
-    /// Bytes of a whole list with its head and call.
+    /// Bytes of a whole list, including request and response head.
     WholeListBytes,
-    /// Processor time that a process spends on taking a whole list, s.
+    /// Processor time of a process that starts and reads a whole list, s.
     WholeListProcessorSeconds,
-    /// Processor time for one changed line, s.
+    /// Processor time of one changed line, s.
     LineProcessorSeconds,
-    /// Processor time a second at rest, without requests or news.
+    /// Share of a processor used without requests or changes.
     RestProcessorShare,
-    /// From a change until real proxies have it in force, median, s.
+    /// Median time from a change until real proxies have it in force, s.
     RealInForceP50Seconds,
     /// Its 99th percentile, s.
     RealInForceP99Seconds,
-    /// From a change until hollow proxies have it in force, median, s.
+    /// Median time from a change until hollow proxies have it in force, s.
     HollowInForceP50Seconds,
     /// Its 99th percentile, s.
     HollowInForceP99Seconds,
-    /// Until all followers have their first whole list, s.
+    /// Time until all followers have their first whole list, s.
     AllHaveListSeconds,
-    /// Bytes a second that discovery tells all followers at rest.
+    /// Bytes a second between discovery and all followers without changes.
     RestBytesPerSecond,
-    /// Calls a second at rest.
+    /// Calls a second from all followers without changes.
     RestCallsPerSecond,
-    /// Bytes that one restart of a backend costs discovery, to all followers.
+    /// Bytes between discovery and all followers for one restart of a backend.
     RestartBytes,
-    /// Calls for one restart.
+    /// Calls from all followers for one restart.
     RestartCalls,
-    /// Lines told for one restart.
+    /// Lines sent to all followers for one restart.
     RestartLines,
-    /// Bytes for the first of the groups that goes and comes back.
+    /// Bytes between discovery and all followers when the first of the groups leaves and returns.
     GroupBytes,
-    /// Until all followers have it in force that the last of the groups is gone, s.
+    /// Time until all followers have a change of the last of the groups in force, s.
     GroupInForceSeconds,
-    /// Bytes for the last of the groups that goes and comes back.
+    /// Bytes between discovery and all followers when the last of the groups leaves and returns.
     LargestGroupBytes,
     /// Bytes a second that a member sends for membership alone.
     MembershipBytesPerSecond,
-    /// Bytes a second that a member sends where it also tells what it holds.
+    /// Bytes a second that a member sends for membership and load reports.
     TalkBytesPerSecond,
-    /// Processor time a second of a member that tells what it holds.
+    /// Share of a processor used by a member that sends load reports.
     TalkProcessorShare,
 }
 
 impl Metric {
-    /// Its name in tables, as in records.
+    /// Returns the name of the quantity in tables and records.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|name| name.as_str().map(String::from)).unwrap_or_default()
     }
@@ -94,14 +94,14 @@
 /// The values of one step, one for each repetition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// How many there were.
+    /// The size at this step.
     pub x: f64,
-    /// What was measured.
+    /// The measured values.
     pub values: Vec<f64>,
 }
 
 impl Point {
-    /// The middle value; of an even number the upper one of the two.
+    /// Returns the median; of an even number of values, the upper of the two middle ones.
     pub fn median(&self) -> f64 {
         quantile(&mut self.values.clone(), 0.5)
     }
@@ -114,17 +114,16 @@
     pub axis: AxisKind,
     /// The quantity.
     pub metric: Metric,
-    /// What is there without any on the axis; the fit is of what lies above it.
+    /// The value at size 0 of the axis; the fit is of the values above it.
     pub floor: f64,
     /// The steps.
     pub points: Vec<Point>,
-    /// The law of the medians above the floor.
+    /// The power law fitted to the medians above the floor.
     pub fit: Option<Fit>,
 }
 
 impl Series {
-    /// What `x` of the axis bring beyond the floor: what was measured where `x` is a step, and else what the law
-    /// gives.
+    /// Returns the value at `x` above the floor: the measured one if `x` is a step, else that of the fitted law.
     pub fn above_floor(&self, x: f64) -> Option<f64> {
         let measured = self.points.iter().find(|point| point.x == x);
         match measured {
@@ -133,38 +132,38 @@
         }
     }
 
-    /// How far `x` lies beyond the greatest step: 1 or less means within.
+    /// Returns the ratio of `x` to the largest step: 1 or less is within the measured range.
     pub fn extrapolated(&self, x: f64) -> f64 {
         x / self.points.iter().map(|point| point.x).fold(0.0, f64::max)
     }
 }
 
-/// All that one run of an experiment measured.
+/// The results of one run of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
-    /// Sets runs of one experiment on different code apart: `before`, `after`.
+    /// Label to tell apart runs of one experiment on different code: `before`, `after`.
     pub label: String,
     /// The commit of the program that was measured.
     pub commit: String,
-    /// The day.
+    /// The day of the run.
     pub date: String,
-    /// The command.
+    /// The command line of the run.
     pub command: String,
-    /// The experiment as it was played.
+    /// The experiment that was run.
     pub experiment: ScaleExperiment,
-    /// The hash of its events.
+    /// The hash of the experiment's events.
     pub events: String,
-    /// The quantities.
+    /// The measured quantities.
     pub series: Vec<Series>,
 }
 
 impl Record {
-    /// One quantity.
+    /// Returns the series of one quantity along one axis.
     pub fn series(&self, axis: AxisKind, metric: Metric) -> Option<&Series> {
         self.series.iter().find(|series| (series.axis, series.metric) == (axis, metric))
     }
 
-    /// A table of all quantities.
+    /// Formats a table of all quantities.
     pub fn table(&self) -> String {
         let Record { label, commit, date, events, .. } = self;
         let mut text = format!(
@@ -188,13 +187,13 @@
         text
     }
 
-    /// One field for each axis and metric with a law: points and law, both logarithmic.
+    /// Returns a plot field for each axis and metric with a fit: points and fitted law on logarithmic axes.
     pub fn fields(&self) -> Vec<Field> {
         self.series.iter().filter_map(field).collect()
     }
 }
 
-/// Steps of the drawn law.
+/// Line segments of a drawn law.
 const DRAWN: usize = 40;
 
 fn field(series: &Series) -> Option<Field> {
@@ -218,7 +217,8 @@
     })
 }
 
-/// Three digits.
+/// Formats a value in short form: whole numbers from 100, two decimals from 1, four decimals below, and
+/// scientific notation from 100,000 and below 0.001.
 pub fn short(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -231,14 +231,14 @@
     }
 }
 
-/// The value that this part of all lies below or at; sorts them.
+/// Sorts the values and returns the quantile `part`, or 0 if there are none.
 pub fn quantile(values: &mut [f64], part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
     values.get((last as f64 * part).round() as usize).copied().unwrap_or(0.0)
 }
 
-/// Gathers values by axis, quantity and step.
+/// Collects measured values by axis, quantity and step.
 #[derive(Default)]
 pub struct Gathered(Vec<Series>);
 
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Says what there is without any on the axis.
+    /// Sets the value at size 0 of the axis.
     pub fn floor(&mut self, axis: AxisKind, metric: Metric, floor: f64) {
         self.series(axis, metric).floor = floor;
     }
@@ -267,7 +267,7 @@
         &mut self.0[at]
     }
 
-    /// All series, in order, with their laws.
+    /// Returns all series, sorted by axis and metric, with their fits.
     pub fn finish(mut self) -> Vec<Series> {
         for series in &mut self.0 {
             series.points.sort_by(|a, b| a.x.total_cmp(&b.x));
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -1,24 +1,24 @@
-//! The rows of the capacity page: each role's costs at the target, worked out from measured laws.
+//! The rows of the capacity page: the costs of each role at the target, extrapolated from measured laws.
 
 use super::experiment::AxisKind::{self, Backends, Members, Proxies, Routes, Tenants};
 use super::record::{Metric, Record};
 use super::target::{Target, DAY_S};
 
-/// Who pays.
+/// The part of the system to which a cost belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Each proxy.
     Proxy,
-    /// Whoever tells the list of backends, to all proxies.
+    /// The service that sends the list of backends to all proxies.
     Discovery,
-    /// Whoever tells the settings, to all proxies.
+    /// The service that sends the settings to all proxies.
     Configuration,
-    /// Each proxy that joins the proxies' own talk.
+    /// Each proxy that takes part in the gossip between proxies.
     Member,
 }
 
 impl Role {
-    /// Its name on the page.
+    /// Returns the name of the role on the page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Proxy => "proxy",
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a value counts.
+/// The unit of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Bytes.
@@ -40,12 +40,12 @@
     CallsPerSecond,
     /// Seconds.
     Seconds,
-    /// A part of one core, or of a day.
+    /// A share of one core, or of a day.
     Share,
 }
 
 impl Unit {
-    /// A value in words.
+    /// Formats a value with its unit.
     pub fn show(self, value: f64) -> String {
         match self {
             Unit::Bytes => scaled(value, &[(1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "B")]),
@@ -68,30 +68,30 @@
 /// One cost at the target.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Who pays.
+    /// The role that has the cost.
     pub role: Role,
-    /// What it is.
+    /// Name of the cost.
     pub what: &'static str,
-    /// How much at the target.
+    /// Value at the target.
     pub value: f64,
-    /// What that counts.
+    /// Unit of the value.
     pub unit: Unit,
-    /// What it may be, where a budget names it.
+    /// The budget, if the target has one for this cost.
     pub budget: Option<f64>,
-    /// How far beyond what was measured the target lies: the greatest factor of all laws used.
+    /// Ratio of the target to the largest measured size: the largest ratio of all laws used.
     pub extrapolated: f64,
-    /// The mechanism that carries it, or the one that is missing.
+    /// The mechanism that keeps the cost within its budget, or the missing one.
     pub carried_by: &'static str,
 }
 
 impl Row {
-    /// Value over budget.
+    /// Returns the value divided by the budget.
     pub fn ratio(&self) -> Option<f64> {
         Some(self.value / self.budget?)
     }
 }
 
-/// A value worked out from laws, and how far they were stretched.
+/// A value computed from laws, and the largest ratio of extrapolation among them.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     value: f64,
@@ -109,14 +109,14 @@
     }
 }
 
-/// Records to work from; of two that measured one quantity the later one counts.
+/// The records to compute costs from; if several measured the same quantity, the latest one is used.
 pub struct Laws<'a> {
     records: &'a [Record],
     target: &'a Target,
 }
 
 impl<'a> Laws<'a> {
-    /// Of these records, at that target.
+    /// Creates the laws of the records at the target.
     pub fn new(records: &'a [Record], target: &'a Target) -> Laws<'a> {
         Laws { records, target }
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// What the axis adds at the target, without what is there anyway.
+    /// Returns the cost of the axis at the target above its floor.
     fn above_floor(&self, axis: AxisKind, metric: Metric) -> Option<Estimate> {
         let series = self.records.iter().rev().find_map(|record| record.series(axis, metric))?;
         let x = self.count(axis);
@@ -142,12 +142,12 @@
         Some(Estimate { value: series.floor, extrapolated: 1.0 })
     }
 
-    /// Tenants and routes together.
+    /// Returns the sum of the costs of tenants and routes.
     fn settings(&self, metric: Metric) -> Option<Estimate> {
         Some(self.above_floor(Tenants, metric)?.plus(self.above_floor(Routes, metric)?))
     }
 
-    /// All rows whose laws were measured, in the order of the roles.
+    /// Returns all rows whose laws were measured, ordered by role.
     pub fn rows(&self) -> Vec<Row> {
         let proxy = [
             self.proxy_memory(),
@@ -188,7 +188,7 @@
         Some(line.scale(lines_per_day / DAY_S))
     }
 
-    /// Bytes a second that one proxy gets of the list on an ordinary day.
+    /// Returns the bytes a second for the list of one proxy on a normal day.
     fn list_bytes(&self) -> Option<Estimate> {
         let rest = self.above_floor(Proxies, Metric::RestBytesPerSecond)?;
         let restart = self.above_floor(Proxies, Metric::RestartBytes)?;
@@ -201,7 +201,7 @@
         Some(document.scale(self.target.settings_changes_per_day / DAY_S))
     }
 
-    /// What a proxy holds.
+    /// Returns the rows of a proxy's memory.
     fn proxy_memory(&self) -> Vec<Option<Row>> {
         let row = Maker(Role::Proxy);
         vec![
@@ -229,7 +229,7 @@
         ]
     }
 
-    /// What a change of the settings costs a proxy.
+    /// Returns the rows of a proxy's costs for changes of the settings.
     fn proxy_reloads(&self) -> Vec<Option<Row>> {
         let row = Maker(Role::Proxy);
         vec![
@@ -278,7 +278,7 @@
         ]
     }
 
-    /// What the size of the settings costs a proxy beside changes of them.
+    /// Returns the rows of a proxy's other costs for the size of the settings.
     fn proxy_settings(&self) -> Vec<Option<Row>> {
         let row = Maker(Role::Proxy);
         vec![
@@ -299,7 +299,7 @@
         ]
     }
 
-    /// What the list of backends costs a proxy.
+    /// Returns the rows of a proxy's costs for the list of backends.
     fn proxy_list(&self) -> Vec<Option<Row>> {
         let row = Maker(Role::Proxy);
         vec![
@@ -522,12 +522,13 @@
     }
 }
 
-/// What lies above the 99th percentile: with more of the day than this in pauses, that percentile is a pause.
+/// The share of requests above the 99th percentile: if pauses take a larger part of the day, the 99th
+/// percentile is a pause.
 const TAIL: f64 = 0.01;
-/// Lines that discovery tells of one restart: it drains, it has left, it serves anew.
+/// Lines that discovery sends for one restart: the backend drains, leaves and serves again.
 const LINES_PER_RESTART: f64 = 3.0;
 
-/// Makes rows of one role.
+/// Creates the rows of one role.
 struct Maker(Role);
 
 impl Maker {
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,5 +1,5 @@
-//! The axes of tenants and routes: what the size of the settings costs a proxy in memory, at its start, at a reload,
-//! and at each request.
+//! The axes of tenants and routes: what the size of the settings costs a proxy in memory, at start, at a
+//! reload, and for each request.
 
 use super::document::{self, Size};
 use super::experiment::{AxisKind, AxisPlan};
@@ -13,19 +13,19 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Look-ups that are timed together: one alone is close to the clock's own cost.
+/// Look-ups that are timed together, as a single one costs little more than reading the clock.
 const LOOKUPS: u32 = 1_000;
 /// Time to settle after the start, before memory is read.
 const SETTLE: Duration = Duration::from_millis(300);
-/// A short load before the first window, so that its connections are up.
+/// Duration of a load before the first window, which opens connections.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// The reload comes after this part of its window.
+/// Part of the window that passes before the reload.
 const RELOAD_AFTER: f64 = 0.25;
 
-/// Walks one axis, tenants or routes, in interleaved repetitions.
+/// Measures all steps of one axis, tenants or routes, in interleaved repetitions.
 ///
 /// # Errors
-/// A process or socket that cannot be had.
+/// Fails if a process or socket cannot be opened, or if generated settings are not accepted.
 pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
     let base = &rig.experiment.base;
     let stand_ins = StandIns::start(base.backends, base.zones, rig.experiment.discovery.clone()).await?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Memory of a process with neither tenants nor more than one route.
+/// Measures the memory of a process with no tenants and one route.
 async fn floor(rig: &Rig<'_>, stand_ins: &StandIns) -> Result<f64, ScaleRunError> {
     let size = Size { tenants: 0, routes: 1, ..size(rig, AxisKind::Tenants, 0) };
     let process = Process::start(rig.program, &rig.folder, size, stand_ins.discovery).await?;
@@ -66,7 +66,7 @@
     Ok(memory)
 }
 
-/// What reading, succeeding and looking up cost by themselves.
+/// Measures the cost of reading settings, merging them with their predecessor and looking up names in this process.
 fn in_process(size: Size, note: &mut impl FnMut(Metric, f64)) -> Result<(), ScaleRunError> {
     let (old, new) = (document::settings(size, 0), document::settings(size, 1));
     let read = |value| Settings::read(value).map_err(|faults| ScaleRunError::Settings(faults.to_string()));
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// The look-ups of a request for the last tenant and the last route.
+/// Measures the look-ups of one request for the last tenant and the last route, s.
 fn lookup(size: Size, names: &Names) -> f64 {
     let tenant = document::tenant(size.tenants.saturating_sub(1));
     let route = document::route(size.routes - 1);
@@ -138,7 +138,7 @@
     metrics.into_iter().zip(values).for_each(|(metric, us)| note(metric, us / 1e6));
 }
 
-/// A window of load on a thread of its own, and what goes on meanwhile.
+/// Sends a window of load from a thread of its own while `meanwhile` runs, and returns the results of both.
 async fn window<T>(
     requests: Requests, meanwhile: impl std::future::Future<Output = Result<T, ScaleRunError>>,
 ) -> Result<(Seen, T), ScaleRunError> {
--- a/crates/testbed/src/scale/stand_ins.rs
+++ b/crates/testbed/src/scale/stand_ins.rs
@@ -1,5 +1,5 @@
-//! The stand-ins around measured proxies, on a thread of their own: discovery, one backend that answers at once, and
-//! hollow proxies.
+//! The stand-ins around measured proxies, on their own threads: discovery, one backend that answers
+//! immediately, and hollow proxies.
 
 use super::directory::{Change, Counters, Directory, Follower, Listed};
 use super::events::Event;
@@ -12,15 +12,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Bytes of a backend's answer.
+/// Size of a backend's answer, bytes.
 const ANSWER_BYTES: usize = 512;
 
-/// Followers that need longer for a list or change show a fault and no slope.
+/// Longest wait for followers to receive a list or a change; a longer delay is an error and not a measurement.
 const LATEST: Duration = Duration::from_secs(180);
-/// Between two looks at who is there.
+/// Interval of polling the state of the followers.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// What the stand-ins are told.
+/// A command to the thread of the stand-ins.
 enum Order {
     Change(Vec<Change>),
     Counters(oneshot::Sender<Counters>),
@@ -28,12 +28,12 @@
     InForce(oneshot::Sender<Vec<(Follower, Duration)>>),
 }
 
-/// Stand-ins that end with this value.
+/// Handle of the stand-ins, which stop when it is dropped.
 pub struct StandIns {
     orders: mpsc::UnboundedSender<Order>,
-    /// Where real processes follow.
+    /// Address of discovery for real processes.
     pub discovery: SocketAddr,
-    /// Where hollow proxies follow.
+    /// Address of discovery for hollow proxies.
     pub hollow: SocketAddr,
 }
 
@@ -43,10 +43,10 @@
 }
 
 impl StandIns {
-    /// Starts discovery with so many backends, of which the first is there and answers.
+    /// Starts discovery with a list of `backends` lines. Only the first names a backend that exists and answers.
     ///
     /// # Errors
-    /// No thread or socket can be had.
+    /// Fails if a thread cannot be started or a socket not be opened.
     pub async fn start(backends: usize, zones: usize, capacity: Capacity) -> Result<StandIns, ScaleRunError> {
         let (orders, taken) = mpsc::unbounded_channel();
         let (ready, standing) = oneshot::channel();
@@ -66,26 +66,26 @@
 
     /// Changes the list.
     pub fn change(&self, changes: Vec<Change>) {
-        let _ = self.orders.send(Order::Change(changes)); // the thread ends with this value only
+        let _ = self.orders.send(Order::Change(changes)); // the thread ends only when this value is dropped
     }
 
-    /// What was told so far.
+    /// Returns the counters of all answers so far.
     ///
     /// # Errors
-    /// The thread has ended.
+    /// Fails if the thread has ended.
     pub async fn counters(&self) -> Result<Counters, ScaleRunError> {
         self.ask(Order::Counters).await
     }
 
-    /// How long after each change each follower had it in force, of all since the last call.
+    /// Returns the time from each change until each follower had it in force, for all observed since the last call.
     ///
     /// # Errors
-    /// The thread has ended.
+    /// Fails if the thread has ended.
     pub async fn in_force(&self) -> Result<Vec<(Follower, Duration)>, ScaleRunError> {
         self.ask(Order::InForce).await
     }
 
-    /// Changes the list as the events say, each at its time.
+    /// Applies the changes of the events to the list, each at its time.
     pub async fn play(&self, events: &[Event]) {
         let began = Instant::now();
         for event in events {
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Waits until so many followers of one sort have a list.
+    /// Waits until `count` followers of one kind have a list.
     ///
     /// # Errors
-    /// They are too late.
+    /// Fails if this takes longer than `LATEST`, or if the thread has ended.
     pub async fn wait_listed(&self, sort: Follower, count: usize) -> Result<(), ScaleRunError> {
         let end = Instant::now() + LATEST;
         while Instant::now() < end {
@@ -111,10 +111,10 @@
         Err(ScaleRunError::Late(format!("{count} followers with a list")))
     }
 
-    /// Waits until so many followers have the last change in force; how long after it each had.
+    /// Waits until `count` followers have the last change in force, and returns the time that each of them took.
     ///
     /// # Errors
-    /// They are too late.
+    /// Fails if this takes longer than `LATEST`, or if the thread has ended.
     pub async fn wait_in_force(&self, count: usize) -> Result<Vec<Duration>, ScaleRunError> {
         let (end, mut ages) = (Instant::now() + LATEST, Vec::new());
         while Instant::now() < end {
@@ -159,16 +159,16 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Hollow proxies, on a thread of their own; they end with this value.
+/// Handle of hollow proxies on a thread of their own, which stop when it is dropped.
 pub struct Hollow {
     _stop: oneshot::Sender<()>,
 }
 
 impl Hollow {
-    /// Starts so many.
+    /// Starts `count` hollow proxies.
     ///
     /// # Errors
-    /// No thread can be had.
+    /// Fails if no thread can be started.
     pub fn start(count: usize, discovery: SocketAddr) -> std::io::Result<Hollow> {
         let (stop, stopped) = oneshot::channel::<()>();
         thread("hollow", move || async move {
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -1,4 +1,4 @@
-//! The axis of members: the proxies' own membership and what each tells of what it holds, in virtual time.
+//! The axis of members: the gossip of membership and load reports between proxies, in virtual time.
 
 use super::experiment::AxisPlan;
 use super::record::{Gathered, Metric};
@@ -11,24 +11,24 @@
 use std::num::NonZeroU32;
 use std::time::{Duration, Instant};
 
-/// Virtual time moves on by this.
+/// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
-/// A datagram takes so long at most.
+/// Longest delay of a datagram, s.
 const DELAY_S: f64 = 0.002;
-/// Virtual time until the members know each other.
+/// Virtual time for the members to learn of each other.
 const SETTLE: Duration = Duration::from_secs(15);
-/// Virtual time that is measured.
+/// Virtual time of the measurement.
 const MEASURED: Duration = Duration::from_secs(5);
-/// How long shares are lent; there are no limits here, so that it only sets the pace of rounds.
+/// Lease duration. No limits are shared here, so that it only sets the pace of rounds.
 const TERM: Duration = Duration::from_secs(1);
-/// Members that a new one calls at.
+/// Members that a new member contacts.
 const SEEDS: usize = 3;
-/// The first port; ports stand for positions and no socket is opened.
+/// Port of the first member; ports stand for positions and no socket is opened.
 const FIRST_PORT: u16 = 7_000;
-/// What members hold changes with the time, so that there is news to tell.
+/// Growth of the reported requests in flight, per second, so that there is always a change to report.
 const HELD_PER_SECOND: f64 = 100.0;
 
-/// Walks the axis in interleaved repetitions.
+/// Measures all steps of the axis in interleaved repetitions.
 pub fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) {
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
@@ -44,13 +44,13 @@
     }
 }
 
-/// What the talk costs one member.
+/// What gossip costs one member.
 struct Cost {
     bytes_per_second: f64,
     processor_share: f64,
 }
 
-/// A datagram on its way: when it arrives, us, a number that keeps the order, to whom, and what.
+/// A datagram in transit: arrival time, us; sequence number, which keeps the order; receiver; content.
 type Datagram = Reverse<(u64, u64, usize, Vec<u8>)>;
 
 struct Talk {
@@ -124,7 +124,7 @@
         while self.wire.peek().is_some_and(|Reverse(datagram)| datagram.0 <= now) {
             let Some(Reverse((_, _, to, bytes))) = self.wire.pop() else { break };
             let began = Instant::now();
-            let _ = self.nodes[to].receive(self.now, &bytes); // all speak the same
+            let _ = self.nodes[to].receive(self.now, &bytes); // all nodes run the same version, so this cannot fail
             self.spent += began.elapsed();
             self.post(to);
         }
--- a/crates/testbed/src/scale/target.rs
+++ b/crates/testbed/src/scale/target.rs
@@ -1,49 +1,49 @@
-//! The size that the design is for, and the budgets that hold there.
+//! The size that the system is designed for, and the budgets at that size.
 
 use super::ScaleRunError;
 use serde::Deserialize;
 use std::path::Path;
 
-/// Seconds of a day.
+/// Seconds in a day.
 pub const DAY_S: f64 = 86_400.0;
 
 /// A target, as the operators of a fleet state it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Proxies of all regions.
+    /// Proxies in all regions.
     pub proxies: f64,
     /// Backends of all services.
     pub backends: f64,
-    /// Services that the backends belong to.
+    /// Services to which the backends belong.
     pub services: f64,
     /// Routes in the settings of each proxy.
     pub routes: f64,
     /// Tenants in the settings of each proxy.
     pub tenants: f64,
-    /// Requests a second of all proxies at the peak.
+    /// Requests a second over all proxies at peak load.
     pub requests_per_s: f64,
-    /// What a proxy may add to a request at the 99th percentile, ms.
+    /// Latency that a proxy may add to a request at the 99th percentile, ms.
     pub added_p99_ms: f64,
     /// Regions.
     pub regions: f64,
-    /// Zones of all regions together.
+    /// Zones in all regions.
     pub zones: f64,
-    /// Changes of the settings a day.
+    /// Changes of the settings per day.
     pub settings_changes_per_day: f64,
-    /// A change is in force everywhere so soon, s.
+    /// Time for a change to be in force at all proxies, s.
     pub in_force_s: f64,
-    /// What a proxy may spend of a core on control.
+    /// Share of a core that a proxy may spend on control.
     pub control_core_share: f64,
-    /// What a proxy may hold for control, MB.
+    /// Memory that a proxy may use for control, MB.
     pub control_memory_mb: f64,
-    /// What a proxy may receive for control, bytes a second.
+    /// Bytes a second that a proxy may receive for control.
     pub control_bytes_per_s: f64,
-    /// Machines that are set aside for control.
+    /// Machines reserved for control.
     pub control_machines: f64,
-    /// Machines that fail on an ordinary day.
+    /// Machines that fail on a normal day.
     pub failures_per_day: f64,
-    /// Backends that are restarted or replaced on an ordinary day.
+    /// Backends that are restarted or replaced on a normal day.
     pub restarts_per_day: f64,
 }
 
@@ -51,7 +51,7 @@
     /// Reads a target.
     ///
     /// # Errors
-    /// The file cannot be read, lacks a key or has an unknown one.
+    /// Fails if the file cannot be read, lacks a key or has an unknown one.
     pub fn load(path: &Path) -> Result<Target, ScaleRunError> {
         let name = path.display().to_string();
         let text =
@@ -59,7 +59,8 @@
         toml::from_str(&text).map_err(|error| ScaleRunError::Page(format!("{name}: {error}")))
     }
 
-    /// Backends that come or go a day: each restart and each failure is one that goes and one that comes.
+    /// Returns the number of backends replaced per day: by each restart and each failure one backend leaves and
+    /// one joins.
     pub fn churn_per_day(&self) -> f64 {
         self.restarts_per_day + self.failures_per_day
     }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! The experiments that come with the lab.
+//! The experiments of the repository.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,7 +10,7 @@
 use lotusdeck_testbed::world::plan::Plan;
 use std::path::Path;
 
-/// Each is sound, bears its file's name, and gives the same plan for the same seed.
+/// Each experiment is valid, has the name of its file, and gives the same plan for the same seed.
 #[test]
 fn every_experiment_is_sound() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
@@ -27,7 +27,7 @@
     assert!(count >= 8, "{count} experiments");
 }
 
-/// What an experiment says itself goes before what it extends, and a fault names the file.
+/// Keys of an experiment override those of the file that it extends, and errors name the file.
 #[test]
 fn an_experiment_may_extend_another() {
     let folder = std::env::temp_dir().join(format!("lotusdeck-extends-{}", std::process::id()));
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay on sockets: what a script says happens, where it says, and the same again for the same seed.
+//! The relay on sockets: faults happen as and where the script says, and are the same for the same seed.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Nothing here takes so long.
+/// Timeout of each test, longer than any of them takes.
 const PATIENCE: Duration = Duration::from_secs(20);
 const ANSWERS: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst!\
                        HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nsecond\r\n0\r\n\r\n";
@@ -26,7 +26,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, bounded)
 }
 
-/// Sends `says` to each that comes, then what it gets, until it ends.
+/// Starts a server that sends `says` on each connection and then echoes what it receives.
 async fn server(says: &'static str) -> SocketAddr {
     let listener = listen(None).unwrap();
     let at = listener.local_addr().unwrap();
@@ -49,7 +49,7 @@
     Script::read(&text, "script").expect("a script")
 }
 
-/// All that comes on a connection, and whether it ended in order.
+/// Reads all bytes of a connection, and returns them with whether it was closed in an orderly way.
 async fn all(tcp: &mut TcpStream) -> (String, bool) {
     let mut got = Vec::new();
     let ended = tcp.read_to_end(&mut got).await.is_ok();
@@ -86,7 +86,8 @@
     });
 }
 
-/// One route's place gives the word that another waits for, as does a caller; silence is told to nobody.
+/// A word given by a fault of one route or by a caller triggers the faults of another. A blackhole gives
+/// neither end a sign.
 #[test]
 fn words_tie_routes_and_callers_together() {
     play(async {
@@ -122,7 +123,7 @@
     });
 }
 
-/// What is done depends on the seed alone, though the connections race each other.
+/// The faults that happen depend on the seed alone, even with concurrent connections.
 #[test]
 fn the_same_seed_does_the_same_again() {
     let run = |seed: u64, together: usize| -> Vec<Done> {
@@ -154,11 +155,11 @@
     assert_ne!(hash(&alone), hash(&other));
 }
 
-/// What is behind the relay may be gone, and whoever comes is told so; the relay goes on.
+/// The relay resets clients if the destination is down, and continues to accept connections.
 #[test]
 fn a_connection_to_nobody_is_reset() {
     play(async {
-        let nobody = listen(None).unwrap().local_addr().unwrap(); // and closed again
+        let nobody = listen(None).unwrap().local_addr().unwrap(); // the listener is dropped, so nothing listens there
         let relay = Relay::start(script(nobody, "none", "")).unwrap();
         for _ in 0..2 {
             let mut tcp = TcpStream::connect(relay.addresses[0]).await.unwrap();
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale rig: its experiments, its fit, its page, and a short walk with stand-ins alone.
+//! The scale rig: its experiments, the fit, the capacity page, and a short run with stand-ins only.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -37,7 +37,7 @@
 groups = [5, 20]
 "#;
 
-/// Every experiment that comes with the lab is sound and walks in at least four steps.
+/// Every experiment in the repository is valid and has at least four steps on each axis.
 #[test]
 fn every_scale_experiment_is_sound() {
     let folder = root().join("crates/testbed/scale");
@@ -52,7 +52,7 @@
     assert!(count >= 4, "{count} experiments");
 }
 
-/// The same seed gives the same events, another seed others.
+/// The same seed gives the same events, and another seed gives others.
 #[test]
 fn the_same_seed_gives_the_same_events() {
     let of = |seed: u64| {
@@ -64,7 +64,7 @@
     assert_eq!(of(5), 0x9a8dc56f0e845f52, "these events are the same on every machine");
 }
 
-/// A law is found again from its own points, and its residual tells how far points stray.
+/// The fit recovers a known law from its points, and its residual gives the deviation of points from the law.
 #[test]
 fn a_known_law_is_found() {
     let points = |stray: f64| -> Vec<(f64, f64)> {
@@ -76,7 +76,8 @@
     let exact = Fit::of(&points(0.0)).unwrap();
     assert!((exact.power - 1.5).abs() < 1e-9 && (exact.factor - 3.0).abs() < 1e-6, "{exact:?}");
     assert!(exact.residual < 1e-9 && (exact.at(100.0) - 3_000.0).abs() < 1e-3, "{exact:?}");
-    // Four points, each ten percent off, and two unknowns: the residual is sqrt(4 / 2) times that in logarithms.
+    // Four points, each off by ten percent, and two parameters: the logarithm of the residual ratio is
+    // sqrt(4 / 2) times that of 1.1.
     let strayed = Fit::of(&points(0.1)).unwrap();
     assert!((strayed.residual - (1.1f64.powf(2f64.sqrt()) - 1.0)).abs() < 1e-9, "{strayed:?}");
     assert!(Fit::of(&points(0.0)[..2]).is_none(), "two points say nothing of a residual");
@@ -84,7 +85,7 @@
     assert!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "one x");
 }
 
-/// A fault names the file, the key, the value and the range.
+/// An error names the file, the key, the value and the range.
 #[test]
 fn a_bad_experiment_is_told_with_key_value_and_range() {
     let cases = [
@@ -108,7 +109,8 @@
     }
 }
 
-/// Hollow proxies get every line and every change, and what they cost grows as the protocol says: with their number.
+/// Hollow proxies get every line and every change, and their cost grows linearly with their number, as the
+/// protocol implies.
 #[test]
 fn a_small_walk_counts_what_the_protocol_says() {
     let experiment = ScaleExperiment::parse("small", SMALL).unwrap();
@@ -120,7 +122,7 @@
         let found = series.iter().find(|series| (series.axis, series.metric) == (axis, metric));
         found.unwrap_or_else(|| panic!("{metric:?} by {axis:?}"))
     };
-    // Each of three stages of a restart is one call and one line for each follower.
+    // Each of the three stages of a restart takes one call and one line for each follower.
     for metric in [Metric::RestartCalls, Metric::RestartLines] {
         for point in &of(AxisKind::Proxies, metric).points {
             assert_eq!(point.median(), 3.0 * point.x, "{metric:?}");
@@ -137,13 +139,14 @@
     }
 }
 
-/// Tables of a folder with one record: reloads whose processor time grows with the square of the tenants.
+/// Generates the tables of a folder with one record, in which the processor time of a reload grows with the
+/// square of the number of tenants and of routes.
 fn tables(label: &str, factor: f64) -> String {
     let mut gathered = Gathered::default();
     for (axis, steps) in [(AxisKind::Tenants, [100, 1_000, 10_000]), (AxisKind::Routes, [10, 100, 1_000])] {
         for step in steps {
             let seconds = factor * (step as f64).powi(2);
-            // An outlier in one of three repetitions is no matter.
+            // An outlier in one of three repetitions does not change the median.
             for value in [seconds, seconds, 50.0 * seconds] {
                 gathered.add(axis, Metric::ReloadProcessorSeconds, step, value);
             }
@@ -167,7 +170,7 @@
     tables
 }
 
-/// A cost over its budget is bold with its ratio and ranked; one within is neither.
+/// A cost over its budget is bold, as is its ratio, and is ranked; a cost within its budget is not.
 #[test]
 fn costs_over_budget_are_bold_and_ranked() {
     // 34,000 and 16,000 squared at 1e-9 s, 1,600 times a day: 2.61 % of a core, of 1.1 %.
@@ -189,7 +192,7 @@
     assert!(within.contains("None."), "{within}");
 }
 
-/// What was measured at the target itself goes before the law.
+/// A value measured at the target itself is used in place of the fitted law.
 #[test]
 fn a_measured_step_goes_before_the_law() {
     let mut gathered = Gathered::default();
@@ -203,7 +206,7 @@
     assert!((170.0..190.0).contains(&law) && series.extrapolated(160.0) == 2.0, "{law}");
 }
 
-/// What the page says is what the records say: `lotusdeck-testbed capacity` was run after the last measurement.
+/// The page matches its records: `lotusdeck-testbed capacity` was run after the last measurement.
 #[test]
 fn the_capacity_page_agrees_with_its_records() {
     let page = std::fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap();
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,5 +1,4 @@
-//! The driver in virtual time: the same result every time, near to the sockets, and sharp enough to tell policies
-//! apart.
+//! The driver in virtual time: its results are reproducible, and precise enough to distinguish policies.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -25,7 +24,7 @@
     e
 }
 
-/// The module keeps every rule in every experiment that comes with the lab.
+/// The decision module keeps every rule in every experiment of the repository.
 #[test]
 fn the_module_keeps_the_rules_in_every_experiment() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
@@ -43,7 +42,7 @@
     }
 }
 
-/// The same plan and policy give the same records, on any number of threads.
+/// The same plan and policy give the same records on any number of threads.
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let e = experiment("fifth-dies-cold.toml");
@@ -60,7 +59,7 @@
     assert_ne!(parallel[1].runs[0].whole.latency_ms, first.whole.latency_ms);
 }
 
-/// A policy that sees every queue is no worse than one that sees nothing, where it matters.
+/// At high load, a policy that sees every queue has a lower 99th percentile of the latency than random choice.
 #[test]
 fn sight_is_worth_something() {
     let mut e = experiment("first-look.toml");
@@ -70,8 +69,9 @@
     assert!(mean(0) * 1.5 < mean(1), "oracle {} ms, random {} ms", mean(0), mean(1));
 }
 
-/// Sixty proxies that learn alike go their own ways, also after a kick: a flow of now set beside a latency of then
-/// once had them swing together (in step 4 and more of 60, docs/scale.md).
+/// Sixty proxies with the same estimates do not oscillate together, also after a disturbance. They once did
+/// (`in_step` of 4 and more, of 60; docs/scale.md), because the current flow was compared with the latency of
+/// an earlier time.
 #[test]
 fn many_proxies_do_not_swing_together() {
     let mut e = experiment("swings.toml");
