--- a/crates/testbed/src/scale/backends.rs
+++ b/crates/testbed/src/scale/backends.rs
@@ -6,8 +6,8 @@
 use super::events;
 use super::experiment::AxisPlan;
 use super::process::Process;
-use super::record::{quantile, Gathered, Metric};
-use super::stand_ins::{Hollow, StandIns};
+use super::record::{quantile, Measurements, Metric};
+use super::stand_ins::{HollowProxies, StandIns};
 use super::{Rig, ScaleRunError};
 use std::time::Duration;
 
@@ -20,18 +20,20 @@
 ///
 /// # Errors
 /// Fails if a process or socket cannot be opened, or if a follower is too late.
-pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
+pub async fn walk(
+    rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
+) -> Result<(), ScaleRunError> {
     let mut floors = Floors::default();
     for repeat in 0..rig.experiment.repeats {
         floors.add(rig).await?;
         for step in &axis.steps {
             rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
-            let mut note = |metric, value| gathered.add(axis.of, metric, *step, value);
+            let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
             measure(rig, *step, &mut note).await?;
         }
     }
-    gathered.floor(axis.of, Metric::MemoryBytes, quantile(&mut floors.memory, 0.5));
-    gathered.floor(axis.of, Metric::WholeListProcessorSeconds, quantile(&mut floors.processor, 0.5));
+    measurements.floor(axis.of, Metric::MemoryBytes, quantile(&mut floors.memory, 0.5));
+    measurements.floor(axis.of, Metric::WholeListProcessorSeconds, quantile(&mut floors.processor, 0.5));
     Ok(())
 }
 
@@ -46,7 +48,7 @@
     async fn add(&mut self, rig: &Rig<'_>) -> Result<(), ScaleRunError> {
         let base = &rig.experiment.base;
         let stand_ins = StandIns::start(FLOOR_BACKENDS, base.zones, rig.experiment.discovery.clone()).await?;
-        let process = listed(rig, &stand_ins).await?;
+        let process = start_listed(rig, &stand_ins).await?;
         self.memory.push(process.memory() as f64);
         self.processor.push(process.processor_time().as_secs_f64());
         process.end().await;
@@ -55,7 +57,7 @@
 }
 
 /// Starts a real process and waits until it has its list and has settled.
-async fn listed(rig: &Rig<'_>, stand_ins: &StandIns) -> Result<Process, ScaleRunError> {
+async fn start_listed(rig: &Rig<'_>, stand_ins: &StandIns) -> Result<Process, ScaleRunError> {
     let base = &rig.experiment.base;
     let size =
         Size { tenants: base.tenants, routes: base.routes, zones: base.zones, proxies: base.proxies.max(1) };
@@ -70,7 +72,7 @@
 ) -> Result<(), ScaleRunError> {
     let (base, churn) = (&rig.experiment.base, &rig.experiment.churn);
     let stand_ins = StandIns::start(step, base.zones, rig.experiment.discovery.clone()).await?;
-    let process = listed(rig, &stand_ins).await?;
+    let process = start_listed(rig, &stand_ins).await?;
     note(Metric::ReadySeconds, process.ready.as_secs_f64());
     note(Metric::MemoryBytes, process.memory() as f64);
     note(Metric::WholeListProcessorSeconds, process.processor_time().as_secs_f64());
@@ -82,7 +84,7 @@
     let resting = (process.processor_time() - before).as_secs_f64() / rest.as_secs_f64();
     note(Metric::RestProcessorShare, resting);
 
-    let _hollow = Hollow::start(base.proxies, stand_ins.hollow)?;
+    let _hollow = HollowProxies::start(base.proxies, stand_ins.hollow)?;
     stand_ins.wait_listed(Follower::Hollow, base.proxies).await?;
     stand_ins.in_force().await?;
     let events = events::restarts(churn, step, rig.experiment.seed);
@@ -90,11 +92,11 @@
     stand_ins.play(&events).await;
     tokio::time::sleep(SETTLE).await;
     let used = (process.processor_time() - before).as_secs_f64();
-    let line = (used - resting * began.elapsed().as_secs_f64()) / events.len() as f64;
-    note(Metric::LineProcessorSeconds, line);
+    let per_change = (used - resting * began.elapsed().as_secs_f64()) / events.len() as f64;
+    note(Metric::LineProcessorSeconds, per_change);
     let in_force = stand_ins.in_force().await?;
-    let of = |sort: Follower| -> Vec<f64> {
-        in_force.iter().filter(|(follower, _)| *follower == sort).map(|(_, age)| age.as_secs_f64()).collect()
+    let of = |kind: Follower| -> Vec<f64> {
+        in_force.iter().filter(|(follower, _)| *follower == kind).map(|(_, age)| age.as_secs_f64()).collect()
     };
     let (mut real, mut hollow) = (of(Follower::Real), of(Follower::Hollow));
     note(Metric::RealInForceP50Seconds, quantile(&mut real, 0.5));
--- a/crates/testbed/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -1,6 +1,6 @@
 //! The generated part of docs/CAPACITY.md: tables created from records, and the check that page and records agree.
 
-use super::record::{short, Record, Series};
+use super::record::{format_short, Record, Series};
 use super::rows::{Laws, Row};
 use super::target::Target;
 use super::ScaleRunError;
@@ -109,11 +109,11 @@
     );
     for row in rows {
         let value = row.unit.show(row.value);
-        let value = if over(row) { format!("**{value}**") } else { value };
+        let value = if exceeds_budget(row) { format!("**{value}**") } else { value };
         let budget = row.budget.map_or("none named".into(), |budget| row.unit.show(budget));
         let ratio = row.ratio().map_or("-".into(), |ratio| {
-            let ratio = times(ratio);
-            if over(row) {
+            let ratio = format_ratio(ratio);
+            if exceeds_budget(row) {
                 format!("**{ratio}**")
             } else {
                 ratio
@@ -131,11 +131,11 @@
     text
 }
 
-fn over(row: &Row) -> bool {
+fn exceeds_budget(row: &Row) -> bool {
     row.ratio().is_some_and(|ratio| ratio > 1.0)
 }
 
-fn times(ratio: f64) -> String {
+fn format_ratio(ratio: f64) -> String {
     match ratio {
         ratio if ratio >= 10.0 => format!("{ratio:.0} x"),
         ratio if ratio >= 0.01 => format!("{ratio:.2} x"),
@@ -144,11 +144,11 @@
 }
 
 fn ranking(rows: &[Row]) -> String {
-    let mut over_budget: Vec<&Row> = rows.iter().filter(|row| over(row)).collect();
+    let mut over_budget: Vec<&Row> = rows.iter().filter(|row| exceeds_budget(row)).collect();
     over_budget.sort_by(|a, b| b.ratio().unwrap_or(0.0).total_cmp(&a.ratio().unwrap_or(0.0)));
     let mut text = String::from("### Over budget, the worst first\n\n");
     for (at, row) in over_budget.iter().enumerate() {
-        let ratio = row.ratio().map_or(String::new(), times);
+        let ratio = row.ratio().map_or(String::new(), format_ratio);
         let _ = writeln!(
             text,
             "{}. **{ratio}** {}: {} ({}); {}",
@@ -181,10 +181,14 @@
 fn law(series: &Series) -> String {
     let join = |values: Vec<String>| values.join(", ");
     let steps = join(series.points.iter().map(|point| point.x.to_string()).collect());
-    let medians = join(series.points.iter().map(|point| short(point.median())).collect());
+    let medians = join(series.points.iter().map(|point| format_short(point.median())).collect());
     let fit = series.fit.map_or("- | - | -".into(), |fit| {
-        format!("{} | {:.2} | {:.0} %", short(fit.factor), fit.power, fit.residual * 100.0)
+        format!("{} | {:.2} | {:.0} %", format_short(fit.factor), fit.power, fit.residual * 100.0)
     });
     let axis = series.axis.name();
-    format!("{axis} | {} | {steps} | {medians} | {} | {fit} |", series.metric.name(), short(series.floor))
+    format!(
+        "{axis} | {} | {steps} | {medians} | {} | {fit} |",
+        series.metric.name(),
+        format_short(series.floor)
+    )
 }
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -18,7 +18,7 @@
 /// Longest wait of a call, the bound of the protocol.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Port of the listed backends that get no requests; each has a loopback address of its own.
-const PORT: u16 = 8_443;
+const BACKEND_PORT: u16 = 8_443;
 
 /// The kind of followers on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// Counters of one kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Told {
+pub struct AnswerCounts {
     /// Calls answered.
     pub calls: u64,
     /// Lines in the answers.
@@ -40,15 +40,15 @@
     pub bytes: u64,
 }
 
-impl Told {
+impl AnswerCounts {
     fn add(&mut self, lines: usize, bytes: usize) {
         self.calls += 1;
         self.lines += lines as u64;
         self.bytes += bytes as u64;
     }
 
-    fn less(self, before: Told) -> Told {
-        Told {
+    fn minus(self, before: AnswerCounts) -> AnswerCounts {
+        AnswerCounts {
             calls: self.calls - before.calls,
             lines: self.lines - before.lines,
             bytes: self.bytes - before.bytes,
@@ -60,20 +60,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counters {
     /// Whole lists.
-    pub whole: Told,
+    pub whole: AnswerCounts,
     /// Answers with changes.
-    pub changes: Told,
+    pub changes: AnswerCounts,
     /// Long polls that ended without a change.
-    pub empty: Told,
+    pub empty: AnswerCounts,
 }
 
 impl Counters {
     /// Returns the difference to the earlier counters `before`.
     pub fn since(self, before: Counters) -> Counters {
         Counters {
-            whole: self.whole.less(before.whole),
-            changes: self.changes.less(before.changes),
-            empty: self.empty.less(before.empty),
+            whole: self.whole.minus(before.whole),
+            changes: self.changes.minus(before.changes),
+            empty: self.empty.minus(before.empty),
         }
     }
 
@@ -110,7 +110,7 @@
 
 struct Version {
     /// When the version was created.
-    made: Instant,
+    created_at: Instant,
     /// The backends changed by it.
     backends: Vec<usize>,
 }
@@ -131,7 +131,7 @@
     real_backend: Option<SocketAddr>,
     lines: RefCell<Vec<Line>>,
     versions: RefCell<Vec<Version>>,
-    news: watch::Sender<u64>,
+    latest_version: watch::Sender<u64>,
     free_at: Cell<Instant>,
     last: RefCell<Option<Rc<Answer>>>,
     counters: Cell<Counters>,
@@ -154,14 +154,14 @@
         backends: usize, zones: usize, capacity: Capacity, real_backend: Option<SocketAddr>,
     ) -> Rc<Directory> {
         let line = |_| Line { status: Status::Serving, since_ms: 0, version: 1 };
-        let first = Version { made: Instant::now(), backends: Vec::new() };
+        let first = Version { created_at: Instant::now(), backends: Vec::new() };
         Rc::new(Directory {
             capacity,
             zones,
             real_backend,
             lines: RefCell::new((0..backends).map(line).collect()),
             versions: RefCell::new(vec![first]),
-            news: watch::channel(1).0,
+            latest_version: watch::channel(1).0,
             free_at: Cell::new(Instant::now()),
             last: RefCell::default(),
             counters: Cell::default(),
@@ -204,8 +204,8 @@
             line.status = change.status;
         }
         let backends = changes.iter().map(|change| change.backend).collect();
-        self.versions.borrow_mut().push(Version { made: Instant::now(), backends });
-        self.news.send_replace(version);
+        self.versions.borrow_mut().push(Version { created_at: Instant::now(), backends });
+        self.latest_version.send_replace(version);
     }
 
     /// Returns the counters of all answers so far.
@@ -229,17 +229,17 @@
         let mut held = None;
         while let Ok(Some(request)) = link.request().await {
             let (after, wait) = query(&request.target);
-            self.note_in_force(follower, held, after);
+            self.record_in_force(follower, held, after);
             held = after;
             if let (Some(after), true) = (after, wait > Duration::ZERO) {
-                let mut news = self.news.subscribe();
+                let mut updates = self.latest_version.subscribe();
                 tokio::select! {
-                    _ = tokio::time::timeout(wait, news.wait_for(|version| *version > after)) => {}
+                    _ = tokio::time::timeout(wait, updates.wait_for(|version| *version > after)) => {}
                     event = link.wait_read() => if event == ReadEvent::End { return },
                 }
             }
             let answer = self.answer(after);
-            self.take_turn(answer.lines).await;
+            self.wait_for_capacity(answer.lines).await;
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.text.len());
             let sent = async {
                 link.write(head.as_bytes()).await?;
@@ -248,12 +248,12 @@
             if sent.await.is_err() {
                 return;
             }
-            let asked = REQUEST_HEAD + request.target.len();
-            self.count(&answer, asked + head.len() + answer.text.len());
+            let request_bytes = REQUEST_HEAD_BYTES + request.target.len();
+            self.count(&answer, request_bytes + head.len() + answer.text.len());
         }
     }
 
-    fn note_in_force(&self, follower: Follower, held: Option<u64>, after: Option<u64>) {
+    fn record_in_force(&self, follower: Follower, held: Option<u64>, after: Option<u64>) {
         let Some(after) = after else { return };
         let Some(held) = held else {
             let mut listed = self.listed.get();
@@ -266,12 +266,12 @@
         };
         let versions = self.versions.borrow();
         let newer = versions.get(held as usize..after as usize).unwrap_or_default();
-        let ages = newer.iter().map(|version| (follower, version.made.elapsed()));
+        let ages = newer.iter().map(|version| (follower, version.created_at.elapsed()));
         self.in_force.borrow_mut().extend(ages);
     }
 
     /// Waits for the calls before this one and then for the cost of this one: calls are handled one at a time.
-    async fn take_turn(&self, lines: usize) {
+    async fn wait_for_capacity(&self, lines: usize) {
         let cost = self.capacity.call_us + self.capacity.line_us * lines as f64;
         let done = self.free_at.get().max(Instant::now()) + Duration::from_secs_f64(cost / 1e6);
         self.free_at.set(done);
@@ -298,17 +298,17 @@
         if let Some(answer) = last.filter(|last| (last.after, last.version) == (after, version)) {
             return answer;
         }
-        let told: Vec<usize> = match after {
-            None => (0..self.lines.borrow().len()).filter(|at| self.present(*at)).collect(),
+        let backends: Vec<usize> = match after {
+            None => (0..self.lines.borrow().len()).filter(|at| self.is_listed(*at)).collect(),
             Some(after) => self.changed_since(after).into_iter().collect(),
         };
-        let text = Bytes::from(self.json(version, after.is_none(), &told));
-        let answer = Rc::new(Answer { after, version, lines: told.len(), text });
+        let text = Bytes::from(self.json(version, after.is_none(), &backends));
+        let answer = Rc::new(Answer { after, version, lines: backends.len(), text });
         self.last.replace(Some(answer.clone()));
         answer
     }
 
-    fn present(&self, backend: usize) -> bool {
+    fn is_listed(&self, backend: usize) -> bool {
         self.lines.borrow()[backend].status != Status::Deleted
     }
 
@@ -318,9 +318,9 @@
         newer.iter().flat_map(|version| version.backends.iter().copied()).collect()
     }
 
-    fn json(&self, version: u64, snapshot: bool, told: &[usize]) -> String {
+    fn json(&self, version: u64, snapshot: bool, backends: &[usize]) -> String {
         let mut text = format!("{{\"index\":{version},\"snapshot\":{snapshot},\"endpoints\":[");
-        for (at, backend) in told.iter().enumerate() {
+        for (at, backend) in backends.iter().enumerate() {
             if at > 0 {
                 text.push(',');
             }
@@ -345,7 +345,7 @@
             self.address(backend),
             document::zone(backend % self.zones),
             document::KINDS[backend % document::KINDS.len()],
-            backend / GROUP,
+            backend / GROUP_SIZE,
             line.since_ms,
         );
     }
@@ -353,15 +353,15 @@
     fn address(&self, backend: usize) -> SocketAddr {
         let [_, high, middle, low] = (backend as u32 + 1).to_be_bytes();
         // Avoids 127.0.*.*, which is used by real listeners.
-        let own = SocketAddr::from((Ipv4Addr::new(127, 64 + high, middle, low), PORT));
-        self.real_backend.filter(|_| backend == 0).unwrap_or(own)
+        let default_address = SocketAddr::from((Ipv4Addr::new(127, 64 + high, middle, low), BACKEND_PORT));
+        self.real_backend.filter(|_| backend == 0).unwrap_or(default_address)
     }
 }
 
 /// Backends in one group of the list (a cell).
-const GROUP: usize = 40;
+const GROUP_SIZE: usize = 40;
 /// Bytes of a follower's request without its target: `GET  HTTP/1.1`, `host: 127.0.0.1:NNNNN` and line ends.
-const REQUEST_HEAD: usize = "GET  HTTP/1.1\r\nhost: 127.0.0.1:12345\r\n\r\n".len();
+const REQUEST_HEAD_BYTES: usize = "GET  HTTP/1.1\r\nhost: 127.0.0.1:12345\r\n\r\n".len();
 
 /// Parses the version and the wait of a call.
 fn query(target: &str) -> (Option<u64>, Duration) {
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -42,7 +42,7 @@
 }
 
 /// Returns the change to `status` for each of the backends.
-pub fn all(backends: &[usize], status: Status) -> Vec<Change> {
+pub fn status_changes(backends: &[usize], status: Status) -> Vec<Change> {
     backends.iter().map(|backend| Change { backend: *backend, status }).collect()
 }
 
--- a/crates/testbed/src/scale/experiment.rs
+++ b/crates/testbed/src/scale/experiment.rs
@@ -6,24 +6,24 @@
 use thiserror::Error;
 
 /// Steps of an axis: fewer do not give a reliable slope, more would take hours.
-const STEPS: std::ops::RangeInclusive<usize> = 4..=12;
+const STEP_COUNT: std::ops::RangeInclusive<usize> = 4..=12;
 /// Largest number of tenants, routes or backends of one proxy: twice the largest known target, within the
 /// memory of one machine.
-const MOST_ENTRIES: usize = 70_000;
+const MAX_ENTRIES: usize = 70_000;
 /// Largest number of hollow proxies in one process: each takes two of the about 20,000 descriptors of a process.
-const MOST_PROXIES: usize = 4_000;
+const MAX_PROXIES: usize = 4_000;
 /// Largest number of repetitions (a median needs one): with this many, any axis takes at most an hour.
-const MOST_REPEATS: usize = 50;
+const MAX_REPEATS: usize = 50;
 /// Largest rate of the measured load, requests a second: low enough that one client thread never limits it.
-const MOST_RATE: f64 = 5_000.0;
+const MAX_RATE_PER_S: f64 = 5_000.0;
 /// Length of a measured window, s.
-const WINDOW: std::ops::RangeInclusive<f64> = 0.2..=120.0;
+const WINDOW_S: std::ops::RangeInclusive<f64> = 0.2..=120.0;
 /// Largest cost of a call or a line at the stand-in discovery, us.
-const MOST_COST_US: f64 = 1e6;
+const MAX_COST_US: f64 = 1e6;
 /// Largest rate of restarts, per second: followers must poll again between two restarts.
-const MOST_CHURN: f64 = 100.0;
+const MAX_RESTARTS_PER_S: f64 = 100.0;
 /// Largest number of restarts in one step.
-const MOST_RESTARTS: usize = 5_000;
+const MAX_RESTARTS: usize = 5_000;
 
 /// Why a scale experiment cannot be run.
 #[derive(Debug, Error)]
@@ -212,52 +212,52 @@
     }
 
     fn check(&self, checker: &Checker) -> Result<(), ScaleError> {
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-        if self.name.is_empty() || !self.name.chars().all(plain) {
-            return Err(checker.fault("name", "letters, digits and hyphens", &self.name));
+        let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-';
+        if self.name.is_empty() || !self.name.chars().all(allowed) {
+            return Err(checker.error("name", "letters, digits and hyphens", &self.name));
         }
-        checker.within("repeats", self.repeats, 1..=MOST_REPEATS)?;
-        checker.within("axis", self.axis.len(), 1..=AXES)?;
+        checker.within("repeats", self.repeats, 1..=MAX_REPEATS)?;
+        checker.within("axis", self.axis.len(), 1..=MAX_AXES)?;
         for (at, axis) in self.axis.iter().enumerate() {
             axis.check(checker, at)?;
         }
         let base = &self.base;
-        checker.within("base.tenants", base.tenants, 0..=MOST_ENTRIES)?;
-        checker.within("base.routes", base.routes, 1..=MOST_ENTRIES)?;
-        checker.within("base.backends", base.backends, 1..=MOST_ENTRIES)?;
-        checker.within("base.zones", base.zones, 1..=MOST_ZONES)?;
-        checker.within("base.proxies", base.proxies, 0..=MOST_PROXIES)?;
-        checker.within("load.rate_per_s", self.load.rate_per_s, 1.0..=MOST_RATE)?;
-        checker.within("load.window_s", self.load.window_s, WINDOW)?;
-        checker.within("discovery.call_us", self.discovery.call_us, 0.0..=MOST_COST_US)?;
-        checker.within("discovery.line_us", self.discovery.line_us, 0.0..=MOST_COST_US)?;
-        checker.within("churn.rest_s", self.churn.rest_s, WINDOW)?;
-        checker.within("churn.restarts", self.churn.restarts, 1..=MOST_RESTARTS)?;
-        checker.within("churn.restarts_per_s", self.churn.restarts_per_s, 0.1..=MOST_CHURN)?;
+        checker.within("base.tenants", base.tenants, 0..=MAX_ENTRIES)?;
+        checker.within("base.routes", base.routes, 1..=MAX_ENTRIES)?;
+        checker.within("base.backends", base.backends, 1..=MAX_ENTRIES)?;
+        checker.within("base.zones", base.zones, 1..=MAX_ZONES)?;
+        checker.within("base.proxies", base.proxies, 0..=MAX_PROXIES)?;
+        checker.within("load.rate_per_s", self.load.rate_per_s, 1.0..=MAX_RATE_PER_S)?;
+        checker.within("load.window_s", self.load.window_s, WINDOW_S)?;
+        checker.within("discovery.call_us", self.discovery.call_us, 0.0..=MAX_COST_US)?;
+        checker.within("discovery.line_us", self.discovery.line_us, 0.0..=MAX_COST_US)?;
+        checker.within("churn.rest_s", self.churn.rest_s, WINDOW_S)?;
+        checker.within("churn.restarts", self.churn.restarts, 1..=MAX_RESTARTS)?;
+        checker.within("churn.restarts_per_s", self.churn.restarts_per_s, 0.1..=MAX_RESTARTS_PER_S)?;
         for (at, group) in self.churn.groups.iter().enumerate() {
-            checker.within(&format!("churn.groups[{at}]"), *group, 1..=MOST_ENTRIES)?;
+            checker.within(&format!("churn.groups[{at}]"), *group, 1..=MAX_ENTRIES)?;
         }
         Ok(())
     }
 }
 
 /// Largest number of axes in an experiment: the number of variants of [`AxisKind`].
-const AXES: usize = 5;
+const MAX_AXES: usize = 5;
 /// Largest number of zones; each backend names one of them as short text.
-const MOST_ZONES: usize = 1_000;
+const MAX_ZONES: usize = 1_000;
 
 impl AxisPlan {
     fn check(&self, checker: &Checker, at: usize) -> Result<(), ScaleError> {
         let key = format!("axis[{at}].steps");
-        checker.within(&format!("{key} (their number)"), self.steps.len(), STEPS)?;
-        let most = match self.of {
-            AxisKind::Proxies | AxisKind::Members => MOST_PROXIES,
-            AxisKind::Tenants | AxisKind::Routes | AxisKind::Backends => MOST_ENTRIES,
+        checker.within(&format!("{key} (their number)"), self.steps.len(), STEP_COUNT)?;
+        let max = match self.of {
+            AxisKind::Proxies | AxisKind::Members => MAX_PROXIES,
+            AxisKind::Tenants | AxisKind::Routes | AxisKind::Backends => MAX_ENTRIES,
         };
-        let mut least = 1;
+        let mut min = 1;
         for (step, count) in self.steps.iter().enumerate() {
-            checker.within(&format!("{key}[{step}]"), *count, least..=most)?;
-            least = count + 1;
+            checker.within(&format!("{key}[{step}]"), *count, min..=max)?;
+            min = count + 1;
         }
         Ok(())
     }
@@ -269,7 +269,7 @@
 }
 
 impl Checker<'_> {
-    fn fault(&self, key: &str, expected: &str, got: impl Display) -> ScaleError {
+    fn error(&self, key: &str, expected: &str, got: impl Display) -> ScaleError {
         let (file, got) = (self.file.to_string(), got.to_string());
         ScaleError::Value { file, key: key.into(), expected: expected.into(), got }
     }
@@ -281,6 +281,6 @@
             return Ok(());
         }
         let expected = format!("from {} to {}", range.start(), range.end());
-        Err(self.fault(key, &expected, got))
+        Err(self.error(key, &expected, got))
     }
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Minimum number of points: a law through fewer passes through all of them and has no meaningful residual.
-const LEAST_POINTS: usize = 3;
+const MIN_POINTS: usize = 3;
 
 /// A fitted power law.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let logs: Vec<(f64, f64)> =
             points.iter().filter(|(x, y)| *x > 0.0 && *y > 0.0).map(|(x, y)| (x.ln(), y.ln())).collect();
-        if logs.len() < LEAST_POINTS {
+        if logs.len() < MIN_POINTS {
             return None;
         }
         let count = logs.len() as f64;
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -16,7 +16,7 @@
 /// Time after the end of the window for requests that were due during a pause; the rest counts as failed.
 const GRACE: Duration = Duration::from_secs(45);
 /// Upper bound of the recorded latencies, us.
-const LONGEST_US: u64 = 200_000_000;
+const MAX_LATENCY_US: u64 = 200_000_000;
 
 /// The requests to send.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
 
 /// The results of a load.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct LoadResult {
     /// Median latency, us.
     pub p50_us: f64,
     /// 99th percentile of the latency, us.
@@ -56,9 +56,9 @@
 }
 
 /// Sends all requests, and returns the latencies and failures.
-pub async fn send(requests: Requests) -> Seen {
+pub async fn send(requests: Requests) -> LoadResult {
     let total = (requests.rate_per_s * requests.window.as_secs_f64()).ceil() as u64;
-    let latency = Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds in order");
+    let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds in order");
     let window = Rc::new(Window {
         requests,
         began: Instant::now(),
@@ -73,7 +73,7 @@
         let _ = sender.await;
     }
     let latency = window.latency.borrow();
-    Seen {
+    LoadResult {
         p50_us: latency.value_at_quantile(0.5) as f64,
         p99_us: latency.value_at_quantile(0.99) as f64,
         longest_us: latency.max() as f64,
@@ -89,7 +89,7 @@
             let due = self.began + Duration::from_secs_f64(number as f64 / self.requests.rate_per_s);
             tokio::time::sleep_until(due).await;
             let end = self.began + self.requests.window + GRACE;
-            let served = tokio::time::timeout_at(end, self.ask(&mut link, number)).await;
+            let served = tokio::time::timeout_at(end, self.send_request(&mut link, number)).await;
             if served.unwrap_or(false) {
                 self.latency.borrow_mut().saturating_record(due.elapsed().as_micros() as u64);
             } else {
@@ -100,7 +100,7 @@
     }
 
     /// Sends one request, and returns whether it was served.
-    async fn ask(&self, kept: &mut Option<Link>, number: u64) -> bool {
+    async fn send_request(&self, kept: &mut Option<Link>, number: u64) -> bool {
         let Requests { to, route, tenant, .. } = self.requests;
         let mut link = match kept.take() {
             Some(link) => link,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -24,7 +24,7 @@
 use crate::session::{program, say, SessionError};
 use experiment::{AxisKind, ScaleError, ScaleExperiment};
 use process::ProcessError;
-use record::{Gathered, Record};
+use record::{Measurements, Record};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 use tokio::signal::unix::{signal, SignalKind};
@@ -155,23 +155,24 @@
 /// # Errors
 /// Fails if a process, thread or socket cannot be started, or if followers are too late.
 pub async fn walk(rig: &Rig<'_>) -> Result<Vec<record::Series>, ScaleRunError> {
-    let mut gathered = Gathered::default();
+    let mut measurements = Measurements::default();
     for axis in &rig.experiment.axis {
         match axis.of {
-            AxisKind::Tenants | AxisKind::Routes => settings::walk(rig, axis, &mut gathered).await?,
-            AxisKind::Backends => backends::walk(rig, axis, &mut gathered).await?,
-            AxisKind::Proxies => proxies::walk(rig, axis, &mut gathered).await?,
-            AxisKind::Members => talk::walk(rig, axis, &mut gathered),
+            AxisKind::Tenants | AxisKind::Routes => settings::walk(rig, axis, &mut measurements).await?,
+            AxisKind::Backends => backends::walk(rig, axis, &mut measurements).await?,
+            AxisKind::Proxies => proxies::walk(rig, axis, &mut measurements).await?,
+            AxisKind::Members => talk::walk(rig, axis, &mut measurements),
         }
     }
-    Ok(gathered.finish())
+    Ok(measurements.finish())
 }
 
 /// Returns the hash of all events of an experiment.
 pub fn events_hash(experiment: &ScaleExperiment) -> u64 {
     let steps = experiment.axis.iter().filter(|axis| axis.of == AxisKind::Backends);
-    let most = steps.flat_map(|axis| axis.steps.iter().copied()).max().unwrap_or(experiment.base.backends);
-    events::hash(&experiment.churn, most, experiment.seed)
+    let max_backends =
+        steps.flat_map(|axis| axis.steps.iter().copied()).max().unwrap_or(experiment.base.backends);
+    events::hash(&experiment.churn, max_backends, experiment.seed)
 }
 
 fn write(record: &Record, folder: &Path) -> Result<(), ScaleRunError> {
@@ -184,21 +185,21 @@
     say(&format!("record: {}\n", path.display()));
     let fields = record.fields();
     if !fields.is_empty() {
-        let drawing = folder.join(format!("{name}.svg"));
-        plot::write(&fields, &drawing).map_err(|error| ScaleRunError::Session(Box::new(error)))?;
+        let plot_path = folder.join(format!("{name}.svg"));
+        plot::write(&fields, &plot_path).map_err(|error| ScaleRunError::Session(Box::new(error)))?;
     }
     Ok(())
 }
 
 /// Git path specifications of the program's sources, without the testbed and tests.
-const PROGRAM: [&str; 3] = ["crates", ":!crates/testbed", ":!crates/*/tests/*"];
+const PROGRAM_PATHS: [&str; 3] = ["crates", ":!crates/testbed", ":!crates/*/tests/*"];
 
 /// Returns the last commit that touched the program, with the suffix `-changed` if the checkout differs from it.
 fn commit() -> String {
     let last = ["log", "-1", "--abbrev=10", "--format=%h", "--"];
-    let commit = output_of("git", &[last.as_slice(), PROGRAM.as_slice()].concat());
+    let commit = output_of("git", &[last.as_slice(), PROGRAM_PATHS.as_slice()].concat());
     let changes = ["status", "--porcelain", "--"];
-    let changed = output_of("git", &[changes.as_slice(), PROGRAM.as_slice()].concat());
+    let changed = output_of("git", &[changes.as_slice(), PROGRAM_PATHS.as_slice()].concat());
     if changed.is_empty() {
         commit
     } else {
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -14,15 +14,15 @@
 use tokio::process::{Child, Command};
 
 /// Time for a process to accept clients after its start: many times what the largest settings take.
-const START: Duration = Duration::from_secs(120);
+const START_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time for new settings to come into force.
-const RELOAD: Duration = Duration::from_secs(120);
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(120);
 /// Interval of polling, which is the error of every time measured here.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Log message of a process when new settings are in force.
-const TAKEN: &str = "configuration applied";
+const APPLIED: &str = "configuration applied";
 /// Log message of a process when new settings are rejected.
-const REFUSED: &str = "configuration rejected";
+const REJECTED: &str = "configuration rejected";
 
 /// Why a real process could not be measured.
 #[derive(Debug, Error)]
@@ -79,11 +79,11 @@
     }
 
     async fn wait_ready(&mut self, began: Instant) -> Result<(), ProcessError> {
-        while began.elapsed() < START && matches!(self.child.try_wait(), Ok(None)) {
+        while began.elapsed() < START_TIMEOUT && matches!(self.child.try_wait(), Ok(None)) {
             if call(self.place.listen, "GET", "/-/ready", "").await == Some(200) {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ProcessError::Start(self.last_line()))
     }
@@ -120,9 +120,9 @@
         self.edition += 1;
         let text = document::node(self.size, self.place, self.edition);
         let path = self.folder.join("config.json");
-        let beside = path.with_extension("next");
-        std::fs::write(&beside, text)?;
-        std::fs::rename(&beside, &path)?;
+        let temporary = path.with_extension("next");
+        std::fs::write(&temporary, text)?;
+        std::fs::rename(&temporary, &path)?;
         Ok(())
     }
 
@@ -131,17 +131,17 @@
     /// # Errors
     /// Fails if the settings are rejected or not in force in time.
     pub async fn reload(&self) -> Result<Duration, ProcessError> {
-        let before = self.lines_with(TAKEN);
-        let refused = self.lines_with(REFUSED);
+        let before = self.lines_with(APPLIED);
+        let rejected = self.lines_with(REJECTED);
         let began = Instant::now();
         if let Some(pid) = self.child.id().and_then(|id| Pid::from_raw(id as i32)) {
             kill_process(pid, Signal::HUP).map_err(std::io::Error::from)?;
         }
-        while began.elapsed() < RELOAD && self.lines_with(REFUSED) == refused {
-            if self.lines_with(TAKEN) > before {
+        while began.elapsed() < RELOAD_TIMEOUT && self.lines_with(REJECTED) == rejected {
+            if self.lines_with(APPLIED) > before {
                 return Ok(began.elapsed());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ProcessError::Reload(self.last_line()))
     }
--- a/crates/testbed/src/scale/proxies.rs
+++ b/crates/testbed/src/scale/proxies.rs
@@ -4,8 +4,8 @@
 use super::directory::{Counters, Follower};
 use super::events;
 use super::experiment::AxisPlan;
-use super::record::{quantile, Gathered, Metric};
-use super::stand_ins::{Hollow, StandIns};
+use super::record::{quantile, Measurements, Metric};
+use super::stand_ins::{HollowProxies, StandIns};
 use super::{Rig, ScaleRunError};
 use crate::driver::run::raise_descriptor_limit;
 use crate::world::discovery::Status;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Hollow proxies per thread; more threads than processors would add noise.
-const THREAD_PROXIES: usize = 400;
+const PROXIES_PER_THREAD: usize = 400;
 /// Descriptors in addition to the two of each follower's connection.
 const OTHER_DESCRIPTORS: usize = 256;
 /// Time to wait until the last answers of a stage are counted.
@@ -23,13 +23,15 @@
 ///
 /// # Errors
 /// Fails if a socket or thread cannot be opened or started, or if followers are too late.
-pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
-    let most = axis.steps.iter().copied().max().unwrap_or(0);
-    raise_descriptor_limit(2 * most + OTHER_DESCRIPTORS)?;
+pub async fn walk(
+    rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
+) -> Result<(), ScaleRunError> {
+    let max_proxies = axis.steps.iter().copied().max().unwrap_or(0);
+    raise_descriptor_limit(2 * max_proxies + OTHER_DESCRIPTORS)?;
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
             rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
-            let mut note = |metric, value| gathered.add(axis.of, metric, *step, value);
+            let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
             measure(rig, *step, &mut note).await?;
         }
     }
@@ -43,13 +45,13 @@
     let stand_ins = StandIns::start(base.backends, base.zones, rig.experiment.discovery.clone()).await?;
     let began = Instant::now();
     let mut threads = Vec::new();
-    for first in (0..step).step_by(THREAD_PROXIES) {
-        threads.push(Hollow::start(THREAD_PROXIES.min(step - first), stand_ins.hollow)?);
+    for first in (0..step).step_by(PROXIES_PER_THREAD) {
+        threads.push(HollowProxies::start(PROXIES_PER_THREAD.min(step - first), stand_ins.hollow)?);
     }
     stand_ins.wait_listed(Follower::Hollow, step).await?;
     note(Metric::AllHaveListSeconds, began.elapsed().as_secs_f64());
 
-    let resting = told_during(&stand_ins, async {
+    let resting = counters_during(&stand_ins, async {
         tokio::time::sleep(Duration::from_secs_f64(churn.rest_s)).await;
         Ok(())
     })
@@ -59,24 +61,24 @@
 
     stand_ins.in_force().await?;
     let events = events::restarts(churn, base.backends, rig.experiment.seed);
-    let restarting = told_during(&stand_ins, async {
+    let restarting = counters_during(&stand_ins, async {
         stand_ins.play(&events).await;
         Ok(())
     })
     .await?;
-    let each = |told: u64| told as f64 / churn.restarts as f64;
-    note(Metric::RestartBytes, each(restarting.changes.bytes));
-    note(Metric::RestartCalls, each(restarting.changes.calls));
-    note(Metric::RestartLines, each(restarting.changes.lines));
+    let per_restart = |total: u64| total as f64 / churn.restarts as f64;
+    note(Metric::RestartBytes, per_restart(restarting.changes.bytes));
+    note(Metric::RestartCalls, per_restart(restarting.changes.calls));
+    note(Metric::RestartLines, per_restart(restarting.changes.lines));
     let mut ages: Vec<f64> = stand_ins.in_force().await?.iter().map(|(_, age)| age.as_secs_f64()).collect();
     note(Metric::HollowInForceP50Seconds, quantile(&mut ages, 0.5));
     note(Metric::HollowInForceP99Seconds, quantile(&mut ages, 0.99));
 
     if let Some(count) = churn.groups.first() {
-        note(Metric::GroupBytes, group(rig, &stand_ins, *count, step).await?.bytes);
+        note(Metric::GroupBytes, measure_group(rig, &stand_ins, *count, step).await?.bytes);
     }
     if let Some(count) = churn.groups.last() {
-        let largest = group(rig, &stand_ins, *count, step).await?;
+        let largest = measure_group(rig, &stand_ins, *count, step).await?;
         note(Metric::LargestGroupBytes, largest.bytes);
         note(Metric::GroupInForceSeconds, largest.in_force_s);
     }
@@ -89,26 +91,26 @@
     in_force_s: f64,
 }
 
-async fn group(
+async fn measure_group(
     rig: &Rig<'_>, stand_ins: &StandIns, count: usize, followers: usize,
 ) -> Result<Group, ScaleRunError> {
     let backends = events::group(count, rig.experiment.base.backends, rig.experiment.seed);
     let mut slowest = 0.0;
-    let told = told_during(stand_ins, async {
+    let counters = counters_during(stand_ins, async {
         for status in [Status::Deleted, Status::Serving] {
             stand_ins.in_force().await?;
-            stand_ins.change(events::all(&backends, status));
+            stand_ins.change(events::status_changes(&backends, status));
             let ages = stand_ins.wait_in_force(followers).await?;
             slowest = ages.iter().map(Duration::as_secs_f64).fold(slowest, f64::max);
         }
         Ok(())
     })
     .await?;
-    Ok(Group { bytes: told.changes.bytes as f64, in_force_s: slowest })
+    Ok(Group { bytes: counters.changes.bytes as f64, in_force_s: slowest })
 }
 
 /// Returns the counters of discovery for the time that `meanwhile` takes and a pause for the last answers.
-async fn told_during(
+async fn counters_during(
     stand_ins: &StandIns, meanwhile: impl std::future::Future<Output = Result<(), ScaleRunError>>,
 ) -> Result<Counters, ScaleRunError> {
     let before = stand_ins.counters().await?;
--- a/crates/testbed/src/scale/record.rs
+++ b/crates/testbed/src/scale/record.rs
@@ -173,14 +173,14 @@
         for series in &self.series {
             let _ = write!(text, "{:<9} {:<28}", series.axis.name(), series.metric.name());
             for point in &series.points {
-                let _ = write!(text, " {}:{}", point.x, short(point.median()));
+                let _ = write!(text, " {}:{}", point.x, format_short(point.median()));
             }
             if series.floor != 0.0 {
-                let _ = write!(text, "  floor {}", short(series.floor));
+                let _ = write!(text, "  floor {}", format_short(series.floor));
             }
             let law = series.fit.map(|fit| {
                 let Fit { factor, power, residual, .. } = fit;
-                format!("  y = {} x^{power:.2}, residual {:.0} %", short(factor), residual * 100.0)
+                format!("  y = {} x^{power:.2}, residual {:.0} %", format_short(factor), residual * 100.0)
             });
             let _ = writeln!(text, "{}", law.unwrap_or_else(|| "  no fit".into()));
         }
@@ -194,7 +194,7 @@
 }
 
 /// Line segments of a drawn law.
-const DRAWN: usize = 40;
+const CURVE_SEGMENTS: usize = 40;
 
 fn field(series: &Series) -> Option<Field> {
     let fit = series.fit?;
@@ -203,9 +203,9 @@
         series.points.iter().map(above).filter(|(x, y)| x.is_finite() && y.is_finite()).collect();
     let low = dots.iter().map(|dot| dot.0).fold(f64::INFINITY, f64::min);
     let high = dots.iter().map(|dot| dot.0).fold(0.0, f64::max).max(low + 0.1);
-    let at = |step: usize| low + (high - low) * step as f64 / DRAWN as f64;
+    let at = |step: usize| low + (high - low) * step as f64 / CURVE_SEGMENTS as f64;
     let points: Vec<(f64, f64)> =
-        (0..=DRAWN).map(|step| (at(step), fit.at(10f64.powf(at(step))).log10())).collect();
+        (0..=CURVE_SEGMENTS).map(|step| (at(step), fit.at(10f64.powf(at(step))).log10())).collect();
     let heights = || dots.iter().chain(&points).map(|dot| dot.1);
     let (bottom, top) = (heights().fold(f64::INFINITY, f64::min), heights().fold(f64::MIN, f64::max));
     let name = format!("x^{:.2}, residual {:.0} %", fit.power, fit.residual * 100.0);
@@ -219,7 +219,7 @@
 
 /// Formats a value in short form: whole numbers from 100, two decimals from 1, four decimals below, and
 /// scientific notation from 100,000 and below 0.001.
-pub fn short(value: f64) -> String {
+pub fn format_short(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
     }
@@ -240,9 +240,9 @@
 
 /// Collects measured values by axis, quantity and step.
 #[derive(Default)]
-pub struct Gathered(Vec<Series>);
+pub struct Measurements(Vec<Series>);
 
-impl Gathered {
+impl Measurements {
     /// Adds one value.
     pub fn add(&mut self, axis: AxisKind, metric: Metric, x: usize, value: f64) {
         let x = x as f64;
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -161,19 +161,19 @@
         all.flatten().flatten().collect()
     }
 
-    fn control_core(&self) -> Option<f64> {
+    fn core_budget(&self) -> Option<f64> {
         Some(self.target.control_core_share)
     }
 
-    fn added(&self) -> Option<f64> {
+    fn latency_budget(&self) -> Option<f64> {
         Some(self.target.added_p99_ms / 1e3)
     }
 
-    fn control_memory(&self) -> Option<f64> {
+    fn memory_budget(&self) -> Option<f64> {
         Some(self.target.control_memory_mb * 1e6)
     }
 
-    fn control_bytes(&self) -> Option<f64> {
+    fn bytes_budget(&self) -> Option<f64> {
         Some(self.target.control_bytes_per_s)
     }
 
@@ -203,27 +203,27 @@
 
     /// Returns the rows of a proxy's memory.
     fn proxy_memory(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "memory of settings, after the start",
                 Unit::Bytes,
                 self.settings(Metric::MemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: one copy, without the parsed document; interned names",
             ),
-            row.make(
+            row.build(
                 "memory of settings, after a reload",
                 Unit::Bytes,
                 self.settings(Metric::ReloadedMemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: deltas of settings; interned names",
             ),
-            row.make(
+            row.build(
                 "memory of the list",
                 Unit::Bytes,
                 self.above_floor(Backends, Metric::MemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: subsetting, where 320 services share one list",
             ),
         ]
@@ -231,48 +231,48 @@
 
     /// Returns the rows of a proxy's costs for changes of the settings.
     fn proxy_reloads(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "processor time of reloads",
                 Unit::Share,
                 self.reload_share(),
-                self.control_core(),
+                self.core_budget(),
                 "missing: an index of names, then deltas of settings",
             ),
-            row.make(
+            row.build(
                 "pause of all requests at a reload, with a core to itself",
                 Unit::Seconds,
                 self.settings(Metric::ReloadProcessorSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "pause of all requests at a reload, as measured on a busy machine",
                 Unit::Seconds,
                 self.settings(Metric::ReloadLongestSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "part of the day in such pauses (over 1 % the day's p99 is a pause)",
                 Unit::Share,
                 self.reload_share(),
-                Some(TAIL),
+                Some(P99_TAIL),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "settings in force after SIGHUP",
                 Unit::Seconds,
                 self.settings(Metric::ReloadSeconds),
                 Some(self.target.in_force_s),
                 "reload, without the way to the proxy",
             ),
-            row.make(
+            row.build(
                 "bytes of settings, each change whole",
                 Unit::BytesPerSecond,
                 self.settings_bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "missing: deltas of settings",
             ),
         ]
@@ -280,16 +280,16 @@
 
     /// Returns the rows of a proxy's other costs for the size of the settings.
     fn proxy_settings(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "look-up of tenant and route, a request",
                 Unit::Seconds,
                 self.settings(Metric::LookupSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names",
             ),
-            row.make(
+            row.build(
                 "ready after a start, by settings",
                 Unit::Seconds,
                 self.settings(Metric::ReadySeconds),
@@ -301,58 +301,58 @@
 
     /// Returns the rows of a proxy's costs for the list of backends.
     fn proxy_list(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "bytes of the list, ordinary day",
                 Unit::BytesPerSecond,
                 self.list_bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "deltas (watch by version)",
             ),
-            row.make(
+            row.build(
                 "processor time of changed lines, ordinary day",
                 Unit::Share,
                 self.line_share(),
-                self.control_core(),
+                self.core_budget(),
                 "deltas (watch by version)",
             ),
-            row.make(
+            row.build(
                 "processor time at rest",
                 Unit::Share,
                 self.above_floor(Backends, Metric::RestProcessorShare),
-                self.control_core(),
+                self.core_budget(),
                 "timers",
             ),
-            row.make(
+            row.build(
                 "processor time of a whole list, once",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::WholeListProcessorSeconds),
                 None,
                 "at a start, and once after discovery moves: a pause then",
             ),
-            row.make(
+            row.build(
                 "processor time of one changed line",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::LineProcessorSeconds),
                 None,
                 "a solution in parts; missing: subsetting, as it grows with the list",
             ),
-            row.make(
+            row.build(
                 "bytes of a whole list, once",
                 Unit::Bytes,
                 self.above_floor(Backends, Metric::WholeListBytes),
                 None,
                 "only at a start; kept lists; missing: subsetting",
             ),
-            row.make(
+            row.build(
                 "a change of the list in force at a real proxy, p99",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::RealInForceP99Seconds),
                 Some(self.target.in_force_s),
                 "long polls",
             ),
-            row.make(
+            row.build(
                 "ready after a start, by the list",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::ReadySeconds),
@@ -363,7 +363,7 @@
     }
 
     fn proxy_sums(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         let memory = || {
             let lists = self.above_floor(Backends, Metric::MemoryBytes)?;
             let floor = self.floor(Tenants, Metric::MemoryBytes)?;
@@ -379,32 +379,32 @@
             Some(self.settings_bytes()?.plus(self.list_bytes()?).plus(talk))
         };
         vec![
-            row.make(
+            row.build(
                 "all memory together, program included",
                 Unit::Bytes,
                 memory(),
-                self.control_memory(),
+                self.memory_budget(),
                 "the rows above",
             ),
-            row.make(
+            row.build(
                 "all processor time together, talk included",
                 Unit::Share,
                 processor(),
-                self.control_core(),
+                self.core_budget(),
                 "the rows above",
             ),
-            row.make(
+            row.build(
                 "all bytes together, talk included",
                 Unit::BytesPerSecond,
                 bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "the rows above",
             ),
         ]
     }
 
     fn discovery(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Discovery);
+        let row = RowBuilder(Role::Discovery);
         let all_bytes = Some(self.target.control_bytes_per_s * self.target.proxies);
         let day = self.list_bytes().map(|bytes| bytes.scale(self.target.proxies));
         let calls = || {
@@ -417,49 +417,49 @@
             Some(list.scale(self.target.proxies))
         };
         vec![
-            row.make(
+            row.build(
                 "bytes told, ordinary day",
                 Unit::BytesPerSecond,
                 day,
                 all_bytes,
                 "deltas (watch by version); answers shared by all of a version",
             ),
-            row.make(
+            row.build(
                 "calls answered, ordinary day",
                 Unit::CallsPerSecond,
                 calls(),
                 None,
                 "long polls; missing: a relay tree beyond one machine",
             ),
-            row.make(
+            row.build(
                 "bytes where a rack goes and comes back",
                 Unit::Bytes,
                 self.above_floor(Proxies, Metric::GroupBytes),
                 None,
                 "deltas",
             ),
-            row.make(
+            row.build(
                 "bytes where the largest zone goes and comes back",
                 Unit::Bytes,
                 self.above_floor(Proxies, Metric::LargestGroupBytes),
                 None,
                 "deltas; missing: subsetting",
             ),
-            row.make(
+            row.build(
                 "all proxies know that the zone is gone",
                 Unit::Seconds,
                 self.above_floor(Proxies, Metric::GroupInForceSeconds),
                 Some(self.target.in_force_s),
                 "deltas",
             ),
-            row.make(
+            row.build(
                 "bytes where all proxies ask for the whole list",
                 Unit::Bytes,
                 whole(),
                 None,
                 "missing: a relay tree, subsetting",
             ),
-            row.make(
+            row.build(
                 "all proxies have the whole list",
                 Unit::Seconds,
                 self.above_floor(Proxies, Metric::AllHaveListSeconds),
@@ -470,18 +470,18 @@
     }
 
     fn configuration(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Configuration);
+        let row = RowBuilder(Role::Configuration);
         let all_bytes = Some(self.target.control_bytes_per_s * self.target.proxies);
         let shipped = self.settings_bytes().map(|bytes| bytes.scale(self.target.proxies));
         vec![
-            row.make(
+            row.build(
                 "state: one whole document",
                 Unit::Bytes,
                 self.settings(Metric::DocumentBytes),
                 None,
                 "a file beside each proxy",
             ),
-            row.make(
+            row.build(
                 "bytes told, each change whole to all",
                 Unit::BytesPerSecond,
                 shipped,
@@ -492,30 +492,30 @@
     }
 
     fn members(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Member);
+        let row = RowBuilder(Role::Member);
         let membership = self.above_floor(Members, Metric::MembershipBytesPerSecond);
         let talk = self.above_floor(Members, Metric::TalkBytesPerSecond);
         let processor = self.above_floor(Members, Metric::TalkProcessorShare);
         vec![
-            row.make(
+            row.build(
                 "bytes of membership",
                 Unit::BytesPerSecond,
                 membership,
-                self.control_bytes(),
+                self.bytes_budget(),
                 "gossip of bounded datagrams",
             ),
-            row.make(
+            row.build(
                 "bytes of membership and of what each holds",
                 Unit::BytesPerSecond,
                 talk,
-                self.control_bytes(),
+                self.bytes_budget(),
                 "missing: sums by zone in place of a number for each member",
             ),
-            row.make(
+            row.build(
                 "processor time of the talk",
                 Unit::Share,
                 processor,
-                self.control_core(),
+                self.core_budget(),
                 "gossip of bounded datagrams",
             ),
         ]
@@ -524,15 +524,15 @@
 
 /// The share of requests above the 99th percentile: if pauses take a larger part of the day, the 99th
 /// percentile is a pause.
-const TAIL: f64 = 0.01;
+const P99_TAIL: f64 = 0.01;
 /// Lines that discovery sends for one restart: the backend drains, leaves and serves again.
 const LINES_PER_RESTART: f64 = 3.0;
 
 /// Creates the rows of one role.
-struct Maker(Role);
+struct RowBuilder(Role);
 
-impl Maker {
-    fn make(
+impl RowBuilder {
+    fn build(
         &self, what: &'static str, unit: Unit, estimate: Option<Estimate>, budget: Option<f64>,
         carried_by: &'static str,
     ) -> Option<Row> {
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -3,9 +3,9 @@
 
 use super::document::{self, Size};
 use super::experiment::{AxisKind, AxisPlan};
-use super::load::{self, Requests, Seen};
+use super::load::{self, LoadResult, Requests};
 use super::process::Process;
-use super::record::{quantile, Gathered, Metric};
+use super::record::{quantile, Measurements, Metric};
 use super::stand_ins::StandIns;
 use super::{Rig, ScaleRunError};
 use crate::driver::run::thread;
@@ -26,7 +26,9 @@
 ///
 /// # Errors
 /// Fails if a process or socket cannot be opened, or if generated settings are not accepted.
-pub async fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) -> Result<(), ScaleRunError> {
+pub async fn walk(
+    rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
+) -> Result<(), ScaleRunError> {
     let base = &rig.experiment.base;
     let stand_ins = StandIns::start(base.backends, base.zones, rig.experiment.discovery.clone()).await?;
     let mut floors = Vec::new();
@@ -35,14 +37,14 @@
         for step in &axis.steps {
             rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
             let size = size(rig, axis.of, *step);
-            let mut note = |metric, value| gathered.add(axis.of, metric, *step, value);
-            in_process(size, &mut note)?;
-            with_process(rig, &stand_ins, size, &mut note).await?;
+            let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
+            measure_in_process(size, &mut note)?;
+            measure_process(rig, &stand_ins, size, &mut note).await?;
         }
     }
     let floor = quantile(&mut floors, 0.5);
-    gathered.floor(axis.of, Metric::MemoryBytes, floor);
-    gathered.floor(axis.of, Metric::ReloadedMemoryBytes, floor);
+    measurements.floor(axis.of, Metric::MemoryBytes, floor);
+    measurements.floor(axis.of, Metric::ReloadedMemoryBytes, floor);
     Ok(())
 }
 
@@ -67,7 +69,7 @@
 }
 
 /// Measures the cost of reading settings, merging them with their predecessor and looking up names in this process.
-fn in_process(size: Size, note: &mut impl FnMut(Metric, f64)) -> Result<(), ScaleRunError> {
+fn measure_in_process(size: Size, note: &mut impl FnMut(Metric, f64)) -> Result<(), ScaleRunError> {
     let (old, new) = (document::settings(size, 0), document::settings(size, 1));
     let read = |value| Settings::read(value).map_err(|faults| ScaleRunError::Settings(faults.to_string()));
     let first = read(&old)?;
@@ -93,7 +95,7 @@
     began.elapsed().as_secs_f64() / f64::from(LOOKUPS)
 }
 
-async fn with_process(
+async fn measure_process(
     rig: &Rig<'_>, stand_ins: &StandIns, size: Size, note: &mut impl FnMut(Metric, f64),
 ) -> Result<(), ScaleRunError> {
     let mut process = Process::start(rig.program, &rig.folder, size, stand_ins.discovery).await?;
@@ -133,16 +135,16 @@
     Ok(())
 }
 
-fn note_latency(seen: &Seen, metrics: [Metric; 3], note: &mut impl FnMut(Metric, f64)) {
-    let values = [seen.p50_us, seen.p99_us, seen.longest_us];
+fn note_latency(result: &LoadResult, metrics: [Metric; 3], note: &mut impl FnMut(Metric, f64)) {
+    let values = [result.p50_us, result.p99_us, result.longest_us];
     metrics.into_iter().zip(values).for_each(|(metric, us)| note(metric, us / 1e6));
 }
 
 /// Sends a window of load from a thread of its own while `meanwhile` runs, and returns the results of both.
 async fn window<T>(
     requests: Requests, meanwhile: impl std::future::Future<Output = Result<T, ScaleRunError>>,
-) -> Result<(Seen, T), ScaleRunError> {
+) -> Result<(LoadResult, T), ScaleRunError> {
     let sent = thread("load", move || load::send(requests))?;
-    let (seen, meanwhile) = tokio::join!(sent, meanwhile);
-    Ok((seen.map_err(|_| ScaleRunError::Thread)?, meanwhile?))
+    let (result, meanwhile) = tokio::join!(sent, meanwhile);
+    Ok((result.map_err(|_| ScaleRunError::Thread)?, meanwhile?))
 }
--- a/crates/testbed/src/scale/stand_ins.rs
+++ b/crates/testbed/src/scale/stand_ins.rs
@@ -16,12 +16,12 @@
 const ANSWER_BYTES: usize = 512;
 
 /// Longest wait for followers to receive a list or a change; a longer delay is an error and not a measurement.
-const LATEST: Duration = Duration::from_secs(180);
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(180);
 /// Interval of polling the state of the followers.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A command to the thread of the stand-ins.
-enum Order {
+enum Command {
     Change(Vec<Change>),
     Counters(oneshot::Sender<Counters>),
     Listed(oneshot::Sender<Listed>),
@@ -30,7 +30,7 @@
 
 /// Handle of the stand-ins, which stop when it is dropped.
 pub struct StandIns {
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
     /// Address of discovery for real processes.
     pub discovery: SocketAddr,
     /// Address of discovery for hollow proxies.
@@ -48,25 +48,25 @@
     /// # Errors
     /// Fails if a thread cannot be started or a socket not be opened.
     pub async fn start(backends: usize, zones: usize, capacity: Capacity) -> Result<StandIns, ScaleRunError> {
-        let (orders, taken) = mpsc::unbounded_channel();
-        let (ready, standing) = oneshot::channel();
+        let (commands, received) = mpsc::unbounded_channel();
+        let (ready, addresses_receiver) = oneshot::channel();
         thread("stand-ins", move || async move {
-            let started = begin(backends, zones, capacity).await;
+            let started = start_services(backends, zones, capacity).await;
             match started {
                 Ok((directory, addresses)) => {
                     let _ = ready.send(Ok(addresses));
-                    heed(directory, taken).await;
+                    run_commands(directory, received).await;
                 }
                 Err(error) => drop(ready.send(Err(error))),
             }
         })?;
-        let addresses = standing.await.map_err(|_| ScaleRunError::Thread)??;
-        Ok(StandIns { orders, discovery: addresses.real, hollow: addresses.hollow })
+        let addresses = addresses_receiver.await.map_err(|_| ScaleRunError::Thread)??;
+        Ok(StandIns { commands, discovery: addresses.real, hollow: addresses.hollow })
     }
 
     /// Changes the list.
     pub fn change(&self, changes: Vec<Change>) {
-        let _ = self.orders.send(Order::Change(changes)); // the thread ends only when this value is dropped
+        let _ = self.commands.send(Command::Change(changes)); // the thread ends only when this value is dropped
     }
 
     /// Returns the counters of all answers so far.
@@ -74,7 +74,7 @@
     /// # Errors
     /// Fails if the thread has ended.
     pub async fn counters(&self) -> Result<Counters, ScaleRunError> {
-        self.ask(Order::Counters).await
+        self.ask(Command::Counters).await
     }
 
     /// Returns the time from each change until each follower had it in force, for all observed since the last call.
@@ -82,7 +82,7 @@
     /// # Errors
     /// Fails if the thread has ended.
     pub async fn in_force(&self) -> Result<Vec<(Follower, Duration)>, ScaleRunError> {
-        self.ask(Order::InForce).await
+        self.ask(Command::InForce).await
     }
 
     /// Applies the changes of the events to the list, each at its time.
@@ -97,16 +97,16 @@
     /// Waits until `count` followers of one kind have a list.
     ///
     /// # Errors
-    /// Fails if this takes longer than `LATEST`, or if the thread has ended.
-    pub async fn wait_listed(&self, sort: Follower, count: usize) -> Result<(), ScaleRunError> {
-        let end = Instant::now() + LATEST;
+    /// Fails if this takes longer than `FOLLOWER_TIMEOUT`, or if the thread has ended.
+    pub async fn wait_listed(&self, kind: Follower, count: usize) -> Result<(), ScaleRunError> {
+        let end = Instant::now() + FOLLOWER_TIMEOUT;
         while Instant::now() < end {
-            let listed = self.ask(Order::Listed).await?;
-            let have = if sort == Follower::Real { listed.real } else { listed.hollow };
-            if have >= count {
+            let listed = self.ask(Command::Listed).await?;
+            let found = if kind == Follower::Real { listed.real } else { listed.hollow };
+            if found >= count {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ScaleRunError::Late(format!("{count} followers with a list")))
     }
@@ -114,27 +114,27 @@
     /// Waits until `count` followers have the last change in force, and returns the time that each of them took.
     ///
     /// # Errors
-    /// Fails if this takes longer than `LATEST`, or if the thread has ended.
+    /// Fails if this takes longer than `FOLLOWER_TIMEOUT`, or if the thread has ended.
     pub async fn wait_in_force(&self, count: usize) -> Result<Vec<Duration>, ScaleRunError> {
-        let (end, mut ages) = (Instant::now() + LATEST, Vec::new());
+        let (end, mut ages) = (Instant::now() + FOLLOWER_TIMEOUT, Vec::new());
         while Instant::now() < end {
             ages.extend(self.in_force().await?.into_iter().map(|(_, age)| age));
             if ages.len() >= count {
                 return Ok(ages);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ScaleRunError::Late(format!("{count} followers with a change in force")))
     }
 
-    async fn ask<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Order) -> Result<T, ScaleRunError> {
-        let (answer, answered) = oneshot::channel();
-        let _ = self.orders.send(order(answer));
-        answered.await.map_err(|_| ScaleRunError::Thread)
+    async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, ScaleRunError> {
+        let (answer, receiver) = oneshot::channel();
+        let _ = self.commands.send(command(answer));
+        receiver.await.map_err(|_| ScaleRunError::Thread)
     }
 }
 
-async fn begin(
+async fn start_services(
     backends: usize, zones: usize, capacity: Capacity,
 ) -> std::io::Result<(std::rc::Rc<Directory>, Addresses)> {
     let real_backend = answering_backends(1, ANSWER_BYTES).await?.first().copied();
@@ -144,13 +144,13 @@
     Ok((directory, Addresses { real, hollow }))
 }
 
-async fn heed(directory: std::rc::Rc<Directory>, mut orders: mpsc::UnboundedReceiver<Order>) {
-    while let Some(order) = orders.recv().await {
-        match order {
-            Order::Change(changes) => directory.change(&changes, unix_ms()),
-            Order::Counters(answer) => drop(answer.send(directory.counters())),
-            Order::Listed(answer) => drop(answer.send(directory.listed())),
-            Order::InForce(answer) => drop(answer.send(directory.take_in_force())),
+async fn run_commands(directory: std::rc::Rc<Directory>, mut commands: mpsc::UnboundedReceiver<Command>) {
+    while let Some(command) = commands.recv().await {
+        match command {
+            Command::Change(changes) => directory.change(&changes, unix_ms()),
+            Command::Counters(answer) => drop(answer.send(directory.counters())),
+            Command::Listed(answer) => drop(answer.send(directory.listed())),
+            Command::InForce(answer) => drop(answer.send(directory.take_in_force())),
         }
     }
 }
@@ -160,16 +160,16 @@
 }
 
 /// Handle of hollow proxies on a thread of their own, which stop when it is dropped.
-pub struct Hollow {
+pub struct HollowProxies {
     _stop: oneshot::Sender<()>,
 }
 
-impl Hollow {
+impl HollowProxies {
     /// Starts `count` hollow proxies.
     ///
     /// # Errors
     /// Fails if no thread can be started.
-    pub fn start(count: usize, discovery: SocketAddr) -> std::io::Result<Hollow> {
+    pub fn start(count: usize, discovery: SocketAddr) -> std::io::Result<HollowProxies> {
         let (stop, stopped) = oneshot::channel::<()>();
         thread("hollow", move || async move {
             for _ in 0..count {
@@ -177,6 +177,6 @@
             }
             let _ = stopped.await;
         })?;
-        Ok(Hollow { _stop: stop })
+        Ok(HollowProxies { _stop: stop })
     }
 }
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -1,7 +1,7 @@
 //! The axis of members: the gossip of membership and load reports between proxies, in virtual time.
 
 use super::experiment::AxisPlan;
-use super::record::{Gathered, Metric};
+use super::record::{Measurements, Metric};
 use super::Rig;
 use crate::world::rng::Rng;
 use lotusdeck_fleet::{Identity, Node, NodeConfig, Seed};
@@ -14,32 +14,32 @@
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 /// Longest delay of a datagram, s.
-const DELAY_S: f64 = 0.002;
+const MAX_DELAY_S: f64 = 0.002;
 /// Virtual time for the members to learn of each other.
 const SETTLE: Duration = Duration::from_secs(15);
 /// Virtual time of the measurement.
 const MEASURED: Duration = Duration::from_secs(5);
 /// Lease duration. No limits are shared here, so that it only sets the pace of rounds.
-const TERM: Duration = Duration::from_secs(1);
+const LEASE_DURATION: Duration = Duration::from_secs(1);
 /// Members that a new member contacts.
 const SEEDS: usize = 3;
 /// Port of the first member; ports stand for positions and no socket is opened.
 const FIRST_PORT: u16 = 7_000;
 /// Growth of the reported requests in flight, per second, so that there is always a change to report.
-const HELD_PER_SECOND: f64 = 100.0;
+const IN_FLIGHT_PER_SECOND: f64 = 100.0;
 
 /// Measures all steps of the axis in interleaved repetitions.
-pub fn walk(rig: &Rig<'_>, axis: &AxisPlan, gathered: &mut Gathered) {
+pub fn walk(rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements) {
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
             rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
             let seed = rig.experiment.seed + repeat as u64;
-            let silent = Talk::new(*step, seed, false).measure();
-            let telling = Talk::new(*step, seed, true).measure();
-            let mut note = |metric, value| gathered.add(axis.of, metric, *step, value);
-            note(Metric::MembershipBytesPerSecond, silent.bytes_per_second);
-            note(Metric::TalkBytesPerSecond, telling.bytes_per_second);
-            note(Metric::TalkProcessorShare, telling.processor_share);
+            let membership_only = Gossip::new(*step, seed, false).measure();
+            let with_reports = Gossip::new(*step, seed, true).measure();
+            let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
+            note(Metric::MembershipBytesPerSecond, membership_only.bytes_per_second);
+            note(Metric::TalkBytesPerSecond, with_reports.bytes_per_second);
+            note(Metric::TalkProcessorShare, with_reports.processor_share);
         }
     }
 }
@@ -53,19 +53,19 @@
 /// A datagram in transit: arrival time, us; sequence number, which keeps the order; receiver; content.
 type Datagram = Reverse<(u64, u64, usize, Vec<u8>)>;
 
-struct Talk {
+struct Gossip {
     nodes: Vec<Node>,
     now: Duration,
-    wire: BinaryHeap<Datagram>,
+    in_transit: BinaryHeap<Datagram>,
     rng: Rng,
     sent: u64,
     bytes: u64,
-    spent: Duration,
-    tells: bool,
+    processor_time: Duration,
+    reports_load: bool,
 }
 
-impl Talk {
-    fn new(members: usize, seed: u64, tells: bool) -> Talk {
+impl Gossip {
+    fn new(members: usize, seed: u64, reports_load: bool) -> Gossip {
         let now = Duration::from_secs(1);
         let seeds: Vec<Seed> = (0..members.min(SEEDS))
             .map(|position| Seed { proxy_index: position as u32, address: address(position) })
@@ -81,32 +81,32 @@
                 fleet_size: NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN),
                 seeds: seeds.clone(),
                 limits: Vec::new(),
-                lease_duration: TERM,
-                max_request_duration: TERM,
+                lease_duration: LEASE_DURATION,
+                max_request_duration: LEASE_DURATION,
                 rng_seed: seed ^ (position as u64) << 32,
             };
             Node::new(config, now)
         };
-        Talk {
+        Gossip {
             nodes: (0..members).map(node).collect(),
             now,
-            wire: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             rng: Rng::new(seed, "scale talk"),
             sent: 0,
             bytes: 0,
-            spent: Duration::ZERO,
-            tells,
+            processor_time: Duration::ZERO,
+            reports_load,
         }
     }
 
     fn measure(mut self) -> Cost {
         self.run(SETTLE);
-        let (bytes, spent) = (self.bytes, self.spent);
+        let (bytes, processor_time) = (self.bytes, self.processor_time);
         self.run(MEASURED);
         let member_seconds = MEASURED.as_secs_f64() * self.nodes.len() as f64;
         Cost {
             bytes_per_second: (self.bytes - bytes) as f64 / member_seconds,
-            processor_share: (self.spent - spent).as_secs_f64() / member_seconds,
+            processor_share: (self.processor_time - processor_time).as_secs_f64() / member_seconds,
         }
     }
 
@@ -115,42 +115,42 @@
         while self.now < end {
             self.now += STEP;
             self.deliver();
-            (0..self.nodes.len()).for_each(|at| self.turn(at));
+            (0..self.nodes.len()).for_each(|at| self.tick_node(at));
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now.as_micros() as u64;
-        while self.wire.peek().is_some_and(|Reverse(datagram)| datagram.0 <= now) {
-            let Some(Reverse((_, _, to, bytes))) = self.wire.pop() else { break };
+        while self.in_transit.peek().is_some_and(|Reverse(datagram)| datagram.0 <= now) {
+            let Some(Reverse((_, _, to, bytes))) = self.in_transit.pop() else { break };
             let began = Instant::now();
             let _ = self.nodes[to].receive(self.now, &bytes); // all nodes run the same version, so this cannot fail
-            self.spent += began.elapsed();
-            self.post(to);
+            self.processor_time += began.elapsed();
+            self.send_pending(to);
         }
     }
 
-    fn turn(&mut self, at: usize) {
-        let held = (self.now.as_secs_f64() * HELD_PER_SECOND) as u32;
+    fn tick_node(&mut self, at: usize) {
+        let in_flight = (self.now.as_secs_f64() * IN_FLIGHT_PER_SECOND) as u32;
         let node = &mut self.nodes[at];
-        if self.tells {
-            node.set_in_flight(held);
+        if self.reports_load {
+            node.set_in_flight(in_flight);
         }
         if node.next_tick_at() <= self.now {
             let began = Instant::now();
             node.tick(self.now);
-            self.spent += began.elapsed();
-            self.post(at);
+            self.processor_time += began.elapsed();
+            self.send_pending(at);
         }
     }
 
-    fn post(&mut self, from: usize) {
+    fn send_pending(&mut self, from: usize) {
         while let Some((to, bytes)) = self.nodes[from].next_datagram() {
             let to = usize::from(to.port() - FIRST_PORT);
             self.bytes += bytes.len() as u64;
             self.sent += 1;
-            let at = self.now.as_micros() as u64 + (self.rng.unit() * DELAY_S * 1e6) as u64;
-            self.wire.push(Reverse((at, self.sent, to, bytes)));
+            let at = self.now.as_micros() as u64 + (self.rng.unit() * MAX_DELAY_S * 1e6) as u64;
+            self.in_transit.push(Reverse((at, self.sent, to, bytes)));
         }
     }
 }
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -9,7 +9,7 @@
 use lotusdeck_testbed::scale::capacity;
 use lotusdeck_testbed::scale::experiment::{AxisKind, ScaleExperiment};
 use lotusdeck_testbed::scale::fit::Fit;
-use lotusdeck_testbed::scale::record::{Gathered, Metric, Record};
+use lotusdeck_testbed::scale::record::{Measurements, Metric, Record};
 use lotusdeck_testbed::scale::{events_hash, walk, Rig};
 use std::path::{Path, PathBuf};
 
@@ -39,7 +39,7 @@
 
 /// Every experiment in the repository is valid and has at least four steps on each axis.
 #[test]
-fn every_scale_experiment_is_sound() {
+fn every_scale_experiment_is_valid() {
     let folder = root().join("crates/testbed/scale");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -66,20 +66,20 @@
 
 /// The fit recovers a known law from its points, and its residual gives the deviation of points from the law.
 #[test]
-fn a_known_law_is_found() {
-    let points = |stray: f64| -> Vec<(f64, f64)> {
+fn the_fit_recovers_a_known_law() {
+    let points = |deviation: f64| -> Vec<(f64, f64)> {
         let law = |x: f64| 3.0 * x.powf(1.5);
         let signs = [1.0, -1.0, -1.0, 1.0];
         let xs = [10.0, 100.0, 1_000.0, 10_000.0];
-        xs.iter().zip(signs).map(|(x, sign)| (*x, law(*x) * (1.0 + stray).powf(sign))).collect()
+        xs.iter().zip(signs).map(|(x, sign)| (*x, law(*x) * (1.0 + deviation).powf(sign))).collect()
     };
     let exact = Fit::of(&points(0.0)).unwrap();
     assert!((exact.power - 1.5).abs() < 1e-9 && (exact.factor - 3.0).abs() < 1e-6, "{exact:?}");
     assert!(exact.residual < 1e-9 && (exact.at(100.0) - 3_000.0).abs() < 1e-3, "{exact:?}");
     // Four points, each off by ten percent, and two parameters: the logarithm of the residual ratio is
     // sqrt(4 / 2) times that of 1.1.
-    let strayed = Fit::of(&points(0.1)).unwrap();
-    assert!((strayed.residual - (1.1f64.powf(2f64.sqrt()) - 1.0)).abs() < 1e-9, "{strayed:?}");
+    let deviating = Fit::of(&points(0.1)).unwrap();
+    assert!((deviating.residual - (1.1f64.powf(2f64.sqrt()) - 1.0)).abs() < 1e-9, "{deviating:?}");
     assert!(Fit::of(&points(0.0)[..2]).is_none(), "two points say nothing of a residual");
     assert!(Fit::of(&[(1.0, 0.0), (2.0, -1.0), (3.0, 1.0), (4.0, 2.0)]).is_none(), "no logarithm");
     assert!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "one x");
@@ -87,7 +87,7 @@
 
 /// An error names the file, the key, the value and the range.
 #[test]
-fn a_bad_experiment_is_told_with_key_value_and_range() {
+fn errors_name_key_value_and_range() {
     let cases = [
         ("repeats = 1", "repeats = 0", "bad: repeats: expected from 1 to 50, got 0"),
         ("[4, 8, 16, 32]", "[4, 8, 16]", "bad: axis[0].steps (their number): expected from 4 to 12, got 3"),
@@ -112,7 +112,7 @@
 /// Hollow proxies get every line and every change, and their cost grows linearly with their number, as the
 /// protocol implies.
 #[test]
-fn a_small_walk_counts_what_the_protocol_says() {
+fn a_small_run_counts_calls_and_lines_of_the_protocol() {
     let experiment = ScaleExperiment::parse("small", SMALL).unwrap();
     let folder = std::env::temp_dir().join(format!("lotusdeck-scale-{}", std::process::id()));
     let rig = Rig { experiment: &experiment, program: Path::new("no program is needed"), folder };
@@ -142,13 +142,13 @@
 /// Generates the tables of a folder with one record, in which the processor time of a reload grows with the
 /// square of the number of tenants and of routes.
 fn tables(label: &str, factor: f64) -> String {
-    let mut gathered = Gathered::default();
+    let mut measurements = Measurements::default();
     for (axis, steps) in [(AxisKind::Tenants, [100, 1_000, 10_000]), (AxisKind::Routes, [10, 100, 1_000])] {
         for step in steps {
             let seconds = factor * (step as f64).powi(2);
             // An outlier in one of three repetitions does not change the median.
             for value in [seconds, seconds, 50.0 * seconds] {
-                gathered.add(axis, Metric::ReloadProcessorSeconds, step, value);
+                measurements.add(axis, Metric::ReloadProcessorSeconds, step, value);
             }
         }
     }
@@ -159,7 +159,7 @@
         command: "lotusdeck-testbed scale small.toml".into(),
         experiment: ScaleExperiment::parse("small", SMALL).unwrap(),
         events: "00".into(),
-        series: gathered.finish(),
+        series: measurements.finish(),
     };
     let folder = std::env::temp_dir().join(format!("lotusdeck-capacity-{label}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -179,9 +179,9 @@
         over.contains("| proxy | processor time of reloads | **2.61 %** | 1.10 % | **2.38 x** | 16.0 x |"),
         "{over}"
     );
-    let ranked =
+    let ranking =
         ["1. **831 x** proxy: pause of all requests", "2. **2.61 x** proxy: part of the day in such pauses"];
-    assert!(ranked.iter().all(|rank| over.contains(rank)), "{over}");
+    assert!(ranking.iter().all(|rank| over.contains(rank)), "{over}");
     assert!(over.contains("3. **2.38 x** proxy: processor time of reloads (2.61 %)"), "{over}");
     assert!(over.contains("| 1.00e-9 | 2.00 | 0 % |"), "{over}");
     let within = tables("within", 1e-13);
@@ -194,13 +194,13 @@
 
 /// A value measured at the target itself is used in place of the fitted law.
 #[test]
-fn a_measured_step_goes_before_the_law() {
-    let mut gathered = Gathered::default();
+fn a_measured_step_overrides_the_law() {
+    let mut measurements = Measurements::default();
     [(10, 15.0), (20, 25.0), (40, 45.0), (80, 95.0)]
         .into_iter()
-        .for_each(|(step, value)| gathered.add(AxisKind::Backends, Metric::MemoryBytes, step, value));
-    gathered.floor(AxisKind::Backends, Metric::MemoryBytes, 5.0);
-    let series = &gathered.finish()[0];
+        .for_each(|(step, value)| measurements.add(AxisKind::Backends, Metric::MemoryBytes, step, value));
+    measurements.floor(AxisKind::Backends, Metric::MemoryBytes, 5.0);
+    let series = &measurements.finish()[0];
     assert_eq!(series.above_floor(80.0), Some(90.0));
     let law = series.above_floor(160.0).unwrap();
     assert!((170.0..190.0).contains(&law) && series.extrapolated(160.0) == 2.0, "{law}");
