--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -1,6 +1,6 @@
 //! The experiments of a campaign: a small deployment with injuries and troubles drawn from a seed.
 
-use crate::experiment::{Experiment, ExperimentError, Trouble, What as Turn};
+use crate::experiment::{Experiment, ExperimentError, Trouble, What as TroubleKind};
 use crate::fault_proxy::script::{Fault, Place, Way, What};
 use crate::world::rng::Rng;
 
@@ -21,13 +21,13 @@
 "#;
 /// Largest number of injuries in a script, and exclusive bound of its troubles: more would hide each other and
 /// shrink slowly.
-const MOST: usize = 5;
+const MAX_FAULTS: usize = 5;
 /// Bytes inserted after an answer: another answer, the beginning of one, noise.
-const BEHIND: [&str; 3] =
+const TRAILING_BYTES: [&str; 3] =
     ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", "HTTP/1.1 200 OK\r\nContent-Le", "\r\n\r\nnoise"];
 /// Largest delay of a request in the relay, ms. A longer one could make a request look as if it was sent after
 /// the grace period of a drain.
-const MOST_UP_MS: u64 = 60;
+const MAX_UP_MS: u64 = 60;
 
 /// Draws the experiment of a seed.
 ///
@@ -37,8 +37,8 @@
     let mut e = Experiment::parse("campaign", BASE)?;
     let mut rng = Rng::new(seed, "campaign");
     e.seed = seed;
-    e.injury = (0..1 + rng.below(MOST)).map(|_| injury(&mut rng)).collect();
-    e.trouble = (0..rng.below(MOST)).map(|_| trouble(&mut rng, e.proxies)).collect();
+    e.injury = (0..1 + rng.below(MAX_FAULTS)).map(|_| injury(&mut rng)).collect();
+    e.trouble = (0..rng.below(MAX_FAULTS)).map(|_| trouble(&mut rng, e.proxies)).collect();
     Ok(e)
 }
 
@@ -46,7 +46,7 @@
     let way = if rng.unit() < 0.65 { Way::Down } else { Way::Up };
     let place = [Place::Start, Place::Body, Place::Middle, Place::End][rng.below(4)];
     let bytes = 1 + rng.below(9);
-    let ms = 1 + rng.below(if way == Way::Up { MOST_UP_MS as usize } else { 500 }) as u64;
+    let ms = 1 + rng.below(if way == Way::Up { MAX_UP_MS as usize } else { 500 }) as u64;
     let what = match rng.below(10) {
         0 => What::HalfClose,
         1 => What::Cut,
@@ -61,7 +61,7 @@
         7 => What::Flip { bytes },
         // Inserts bytes after an answer that belong to no request; the proxy must not take them for the answer
         // to the next one.
-        8 => What::Insert { text: BEHIND[rng.below(BEHIND.len())].into() },
+        8 => What::Insert { text: TRAILING_BYTES[rng.below(TRAILING_BYTES.len())].into() },
         // At most the first line: a longer repeat would shift the body while its length stays correct.
         _ => What::Repeat { bytes },
     };
@@ -86,30 +86,31 @@
 }
 
 fn trouble(rng: &mut Rng, proxies: usize) -> Trouble {
-    let turns = [
-        Turn::Kill,
-        Turn::Drain,
-        Turn::Slow,
-        Turn::Hang,
-        Turn::DiscoveryDown,
-        Turn::KillProxy,
-        Turn::RestartProxy,
-        Turn::Reload,
+    let kinds = [
+        TroubleKind::Kill,
+        TroubleKind::Drain,
+        TroubleKind::Slow,
+        TroubleKind::Hang,
+        TroubleKind::DiscoveryDown,
+        TroubleKind::KillProxy,
+        TroubleKind::RestartProxy,
+        TroubleKind::Reload,
     ];
-    let what = turns[rng.below(turns.len())];
-    let backends = matches!(what, Turn::Kill | Turn::Drain | Turn::Slow | Turn::Hang);
-    let proxy = matches!(what, Turn::KillProxy | Turn::RestartProxy | Turn::Reload);
-    let lasts = !matches!(what, Turn::Drain | Turn::Reload);
+    let what = kinds[rng.below(kinds.len())];
+    let affects_backends =
+        matches!(what, TroubleKind::Kill | TroubleKind::Drain | TroubleKind::Slow | TroubleKind::Hang);
+    let proxy = matches!(what, TroubleKind::KillProxy | TroubleKind::RestartProxy | TroubleKind::Reload);
+    let has_duration = !matches!(what, TroubleKind::Drain | TroubleKind::Reload);
     Trouble {
         at_s: 0.3 + 1.7 * rng.unit(),
         what,
-        part: backends.then(|| 0.2 + 0.3 * rng.unit()),
+        part: affects_backends.then(|| 0.2 + 0.3 * rng.unit()),
         kind: None,
         zone: None,
         who: None,
         proxy: proxy.then(|| rng.below(proxies)),
-        for_s: lasts.then(|| 0.3 + 0.7 * rng.unit()),
-        factor: (what == Turn::Slow).then(|| 0.1 + 0.4 * rng.unit()),
+        for_s: has_duration.then(|| 0.3 + 0.7 * rng.unit()),
+        factor: (what == TroubleKind::Slow).then(|| 0.1 + 0.4 * rng.unit()),
     }
 }
 
--- a/crates/testbed/src/campaign/draw/tests.rs
+++ b/crates/testbed/src/campaign/draw/tests.rs
@@ -3,7 +3,7 @@
 /// Each drawn experiment is valid, depends only on its seed, and is unchanged after it is saved and read, as
 /// experiments that break a rule are saved.
 #[test]
-fn every_script_is_sound_and_can_be_saved() {
+fn every_script_is_valid_and_can_be_saved() {
     for seed in 0..300 {
         let e = experiment(seed).unwrap();
         let text = toml::to_string(&e).unwrap();
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -9,7 +9,7 @@
 use crate::driver::run::play;
 use crate::experiment::{Effect, Experiment};
 use crate::oracle::{timeline, Broken};
-use crate::record::{How, What as Saw};
+use crate::record::{How, What as RecordedEvent};
 use crate::report::figures::Figures;
 use crate::session::{program, say, SessionError};
 use crate::world::plan::Plan;
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 /// Runs of a candidate while shrinking: a violation that depends on timing may not occur in a single run.
-const TRIES: usize = 3;
+const SHRINK_RUNS: usize = 3;
 
 /// Options of a campaign.
 #[derive(Clone, Debug, clap::Args)]
@@ -69,7 +69,7 @@
 pub struct Verdict {
     /// The broken rules and the timeline of the first request concerned; `None` if the testbed was late.
     pub broken: Option<(Vec<Broken>, String)>,
-    met: Progress,
+    counts: Progress,
 }
 
 /// Runs an experiment and checks it with the oracles. Blocks the thread.
@@ -82,18 +82,21 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     let outcome = runtime.block_on(play(plan.clone(), proxy, folder, &|_| {}))?;
     let (figures, broken) = Figures::of(&plan, &outcome);
-    let mut met = Progress::default();
+    let mut counts = Progress::default();
     let count = |of: &mut BTreeMap<String, u64>, what: String| *of.entry(what).or_default() += 1;
     for r in &outcome.records {
         match &r.what {
-            Saw::Injured { injury, .. } => {
+            RecordedEvent::Injured { injury, .. } => {
                 if let Some(f) = e.injury.get(*injury) {
                     let kind = format!("{:?}", f.what);
                     let kind = kind.split([' ', '{']).next().unwrap_or_default();
-                    count(&mut met.injuries, format!("{:?} {:?} {kind}", f.way, f.place.unwrap_or_default()));
+                    count(
+                        &mut counts.injuries,
+                        format!("{:?} {:?} {kind}", f.way, f.place.unwrap_or_default()),
+                    );
                 }
             }
-            Saw::Ended { id, how, .. } => {
+            RecordedEvent::Ended { id, how, .. } => {
                 let class = plan.arrivals.get(id.arrival as usize).and_then(|a| e.class.get(a.class));
                 let once = class.is_some_and(|c| c.effect == Effect::SingleShot);
                 let how = match how {
@@ -102,23 +105,23 @@
                     How::Withdrawn => "given up",
                     How::Died => "its backend died",
                 };
-                count(&mut met.states, format!("{} {how}", if once { "once" } else { "free" }));
+                count(&mut counts.states, format!("{} {how}", if once { "once" } else { "free" }));
             }
             _ => {}
         }
     }
-    e.trouble.iter().for_each(|t| count(&mut met.troubles, format!("{:?}", t.what)));
+    e.trouble.iter().for_each(|t| count(&mut counts.troubles, format!("{:?}", t.what)));
     if figures.void.is_some() {
-        return Ok(Verdict { broken: None, met });
+        return Ok(Verdict { broken: None, counts });
     }
     let first = broken.iter().find_map(|b| b.id);
-    let told = first.map_or(String::new(), |id| timeline(&plan, &outcome.records, id));
-    Ok(Verdict { broken: Some((broken, told)), met })
+    let course = first.map_or(String::new(), |id| timeline(&plan, &outcome.records, id));
+    Ok(Verdict { broken: Some((broken, course)), counts })
 }
 
 /// Returns whether the experiment breaks a rule in any of a few runs.
 fn breaks(e: &Experiment, proxy: &Path, folder: &Path) -> Result<bool, SessionError> {
-    for _ in 0..TRIES {
+    for _ in 0..SHRINK_RUNS {
         if judge(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
             return Ok(true);
         }
@@ -133,15 +136,15 @@
 pub fn shrink(
     mut e: Experiment, mut breaks: impl FnMut(&Experiment) -> Result<bool, SessionError>,
 ) -> Result<Experiment, SessionError> {
-    let (mut at, mut whole) = (0, e.injury.len() + e.trouble.len());
-    while at < whole {
-        let mut less = e.clone();
-        match at.checked_sub(less.injury.len()) {
-            None => drop(less.injury.remove(at)),
-            Some(trouble) => drop(less.trouble.remove(trouble)),
+    let (mut at, mut total) = (0, e.injury.len() + e.trouble.len());
+    while at < total {
+        let mut candidate = e.clone();
+        match at.checked_sub(candidate.injury.len()) {
+            None => drop(candidate.injury.remove(at)),
+            Some(trouble) => drop(candidate.trouble.remove(trouble)),
         }
-        if breaks(&less)? {
-            (e, whole) = (less, whole - 1);
+        if breaks(&candidate)? {
+            (e, total) = (candidate, total - 1);
         } else {
             at += 1;
         }
@@ -150,13 +153,13 @@
 }
 
 impl Progress {
-    fn add(&mut self, met: &Progress) {
+    fn add(&mut self, counts: &Progress) {
         let sum = |to: &mut BTreeMap<String, u64>, from: &BTreeMap<String, u64>| {
             from.iter().for_each(|(what, n)| *to.entry(what.clone()).or_default() += n);
         };
-        sum(&mut self.injuries, &met.injuries);
-        sum(&mut self.troubles, &met.troubles);
-        sum(&mut self.states, &met.states);
+        sum(&mut self.injuries, &counts.injuries);
+        sum(&mut self.troubles, &counts.troubles);
+        sum(&mut self.states, &counts.states);
     }
 
     fn table(&self) -> String {
@@ -199,7 +202,7 @@
         let broke = || !progress.lock().unwrap_or_else(|e| e.into_inner()).broke.is_empty();
         while Instant::now() < until && !(args.first && broke()) {
             let seed = next.fetch_add(1, Relaxed);
-            one(seed, &proxy, args, &progress)?;
+            run_seed(seed, &proxy, args, &progress)?;
             let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
             p.next = p.next.max(seed + 1);
             std::fs::write(&file, serde_json::to_string_pretty(&*p).unwrap_or_default()).map_err(fault)?;
@@ -216,7 +219,7 @@
 }
 
 /// Runs the script of one seed; if it breaks a rule, shrinks and saves it.
-fn one(seed: u64, proxy: &Path, args: &Args, progress: &Mutex<Progress>) -> Result<(), SessionError> {
+fn run_seed(seed: u64, proxy: &Path, args: &Args, progress: &Mutex<Progress>) -> Result<(), SessionError> {
     let out = &args.out;
     let folder = out.join(format!("seed-{seed}"));
     let e = experiment(seed)?;
@@ -224,25 +227,26 @@
     let found = verdict.broken.as_ref().filter(|(broken, _)| !broken.is_empty());
     {
         let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-        p.add(&verdict.met);
+        p.add(&verdict.counts);
         p.judged += u64::from(verdict.broken.is_some());
         p.void += u64::from(verdict.broken.is_none());
         p.broke.extend(found.map(|_| seed));
     }
-    let Some((broken, told)) = found else {
+    let Some((broken, course)) = found else {
         let _ = std::fs::remove_dir_all(&folder); // holds only the files of a run that broke no rule
         return Ok(());
     };
     for b in broken.iter().take(3) {
         say(&format!("seed {seed}: {}: {}\n", b.oracle, b.text));
     }
-    say(told);
-    let least = if args.first { e } else { shrink(e, |e| breaks(e, proxy, &folder))? };
+    say(course);
+    let smallest = if args.first { e } else { shrink(e, |e| breaks(e, proxy, &folder))? };
     let (file, name) = (out.join(format!("seed-{seed}.toml")), format!("seed-{seed}"));
-    let least = Experiment { name, about: format!("{}: {}", broken[0].oracle, broken[0].text), ..least };
-    let text = toml::to_string(&least).unwrap_or_default();
+    let smallest =
+        Experiment { name, about: format!("{}: {}", broken[0].oracle, broken[0].text), ..smallest };
+    let text = toml::to_string(&smallest).unwrap_or_default();
     std::fs::write(&file, text).map_err(|e| SessionError::File(file.display().to_string(), e))?;
-    let (injuries, troubles) = (least.injury.len(), least.trouble.len());
+    let (injuries, troubles) = (smallest.injury.len(), smallest.trouble.len());
     say(&format!("seed {seed}: {} holds {injuries} injuries and {troubles} troubles\n", file.display()));
     Ok(())
 }
--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -3,12 +3,12 @@
 use super::format::{Class, Experiment, Kind, Trouble, What};
 
 /// Largest size of an answer or a body, bytes: a run holds thousands of them at a time.
-const MOST_BYTES: usize = 65_536;
+const MAX_BYTES: usize = 65_536;
 /// Largest interval and delay of the proxies' load reports, ms: most runs end within a minute.
-const MOST_TALK_MS: f64 = 60_000.0;
+const MAX_TALK_MS: f64 = 60_000.0;
 /// Largest exponent by which a proxy's traffic falls with its number: at 8 the second proxy gets less than a
 /// hundredth of the first's.
-const MOST_SKEW: f64 = 8.0;
+const MAX_SKEW: f64 = 8.0;
 
 /// An invalid value.
 pub(super) struct FieldFault {
@@ -21,17 +21,22 @@
 /// Returns the first invalid value, in the order of the checks below.
 pub(super) fn first_fault(experiment: &Experiment) -> Option<FieldFault> {
     let classes =
-        || experiment.class.iter().enumerate().find_map(|(n, class)| in_class(experiment, n, class));
-    let kinds = || experiment.kind.iter().enumerate().find_map(|(n, kind)| in_kind(n, kind));
-    let troubles =
-        || experiment.trouble.iter().enumerate().find_map(|(n, trouble)| in_trouble(experiment, n, trouble));
-    in_whole(experiment).or_else(|| in_load(experiment)).or_else(classes).or_else(kinds).or_else(troubles)
+        || experiment.class.iter().enumerate().find_map(|(n, class)| check_class(experiment, n, class));
+    let kinds = || experiment.kind.iter().enumerate().find_map(|(n, kind)| check_kind(n, kind));
+    let troubles = || {
+        experiment.trouble.iter().enumerate().find_map(|(n, trouble)| check_trouble(experiment, n, trouble))
+    };
+    check_whole(experiment)
+        .or_else(|| check_load(experiment))
+        .or_else(classes)
+        .or_else(kinds)
+        .or_else(troubles)
 }
 
 /// Checks the keys that apply to the whole run.
-fn in_whole(experiment: &Experiment) -> Option<FieldFault> {
+fn check_whole(experiment: &Experiment) -> Option<FieldFault> {
     let (clients, talk) = (&experiment.clients, &experiment.talk);
-    let talks = |ms: f64| (0.0..=MOST_TALK_MS).contains(&ms);
+    let in_range = |ms: f64| (0.0..=MAX_TALK_MS).contains(&ms);
     first([
         above_zero("duration_s", experiment.duration_s),
         one_or_more("proxies", experiment.proxies),
@@ -40,15 +45,19 @@
         one_or_more("zones", experiment.zones.len()),
         experiment.told_proxies.and_then(|count| one_or_more("told_proxies", count)),
         one_or_more("clients.tries", clients.tries as usize),
-        fault_if(!(0.0..=MOST_SKEW).contains(&clients.skew), "clients.skew", "from 0 to 8"),
-        fault_if(!talks(talk.every_ms) || !talks(talk.lag_ms), "talk", "every_ms and lag_ms from 0 to 60000"),
-        part("rules.cold_from", experiment.rules.cold_from),
-        part("clients.impatient", clients.impatient),
+        fault_if(!(0.0..=MAX_SKEW).contains(&clients.skew), "clients.skew", "from 0 to 8"),
+        fault_if(
+            !in_range(talk.every_ms) || !in_range(talk.lag_ms),
+            "talk",
+            "every_ms and lag_ms from 0 to 60000",
+        ),
+        zero_to_one("rules.cold_from", experiment.rules.cold_from),
+        zero_to_one("clients.impatient", clients.impatient),
     ])
 }
 
 /// Checks `[load]`.
-fn in_load(experiment: &Experiment) -> Option<FieldFault> {
+fn check_load(experiment: &Experiment) -> Option<FieldFault> {
     match (experiment.load.part, experiment.load.rps) {
         (Some(load), None) | (None, Some(load)) => above_zero("load", load),
         _ => fault_if(true, "load", "either part or rps"),
@@ -56,36 +65,36 @@
 }
 
 /// Checks the `[[class]]` at a position.
-fn in_class(experiment: &Experiment, position: usize, class: &Class) -> Option<FieldFault> {
+fn check_class(experiment: &Experiment, position: usize, class: &Class) -> Option<FieldFault> {
     let key = |name: &str| format!("class[{position}].{name}");
-    let twice = experiment.class[..position].iter().any(|before| before.name == class.name);
+    let duplicate = experiment.class[..position].iter().any(|before| before.name == class.name);
     let in_alphabet = class.name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
-    let longest = class.answer_bytes.max(class.body_bytes);
+    let largest = class.answer_bytes.max(class.body_bytes);
     first([
         above_zero(key("work_ms"), class.work_ms),
         above_zero(key("share"), class.share),
         above_zero(key("aim_ms"), class.aim_ms),
         fault_if(class.deadline_ms < class.aim_ms, key("deadline_ms"), "no less than aim_ms"),
-        fault_if(twice, key("name"), "a name of its own"),
+        fault_if(duplicate, key("name"), "a name of its own"),
         fault_if(class.name.is_empty() || !in_alphabet, key("name"), "letters, digits and hyphens"),
-        fault_if(longest > MOST_BYTES, key("answer_bytes"), "65536 at most"),
+        fault_if(largest > MAX_BYTES, key("answer_bytes"), "65536 at most"),
     ])
 }
 
 /// Checks the `[[kind]]` at a position.
-fn in_kind(position: usize, kind: &Kind) -> Option<FieldFault> {
+fn check_kind(position: usize, kind: &Kind) -> Option<FieldFault> {
     let key = |name: &str| format!("kind[{position}].{name}");
     first([
         above_zero(key("cores"), kind.cores),
         above_zero(key("speed"), kind.speed),
         one_or_more(key("count"), kind.count),
         one_or_more(key("slots"), kind.slots),
-        part(key("drag"), kind.drag),
+        zero_to_one(key("drag"), kind.drag),
     ])
 }
 
 /// Checks the `[[trouble]]` at a position.
-fn in_trouble(experiment: &Experiment, position: usize, trouble: &Trouble) -> Option<FieldFault> {
+fn check_trouble(experiment: &Experiment, position: usize, trouble: &Trouble) -> Option<FieldFault> {
     let key = |name: &str| format!("trouble[{position}].{name}");
     let is_kind = |name: &String| experiment.kind.iter().any(|kind| kind.name == *name);
     let is_zone = |name: &String| experiment.zones.contains(name);
@@ -101,7 +110,7 @@
             "the number of a proxy, from 0",
         ),
         fault_if(needs_factor && trouble.factor.is_none(), key("factor"), "a number"),
-        trouble.part.and_then(|fraction| part(key("part"), fraction)),
+        trouble.part.and_then(|fraction| zero_to_one(key("part"), fraction)),
         fault_if(trouble.at_s < 0.0, key("at_s"), "0 or more"),
     ])
 }
@@ -119,7 +128,7 @@
     fault_if(!(number.is_finite() && number > 0.0), key, "a number above 0")
 }
 
-fn part(key: impl Into<String>, number: f64) -> Option<FieldFault> {
+fn zero_to_one(key: impl Into<String>, number: f64) -> Option<FieldFault> {
     fault_if(!(0.0..=1.0).contains(&number), key, "a number from 0 to 1")
 }
 
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -20,7 +20,7 @@
 use std::path::Path;
 
 /// Longest chain of files that extend each other; it ends a loop and is far more than needed.
-const MOST_BASES: usize = 8;
+const MAX_EXTENDED: usize = 8;
 
 /// Returns the script of the relays in front of the backends at these addresses, named `backend-0` and so on.
 pub fn relay_script(experiment: &Experiment, backends: impl IntoIterator<Item = SocketAddr>) -> Script {
@@ -42,7 +42,7 @@
     /// Fails if a file cannot be read or is malformed, if a chain is longer than eight files, or with the first
     /// invalid value.
     pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
-        Experiment::of_table(&path.display().to_string(), Experiment::table(path, MOST_BASES)?)
+        Experiment::of_table(&path.display().to_string(), Experiment::table(path, MAX_EXTENDED)?)
     }
 
     /// Reads and checks a table of keys; errors name `name` as its source.
@@ -61,9 +61,9 @@
         let text = std::fs::read_to_string(path).map_err(|e| ExperimentError::Unreadable(name.clone(), e))?;
         let mut own: toml::Table = text.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
         let Some(base) = own.remove("extends") else { return Ok(own) };
-        let wrong = |what| ExperimentError::Value(name.clone(), "extends".into(), what);
-        let base = base.as_str().ok_or_else(|| wrong("the name of a file beside this one"))?;
-        let next = depth.checked_sub(1).ok_or_else(|| wrong("a chain of eight files at most"))?;
+        let error = |what| ExperimentError::Value(name.clone(), "extends".into(), what);
+        let base = base.as_str().ok_or_else(|| error("the name of a file beside this one"))?;
+        let next = depth.checked_sub(1).ok_or_else(|| error("a chain of eight files at most"))?;
         let mut whole = Experiment::table(&path.with_file_name(base), next)?;
         whole.extend(own);
         Ok(whole)
@@ -105,12 +105,12 @@
 
     /// Returns the rate of first tries, per second, at `at` seconds from the start.
     pub fn rate(&self, at: f64) -> f64 {
-        let by_part = || self.load.part.unwrap_or(0.0) * self.capacity() / self.mean_work();
-        let base = self.load.rps.unwrap_or_else(by_part);
+        let rate_of_part = || self.load.part.unwrap_or(0.0) * self.capacity() / self.mean_work();
+        let base = self.load.rps.unwrap_or_else(rate_of_part);
         let mut factor = 1.0;
         for phase in self.load.phase.iter().filter(|p| p.at_s <= at) {
-            let way = if phase.over_s > 0.0 { ((at - phase.at_s) / phase.over_s).min(1.0) } else { 1.0 };
-            factor += (phase.factor - factor) * way;
+            let progress = if phase.over_s > 0.0 { ((at - phase.at_s) / phase.over_s).min(1.0) } else { 1.0 };
+            factor += (phase.factor - factor) * progress;
         }
         base * factor
     }
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -48,17 +48,17 @@
     Ok(at)
 }
 
-async fn there_and_back(to: SocketAddr, span: Duration) -> Rc<Seen> {
+async fn round_trips(to: SocketAddr, span: Duration) -> Rc<Seen> {
     let (seen, mut bytes) = (Seen::start(span), [7u8; BYTES]);
     if let Ok(mut tcp) = TcpStream::connect(to).await {
         let _ = tcp.set_nodelay(true);
         while seen.goes_on() {
             let asked = Instant::now();
-            let back = async {
+            let exchange = async {
                 tcp.write_all(&bytes).await?;
                 tcp.read_exact(&mut bytes).await
             };
-            seen.count(asked, back.await.is_ok());
+            seen.count(asked, exchange.await.is_ok());
         }
     }
     seen
@@ -78,14 +78,14 @@
 async fn rounds(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
     // Server and relay run on their own threads, as they would be separate processes.
-    let (told, server) = tokio::sync::oneshot::channel();
+    let (sender, server) = tokio::sync::oneshot::channel();
     let _server = thread("echo", move || async move {
-        let _ = told.send(echo().await);
+        let _ = sender.send(echo().await);
         std::future::pending::<()>().await
     })
     .map_err(fault)?;
     let server = server.await.map_err(|_| RunError::Thread)?.map_err(fault)?;
-    let (told, relay) = tokio::sync::oneshot::channel();
+    let (sender, relay) = tokio::sync::oneshot::channel();
     let _relay = thread("relay", move || async move {
         let route = Route {
             name: "idle".into(),
@@ -95,7 +95,7 @@
             fault: Vec::new(),
         };
         let relay = Relay::start(Script { seed: 0, route: vec![route] });
-        let _ = told.send(relay.as_ref().map(|r| r.addresses[0]).map_err(|e| e.kind().into()));
+        let _ = sender.send(relay.as_ref().map(|r| r.addresses[0]).map_err(|e| e.kind().into()));
         std::future::pending::<()>().await;
         drop(relay);
     })
@@ -107,7 +107,7 @@
     for _ in 0..args.rounds {
         for (_, to, points) in &mut ways {
             let to = *to;
-            points.push(measure(None, move || there_and_back(to, span)).await?);
+            points.push(measure(None, move || round_trips(to, span)).await?);
         }
     }
     let memory = || Usage::of(std::process::id()).map_or(0, |u| u.memory);
@@ -120,12 +120,12 @@
         last.write_all(b"x").await.map_err(fault)?;
         last.read_exact(&mut [0]).await.map_err(fault)?;
     }
-    let each = memory().saturating_sub(before) as f64 / args.idle.max(1) as f64;
-    let mut beside = Vec::new();
+    let per_connection = memory().saturating_sub(before) as f64 / args.idle.max(1) as f64;
+    let mut with_idle = Vec::new();
     for _ in 0..args.rounds {
-        beside.push(measure(None, move || there_and_back(relay, span)).await?);
+        with_idle.push(measure(None, move || round_trips(relay, span)).await?);
     }
-    ways.push((format!("relay, {} idle", idle.len()), relay, beside));
+    ways.push((format!("relay, {} idle", idle.len()), relay, with_idle));
     say(&format!(
         "medians of {} rounds of {} s, {BYTES} bytes there and back, one at a time\n",
         args.rounds, args.seconds
@@ -135,6 +135,6 @@
         let failed: u64 = points.iter().map(|p| p.failed).sum();
         say(&format!("{name:<20} p50 {p50:>5.0} us  p99 {p99:>5.0} us  {failed} failed\n"));
     }
-    say(&format!("an idle connection holds {:.1} KB of all three ends together\n", each / 1024.0));
+    say(&format!("an idle connection holds {:.1} KB of all three ends together\n", per_connection / 1024.0));
     Ok(())
 }
--- a/crates/testbed/src/fault_proxy/frame.rs
+++ b/crates/testbed/src/fault_proxy/frame.rs
@@ -7,7 +7,7 @@
 /// Longest head, bytes; a longer one is not parsed.
 const MAX_HEAD: usize = 64 * 1024;
 /// Codes of SSLRequest and GSSENCRequest, which are followed by another start-up message.
-const ASKS_ENCRYPTION: [u32; 2] = [80_877_103, 80_877_104];
+const ENCRYPTION_REQUEST_CODES: [u32; 2] = [80_877_103, 80_877_104];
 
 /// A place in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// Inside the type and length of a PostgreSQL message.
     Length,
     /// In a body that lasts to the end of the connection, or in bytes that cannot be parsed.
-    Rest,
+    Unframed,
 }
 
 /// Parses one direction.
@@ -48,9 +48,9 @@
     at: u64,
     message: u64,
     /// The incomplete line, or type and length.
-    kept: Vec<u8>,
+    buffer: Vec<u8>,
     /// Bytes of the current head.
-    head: usize,
+    head_bytes: usize,
     /// The status of an HTTP answer, or 0 for a request, once the first line was read.
     status: Option<u16>,
     /// The declared length of an HTTP body.
@@ -67,11 +67,11 @@
         Framer {
             framing,
             way,
-            state: if framing == Framing::None { State::Rest } else { State::Ready },
+            state: if framing == Framing::None { State::Unframed } else { State::Ready },
             at: 0,
             message: 0,
-            kept: Vec::new(),
-            head: 0,
+            buffer: Vec::new(),
+            head_bytes: 0,
             status: None,
             length: None,
             chunked: false,
@@ -81,13 +81,13 @@
 
     /// Parses the next bytes, and adds the places that they reach or announce to `marks`.
     pub fn feed(&mut self, mut bytes: &[u8], marks: &mut Vec<Mark>) {
-        while !bytes.is_empty() && self.state != State::Rest {
+        while !bytes.is_empty() && self.state != State::Unframed {
             let used = match self.state {
                 State::Ready => {
                     self.message += 1;
                     self.mark(0, Place::Start, marks);
-                    self.kept.clear();
-                    (self.head, self.status, self.length, self.chunked) = (0, None, None, false);
+                    self.buffer.clear();
+                    (self.head_bytes, self.status, self.length, self.chunked) = (0, None, None, false);
                     self.state = if self.framing == Framing::Http { State::Head } else { State::Length };
                     0
                 }
@@ -104,7 +104,7 @@
                     }
                     used as usize
                 }
-                State::Rest => bytes.len(),
+                State::Unframed => bytes.len(),
             };
             bytes = &bytes[used..];
         }
@@ -121,7 +121,7 @@
 
     fn chunk(&mut self, marks: &mut Vec<Mark>) {
         self.mark(0, Place::Chunk, marks);
-        self.kept.clear();
+        self.buffer.clear();
         self.state = State::Size;
     }
 
@@ -140,15 +140,15 @@
     fn line(&mut self, bytes: &[u8], marks: &mut Vec<Mark>) -> usize {
         let end = bytes.iter().position(|b| *b == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
-        self.head += used;
-        if self.head > MAX_HEAD {
-            self.state = State::Rest;
+        self.head_bytes += used;
+        if self.head_bytes > MAX_HEAD {
+            self.state = State::Unframed;
             return used;
         }
         self.at += used as u64;
-        self.kept.extend_from_slice(&bytes[..used]);
+        self.buffer.extend_from_slice(&bytes[..used]);
         if end.is_some() {
-            let line = std::mem::take(&mut self.kept);
+            let line = std::mem::take(&mut self.buffer);
             match (self.state, line.trim_ascii()) {
                 (State::Trailers, b"") => self.end(marks),
                 (State::Trailers, _) => {}
@@ -161,13 +161,13 @@
     }
 
     fn size(&mut self, line: &[u8]) {
-        self.head = 0; // the limit applies to a head or one line, not to all chunk sizes together
+        self.head_bytes = 0; // the limit applies to a head or one line, not to all chunk sizes together
         let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let size = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
         self.state = match size {
             Some(0) => State::Trailers,
             Some(size) if size < 1 << 60 => State::Data(size + 2),
-            _ => State::Rest,
+            _ => State::Unframed,
         };
     }
 
@@ -176,9 +176,9 @@
         if self.status.is_none() {
             let code =
                 text.strip_prefix("HTTP/1.").and_then(|rest| rest.split_whitespace().nth(1)?.parse().ok());
-            let fits = code.is_some() == (self.way == Way::Down);
+            let matches_direction = code.is_some() == (self.way == Way::Down);
             (self.status, self.state) =
-                (Some(code.unwrap_or(0)), if fits { State::Head } else { State::Rest });
+                (Some(code.unwrap_or(0)), if matches_direction { State::Head } else { State::Unframed });
         } else if let Some((name, value)) = text.split_once(':') {
             let value = value.trim();
             if name.eq_ignore_ascii_case("content-length") {
@@ -194,18 +194,18 @@
             self.state = State::Head; // empty lines before a message are skipped (RFC 9112, 2.2)
             return;
         };
-        let none = matches!(status, 100..=199 | 204 | 304) || self.way == Way::Up && !self.chunked;
+        let no_body = matches!(status, 100..=199 | 204 | 304) || self.way == Way::Up && !self.chunked;
         if matches!(status, 100..=199) {
             self.message -= 1;
             self.state = State::Ready;
         } else if self.chunked {
             self.mark(0, Place::Body, marks);
             self.chunk(marks);
-        } else if let Some(length) = self.length.or(none.then_some(0)) {
+        } else if let Some(length) = self.length.or(no_body.then_some(0)) {
             self.body(length, marks);
         } else {
             self.mark(0, Place::Body, marks);
-            self.state = State::Rest; // to the connection's end
+            self.state = State::Unframed; // to the connection's end
         }
     }
 
@@ -213,7 +213,7 @@
     /// bytes used.
     fn length(&mut self, bytes: &[u8], marks: &mut Vec<Mark>) -> usize {
         // A server answers a request for encryption with a single byte.
-        let first = self.kept.first().copied().unwrap_or(bytes[0]);
+        let first = self.buffer.first().copied().unwrap_or(bytes[0]);
         if self.untyped && self.way == Way::Down {
             if matches!(first, b'N' | b'S') {
                 self.at += 1;
@@ -225,20 +225,21 @@
         let typed = usize::from(!self.untyped);
         // A client that asks for encryption, as shown by the code, sends another untyped message afterwards.
         let whole = 4 + typed;
-        let used = (whole - self.kept.len()).min(bytes.len());
-        self.kept.extend_from_slice(&bytes[..used]);
+        let used = (whole - self.buffer.len()).min(bytes.len());
+        self.buffer.extend_from_slice(&bytes[..used]);
         self.at += used as u64;
-        if self.kept.len() == whole {
-            let length = self.kept[typed..].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
+        if self.buffer.len() == whole {
+            let length = self.buffer[typed..].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
             if !(4..=1 << 30).contains(&length) {
-                self.state = State::Rest;
+                self.state = State::Unframed;
                 return used;
             }
             let code = bytes.get(used..used + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
             // If the code has not arrived yet, an untyped message of eight bytes is taken for a request for
             // encryption: the only other one of that length would name no user, and no server accepts it.
-            let asks = length == 8 && code.is_none_or(|c| ASKS_ENCRYPTION.contains(&c));
-            self.untyped &= asks;
+            let requests_encryption =
+                length == 8 && code.is_none_or(|c| ENCRYPTION_REQUEST_CODES.contains(&c));
+            self.untyped &= requests_encryption;
             self.body(length - 4, marks);
         }
         used
--- a/crates/testbed/src/fault_proxy/frame/tests.rs
+++ b/crates/testbed/src/fault_proxy/frame/tests.rs
@@ -2,18 +2,18 @@
 
 /// Checks that the places do not depend on how the bytes are split, and returns them.
 fn places(framing: Framing, way: Way, bytes: &[u8]) -> Vec<(u64, u64, Place)> {
-    let cut = |size: usize| {
+    let split = |size: usize| {
         let (mut framer, mut marks) = (Framer::new(framing, way), Vec::new());
         bytes.chunks(size).for_each(|piece| framer.feed(piece, &mut marks));
         marks.into_iter().map(|m| (m.at, m.message, m.place)).collect::<Vec<_>>()
     };
-    let whole = cut(bytes.len());
-    (1..bytes.len()).for_each(|size| assert_eq!(cut(size), whole, "pieces of {size}"));
+    let whole = split(bytes.len());
+    (1..bytes.len()).for_each(|size| assert_eq!(split(size), whole, "pieces of {size}"));
     whole
 }
 
 #[test]
-fn http_answers_are_told_apart_at_every_cut() {
+fn http_answers_are_framed_at_every_split() {
     use Place::*;
     let text = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd\
                     HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n\
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn http_requests_and_what_is_none() {
+fn http_requests_are_framed_and_invalid_bytes_are_not() {
     let text = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\ncontent-length: 2\r\n\r\nhiGET /c HTTP/1.1\r\n\r\n";
     let got = places(Framing::Http, Way::Up, text.as_bytes());
     let starts: Vec<u64> = got.iter().filter(|m| m.2 == Place::Start).map(|m| m.0).collect();
@@ -54,15 +54,20 @@
 fn places_of(bytes: &[u8]) -> usize {
     let (mut framer, mut marks) = (Framer::new(Framing::Http, Way::Up), Vec::new());
     framer.feed(bytes, &mut marks);
-    assert!(framer.kept.len() <= MAX_HEAD, "bounded");
+    assert!(framer.buffer.len() <= MAX_HEAD, "bounded");
     marks.len()
 }
 
 #[test]
-fn postgres_messages_are_told_apart_at_every_cut() {
+fn postgres_messages_are_framed_at_every_split() {
     let message = |kind: &[u8], body: &[u8]| [kind, &(body.len() as u32 + 4).to_be_bytes(), body].concat();
-    let asks = [8u32.to_be_bytes(), ASKS_ENCRYPTION[0].to_be_bytes()].concat();
-    let up = [asks, message(b"", b"\0\x03\0\0user\0a\0\0"), message(b"Q", b"select 1\0"), message(b"X", b"")];
+    let encryption_request = [8u32.to_be_bytes(), ENCRYPTION_REQUEST_CODES[0].to_be_bytes()].concat();
+    let up = [
+        encryption_request,
+        message(b"", b"\0\x03\0\0user\0a\0\0"),
+        message(b"Q", b"select 1\0"),
+        message(b"X", b""),
+    ];
     let got = places(Framing::Postgres, Way::Up, &up.concat());
     let starts: Vec<(u64, u64)> = got.iter().filter(|m| m.2 == Place::Start).map(|m| (m.0, m.1)).collect();
     let mut at = 0;
--- a/crates/testbed/src/fault_proxy/links.rs
+++ b/crates/testbed/src/fault_proxy/links.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 /// Longest datagram that is forwarded, bytes.
-const MOST: usize = 65_536;
+const MAX_DATAGRAM: usize = 65_536;
 
 /// The faults of a link; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,10 +31,10 @@
 pub const CUT: Link = Link { loss: 1.0, doubled: 0.0, delay_ms: 0.0, jitter_ms: 0.0 };
 
 #[derive(Default)]
-struct Wires {
+struct State {
     /// The members by the address at which they listen.
     members: HashMap<SocketAddr, usize>,
-    places: Vec<Option<SocketAddr>>,
+    member_addresses: Vec<Option<SocketAddr>>,
     links: HashMap<(usize, usize), Link>,
     /// Numbers of forwarded and lost datagrams, by link.
     counts: HashMap<(usize, usize), (u64, u64)>,
@@ -44,7 +44,7 @@
 pub struct Links {
     /// The address that each member gives the others as its own.
     pub addresses: Vec<SocketAddr>,
-    wires: Arc<Mutex<Wires>>,
+    state: Arc<Mutex<State>>,
     _stop: oneshot::Sender<()>,
 }
 
@@ -54,8 +54,8 @@
     /// # Errors
     /// Fails if a socket cannot be opened or the runtime not be created.
     pub fn start(members: usize, seed: u64) -> std::io::Result<Links> {
-        let wires = Wires { places: vec![None; members], ..Wires::default() };
-        let wires = Arc::new(Mutex::new(wires));
+        let state = State { member_addresses: vec![None; members], ..State::default() };
+        let state = Arc::new(Mutex::new(state));
         let bind = |_| {
             let socket = std::net::UdpSocket::bind("127.0.0.1:0")?;
             socket.set_nonblocking(true)?;
@@ -64,40 +64,42 @@
         let sockets = (0..members).map(bind).collect::<std::io::Result<Vec<_>>>()?;
         let addresses = sockets.iter().map(|s| s.0).collect();
         let (stop, stopped) = oneshot::channel();
-        let theirs = wires.clone();
+        let thread_state = state.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::spawn(move || {
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async {
                 for (to, (_, socket)) in sockets.into_iter().enumerate() {
                     match UdpSocket::from_std(socket) {
-                        Ok(socket) => drop(tokio::task::spawn_local(carry(socket, to, theirs.clone(), seed))),
+                        Ok(socket) => {
+                            drop(tokio::task::spawn_local(forward(socket, to, thread_state.clone(), seed)))
+                        }
                         Err(e) => eprintln!("links: {e}"),
                     }
                 }
                 let _ = stopped.await;
             });
         });
-        Ok(Links { addresses, wires, _stop: stop })
+        Ok(Links { addresses, state, _stop: stop })
     }
 
-    fn wires(&self) -> MutexGuard<'_, Wires> {
-        self.wires.lock().unwrap_or_else(|e| e.into_inner())
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Sets the address at which a member listens from now on.
     pub fn set_member_address(&self, number: usize, at: SocketAddr) {
-        let mut wires = self.wires();
-        wires.members.retain(|_, n| *n != number);
-        wires.members.insert(at, number);
-        if let Some(place) = wires.places.get_mut(number) {
-            *place = Some(at);
+        let mut state = self.state();
+        state.members.retain(|_, n| *n != number);
+        state.members.insert(at, number);
+        if let Some(address) = state.member_addresses.get_mut(number) {
+            *address = Some(at);
         }
     }
 
     /// Sets the faults of the link from one member to another.
     pub fn set(&self, from: usize, to: usize, link: Link) {
-        self.wires().links.insert((from, to), link);
+        self.state().links.insert((from, to), link);
     }
 
     /// Sets the faults of every link.
@@ -108,30 +110,30 @@
 
     /// Returns the numbers of forwarded and lost datagrams from one member to another.
     pub fn count(&self, from: usize, to: usize) -> (u64, u64) {
-        self.wires().counts.get(&(from, to)).copied().unwrap_or_default()
+        self.state().counts.get(&(from, to)).copied().unwrap_or_default()
     }
 }
 
 /// Forwards the datagrams for one member.
-async fn carry(socket: UdpSocket, to: usize, wires: Arc<Mutex<Wires>>, seed: u64) {
+async fn forward(socket: UdpSocket, to: usize, state: Arc<Mutex<State>>, seed: u64) {
     let socket = Rc::new(socket);
-    let mut buffer = vec![0; MOST];
+    let mut buffer = vec![0; MAX_DATAGRAM];
     // A receive error reports an earlier send to a member that is down.
     loop {
         let Ok((n, sender)) = socket.recv_from(&mut buffer).await else { continue };
-        let (copies, place) = {
-            let mut wires = wires.lock().unwrap_or_else(|e| e.into_inner());
-            let Some(from) = wires.members.get(&sender).copied() else { continue };
-            let Some(place) = wires.places.get(to).copied().flatten() else { continue };
-            let link = wires.links.get(&(from, to)).copied().unwrap_or_default();
-            let count = wires.counts.entry((from, to)).or_default();
+        let (copies, address) = {
+            let mut state = state.lock().unwrap_or_else(|e| e.into_inner());
+            let Some(from) = state.members.get(&sender).copied() else { continue };
+            let Some(address) = state.member_addresses.get(to).copied().flatten() else { continue };
+            let link = state.links.get(&(from, to)).copied().unwrap_or_default();
+            let count = state.counts.entry((from, to)).or_default();
             let mut rng = Rng::new(seed, &format!("links/{from}/{to}/{}", count.0 + count.1));
             let lost = rng.unit() < link.loss;
             let copies = 1 + usize::from(rng.unit() < link.doubled);
             let delay = |rng: &mut Rng| link.delay_ms + link.jitter_ms * rng.unit();
             let copies: Vec<f64> = (0..copies).filter(|_| !lost).map(|_| delay(&mut rng)).collect();
             *count = (count.0 + u64::from(!lost), count.1 + u64::from(lost));
-            (copies, place)
+            (copies, address)
         };
         for delay_ms in copies {
             let (socket, bytes) = (socket.clone(), buffer[..n].to_vec());
@@ -139,7 +141,7 @@
                 if delay_ms > 0.0 {
                     tokio::time::sleep(Duration::from_secs_f64(delay_ms / 1e3)).await;
                 }
-                let _ = socket.send_to(&bytes, place).await;
+                let _ = socket.send_to(&bytes, address).await;
             });
         }
     }
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -22,7 +22,7 @@
 use std::path::PathBuf;
 
 /// Connections of each route that are included in the hash of a plan.
-const HASHED: u64 = 1000;
+const HASHED_CONNECTIONS: u64 = 1000;
 
 /// Options of the relay.
 #[derive(Clone, Debug, clap::Args)]
@@ -57,7 +57,7 @@
             }
         }
     }
-    say(&format!("seed {}, plan {:016x}\n", script.seed, plan::hash(&script, HASHED)));
+    say(&format!("seed {}, plan {:016x}\n", script.seed, plan::hash(&script, HASHED_CONNECTIONS)));
     if args.plan.is_some() {
         return Ok(());
     }
@@ -83,14 +83,14 @@
         }
     };
     // The end of standard input stops the relay when the process that started it ends in any way.
-    let (over, ended) = tokio::sync::oneshot::channel();
+    let (stdin_closed, stopped) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
-        let _ = over.send(());
+        let _ = stdin_closed.send(());
     });
     tokio::select! {
         failed = calls => failed?,
-        _ = ended => {}
+        _ = stopped => {}
     }
     let done = relay.done();
     say(&format!("{} faults happened, done {:016x}\n", done.len(), run::hash(&done)));
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -8,9 +8,9 @@
 use std::collections::VecDeque;
 
 /// Number of held bytes at which reading from the sender stops.
-const MOST_HELD: usize = 256 * 1024;
+const MAX_HELD: usize = 256 * 1024;
 /// Pieces per second in a direction with a limited rate.
-const SLICES: u64 = 50;
+const SLICES_PER_SECOND: u64 = 50;
 
 /// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
 
 /// A fault that happened, and the byte of its direction before which it did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Did {
+pub struct HappenedFault {
     /// The index of the fault in the route's list.
     pub index: usize,
     /// Bytes of the direction before the fault; `None` for faults that a time or a word triggers.
@@ -52,17 +52,17 @@
     framer: Option<Framer>,
     marks: Vec<Mark>,
     /// Number of bytes that have arrived.
-    came: u64,
+    received: u64,
     /// Pending actions with the time at which each is due, in order.
     queue: VecDeque<(u64, Out)>,
     held: usize,
     change: Option<Change>,
     /// Time before which nothing is sent.
-    hold: u64,
+    hold_until: u64,
     /// The time at which the last action is due.
-    last: u64,
+    last_due: u64,
     /// The time at which a direction with a limited rate can send again.
-    free: u64,
+    rate_free_at: u64,
     latency: Option<(u64, u64, Rng)>,
     rate: Option<u64>,
     split: Option<usize>,
@@ -72,7 +72,7 @@
     hung: bool,
     ended: bool,
     /// Faults that have happened, until the caller takes them.
-    pub did: Vec<Did>,
+    pub happened: Vec<HappenedFault>,
 }
 
 impl Pipe {
@@ -84,13 +84,13 @@
             waiting,
             framer: framed.then(|| Framer::new(framing, way)),
             marks: Vec::new(),
-            came: 0,
+            received: 0,
             queue: VecDeque::new(),
             held: 0,
             change: None,
-            hold: 0,
-            last: 0,
-            free: 0,
+            hold_until: 0,
+            last_due: 0,
+            rate_free_at: 0,
             latency: None,
             rate: None,
             split: None,
@@ -98,7 +98,7 @@
             unread_until: 0,
             hung: false,
             ended: false,
-            did: Vec::new(),
+            happened: Vec::new(),
         }
     }
 
@@ -113,21 +113,21 @@
             }
         }
         while !bytes.is_empty() {
-            self.reach(now);
+            self.trigger_at_position(now);
             if self.hung {
                 return; // faults behind this place do not happen, even if their bytes are in this piece
             }
             let next = self.waiting.iter().filter_map(|d| match d.when {
-                When::Byte(at) if at > self.came => Some(at - self.came),
+                When::Byte(at) if at > self.received => Some(at - self.received),
                 _ => None,
             });
             let until = next.min().unwrap_or(u64::MAX).min(bytes.len() as u64) as usize;
             let (piece, rest) = bytes.split_at(until);
-            self.came += piece.len() as u64;
-            self.pass(now, piece);
+            self.received += piece.len() as u64;
+            self.forward(now, piece);
             bytes = rest;
         }
-        self.reach(now); // faults after the last byte that arrived
+        self.trigger_at_position(now); // faults after the last byte that arrived
     }
 
     /// Ends the direction after the sender has closed it.
@@ -141,16 +141,16 @@
 
     /// Triggers the faults whose time has come.
     pub fn tick(&mut self, now: u64) {
-        self.happen(now, |when| matches!(when, When::After(at) if *at <= now));
+        self.trigger(now, |when| matches!(when, When::After(at) if *at <= now));
     }
 
     /// Triggers the faults that wait for a word.
-    pub fn word(&mut self, now: u64, word: &str) {
-        self.happen(now, |when| matches!(when, When::Word(on) if on == word));
+    pub fn give_word(&mut self, now: u64, word: &str) {
+        self.trigger(now, |when| matches!(when, When::Word(on) if on == word));
     }
 
     /// Returns the words for which faults wait.
-    pub fn awaits(&self) -> impl Iterator<Item = &str> {
+    pub fn awaited_words(&self) -> impl Iterator<Item = &str> {
         self.waiting.iter().filter_map(|d| match &d.when {
             When::Word(word) => Some(word.as_str()),
             _ => None,
@@ -165,17 +165,17 @@
     }
 
     /// Returns whether the sender may be read.
-    pub fn reads(&self, now: u64) -> bool {
-        !self.ended && now >= self.unread_until && self.held < MOST_HELD
+    pub fn can_read(&self, now: u64) -> bool {
+        !self.ended && now >= self.unread_until && self.held < MAX_HELD
     }
 
     /// Returns whether the sender has closed the direction and nothing remains to be sent.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.ended && self.queue.is_empty()
     }
 
     /// Returns the next time at which something is due without further input.
-    pub fn next(&self, now: u64) -> Option<u64> {
+    pub fn next_due(&self, now: u64) -> Option<u64> {
         let times = self.waiting.iter().filter_map(|d| match d.when {
             When::After(at) => Some(at),
             _ => None,
@@ -204,24 +204,24 @@
     }
 
     /// Triggers the faults that are due before the next byte.
-    fn reach(&mut self, now: u64) {
-        let came = self.came;
-        self.happen(now, |when| matches!(when, When::Byte(at) if *at <= came));
+    fn trigger_at_position(&mut self, now: u64) {
+        let received = self.received;
+        self.trigger(now, |when| matches!(when, When::Byte(at) if *at <= received));
     }
 
-    fn happen(&mut self, now: u64, due: impl Fn(&When) -> bool) {
+    fn trigger(&mut self, now: u64, due: impl Fn(&When) -> bool) {
         while let Some(at) = self.waiting.iter().position(|d| due(&d.when)) {
             let fault = self.waiting.remove(at);
-            let place = matches!(fault.when, When::Byte(_)).then_some(self.came);
-            self.did.push(Did { index: fault.index, at: place, gives: fault.gives });
-            self.begin(now, fault.what, fault.seed);
+            let place = matches!(fault.when, When::Byte(_)).then_some(self.received);
+            self.happened.push(HappenedFault { index: fault.index, at: place, gives: fault.gives });
+            self.apply(now, fault.what, fault.seed);
         }
     }
 
-    fn begin(&mut self, now: u64, what: What, seed: u64) {
+    fn apply(&mut self, now: u64, what: What, seed: u64) {
         let us = |ms: u64| ms.saturating_mul(1000);
         match what {
-            What::Stall { ms } => self.hold = self.hold.max(now.saturating_add(us(ms))),
+            What::Stall { ms } => self.hold_until = self.hold_until.max(now.saturating_add(us(ms))),
             What::Latency { ms, jitter_ms } => {
                 self.latency = Some((us(ms), us(jitter_ms), Rng::new(seed, "latency")))
             }
@@ -230,10 +230,10 @@
             What::Merge { ms } => self.merge = Some((us(ms), None)),
             What::Unread { ms } => self.unread_until = now.saturating_add(us(ms)),
             What::Hang => self.hung = true, // bytes queued earlier are still sent
-            What::Blackhole => self.last_of(now, Out::Blackhole),
-            What::HalfClose => self.last_of(now, Out::HalfClose),
-            What::Cut => self.last_of(now, Out::Cut),
-            What::Reset => self.last_of(now, Out::Reset),
+            What::Blackhole => self.push_last(now, Out::Blackhole),
+            What::HalfClose => self.push_last(now, Out::HalfClose),
+            What::Cut => self.push_last(now, Out::Cut),
+            What::Reset => self.push_last(now, Out::Reset),
             What::Repeat { bytes } | What::Flip { bytes } => {
                 self.change = Some(Change { what, left: bytes, kept: Vec::new() })
             }
@@ -245,13 +245,13 @@
     }
 
     /// Queues the last action of this direction.
-    fn last_of(&mut self, now: u64, out: Out) {
+    fn push_last(&mut self, now: u64, out: Out) {
         self.push(now, out);
         self.hung = true;
     }
 
     /// Forwards bytes, changed if a change is active.
-    fn pass(&mut self, now: u64, mut bytes: &[u8]) {
+    fn forward(&mut self, now: u64, mut bytes: &[u8]) {
         if let Some(mut change) = self.change.take() {
             let (mine, rest) = bytes.split_at(change.left.min(bytes.len()));
             change.kept.extend_from_slice(mine);
@@ -275,7 +275,7 @@
     }
 
     fn emit(&mut self, now: u64, bytes: Vec<u8>) {
-        let slice = self.rate.map(|rate| (rate / SLICES).max(1) as usize);
+        let slice = self.rate.map(|rate| (rate / SLICES_PER_SECOND).max(1) as usize);
         let size = [self.split, slice].into_iter().flatten().min();
         match size {
             None => self.push(now, Out::Bytes(bytes)),
@@ -288,11 +288,11 @@
         if self.hung {
             return;
         }
-        let mut at = now.max(self.hold);
+        let mut at = now.max(self.hold_until);
         if let Out::Bytes(bytes) = &out {
             self.held += bytes.len();
-            if let Some((least, more, rng)) = &mut self.latency {
-                at = at.saturating_add(*least).saturating_add((rng.unit() * *more as f64) as u64);
+            if let Some((min, more, rng)) = &mut self.latency {
+                at = at.saturating_add(*min).saturating_add((rng.unit() * *more as f64) as u64);
             }
             if let Some((span, until)) = &mut self.merge {
                 let due = until.filter(|due| now <= *due).unwrap_or(now.saturating_add(*span));
@@ -300,12 +300,13 @@
                 at = at.max(due);
             }
             if let Some(rate) = self.rate {
-                at = at.max(self.free);
-                self.free = at.saturating_add((bytes.len() as u64).saturating_mul(1_000_000) / rate.max(1));
+                at = at.max(self.rate_free_at);
+                self.rate_free_at =
+                    at.saturating_add((bytes.len() as u64).saturating_mul(1_000_000) / rate.max(1));
             }
         }
-        self.last = self.last.max(at);
-        self.queue.push_back((self.last, out));
+        self.last_due = self.last_due.max(at);
+        self.queue.push_back((self.last_due, out));
     }
 }
 
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bytes_before_the_place_pass_and_the_fault_meets_the_next() {
+fn bytes_before_the_place_pass_unchanged() {
     for pieces in [&["abcdef"][..], &["ab", "c", "def"], &["abc", "def"]] {
         let all = |what| play(When::Byte(3), what, pieces);
         assert_eq!(all(What::Hang), ("abc".into(), vec![]));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn places_in_messages_are_met() {
+fn faults_happen_at_places_in_messages() {
     let second = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
     let both = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd{second}");
     let got = play(When::Message(2, Place::Chunk), What::Replace { text: "z".into() }, &[&both]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn times_hold_in_order() {
+fn delays_keep_the_order() {
     let mut pipe = Pipe::new(
         Framing::None,
         Way::Down,
@@ -64,19 +64,19 @@
     );
     pipe.take(0, b"abcd");
     assert_eq!(out(&mut pipe, 4_999).0, "ab");
-    assert_eq!(pipe.next(0), Some(5_000));
+    assert_eq!(pipe.next_due(0), Some(5_000));
     assert_eq!(out(&mut pipe, 5_000).0, "cd");
-    assert_eq!(pipe.next(5_000), Some(9_000), "a fault by time");
+    assert_eq!(pipe.next_due(5_000), Some(9_000), "a fault by time");
     pipe.take(10_000, &[b'x'; 30]);
     assert_eq!(out(&mut pipe, 20_000).0.len(), 20, "20 pass at once, the rest 20 ms later at 1,000 a second");
     assert_eq!(out(&mut pipe, 30_000).0.len(), 10);
-    assert_eq!(pipe.awaits().collect::<Vec<_>>(), ["now"]);
-    pipe.word(31_000, "now");
+    assert_eq!(pipe.awaited_words().collect::<Vec<_>>(), ["now"]);
+    pipe.give_word(31_000, "now");
     assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
     let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Stall { ms: 1 })]);
-    full.take(0, &vec![b'x'; MOST_HELD]);
-    assert!(!full.reads(0), "no more is held than the bound");
-    assert!(out(&mut full, 1_000).0.len() == MOST_HELD && full.reads(1_000));
+    full.take(0, &vec![b'x'; MAX_HELD]);
+    assert!(!full.can_read(0), "no more is held than the bound");
+    assert!(out(&mut full, 1_000).0.len() == MAX_HELD && full.can_read(1_000));
     let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Merge { ms: 2 })]);
     [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
     assert_eq!(merged.pop(1_999), None);
--- a/crates/testbed/src/fault_proxy/plan.rs
+++ b/crates/testbed/src/fault_proxy/plan.rs
@@ -40,16 +40,16 @@
 /// Draws the faults of one connection.
 pub fn draw(script: &Script, route: usize, connection: u64) -> Vec<Due> {
     let Some(from) = script.route.get(route) else { return Vec::new() };
-    let one = |(index, fault): (usize, &Fault)| {
+    let draw_fault = |(index, fault): (usize, &Fault)| {
         // Each fault has its own random stream, so that adding another fault does not change its draws.
         let mut rng = Rng::new(script.seed, &format!("relay/{}/{connection}/{index}", from.name));
-        let meant = fault.connections.as_ref().is_none_or(|c| c.contains(&connection));
-        if rng.unit() >= fault.part || !meant {
+        let applies = fault.connections.as_ref().is_none_or(|c| c.contains(&connection));
+        if rng.unit() >= fault.part || !applies {
             return None;
         }
-        let byte = fault.after_bytes.map(|least| {
-            let span = fault.until_bytes.map_or(0, |most| most - least);
-            When::Byte(least + (rng.unit() * (span + 1) as f64) as u64)
+        let byte = fault.after_bytes.map(|min| {
+            let span = fault.until_bytes.map_or(0, |max| max - min);
+            When::Byte(min + (rng.unit() * (span + 1) as f64) as u64)
         });
         let message = fault.message.map(|n| When::Message(n, fault.place.unwrap_or_default()));
         let time = fault.after_ms.map(|ms| When::After(ms.saturating_mul(1000)));
@@ -57,7 +57,7 @@
         let seed = (rng.unit() * (1u64 << 53) as f64) as u64;
         Some(Due { index, way: fault.way, when, gives: fault.gives.clone(), what: fault.what.clone(), seed })
     };
-    from.fault.iter().enumerate().filter_map(one).collect()
+    from.fault.iter().enumerate().filter_map(draw_fault).collect()
 }
 
 /// Hashes the planned faults of the first `connections` connections of each route.
--- a/crates/testbed/src/fault_proxy/plan/tests.rs
+++ b/crates/testbed/src/fault_proxy/plan/tests.rs
@@ -12,16 +12,16 @@
 fn a_connections_faults_depend_on_seed_route_and_number_alone() {
     let one = script(7, "");
     let more = script(7, "[[route.fault]]\nway = \"up\"\npart = 0.5\nafter_ms = 3\ndo = \"hang\"\n");
-    let mut met = 0;
+    let mut count = 0;
     for n in 0..1000 {
         let (a, b) = (draw(&one, 0, n), draw(&more, 0, n));
         assert_eq!(a, b.into_iter().filter(|d| d.index == 0).collect::<Vec<_>>(), "connection {n}");
         for due in &a {
             assert!(matches!(due.when, When::Byte(10..=99)), "{due:?}");
         }
-        met += a.len();
+        count += a.len();
     }
-    assert!((250..350).contains(&met), "three in ten of 1,000: {met}");
+    assert!((250..350).contains(&count), "three in ten of 1,000: {count}");
     assert_eq!(hash(&one, 50), hash(&script(7, ""), 50));
     assert_ne!(hash(&one, 50), hash(&script(8, ""), 50));
 }
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -18,11 +18,11 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Size of the read buffer, which all connections share: a buffer for each of 20,000 would take hundreds of megabytes.
-const PIECE: usize = 64 * 1024;
+const READ_SIZE: usize = 64 * 1024;
 /// Longest line of a caller, bytes.
-const MOST_LINE: u64 = 1024;
+const MAX_LINE: u64 = 1024;
 /// Pause before accepting again after an error, usually a lack of descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A fault that happened on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -67,7 +67,7 @@
             given: watch::channel(()).0,
             done: RefCell::default(),
             open: Cell::default(),
-            buffer: RefCell::new(vec![0; PIECE]),
+            buffer: RefCell::new(vec![0; READ_SIZE]),
         });
         let script = Rc::new(script);
         let (mut addresses, mut tasks) = (Vec::new(), Vec::new());
@@ -110,7 +110,7 @@
         loop {
             let (mut tcp, _) = listener.accept().await?;
             let (read, mut write) = tcp.split();
-            let mut lines = BufReader::new(tokio::io::AsyncReadExt::take(read, MOST_LINE)).lines();
+            let mut lines = BufReader::new(tokio::io::AsyncReadExt::take(read, MAX_LINE)).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 let answer = match line.split_whitespace().collect::<Vec<_>>()[..] {
                     ["give", word] => {
@@ -129,7 +129,7 @@
                     })),
                     _ => "expected: give WORD, take WORD, done or status\n".to_string(),
                 };
-                lines.get_mut().get_mut().set_limit(MOST_LINE); // the limit is per line
+                lines.get_mut().get_mut().set_limit(MAX_LINE); // the limit is per line
                 if write.write_all(answer.as_bytes()).await.is_err() {
                     break;
                 }
@@ -167,19 +167,26 @@
 async fn serve(listener: TcpListener, script: Rc<Script>, number: usize, shared: Rc<Shared>) {
     let mut count = 0;
     loop {
-        let Ok((here, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+        let Ok((client, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Some(route) = script.route.get(number) else { return };
-        let (dues, to, connection) = (draw(&script, number, count), route.to, count);
+        let (planned, to, connection) = (draw(&script, number, count), route.to, count);
         count += 1;
-        let pipes = [Way::Up, Way::Down].map(|way| Pipe::new(route.frame, way, &dues));
+        let pipes = [Way::Up, Way::Down].map(|way| Pipe::new(route.frame, way, &planned));
         let (shared, script) = (shared.clone(), script.clone());
         tokio::task::spawn_local(async move {
             shared.open.set(shared.open.get() + 1);
             if let Some(route) = script.route.get(number) {
-                connection_of(here, to, pipes, &dues, Told { shared: &shared, route, connection }).await;
+                relay_connection(
+                    client,
+                    to,
+                    pipes,
+                    &planned,
+                    FaultLog { shared: &shared, route, connection },
+                )
+                .await;
             }
             shared.open.set(shared.open.get() - 1);
         });
@@ -188,7 +195,7 @@
 
 /// The record to which a connection adds its faults.
 #[derive(Clone, Copy)]
-struct Told<'a> {
+struct FaultLog<'a> {
     shared: &'a Shared,
     route: &'a Route,
     connection: u64,
@@ -196,44 +203,50 @@
 
 /// The state of a connection, common to both directions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum State {
     Open,
     /// Drops everything in both directions.
-    Silent,
-    Over,
+    Blackholed,
+    Closed,
 }
 
-async fn connection_of(here: TcpStream, to: SocketAddr, pipes: [Pipe; 2], dues: &[Due], told: Told<'_>) {
-    let Ok(there) = TcpStream::connect(to).await else {
+async fn relay_connection(
+    client: TcpStream, to: SocketAddr, pipes: [Pipe; 2], planned: &[Due], log: FaultLog<'_>,
+) {
+    let Ok(server) = TcpStream::connect(to).await else {
         // The destination refused the connection, and a reset tells the client.
-        reset(&here);
+        reset(&client);
         return;
     };
-    let _ = (here.set_nodelay(true), there.set_nodelay(true));
-    let (fate, woken) = (Cell::new(Fate::Open), tokio::sync::Notify::new());
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (state, woken) = (Cell::new(State::Open), tokio::sync::Notify::new());
     let [up, down] = pipes;
-    let both = Both { fate: &fate, woken: &woken, ends: [&here, &there], plain: dues.is_empty() };
-    tokio::join!(pump(&here, &there, up, both, told), pump(&there, &here, down, both, told));
+    let directions =
+        Directions { state: &state, woken: &woken, ends: [&client, &server], no_faults: planned.is_empty() };
+    tokio::join!(
+        relay_direction(&client, &server, up, directions, log),
+        relay_direction(&server, &client, down, directions, log)
+    );
 }
 
 /// State shared by the two directions of a connection.
 #[derive(Clone, Copy)]
-struct Both<'a> {
-    fate: &'a Cell<Fate>,
+struct Directions<'a> {
+    state: &'a Cell<State>,
     woken: &'a tokio::sync::Notify,
     ends: [&'a TcpStream; 2],
     /// The connection has no faults.
-    plain: bool,
+    no_faults: bool,
 }
 
-impl Both<'_> {
-    fn becomes(&self, fate: Fate) {
-        self.fate.set(fate);
+impl Directions<'_> {
+    fn set_state(&self, state: State) {
+        self.state.set(state);
         self.woken.notify_waiters();
     }
 
-    fn over(&self) -> bool {
-        self.fate.get() == Fate::Over
+    fn is_closed(&self) -> bool {
+        self.state.get() == State::Closed
     }
 }
 
@@ -246,58 +259,60 @@
 }
 
 /// Relays one direction until it or the connection ends.
-async fn pump(from: &TcpStream, to: &TcpStream, mut pipe: Pipe, both: Both<'_>, told: Told<'_>) {
-    let begun = Instant::now();
-    let now = || begun.elapsed().as_micros() as u64;
-    let mut words = told.shared.given.subscribe();
-    heed(&mut pipe, now(), told);
+async fn relay_direction(
+    from: &TcpStream, to: &TcpStream, mut pipe: Pipe, directions: Directions<'_>, log: FaultLog<'_>,
+) {
+    let started = Instant::now();
+    let now = || started.elapsed().as_micros() as u64;
+    let mut word_given = log.shared.given.subscribe();
+    process_words(&mut pipe, now(), log);
     loop {
         while let Some(out) = pipe.pop(now()) {
             match out {
                 Out::Bytes(bytes) => {
-                    let written = write(to, &bytes, both).await;
+                    let written = write(to, &bytes, directions).await;
                     if written.is_err() {
                         // The receiver is gone; resets the sender's connection as if there were no relay.
                         reset(from);
-                        return both.becomes(Fate::Over);
+                        return directions.set_state(State::Closed);
                     }
                 }
                 Out::HalfClose => half_close(to),
-                Out::Cut => return both.becomes(Fate::Over),
+                Out::Cut => return directions.set_state(State::Closed),
                 Out::Reset => {
-                    both.ends.into_iter().for_each(reset);
-                    return both.becomes(Fate::Over);
+                    directions.ends.into_iter().for_each(reset);
+                    return directions.set_state(State::Closed);
                 }
-                Out::Blackhole => both.becomes(Fate::Silent),
+                Out::Blackhole => directions.set_state(State::Blackholed),
             }
-            if both.over() {
+            if directions.is_closed() {
                 return;
             }
         }
-        let woken = both.woken.notified();
-        match both.fate.get() {
-            Fate::Over => return,
-            Fate::Silent => pipe.hang(),
-            Fate::Open => {}
+        let woken = directions.woken.notified();
+        match directions.state.get() {
+            State::Closed => return,
+            State::Blackholed => pipe.hang(),
+            State::Open => {}
         }
-        if pipe.over() {
+        if pipe.is_finished() {
             return;
         }
-        let (at, next) = (now(), pipe.next(now()));
+        let (at, next) = (now(), pipe.next_due(now()));
         let due = async {
             match next {
-                Some(at) => tokio::time::sleep_until(begun + Duration::from_micros(at)).await,
+                Some(at) => tokio::time::sleep_until(started + Duration::from_micros(at)).await,
                 None => std::future::pending().await,
             }
         };
-        let waits = pipe.awaits().next().is_some();
+        let waits_for_word = pipe.awaited_words().next().is_some();
         tokio::select! {
             _ = woken => {}
             _ = due => pipe.tick(now()),
-            _ = words.changed(), if waits => {}
-            ready = from.readable(), if pipe.reads(at) => {
-                let came = ready.and_then(|()| {
-                    let mut buffer = told.shared.buffer.borrow_mut();
+            _ = word_given.changed(), if waits_for_word => {}
+            ready = from.readable(), if pipe.can_read(at) => {
+                let outcome = ready.and_then(|()| {
+                    let mut buffer = log.shared.buffer.borrow_mut();
                     let count = from.try_read(&mut buffer)?;
                     match count {
                         0 => pipe.end(now()),
@@ -305,45 +320,45 @@
                     }
                     Ok(())
                 });
-                match came {
+                match outcome {
                     Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => {
                         reset(to);
-                        return both.becomes(Fate::Over);
+                        return directions.set_state(State::Closed);
                     }
                     _ => {}
                 }
             }
         }
-        if !both.plain {
-            heed(&mut pipe, now(), told);
+        if !directions.no_faults {
+            process_words(&mut pipe, now(), log);
         }
     }
 }
 
 /// Triggers the faults that wait for given words, and records all faults that have happened.
-fn heed(pipe: &mut Pipe, now: u64, told: Told) {
+fn process_words(pipe: &mut Pipe, now: u64, log: FaultLog) {
     let awaited: Vec<String> = {
-        let given = told.shared.words.borrow();
-        pipe.awaits().filter(|word| given.contains(*word)).map(String::from).collect()
+        let given = log.shared.words.borrow();
+        pipe.awaited_words().filter(|word| given.contains(*word)).map(String::from).collect()
     };
-    awaited.iter().for_each(|word| pipe.word(now, word));
-    for did in pipe.did.drain(..) {
-        let (route, connection) = (told.route.name.clone(), told.connection);
-        told.shared.done.borrow_mut().push(Done { route, connection, fault: did.index, at: did.at });
-        if let Some(word) = did.gives {
-            told.shared.give(&word);
+    awaited.iter().for_each(|word| pipe.give_word(now, word));
+    for fault in pipe.happened.drain(..) {
+        let (route, connection) = (log.route.name.clone(), log.connection);
+        log.shared.done.borrow_mut().push(Done { route, connection, fault: fault.index, at: fault.at });
+        if let Some(word) = fault.gives {
+            log.shared.give(&word);
         }
     }
 }
 
 /// Writes all bytes unless the connection ends first.
-async fn write(to: &TcpStream, mut bytes: &[u8], both: Both<'_>) -> std::io::Result<()> {
+async fn write(to: &TcpStream, mut bytes: &[u8], directions: Directions<'_>) -> std::io::Result<()> {
     while !bytes.is_empty() {
         match to.try_write(bytes) {
             Ok(count) => bytes = &bytes[count..],
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                let woken = both.woken.notified();
-                if both.over() {
+                let woken = directions.woken.notified();
+                if directions.is_closed() {
                     return Ok(());
                 }
                 tokio::select! {
--- a/crates/testbed/src/fault_proxy/script.rs
+++ b/crates/testbed/src/fault_proxy/script.rs
@@ -168,7 +168,7 @@
 }
 
 /// Largest number of bytes that a fault may change or send twice, as they are held until all have arrived.
-pub const MOST_CHANGED: usize = 1 << 20;
+pub const MAX_CHANGED_BYTES: usize = 1 << 20;
 
 fn all() -> f64 {
     1.0
@@ -203,35 +203,35 @@
         let mut names = BTreeSet::new();
         for (r, route) in self.route.iter().enumerate() {
             let at = |rest: &str| format!("{name}: route[{r}].{rest}");
-            let wants = |good: bool, rest: &str, what| match good {
+            let expect = |good: bool, rest: &str, what| match good {
                 true => Ok(()),
                 false => Err(ScriptError::Value(at(rest), what)),
             };
-            wants(names.insert(&route.name), "name", "a name that no other route has")?;
-            wants(route.listen.ip().is_loopback(), "listen", "an address on loopback")?;
-            wants(route.to.ip().is_loopback(), "to", "an address on loopback")?;
+            expect(names.insert(&route.name), "name", "a name that no other route has")?;
+            expect(route.listen.ip().is_loopback(), "listen", "an address on loopback")?;
+            expect(route.to.ip().is_loopback(), "to", "an address on loopback")?;
             for (f, fault) in route.fault.iter().enumerate() {
                 let key = |key: &str| format!("fault[{f}].{key}");
-                wants((0.0..=1.0).contains(&fault.part), &key("part"), "a part from 0 to 1")?;
+                expect((0.0..=1.0).contains(&fault.part), &key("part"), "a part from 0 to 1")?;
                 let byte = fault.after_bytes.is_some();
-                let whens = [byte, fault.message.is_some(), fault.after_ms.is_some(), fault.on.is_some()];
-                let count = whens.iter().filter(|w| **w).count();
-                wants(count == 1, &key("after_bytes"), "one of after_bytes, message, after_ms and on")?;
+                let triggers = [byte, fault.message.is_some(), fault.after_ms.is_some(), fault.on.is_some()];
+                let count = triggers.iter().filter(|w| **w).count();
+                expect(count == 1, &key("after_bytes"), "one of after_bytes, message, after_ms and on")?;
                 let span =
                     fault.until_bytes.is_none_or(|until| fault.after_bytes.is_some_and(|b| b <= until));
-                wants(span, &key("until_bytes"), "at least after_bytes, which has to stand beside it")?;
+                expect(span, &key("until_bytes"), "at least after_bytes, which has to stand beside it")?;
                 let framed = fault.message.is_none() || route.frame != Framing::None;
-                wants(framed, &key("message"), "a route whose frame is told")?;
-                wants(fault.message != Some(0), &key("message"), "a number from 1 on")?;
+                expect(framed, &key("message"), "a route whose frame is told")?;
+                expect(fault.message != Some(0), &key("message"), "a number from 1 on")?;
                 let placed = fault.place.is_none() || fault.message.is_some();
-                wants(placed, &key("place"), "message beside it")?;
+                expect(placed, &key("place"), "message beside it")?;
                 let size = match &fault.what {
                     What::Split { bytes } | What::Repeat { bytes } | What::Flip { bytes } => *bytes,
                     What::Replace { text } | What::Insert { text } => text.len(),
                     What::Bandwidth { bytes_per_s } => usize::from(*bytes_per_s > 0),
                     _ => 1,
                 };
-                wants((1..=MOST_CHANGED).contains(&size), &key("do"), "1 to 1,048,576 bytes")?;
+                expect((1..=MAX_CHANGED_BYTES).contains(&size), &key("do"), "1 to 1,048,576 bytes")?;
             }
         }
         Ok(())
--- a/crates/testbed/src/fault_proxy/script/tests.rs
+++ b/crates/testbed/src/fault_proxy/script/tests.rs
@@ -3,7 +3,7 @@
 const ROUTE: &str = "[[route]]\nname = \"a\"\nlisten = \"127.0.0.1:0\"\nto = \"127.0.0.1:9\"\n";
 
 #[test]
-fn what_makes_no_sense_is_named_with_its_place() {
+fn errors_name_the_place_of_an_invalid_value() {
     let fault = |lines: &str| format!("{ROUTE}[[route.fault]]\nway = \"down\"\n{lines}\n");
     let cases = [
         (format!("{ROUTE}{ROUTE}"), "s: route[1].name: expected a name that no other route has"),
@@ -18,8 +18,8 @@
         (fault("after_bytes = 1\nwhen = 3\ndo = \"cut\""), "unknown field `when`"),
     ];
     for (text, expected) in cases {
-        let told = Script::read(&text, "s").expect_err(&text).to_string();
-        assert!(told.contains(expected), "{told}");
+        let error = Script::read(&text, "s").expect_err(&text).to_string();
+        assert!(error.contains(expected), "{error}");
     }
     assert!(Script::read(&fault("after_bytes = 1\ndo = { stall = { ms = 5 } }"), "s").is_ok());
 }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -12,7 +12,7 @@
 
 /// Each experiment is valid, has the name of its file, and gives the same plan for the same seed.
 #[test]
-fn every_experiment_is_sound() {
+fn every_experiment_is_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -16,25 +16,25 @@
 use tokio::net::TcpStream;
 
 /// Timeout of each test, longer than any of them takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const ANSWERS: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst!\
                        HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nsecond\r\n0\r\n\r\n";
 
 fn play<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(PATIENCE, work).await.expect("in time") };
+    let bounded = async { tokio::time::timeout(TIMEOUT, work).await.expect("in time") };
     tokio::task::LocalSet::new().block_on(&runtime, bounded)
 }
 
-/// Starts a server that sends `says` on each connection and then echoes what it receives.
-async fn server(says: &'static str) -> SocketAddr {
+/// Starts a server that sends `greeting` on each connection and then echoes what it receives.
+async fn server(greeting: &'static str) -> SocketAddr {
     let listener = listen(None).unwrap();
     let at = listener.local_addr().unwrap();
     tokio::task::spawn_local(async move {
         while let Ok((mut tcp, _)) = listener.accept().await {
             tokio::task::spawn_local(async move {
                 let (mut read, mut write) = tcp.split();
-                let _ = write.write_all(says.as_bytes()).await;
+                let _ = write.write_all(greeting.as_bytes()).await;
                 let _ = tokio::io::copy(&mut read, &mut write).await;
             });
         }
@@ -50,38 +50,41 @@
 }
 
 /// Reads all bytes of a connection, and returns them with whether it was closed in an orderly way.
-async fn all(tcp: &mut TcpStream) -> (String, bool) {
+async fn read_all(tcp: &mut TcpStream) -> (String, bool) {
     let mut got = Vec::new();
     let ended = tcp.read_to_end(&mut got).await.is_ok();
     (String::from_utf8_lossy(&got).into_owned(), ended)
 }
 
-async fn one(frame: &str, fault: &str) -> (String, bool) {
+async fn answers_with_fault(frame: &str, fault: &str) -> (String, bool) {
     let faults = format!("[[route.fault]]\nway = \"down\"\n{fault}\n");
     let relay = Relay::start(script(server(ANSWERS).await, frame, &faults)).unwrap();
     let mut tcp = TcpStream::connect(relay.addresses[0]).await.unwrap();
     tcp.shutdown().await.unwrap();
-    all(&mut tcp).await
+    read_all(&mut tcp).await
 }
 
 #[test]
-fn answers_are_injured_where_the_script_says() {
+fn faults_happen_where_the_script_says() {
     play(async {
-        let half = one("http", "message = 1\nplace = \"middle\"\ndo = \"half-close\"").await;
+        let half = answers_with_fault("http", "message = 1\nplace = \"middle\"\ndo = \"half-close\"").await;
         assert!(half.0.ends_with("\r\n\r\nfir") && half.1, "{half:?}");
-        let garbled =
-            one("http", "message = 2\nplace = \"chunk\"\ndo = { replace = { text = \"zz\" } }").await;
+        let garbled = answers_with_fault(
+            "http",
+            "message = 2\nplace = \"chunk\"\ndo = { replace = { text = \"zz\" } }",
+        )
+        .await;
         assert_eq!(garbled, (ANSWERS.replace("6\r\nsecond", "zz\nsecond"), true));
-        let broken = one("http", "message = 2\ndo = \"reset\"").await;
+        let broken = answers_with_fault("http", "message = 2\ndo = \"reset\"").await;
         assert!(
             ANSWERS.starts_with(&broken.0) && !broken.1,
             "a reset, whatever arrived before it: {broken:?}"
         );
-        let twice = one("none", "after_bytes = 9\ndo = { repeat = { bytes = 3 } }").await;
+        let twice = answers_with_fault("none", "after_bytes = 9\ndo = { repeat = { bytes = 3 } }").await;
         assert_eq!(twice.0, ANSWERS.replacen("200", "200200", 1));
-        let split = one("none", "after_bytes = 0\ndo = { split = { bytes = 1 } }").await;
+        let split = answers_with_fault("none", "after_bytes = 0\ndo = { split = { bytes = 1 } }").await;
         assert_eq!(split, (ANSWERS.into(), true));
-        let cut = one("none", "after_bytes = 4\ndo = \"cut\"").await;
+        let cut = answers_with_fault("none", "after_bytes = 4\ndo = \"cut\"").await;
         assert_eq!(cut, ("HTTP".into(), true));
     });
 }
@@ -89,7 +92,7 @@
 /// A word given by a fault of one route or by a caller triggers the faults of another. A blackhole gives
 /// neither end a sign.
 #[test]
-fn words_tie_routes_and_callers_together() {
+fn words_trigger_faults_of_other_routes() {
     play(async {
         let to = server("").await;
         let mut both = script(to, "none", "[[route.fault]]\nway = \"up\"\nafter_bytes = 3\ngives = \"reached\"\ndo = { stall = { ms = 0 } }\n");
@@ -106,7 +109,7 @@
         b.read_exact(&mut byte).await.unwrap();
         a.write_all(b"abc").await.unwrap();
         a.read_exact(&mut byte).await.unwrap();
-        assert!(!all(&mut b).await.1, "the other route's connection is reset");
+        assert!(!read_all(&mut b).await.1, "the other route's connection is reset");
         assert_eq!(
             relay.done().iter().map(|d| (&*d.route, d.fault, d.at)).collect::<Vec<_>>(),
             [("other", 0, None), ("r", 0, Some(3))]
@@ -125,7 +128,7 @@
 
 /// The faults that happen depend on the seed alone, even with concurrent connections.
 #[test]
-fn the_same_seed_does_the_same_again() {
+fn the_same_seed_gives_the_same_faults() {
     let run = |seed: u64, together: usize| -> Vec<Done> {
         play(async move {
             let faults = "[[route.fault]]\nway = \"down\"\npart = 0.4\nafter_bytes = 10\nuntil_bytes = 70\ndo = \"cut\"\n\
@@ -139,7 +142,7 @@
                     tokio::task::spawn_local(async move {
                         let mut tcp = TcpStream::connect(at).await.unwrap();
                         tcp.shutdown().await.unwrap();
-                        all(&mut tcp).await;
+                        read_all(&mut tcp).await;
                     })
                 });
                 for ask in asks.collect::<Vec<_>>() {
@@ -157,13 +160,13 @@
 
 /// The relay resets clients if the destination is down, and continues to accept connections.
 #[test]
-fn a_connection_to_nobody_is_reset() {
+fn a_connection_to_a_closed_port_is_reset() {
     play(async {
-        let nobody = listen(None).unwrap().local_addr().unwrap(); // the listener is dropped, so nothing listens there
-        let relay = Relay::start(script(nobody, "none", "")).unwrap();
+        let unused = listen(None).unwrap().local_addr().unwrap(); // the listener is dropped, so nothing listens there
+        let relay = Relay::start(script(unused, "none", "")).unwrap();
         for _ in 0..2 {
             let mut tcp = TcpStream::connect(relay.addresses[0]).await.unwrap();
-            assert!(!all(&mut tcp).await.1);
+            assert!(!read_all(&mut tcp).await.1);
         }
         assert_eq!(relay.open(), 0);
     });
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -61,7 +61,7 @@
 
 /// At high load, a policy that sees every queue has a lower 99th percentile of the latency than random choice.
 #[test]
-fn sight_is_worth_something() {
+fn seeing_queues_lowers_latency() {
     let mut e = experiment("first-look.toml");
     e.load.part = Some(0.8);
     let rows = rows(&e, &[PolicyChoice::Oracle, PolicyChoice::Random], 3, &|| {}).unwrap();
@@ -73,7 +73,7 @@
 /// (`in_step` of 4 and more, of 60; docs/scale.md), because the current flow was compared with the latency of
 /// an earlier time.
 #[test]
-fn many_proxies_do_not_swing_together() {
+fn many_proxies_do_not_oscillate_together() {
     let mut e = experiment("swings.toml");
     e.duration_s = 22.0;
     e.kind.iter_mut().for_each(|k| k.count /= 2);
