--- a/crates/testbed/src/fault_proxy/frame/tests.rs
+++ b/crates/testbed/src/fault_proxy/frame/tests.rs
@@ -46,7 +46,11 @@
     let got = places(Framing::Http, Way::Up, text.as_bytes());
     let starts: Vec<u64> = got.iter().filter(|m| m.2 == Place::Start).map(|m| m.0).collect();
     assert_eq!(starts, ["GET /a", "POST", "GET /c"].map(|s| text.find(s).unwrap() as u64));
-    assert_eq!(places(Framing::Http, Way::Down, b"nonsense\r\n\r\nmore").len(), 1, "one start, then nothing");
+    assert_eq!(
+        places(Framing::Http, Way::Down, b"nonsense\r\n\r\nmore").len(),
+        1,
+        "one start, and no further places"
+    );
     let endless = vec![b'a'; MAX_HEAD + 9];
     assert_eq!(places_of(&endless), 1);
 }
@@ -54,7 +58,7 @@
 fn places_of(bytes: &[u8]) -> usize {
     let (mut framer, mut marks) = (Framer::new(Framing::Http, Way::Up), Vec::new());
     framer.feed(bytes, &mut marks);
-    assert!(framer.buffer.len() <= MAX_HEAD, "bounded");
+    assert!(framer.buffer.len() <= MAX_HEAD, "the buffer is bounded");
     marks.len()
 }
 
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -21,7 +21,7 @@
     let mut pipe = Pipe::new(Framing::Http, Way::Down, &[due(when, what)]);
     pieces.iter().for_each(|piece| pipe.take(0, piece.as_bytes()));
     let got = out(&mut pipe, 0);
-    assert_eq!(pipe.held, 0, "what went out is no longer held");
+    assert_eq!(pipe.held, 0, "sent bytes are no longer held");
     got
 }
 
@@ -35,7 +35,7 @@
         assert_eq!(all(What::Repeat { bytes: 2 }).0, "abcdedef");
         assert_eq!(all(What::Replace { text: "XY".into() }).0, "abcXYf");
         assert_eq!(all(What::Insert { text: "XY".into() }).0, "abcXYdef");
-        assert_eq!(all(What::Flip { bytes: 9 }).0, "abc", "held until all are there");
+        assert_eq!(all(What::Flip { bytes: 9 }).0, "abc", "held until all bytes have arrived");
     }
 }
 
@@ -66,16 +66,20 @@
     assert_eq!(out(&mut pipe, 4_999).0, "ab");
     assert_eq!(pipe.next_due(0), Some(5_000));
     assert_eq!(out(&mut pipe, 5_000).0, "cd");
-    assert_eq!(pipe.next_due(5_000), Some(9_000), "a fault by time");
+    assert_eq!(pipe.next_due(5_000), Some(9_000), "the time of a fault");
     pipe.take(10_000, &[b'x'; 30]);
-    assert_eq!(out(&mut pipe, 20_000).0.len(), 20, "20 pass at once, the rest 20 ms later at 1,000 a second");
+    assert_eq!(
+        out(&mut pipe, 20_000).0.len(),
+        20,
+        "20 bytes pass immediately, the rest 20 ms later at 1,000 a second"
+    );
     assert_eq!(out(&mut pipe, 30_000).0.len(), 10);
     assert_eq!(pipe.awaited_words().collect::<Vec<_>>(), ["now"]);
     pipe.give_word(31_000, "now");
     assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
     let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Stall { ms: 1 })]);
     full.take(0, &vec![b'x'; MAX_HELD]);
-    assert!(!full.can_read(0), "no more is held than the bound");
+    assert!(!full.can_read(0), "reading stops at the limit of held bytes");
     assert!(out(&mut full, 1_000).0.len() == MAX_HELD && full.can_read(1_000));
     let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Merge { ms: 2 })]);
     [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -24,7 +24,7 @@
 enum CallError {
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    #[error("no answer of discovery: {0}")]
+    #[error("invalid answer from discovery: {0}")]
     Unreadable(String),
 }
 
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -31,10 +31,10 @@
     #[error("proxy: {0}")]
     Io(#[from] std::io::Error),
     /// The process ended or did not accept clients in time.
-    #[error("proxy did not take clients in time; last line: {0}")]
+    #[error("proxy did not accept clients in time; last log line: {0}")]
     Start(String),
     /// New settings were rejected or not applied in time.
-    #[error("proxy did not take new settings in time; last line: {0}")]
+    #[error("proxy did not apply new settings in time; last log line: {0}")]
     Reload(String),
 }
 
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -80,9 +80,9 @@
     // sqrt(4 / 2) times that of 1.1.
     let deviating = Fit::of(&points(0.1)).unwrap();
     assert!((deviating.residual - (1.1f64.powf(2f64.sqrt()) - 1.0)).abs() < 1e-9, "{deviating:?}");
-    assert!(Fit::of(&points(0.0)[..2]).is_none(), "two points say nothing of a residual");
+    assert!(Fit::of(&points(0.0)[..2]).is_none(), "two points do not determine a residual");
     assert!(Fit::of(&[(1.0, 0.0), (2.0, -1.0), (3.0, 1.0), (4.0, 2.0)]).is_none(), "no logarithm");
-    assert!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "one x");
+    assert!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "a single x");
 }
 
 /// An error names the file, the key, the value and the range.
