--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -55,8 +55,8 @@
         4 => What::Blackhole,
         5 => What::Split { bytes },
         6 => What::Stall { ms },
-        // A changed request is not what the proxy sent, and a changed body cannot be told from a good one, so
-        // that only heads of answers are changed.
+        // A changed request is not what the proxy sent, and a changed body cannot be distinguished from a good
+        // one, so that only heads of answers are changed.
         _ if way == Way::Up => What::Stall { ms },
         7 => What::Flip { bytes },
         // Inserts bytes after an answer that belong to no request; the proxy must not take them for the answer
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -214,7 +214,7 @@
     client: TcpStream, to: SocketAddr, pipes: [Pipe; 2], planned: &[Due], log: FaultLog<'_>,
 ) {
     let Ok(server) = TcpStream::connect(to).await else {
-        // The destination refused the connection, and a reset tells the client.
+        // The destination refused the connection, so that the client gets a reset.
         reset(&client);
         return;
     };
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -32,7 +32,7 @@
         let path = entry.unwrap().path();
         let mut e = Experiment::load(&path).unwrap();
         if e.capacity() > 100.0 {
-            continue; // the large ones are for measurements
+            continue; // large experiments are for measurements only
         }
         e.duration_s = e.duration_s.min(14.0);
         let plan = Arc::new(Plan::draw(&e, 3));
