--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -1,5 +1,6 @@
-//! Campaigns: faults drawn from seeds are played around real proxies, the oracles judge, and what breaks a rule is
-//! shrunk to the least that still does and saved as an experiment (docs/fault-proxy.md).
+//! Campaigns run real proxies under faults drawn from seeds and check the results with the oracles. A script
+//! that breaks a rule is reduced to a minimal one that still does, and saved as an experiment
+//! (docs/fault-proxy.md).
 
 mod draw;
 
@@ -19,69 +20,69 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Plays of a candidate while shrinking: what hangs on time may hold once by chance.
-const TRIES: usize = 3;
+/// Runs of a candidate while shrinking: a violation that depends on timing may not occur in a single run.
+const SHRINK_RUNS: usize = 3;
 
-/// What to search.
+/// Options of a campaign.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Scripts are begun for so long.
+    /// Seconds during which new scripts are started.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// The first seed, where the folder holds no campaign that goes on.
+    /// The first seed, if the folder holds no campaign to continue.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Plays beside each other; each keeps about one processor busy.
+    /// Concurrent runs; each keeps about one processor busy.
     #[arg(long, default_value_t = 2)]
     jobs: usize,
-    /// End with the first that breaks a rule, as it was drawn.
+    /// Stop at the first script that breaks a rule, and save it as drawn.
     #[arg(long)]
     first: bool,
-    /// The lotusdeck to play.
+    /// The lotusdeck binary to run.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Where findings go, and how far the campaign is.
+    /// Folder for findings and the progress of the campaign.
     #[arg(long, default_value = "lab-runs/campaign")]
     out: PathBuf,
 }
 
-/// How far a campaign is, and what it met.
+/// The progress of a campaign, and counts of what happened in it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Progress {
     /// The next seed.
     pub next: u64,
-    /// Scripts that were judged, and that gave no verdict as the lab was late.
+    /// Scripts with a verdict.
     pub judged: u64,
-    /// See there.
+    /// Scripts without a verdict, as the testbed was late.
     pub void: u64,
     /// Seeds that broke a rule.
     pub broke: Vec<u64>,
-    /// How often each injury happened, as way, place and kind.
+    /// How often each injury happened, by direction, place and kind.
     pub injuries: BTreeMap<String, u64>,
     /// How often each trouble was part of a script.
     pub troubles: BTreeMap<String, u64>,
-    /// Requests by what had become of them when their backend's part ended.
+    /// Requests by class effect and by how their processing at the backend ended.
     pub states: BTreeMap<String, u64>,
 }
 
-/// A verdict: what was broken, told; `None` where the lab was late.
+/// The verdict on a run.
 pub struct Verdict {
-    /// Rules that were broken, and the course of the first request concerned.
+    /// The broken rules and the timeline of the first request concerned; `None` if the testbed was late.
     pub broken: Option<(Vec<Broken>, String)>,
-    met: Progress,
+    counts: Progress,
 }
 
-/// Plays an experiment and judges it. Blocks.
+/// Runs an experiment and checks it with the oracles. Blocks the thread.
 ///
 /// # Errors
-/// It cannot be played.
+/// Fails if the experiment cannot be run.
 pub fn judge(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
     let plan = Arc::new(Plan::draw(e, e.seed));
     let fault = |e| SessionError::File(folder.display().to_string(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     let outcome = runtime.block_on(play(plan.clone(), proxy, folder, &|_| {}))?;
     let (figures, broken) = Figures::of(&plan, &outcome);
-    let mut met = Progress::default();
+    let mut counts = Progress::default();
     let count = |of: &mut BTreeMap<String, u64>, what: String| *of.entry(what).or_default() += 1;
     for r in &outcome.records {
         match &r.what {
@@ -89,7 +90,10 @@
                 if let Some(f) = e.injury.get(*injury) {
                     let kind = format!("{:?}", f.what);
                     let kind = kind.split([' ', '{']).next().unwrap_or_default();
-                    count(&mut met.injuries, format!("{:?} {:?} {kind}", f.way, f.place.unwrap_or_default()));
+                    count(
+                        &mut counts.injuries,
+                        format!("{:?} {:?} {kind}", f.way, f.place.unwrap_or_default()),
+                    );
                 }
             }
             Observation::Ended { id, how, .. } => {
@@ -101,23 +105,23 @@
                     RequestEnd::Withdrawn => "given up",
                     RequestEnd::Died => "its backend died",
                 };
-                count(&mut met.states, format!("{} {how}", if once { "once" } else { "free" }));
+                count(&mut counts.states, format!("{} {how}", if once { "once" } else { "free" }));
             }
             _ => {}
         }
     }
-    e.trouble.iter().for_each(|t| count(&mut met.troubles, format!("{:?}", t.what)));
+    e.trouble.iter().for_each(|t| count(&mut counts.troubles, format!("{:?}", t.what)));
     if figures.void.is_some() {
-        return Ok(Verdict { broken: None, met });
+        return Ok(Verdict { broken: None, counts });
     }
     let first = broken.iter().find_map(|b| b.id);
-    let told = first.map_or(String::new(), |id| timeline(&plan, &outcome.records, id));
-    Ok(Verdict { broken: Some((broken, told)), met })
+    let course = first.map_or(String::new(), |id| timeline(&plan, &outcome.records, id));
+    Ok(Verdict { broken: Some((broken, course)), counts })
 }
 
-/// Whether it breaks a rule in some of a few plays.
+/// Returns whether the experiment breaks a rule in any of a few runs.
 fn breaks(e: &Experiment, proxy: &Path, folder: &Path) -> Result<bool, SessionError> {
-    for _ in 0..TRIES {
+    for _ in 0..SHRINK_RUNS {
         if judge(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
             return Ok(true);
         }
@@ -125,22 +129,22 @@
     Ok(false)
 }
 
-/// The least of an experiment that still breaks a rule: injuries and troubles are taken away one by one.
+/// Reduces an experiment to one that still breaks a rule, by removing injuries and troubles one by one.
 ///
 /// # Errors
-/// It cannot be played.
+/// Fails if `breaks` does.
 pub fn shrink(
     mut e: Experiment, mut breaks: impl FnMut(&Experiment) -> Result<bool, SessionError>,
 ) -> Result<Experiment, SessionError> {
-    let (mut at, mut whole) = (0, e.injury.len() + e.trouble.len());
-    while at < whole {
-        let mut less = e.clone();
-        match at.checked_sub(less.injury.len()) {
-            None => drop(less.injury.remove(at)),
-            Some(trouble) => drop(less.trouble.remove(trouble)),
+    let (mut at, mut total) = (0, e.injury.len() + e.trouble.len());
+    while at < total {
+        let mut candidate = e.clone();
+        match at.checked_sub(candidate.injury.len()) {
+            None => drop(candidate.injury.remove(at)),
+            Some(trouble) => drop(candidate.trouble.remove(trouble)),
         }
-        if breaks(&less)? {
-            (e, whole) = (less, whole - 1);
+        if breaks(&candidate)? {
+            (e, total) = (candidate, total - 1);
         } else {
             at += 1;
         }
@@ -149,13 +153,13 @@
 }
 
 impl Progress {
-    fn add(&mut self, met: &Progress) {
+    fn add(&mut self, counts: &Progress) {
         let sum = |to: &mut BTreeMap<String, u64>, from: &BTreeMap<String, u64>| {
             from.iter().for_each(|(what, n)| *to.entry(what.clone()).or_default() += n);
         };
-        sum(&mut self.injuries, &met.injuries);
-        sum(&mut self.troubles, &met.troubles);
-        sum(&mut self.states, &met.states);
+        sum(&mut self.injuries, &counts.injuries);
+        sum(&mut self.troubles, &counts.troubles);
+        sum(&mut self.states, &counts.states);
     }
 
     fn table(&self) -> String {
@@ -172,10 +176,10 @@
     }
 }
 
-/// Searches until the time is over; whether no rule was broken.
+/// Runs scripts until the time is over, and returns whether no rule was broken.
 ///
 /// # Errors
-/// A script cannot be played, or the folder not be written.
+/// Fails if a script cannot be run or the folder not be written.
 pub fn main(args: &Args) -> Result<bool, SessionError> {
     let proxy = program(args.proxy.as_deref())?;
     let fault = |e| SessionError::File(args.out.display().to_string(), e);
@@ -198,7 +202,7 @@
         let broke = || !progress.lock().unwrap_or_else(|e| e.into_inner()).broke.is_empty();
         while Instant::now() < until && !(args.first && broke()) {
             let seed = next.fetch_add(1, Relaxed);
-            one(seed, &proxy, args, &progress)?;
+            run_seed(seed, &proxy, args, &progress)?;
             let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
             p.next = p.next.max(seed + 1);
             std::fs::write(&file, serde_json::to_string_pretty(&*p).unwrap_or_default()).map_err(fault)?;
@@ -214,8 +218,8 @@
     Ok(progress.broke.is_empty())
 }
 
-/// Plays the script of one seed; what breaks a rule is shrunk and saved.
-fn one(seed: u64, proxy: &Path, args: &Args, progress: &Mutex<Progress>) -> Result<(), SessionError> {
+/// Runs the script of one seed; if it breaks a rule, shrinks and saves it.
+fn run_seed(seed: u64, proxy: &Path, args: &Args, progress: &Mutex<Progress>) -> Result<(), SessionError> {
     let out = &args.out;
     let folder = out.join(format!("seed-{seed}"));
     let e = experiment(seed)?;
@@ -223,25 +227,26 @@
     let found = verdict.broken.as_ref().filter(|(broken, _)| !broken.is_empty());
     {
         let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-        p.add(&verdict.met);
+        p.add(&verdict.counts);
         p.judged += u64::from(verdict.broken.is_some());
         p.void += u64::from(verdict.broken.is_none());
         p.broke.extend(found.map(|_| seed));
     }
-    let Some((broken, told)) = found else {
-        let _ = std::fs::remove_dir_all(&folder); // nothing in it is of interest
+    let Some((broken, course)) = found else {
+        let _ = std::fs::remove_dir_all(&folder); // holds only the files of a run that broke no rule
         return Ok(());
     };
     for b in broken.iter().take(3) {
         say(&format!("seed {seed}: {}: {}\n", b.oracle, b.text));
     }
-    say(told);
-    let least = if args.first { e } else { shrink(e, |e| breaks(e, proxy, &folder))? };
+    say(course);
+    let smallest = if args.first { e } else { shrink(e, |e| breaks(e, proxy, &folder))? };
     let (file, name) = (out.join(format!("seed-{seed}.toml")), format!("seed-{seed}"));
-    let least = Experiment { name, about: format!("{}: {}", broken[0].oracle, broken[0].text), ..least };
-    let text = toml::to_string(&least).unwrap_or_default();
+    let smallest =
+        Experiment { name, about: format!("{}: {}", broken[0].oracle, broken[0].text), ..smallest };
+    let text = toml::to_string(&smallest).unwrap_or_default();
     std::fs::write(&file, text).map_err(|e| SessionError::File(file.display().to_string(), e))?;
-    let (injuries, troubles) = (least.injury.len(), least.trouble.len());
+    let (injuries, troubles) = (smallest.injury.len(), smallest.trouble.len());
     say(&format!("seed {seed}: {} holds {injuries} injuries and {troubles} troubles\n", file.display()));
     Ok(())
 }
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -1,5 +1,5 @@
-//! What a relay adds that meets no fault: a byte there and back, direct and through it, interleaved; and with many
-//! idle connections beside it.
+//! The cost of a relay without faults: round-trip times on a direct connection and through the relay, interleaved,
+//! and through the relay with many idle connections.
 
 use super::run::Relay;
 use super::script::{Framing, Route, Script};
@@ -15,24 +15,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes that go there and back.
+/// Bytes of a round trip.
 const BYTES: usize = 512;
 
-/// What to measure.
+/// Options of the measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Rounds; each plays every way once, in turn.
+    /// Number of rounds; each measures every way once, in turn.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
     /// Seconds of one measurement.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Idle connections through the relay in the last way; each takes four descriptors of this process.
+    /// Idle connections through the relay in the last measurement; each takes four descriptors of this process.
     #[arg(long, default_value_t = 4000)]
     idle: usize,
 }
 
-/// A server that sends back what it gets.
+/// Starts an echo server, and returns its address.
 async fn echo() -> std::io::Result<SocketAddr> {
     let listener = listen(None)?;
     let at = listener.local_addr()?;
@@ -41,51 +41,51 @@
             let _ = tcp.set_nodelay(true);
             tokio::task::spawn_local(async move {
                 let (mut read, mut write) = tcp.into_split();
-                let _ = tokio::io::copy(&mut read, &mut write).await; // an end is an end
+                let _ = tokio::io::copy(&mut read, &mut write).await; // an error ends the connection like its close
             });
         }
     });
     Ok(at)
 }
 
-async fn there_and_back(to: SocketAddr, span: Duration) -> Rc<Seen> {
+async fn round_trips(to: SocketAddr, span: Duration) -> Rc<Seen> {
     let (seen, mut bytes) = (Seen::start(span), [7u8; BYTES]);
     if let Ok(mut tcp) = TcpStream::connect(to).await {
         let _ = tcp.set_nodelay(true);
         while seen.is_running() {
             let asked = Instant::now();
-            let back = async {
+            let exchange = async {
                 tcp.write_all(&bytes).await?;
                 tcp.read_exact(&mut bytes).await
             };
-            seen.count(asked, back.await.is_ok());
+            seen.count(asked, exchange.await.is_ok());
         }
     }
     seen
 }
 
-/// Measures and says it.
+/// Measures the cost and prints it.
 ///
 /// # Errors
-/// Sockets or threads cannot be had.
+/// Fails if a socket or thread cannot be opened or started.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
-    raise_descriptor_limit(4 * args.idle + 64)?; // with some for all else
+    raise_descriptor_limit(4 * args.idle + 64)?; // 64 for everything else
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     tokio::task::LocalSet::new().block_on(&runtime, rounds(args))
 }
 
 async fn rounds(args: &Args) -> Result<(), SessionError> {
     let fault = |e| SessionError::File("relay-cost".into(), e);
-    // Server and relay on threads of their own, as they would be processes of their own.
-    let (told, server) = tokio::sync::oneshot::channel();
+    // Server and relay run on their own threads, as they would be separate processes.
+    let (sender, server) = tokio::sync::oneshot::channel();
     let _server = thread("echo", move || async move {
-        let _ = told.send(echo().await);
+        let _ = sender.send(echo().await);
         std::future::pending::<()>().await
     })
     .map_err(fault)?;
     let server = server.await.map_err(|_| RunError::Thread)?.map_err(fault)?;
-    let (told, relay) = tokio::sync::oneshot::channel();
+    let (sender, relay) = tokio::sync::oneshot::channel();
     let _relay = thread("relay", move || async move {
         let route = Route {
             name: "idle".into(),
@@ -95,7 +95,7 @@
             fault: Vec::new(),
         };
         let relay = Relay::start(Script { seed: 0, route: vec![route] });
-        let _ = told.send(relay.as_ref().map(|r| r.addresses[0]).map_err(|e| e.kind().into()));
+        let _ = sender.send(relay.as_ref().map(|r| r.addresses[0]).map_err(|e| e.kind().into()));
         std::future::pending::<()>().await;
         drop(relay);
     })
@@ -107,7 +107,7 @@
     for _ in 0..args.rounds {
         for (_, to, points) in &mut ways {
             let to = *to;
-            points.push(measure(None, move || there_and_back(to, span)).await?);
+            points.push(measure(None, move || round_trips(to, span)).await?);
         }
     }
     let memory = || Usage::of(std::process::id()).map_or(0, |u| u.memory);
@@ -115,17 +115,17 @@
     for _ in 0..args.idle {
         idle.push(TcpStream::connect(relay).await.map_err(fault)?);
     }
-    // The last of them is through once its byte is back.
+    // The last of them is relayed once its byte has returned.
     if let Some(last) = idle.last_mut() {
         last.write_all(b"x").await.map_err(fault)?;
         last.read_exact(&mut [0]).await.map_err(fault)?;
     }
-    let each = memory().saturating_sub(before) as f64 / args.idle.max(1) as f64;
-    let mut beside = Vec::new();
+    let per_connection = memory().saturating_sub(before) as f64 / args.idle.max(1) as f64;
+    let mut with_idle = Vec::new();
     for _ in 0..args.rounds {
-        beside.push(measure(None, move || there_and_back(relay, span)).await?);
+        with_idle.push(measure(None, move || round_trips(relay, span)).await?);
     }
-    ways.push((format!("relay, {} idle", idle.len()), relay, beside));
+    ways.push((format!("relay, {} idle", idle.len()), relay, with_idle));
     say(&format!(
         "medians of {} rounds of {} s, {BYTES} bytes there and back, one at a time\n",
         args.rounds, args.seconds
@@ -135,6 +135,6 @@
         let failed: u64 = points.iter().map(|p| p.failed).sum();
         say(&format!("{name:<20} p50 {p50:>5.0} us  p99 {p99:>5.0} us  {failed} failed\n"));
     }
-    say(&format!("an idle connection holds {:.1} KB of all three ends together\n", each / 1024.0));
+    say(&format!("an idle connection holds {:.1} KB of all three ends together\n", per_connection / 1024.0));
     Ok(())
 }
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -1,5 +1,5 @@
-//! What becomes of one direction's bytes. Sans-IO: whoever drives it brings bytes, times and words, and carries out
-//! what is due. Times are microseconds since the connection came.
+//! Applies faults to the bytes of one direction. Sans-IO: the caller passes bytes, times and words, and carries
+//! out the returned actions. Times are microseconds since the connection was accepted.
 
 use super::frame::{Framer, Mark};
 use super::plan::{Due, When};
@@ -7,38 +7,38 @@
 use crate::world::rng::Rng;
 use std::collections::VecDeque;
 
-/// Bytes held at most before the sender is read no more.
-const MOST_HELD: usize = 256 * 1024;
-/// A narrowed direction passes pieces of this part of a second.
-const SLICES: u64 = 50;
+/// Number of held bytes at which reading from the sender stops.
+const MAX_HELD: usize = 256 * 1024;
+/// Pieces per second in a direction with a limited rate.
+const SLICES_PER_SECOND: u64 = 50;
 
-/// What is to be done now.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     /// Write this, as one piece.
     Bytes(Vec<u8>),
-    /// End this direction in order.
+    /// Close this direction in an orderly way.
     HalfClose,
-    /// End both in order.
+    /// Close both directions in an orderly way.
     Cut,
-    /// Reset both.
+    /// Reset the connections to both ends.
     Reset,
-    /// Let nothing pass in either direction.
+    /// Drop everything in both directions.
     Blackhole,
 }
 
-/// A fault that happened: which, and before which byte of its direction.
+/// A fault that happened, and the byte of its direction before which it did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Did {
-    /// Its place in the route's list.
+pub struct HappenedFault {
+    /// The index of the fault in the route's list.
     pub index: usize,
-    /// Bytes of the direction before it, where the script or the messages say where; a time or a word does not.
+    /// Bytes of the direction before the fault; `None` for faults that a time or a word triggers.
     pub at: Option<u64>,
-    /// The word that it gives.
+    /// The word that it gives when it happens.
     pub gives: Option<String>,
 }
 
-/// Bytes that are changed or sent twice once they are all there.
+/// A fault that changes bytes or sends them twice once all of them have arrived.
 struct Change {
     what: What,
     left: usize,
@@ -47,35 +47,36 @@
 
 /// One direction of a connection.
 pub struct Pipe {
-    /// Those that have not happened yet, in the script's order.
+    /// Faults that have not happened yet, in the script's order.
     waiting: Vec<Due>,
     framer: Option<Framer>,
     marks: Vec<Mark>,
-    /// Bytes that have come.
-    came: u64,
-    /// What goes out, each with its time, in order.
+    /// Number of bytes that have arrived.
+    received: u64,
+    /// Pending actions with the time at which each is due, in order.
     queue: VecDeque<(u64, Out)>,
     held: usize,
     change: Option<Change>,
-    /// Nothing goes out before this time.
-    hold: u64,
-    /// When the last piece goes out, and when a narrowed direction is free again.
-    last: u64,
-    free: u64,
+    /// Time before which nothing is sent.
+    hold_until: u64,
+    /// The time at which the last action is due.
+    last_due: u64,
+    /// The time at which a direction with a limited rate can send again.
+    rate_free_at: u64,
     latency: Option<(u64, u64, Rng)>,
     rate: Option<u64>,
     split: Option<usize>,
-    /// Pieces that come within so long go out together; those of now go at this time.
+    /// Time within which arriving pieces are merged, and the time at which the current ones are due.
     merge: Option<(u64, Option<u64>)>,
     unread_until: u64,
     hung: bool,
     ended: bool,
-    /// What happened, until it is fetched.
-    pub did: Vec<Did>,
+    /// Faults that have happened, until the caller takes them.
+    pub happened: Vec<HappenedFault>,
 }
 
 impl Pipe {
-    /// Of a connection that has just come, with those of its faults that are of this direction.
+    /// Creates the pipe of one direction of a new connection, with the faults of this direction.
     pub fn new(framing: Framing, way: Way, dues: &[Due]) -> Pipe {
         let waiting: Vec<Due> = dues.iter().filter(|d| d.way == way).cloned().collect();
         let framed = waiting.iter().any(|d| matches!(d.when, When::Message(..)));
@@ -83,13 +84,13 @@
             waiting,
             framer: framed.then(|| Framer::new(framing, way)),
             marks: Vec::new(),
-            came: 0,
+            received: 0,
             queue: VecDeque::new(),
             held: 0,
             change: None,
-            hold: 0,
-            last: 0,
-            free: 0,
+            hold_until: 0,
+            last_due: 0,
+            rate_free_at: 0,
             latency: None,
             rate: None,
             split: None,
@@ -97,11 +98,11 @@
             unread_until: 0,
             hung: false,
             ended: false,
-            did: Vec::new(),
+            happened: Vec::new(),
         }
     }
 
-    /// Takes what the sender sent.
+    /// Accepts bytes from the sender.
     pub fn take(&mut self, now: u64, mut bytes: &[u8]) {
         self.tick(now);
         if let Some(framer) = &mut self.framer {
@@ -112,69 +113,69 @@
             }
         }
         while !bytes.is_empty() {
-            self.reach(now);
+            self.trigger_at_position(now);
             if self.hung {
-                return; // what would come later never does, however much has come at once
+                return; // faults behind this place do not happen, even if their bytes are in this piece
             }
             let next = self.waiting.iter().filter_map(|d| match d.when {
-                When::Byte(at) if at > self.came => Some(at - self.came),
+                When::Byte(at) if at > self.received => Some(at - self.received),
                 _ => None,
             });
             let until = next.min().unwrap_or(u64::MAX).min(bytes.len() as u64) as usize;
             let (piece, rest) = bytes.split_at(until);
-            self.came += piece.len() as u64;
-            self.pass(now, piece);
+            self.received += piece.len() as u64;
+            self.forward(now, piece);
             bytes = rest;
         }
-        self.reach(now); // what is due behind the last byte that came
+        self.trigger_at_position(now); // faults after the last byte that arrived
     }
 
-    /// The sender ended its direction.
+    /// Ends the direction after the sender has closed it.
     pub fn end(&mut self, now: u64) {
         self.ended = true;
         if let Some(change) = self.change.take() {
-            self.emit(now, change.kept); // too few came to be changed
+            self.emit(now, change.kept); // too few bytes arrived to be changed
         }
         self.push(now, Out::HalfClose);
     }
 
-    /// Time has passed.
+    /// Triggers the faults whose time has come.
     pub fn tick(&mut self, now: u64) {
-        self.happen(now, |when| matches!(when, When::After(at) if *at <= now));
+        self.trigger(now, |when| matches!(when, When::After(at) if *at <= now));
     }
 
-    /// A word was given.
-    pub fn word(&mut self, now: u64, word: &str) {
-        self.happen(now, |when| matches!(when, When::Word(on) if on == word));
+    /// Triggers the faults that wait for a word.
+    pub fn give_word(&mut self, now: u64, word: &str) {
+        self.trigger(now, |when| matches!(when, When::Word(on) if on == word));
     }
 
-    /// The words that are waited for.
-    pub fn awaits(&self) -> impl Iterator<Item = &str> {
+    /// Returns the words for which faults wait.
+    pub fn awaited_words(&self) -> impl Iterator<Item = &str> {
         self.waiting.iter().filter_map(|d| match &d.when {
             When::Word(word) => Some(word.as_str()),
             _ => None,
         })
     }
 
-    /// Nothing passes any more, and what is held is dropped.
+    /// Drops held bytes and all that arrive from now on.
     pub fn hang(&mut self) {
         self.hung = true;
         self.queue.clear();
         self.held = 0;
     }
 
-    /// The sender may be read.
-    pub fn reads(&self, now: u64) -> bool {
-        !self.ended && now >= self.unread_until && self.held < MOST_HELD
+    /// Returns whether the sender may be read.
+    pub fn can_read(&self, now: u64) -> bool {
+        !self.ended && now >= self.unread_until && self.held < MAX_HELD
     }
 
-    /// Its sender ended, and nothing of it is left to go out.
-    pub fn over(&self) -> bool {
+    /// Returns whether the sender has closed the direction and nothing remains to be sent.
+    pub fn is_finished(&self) -> bool {
         self.ended && self.queue.is_empty()
     }
 
-    /// When something is due though nothing comes.
-    pub fn next(&self, now: u64) -> Option<u64> {
+    /// Returns the next time at which something is due without further input.
+    pub fn next_due(&self, now: u64) -> Option<u64> {
         let times = self.waiting.iter().filter_map(|d| match d.when {
             When::After(at) => Some(at),
             _ => None,
@@ -183,14 +184,14 @@
         times.chain(unread).chain(self.queue.front().map(|q| q.0)).min()
     }
 
-    /// The next thing that is due.
+    /// Returns the next action that is due.
     pub fn pop(&mut self, now: u64) -> Option<Out> {
         if self.queue.front()?.0 > now {
             return None;
         }
         let (at, mut out) = self.queue.pop_front()?;
         if let Out::Bytes(bytes) = &mut out {
-            // Merged pieces have the same time, and no others are put together.
+            // Only merged pieces are joined; they are due at the same time.
             while let Some((_, Out::Bytes(more))) =
                 self.queue.front().filter(|q| self.merge.is_some() && q.0 == at)
             {
@@ -202,25 +203,25 @@
         Some(out)
     }
 
-    /// Those due before the next byte happen.
-    fn reach(&mut self, now: u64) {
-        let came = self.came;
-        self.happen(now, |when| matches!(when, When::Byte(at) if *at <= came));
+    /// Triggers the faults that are due before the next byte.
+    fn trigger_at_position(&mut self, now: u64) {
+        let received = self.received;
+        self.trigger(now, |when| matches!(when, When::Byte(at) if *at <= received));
     }
 
-    fn happen(&mut self, now: u64, due: impl Fn(&When) -> bool) {
+    fn trigger(&mut self, now: u64, due: impl Fn(&When) -> bool) {
         while let Some(at) = self.waiting.iter().position(|d| due(&d.when)) {
             let fault = self.waiting.remove(at);
-            let place = matches!(fault.when, When::Byte(_)).then_some(self.came);
-            self.did.push(Did { index: fault.index, at: place, gives: fault.gives });
-            self.begin(now, fault.what, fault.seed);
+            let place = matches!(fault.when, When::Byte(_)).then_some(self.received);
+            self.happened.push(HappenedFault { index: fault.index, at: place, gives: fault.gives });
+            self.apply(now, fault.what, fault.seed);
         }
     }
 
-    fn begin(&mut self, now: u64, what: What, seed: u64) {
+    fn apply(&mut self, now: u64, what: What, seed: u64) {
         let us = |ms: u64| ms.saturating_mul(1000);
         match what {
-            What::Stall { ms } => self.hold = self.hold.max(now.saturating_add(us(ms))),
+            What::Stall { ms } => self.hold_until = self.hold_until.max(now.saturating_add(us(ms))),
             What::Latency { ms, jitter_ms } => {
                 self.latency = Some((us(ms), us(jitter_ms), Rng::new(seed, "latency")))
             }
@@ -228,11 +229,11 @@
             What::Split { bytes } => self.split = Some(bytes),
             What::Merge { ms } => self.merge = Some((us(ms), None)),
             What::Unread { ms } => self.unread_until = now.saturating_add(us(ms)),
-            What::Hang => self.hung = true, // what came before goes out
-            What::Blackhole => self.last_of(now, Out::Blackhole),
-            What::HalfClose => self.last_of(now, Out::HalfClose),
-            What::Cut => self.last_of(now, Out::Cut),
-            What::Reset => self.last_of(now, Out::Reset),
+            What::Hang => self.hung = true, // bytes queued earlier are still sent
+            What::Blackhole => self.push_last(now, Out::Blackhole),
+            What::HalfClose => self.push_last(now, Out::HalfClose),
+            What::Cut => self.push_last(now, Out::Cut),
+            What::Reset => self.push_last(now, Out::Reset),
             What::Repeat { bytes } | What::Flip { bytes } => {
                 self.change = Some(Change { what, left: bytes, kept: Vec::new() })
             }
@@ -243,14 +244,14 @@
         }
     }
 
-    /// Nothing of this direction goes out behind it.
-    fn last_of(&mut self, now: u64, out: Out) {
+    /// Queues the last action of this direction.
+    fn push_last(&mut self, now: u64, out: Out) {
         self.push(now, out);
         self.hung = true;
     }
 
-    /// Bytes go on, changed where a change is under way.
-    fn pass(&mut self, now: u64, mut bytes: &[u8]) {
+    /// Forwards bytes, changed if a change is active.
+    fn forward(&mut self, now: u64, mut bytes: &[u8]) {
         if let Some(mut change) = self.change.take() {
             let (mine, rest) = bytes.split_at(change.left.min(bytes.len()));
             change.kept.extend_from_slice(mine);
@@ -274,7 +275,7 @@
     }
 
     fn emit(&mut self, now: u64, bytes: Vec<u8>) {
-        let slice = self.rate.map(|rate| (rate / SLICES).max(1) as usize);
+        let slice = self.rate.map(|rate| (rate / SLICES_PER_SECOND).max(1) as usize);
         let size = [self.split, slice].into_iter().flatten().min();
         match size {
             None => self.push(now, Out::Bytes(bytes)),
@@ -282,16 +283,16 @@
         }
     }
 
-    /// Behind all that is there, at the time that it is due.
+    /// Queues an action after all others, and computes the time at which it is due.
     fn push(&mut self, now: u64, out: Out) {
         if self.hung {
             return;
         }
-        let mut at = now.max(self.hold);
+        let mut at = now.max(self.hold_until);
         if let Out::Bytes(bytes) = &out {
             self.held += bytes.len();
-            if let Some((least, more, rng)) = &mut self.latency {
-                at = at.saturating_add(*least).saturating_add((rng.unit() * *more as f64) as u64);
+            if let Some((min, more, rng)) = &mut self.latency {
+                at = at.saturating_add(*min).saturating_add((rng.unit() * *more as f64) as u64);
             }
             if let Some((span, until)) = &mut self.merge {
                 let due = until.filter(|due| now <= *due).unwrap_or(now.saturating_add(*span));
@@ -299,12 +300,13 @@
                 at = at.max(due);
             }
             if let Some(rate) = self.rate {
-                at = at.max(self.free);
-                self.free = at.saturating_add((bytes.len() as u64).saturating_mul(1_000_000) / rate.max(1));
+                at = at.max(self.rate_free_at);
+                self.rate_free_at =
+                    at.saturating_add((bytes.len() as u64).saturating_mul(1_000_000) / rate.max(1));
             }
         }
-        self.last = self.last.max(at);
-        self.queue.push_back((self.last, out));
+        self.last_due = self.last_due.max(at);
+        self.queue.push_back((self.last_due, out));
     }
 }
 
--- a/crates/testbed/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -1,6 +1,6 @@
-//! The generated part of docs/CAPACITY.md: tables made from records, and the check that page and records agree.
+//! The generated part of docs/CAPACITY.md: tables created from records, and the check that page and records agree.
 
-use super::record::{short, Record, Series};
+use super::record::{format_short, Record, Series};
 use super::rows::{Laws, Row};
 use super::target::Target;
 use super::ScaleRunError;
@@ -8,28 +8,29 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Where the generated part of the page begins and ends.
+/// Marker before the generated part of the page.
 const BEGIN: &str = "<!-- capacity: generated from docs/capacity, do not edit -->";
+/// Marker after the generated part of the page.
 const END: &str = "<!-- capacity: end -->";
 
 /// Write the tables of the capacity page from the records, or check that they agree.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// The page.
+    /// The capacity page.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     pub page: PathBuf,
-    /// The records and the target.
+    /// Folder of the records and the target.
     #[arg(long, default_value = "docs/capacity")]
     pub records: PathBuf,
-    /// Write nothing; fail where page and records differ.
+    /// Write nothing; fail if page and records differ.
     #[arg(long)]
     pub check: bool,
 }
 
-/// Writes or checks the page; whether it agreed.
+/// Writes or checks the page. Returns whether a checked page agrees with its records.
 ///
 /// # Errors
-/// A file cannot be read or written, or the page has no place for the tables.
+/// Fails if a file cannot be read or written, or if the page lacks the markers.
 pub fn main(args: &Args) -> Result<bool, ScaleRunError> {
     let old = std::fs::read_to_string(&args.page)?;
     let new = with_block(&old, &block(&args.records)?)?;
@@ -46,10 +47,10 @@
     Ok(true)
 }
 
-/// The page with its generated part replaced.
+/// Returns the page with its generated part replaced.
 ///
 /// # Errors
-/// The markers are not there, once each and in order.
+/// Fails if the page lacks the two markers in their order.
 pub fn with_block(page: &str, block: &str) -> Result<String, ScaleRunError> {
     let parts = page.split_once(BEGIN).and_then(|(head, rest)| Some((head, rest.split_once(END)?.1)));
     let (head, tail) = parts.ok_or_else(|| {
@@ -58,10 +59,10 @@
     Ok(format!("{head}{BEGIN}\n\n{block}\n{END}{tail}"))
 }
 
-/// All tables, from the records of a folder.
+/// Generates all tables from the records of a folder.
 ///
 /// # Errors
-/// A record or the target cannot be read.
+/// Fails if a record or the target cannot be read.
 pub fn block(folder: &Path) -> Result<String, ScaleRunError> {
     let target = Target::load(&folder.join("target.toml"))?;
     let records = records(folder)?;
@@ -69,7 +70,7 @@
     Ok([sources(&records), costs(&rows), ranking(&rows), laws(&records)].join("\n"))
 }
 
-/// All records of a folder: in the order of their dates, and `before` before any other label of a day.
+/// Reads all records of a folder, sorted by date, with the label `before` ahead of other labels of the same day.
 fn records(folder: &Path) -> Result<Vec<Record>, ScaleRunError> {
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -108,11 +109,11 @@
     );
     for row in rows {
         let value = row.unit.show(row.value);
-        let value = if over(row) { format!("**{value}**") } else { value };
+        let value = if exceeds_budget(row) { format!("**{value}**") } else { value };
         let budget = row.budget.map_or("none named".into(), |budget| row.unit.show(budget));
         let ratio = row.ratio().map_or("-".into(), |ratio| {
-            let ratio = times(ratio);
-            if over(row) {
+            let ratio = format_ratio(ratio);
+            if exceeds_budget(row) {
                 format!("**{ratio}**")
             } else {
                 ratio
@@ -130,11 +131,11 @@
     text
 }
 
-fn over(row: &Row) -> bool {
+fn exceeds_budget(row: &Row) -> bool {
     row.ratio().is_some_and(|ratio| ratio > 1.0)
 }
 
-fn times(ratio: f64) -> String {
+fn format_ratio(ratio: f64) -> String {
     match ratio {
         ratio if ratio >= 10.0 => format!("{ratio:.0} x"),
         ratio if ratio >= 0.01 => format!("{ratio:.2} x"),
@@ -143,11 +144,11 @@
 }
 
 fn ranking(rows: &[Row]) -> String {
-    let mut over_budget: Vec<&Row> = rows.iter().filter(|row| over(row)).collect();
+    let mut over_budget: Vec<&Row> = rows.iter().filter(|row| exceeds_budget(row)).collect();
     over_budget.sort_by(|a, b| b.ratio().unwrap_or(0.0).total_cmp(&a.ratio().unwrap_or(0.0)));
     let mut text = String::from("### Over budget, the worst first\n\n");
     for (at, row) in over_budget.iter().enumerate() {
-        let ratio = row.ratio().map_or(String::new(), times);
+        let ratio = row.ratio().map_or(String::new(), format_ratio);
         let _ = writeln!(
             text,
             "{}. **{ratio}** {}: {} ({}); {}",
@@ -180,10 +181,14 @@
 fn law(series: &Series) -> String {
     let join = |values: Vec<String>| values.join(", ");
     let steps = join(series.points.iter().map(|point| point.x.to_string()).collect());
-    let medians = join(series.points.iter().map(|point| short(point.median())).collect());
+    let medians = join(series.points.iter().map(|point| format_short(point.median())).collect());
     let fit = series.fit.map_or("- | - | -".into(), |fit| {
-        format!("{} | {:.2} | {:.0} %", short(fit.factor), fit.power, fit.residual * 100.0)
+        format!("{} | {:.2} | {:.0} %", format_short(fit.factor), fit.power, fit.residual * 100.0)
     });
     let axis = series.axis.name();
-    format!("{axis} | {} | {steps} | {medians} | {} | {fit} |", series.metric.name(), short(series.floor))
+    format!(
+        "{axis} | {} | {steps} | {medians} | {} | {fit} |",
+        series.metric.name(),
+        format_short(series.floor)
+    )
 }
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -1,5 +1,5 @@
-//! Stand-in discovery of fixed capacity for long lists and many followers: it tells a list of any length by version
-//! over HTTP/1.1 long polls, and counts what it tells.
+//! A stand-in discovery service of fixed capacity for long lists and many followers: it serves a versioned list
+//! of any length over HTTP/1.1 long polls, and counts its answers.
 
 use super::document;
 use super::experiment::Capacity;
@@ -15,23 +15,23 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The longest that a call may wait (the protocol's bound).
+/// Longest wait of a call, the bound of the protocol.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Where backends that get no requests are said to listen: one address each, of loopback.
-const PORT: u16 = 8_443;
+/// Port of the listed backends that get no requests; each has a loopback address of its own.
+const BACKEND_PORT: u16 = 8_443;
 
-/// Who follows on a listener.
+/// The kind of followers on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Follower {
-    /// A process of the program.
+    /// Processes of the program.
     Real,
-    /// A stand-in.
+    /// Hollow proxies.
     Hollow,
 }
 
-/// What was told in one kind of answer.
+/// Counters of one kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Told {
+pub struct AnswerCounts {
     /// Calls answered.
     pub calls: u64,
     /// Lines in the answers.
@@ -40,15 +40,15 @@
     pub bytes: u64,
 }
 
-impl Told {
+impl AnswerCounts {
     fn add(&mut self, lines: usize, bytes: usize) {
         self.calls += 1;
         self.lines += lines as u64;
         self.bytes += bytes as u64;
     }
 
-    fn less(self, before: Told) -> Told {
-        Told {
+    fn minus(self, before: AnswerCounts) -> AnswerCounts {
+        AnswerCounts {
             calls: self.calls - before.calls,
             lines: self.lines - before.lines,
             bytes: self.bytes - before.bytes,
@@ -56,38 +56,38 @@
     }
 }
 
-/// All that was told, by kind of answer.
+/// Counters by kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Counters {
     /// Whole lists.
-    pub whole: Told,
-    /// Changes.
-    pub changes: Told,
-    /// Waits that ended without news.
-    pub empty: Told,
+    pub whole: AnswerCounts,
+    /// Answers with changes.
+    pub changes: AnswerCounts,
+    /// Long polls that ended without a change.
+    pub empty: AnswerCounts,
 }
 
 impl Counters {
-    /// What came since `before`.
+    /// Returns the difference to the earlier counters `before`.
     pub fn since(self, before: Counters) -> Counters {
         Counters {
-            whole: self.whole.less(before.whole),
-            changes: self.changes.less(before.changes),
-            empty: self.empty.less(before.empty),
+            whole: self.whole.minus(before.whole),
+            changes: self.changes.minus(before.changes),
+            empty: self.empty.minus(before.empty),
         }
     }
 
-    /// Bytes of all kinds.
+    /// Returns the bytes of all kinds.
     pub fn bytes(self) -> u64 {
         self.whole.bytes + self.changes.bytes + self.empty.bytes
     }
 
-    /// Calls of all kinds.
+    /// Returns the calls of all kinds.
     pub fn calls(self) -> u64 {
         self.whole.calls + self.changes.calls + self.empty.calls
     }
 
-    /// Lines of all kinds.
+    /// Returns the lines of all kinds.
     pub fn lines(self) -> u64 {
         self.whole.lines + self.changes.lines + self.empty.lines
     }
@@ -102,20 +102,20 @@
 /// A change of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its number.
+    /// Number of the backend.
     pub backend: usize,
-    /// What it is from now on.
+    /// Its new status.
     pub status: Status,
 }
 
 struct Version {
-    /// When it was made.
-    made: Instant,
-    /// The backends that it changed.
+    /// When the version was created.
+    created_at: Instant,
+    /// The backends changed by it.
     backends: Vec<usize>,
 }
 
-/// An answer that many followers get alike.
+/// An answer that is sent to many followers unchanged.
 struct Answer {
     after: Option<u64>,
     version: u64,
@@ -123,15 +123,15 @@
     text: Bytes,
 }
 
-/// The service.
+/// The discovery service.
 pub struct Directory {
     capacity: Capacity,
     zones: usize,
-    /// The backend that requests reach, in place of the first line's own address.
+    /// Address of the backend that requests reach, which replaces the address of the first line.
     real_backend: Option<SocketAddr>,
     lines: RefCell<Vec<Line>>,
     versions: RefCell<Vec<Version>>,
-    news: watch::Sender<u64>,
+    latest_version: watch::Sender<u64>,
     free_at: Cell<Instant>,
     last: RefCell<Option<Rc<Answer>>>,
     counters: Cell<Counters>,
@@ -139,29 +139,29 @@
     listed: Cell<Listed>,
 }
 
-/// Followers that have asked for what is newer than a whole list, and so have taken one.
+/// Number of followers that have a whole list, as shown by their first call for newer changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
-    /// Real ones.
+    /// Real processes.
     pub real: usize,
-    /// Hollow ones.
+    /// Hollow proxies.
     pub hollow: usize,
 }
 
 impl Directory {
-    /// A list of so many backends, all serving since long ago.
+    /// Creates the service with a list of `backends` that have all been serving for a long time.
     pub fn new(
         backends: usize, zones: usize, capacity: Capacity, real_backend: Option<SocketAddr>,
     ) -> Rc<Directory> {
         let line = |_| Line { status: Status::Serving, since_ms: 0, version: 1 };
-        let first = Version { made: Instant::now(), backends: Vec::new() };
+        let first = Version { created_at: Instant::now(), backends: Vec::new() };
         Rc::new(Directory {
             capacity,
             zones,
             real_backend,
             lines: RefCell::new((0..backends).map(line).collect()),
             versions: RefCell::new(vec![first]),
-            news: watch::channel(1).0,
+            latest_version: watch::channel(1).0,
             free_at: Cell::new(Instant::now()),
             last: RefCell::default(),
             counters: Cell::default(),
@@ -170,10 +170,10 @@
         })
     }
 
-    /// Listens for followers of one sort.
+    /// Listens for followers of one kind.
     ///
     /// # Errors
-    /// No socket can be had.
+    /// Fails if no socket can be opened.
     pub fn listen(self: &Rc<Self>, follower: Follower) -> std::io::Result<SocketAddr> {
         let listener = listen(None)?;
         let address = listener.local_addr()?;
@@ -186,12 +186,12 @@
         Ok(address)
     }
 
-    /// The version that is told.
+    /// Returns the current version of the list.
     pub fn version(&self) -> u64 {
         self.versions.borrow().len() as u64
     }
 
-    /// Changes the list, all at once.
+    /// Applies all changes as one new version of the list.
     pub fn change(&self, changes: &[Change], unix_ms: u64) {
         let version = self.version() + 1;
         let mut lines = self.lines.borrow_mut();
@@ -204,41 +204,42 @@
             line.status = change.status;
         }
         let backends = changes.iter().map(|change| change.backend).collect();
-        self.versions.borrow_mut().push(Version { made: Instant::now(), backends });
-        self.news.send_replace(version);
+        self.versions.borrow_mut().push(Version { created_at: Instant::now(), backends });
+        self.latest_version.send_replace(version);
     }
 
-    /// What was told so far.
+    /// Returns the counters of all answers so far.
     pub fn counters(&self) -> Counters {
         self.counters.get()
     }
 
-    /// How long after each change each follower had it in force, as its next call showed; empty then.
+    /// Returns and clears the recorded times from a change until a follower had it in force, as shown by the
+    /// follower's next call.
     pub fn take_in_force(&self) -> Vec<(Follower, Duration)> {
         self.in_force.take()
     }
 
-    /// Who has a list.
+    /// Returns the number of followers that have a list.
     pub fn listed(&self) -> Listed {
         self.listed.get()
     }
 
     async fn serve(self: Rc<Self>, follower: Follower, mut link: Link) {
-        // Followers have everything of a version in force before they ask for what is newer.
+        // A follower has a whole version in force before it asks for newer changes.
         let mut held = None;
         while let Ok(Some(request)) = link.request().await {
             let (after, wait) = query(&request.target);
-            self.note_in_force(follower, held, after);
+            self.record_in_force(follower, held, after);
             held = after;
             if let (Some(after), true) = (after, wait > Duration::ZERO) {
-                let mut news = self.news.subscribe();
+                let mut updates = self.latest_version.subscribe();
                 tokio::select! {
-                    _ = tokio::time::timeout(wait, news.wait_for(|version| *version > after)) => {}
+                    _ = tokio::time::timeout(wait, updates.wait_for(|version| *version > after)) => {}
                     event = link.wait_read() => if event == ReadEvent::End { return },
                 }
             }
             let answer = self.answer(after);
-            self.take_turn(answer.lines).await;
+            self.wait_for_capacity(answer.lines).await;
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.text.len());
             let sent = async {
                 link.write(head.as_bytes()).await?;
@@ -247,12 +248,12 @@
             if sent.await.is_err() {
                 return;
             }
-            let asked = REQUEST_HEAD + request.target.len();
-            self.count(&answer, asked + head.len() + answer.text.len());
+            let request_bytes = REQUEST_HEAD_BYTES + request.target.len();
+            self.count(&answer, request_bytes + head.len() + answer.text.len());
         }
     }
 
-    fn note_in_force(&self, follower: Follower, held: Option<u64>, after: Option<u64>) {
+    fn record_in_force(&self, follower: Follower, held: Option<u64>, after: Option<u64>) {
         let Some(after) = after else { return };
         let Some(held) = held else {
             let mut listed = self.listed.get();
@@ -265,12 +266,12 @@
         };
         let versions = self.versions.borrow();
         let newer = versions.get(held as usize..after as usize).unwrap_or_default();
-        let ages = newer.iter().map(|version| (follower, version.made.elapsed()));
+        let ages = newer.iter().map(|version| (follower, version.created_at.elapsed()));
         self.in_force.borrow_mut().extend(ages);
     }
 
-    /// Calls are handled one after the other, each for what it costs.
-    async fn take_turn(&self, lines: usize) {
+    /// Waits for the calls before this one and then for the cost of this one: calls are handled one at a time.
+    async fn wait_for_capacity(&self, lines: usize) {
         let cost = self.capacity.call_us + self.capacity.line_us * lines as f64;
         let done = self.free_at.get().max(Instant::now()) + Duration::from_secs_f64(cost / 1e6);
         self.free_at.set(done);
@@ -288,26 +289,26 @@
         self.counters.set(counters);
     }
 
-    /// What is newer than `after`, or the whole list.
+    /// Returns the changes since version `after`, or the whole list.
     fn answer(&self, after: Option<u64>) -> Rc<Answer> {
         let version = self.version();
-        // Who is ahead of the list knows another discovery's: it is told all.
+        // A follower that is ahead of the list has the version of another discovery and gets the whole list.
         let after = after.filter(|after| *after <= version);
         let last = self.last.borrow().clone();
         if let Some(answer) = last.filter(|last| (last.after, last.version) == (after, version)) {
             return answer;
         }
-        let told: Vec<usize> = match after {
-            None => (0..self.lines.borrow().len()).filter(|at| self.present(*at)).collect(),
+        let backends: Vec<usize> = match after {
+            None => (0..self.lines.borrow().len()).filter(|at| self.is_listed(*at)).collect(),
             Some(after) => self.changed_since(after).into_iter().collect(),
         };
-        let text = Bytes::from(self.json(version, after.is_none(), &told));
-        let answer = Rc::new(Answer { after, version, lines: told.len(), text });
+        let text = Bytes::from(self.json(version, after.is_none(), &backends));
+        let answer = Rc::new(Answer { after, version, lines: backends.len(), text });
         self.last.replace(Some(answer.clone()));
         answer
     }
 
-    fn present(&self, backend: usize) -> bool {
+    fn is_listed(&self, backend: usize) -> bool {
         self.lines.borrow()[backend].status != Status::Deleted
     }
 
@@ -317,9 +318,9 @@
         newer.iter().flat_map(|version| version.backends.iter().copied()).collect()
     }
 
-    fn json(&self, version: u64, snapshot: bool, told: &[usize]) -> String {
+    fn json(&self, version: u64, snapshot: bool, backends: &[usize]) -> String {
         let mut text = format!("{{\"index\":{version},\"snapshot\":{snapshot},\"endpoints\":[");
-        for (at, backend) in told.iter().enumerate() {
+        for (at, backend) in backends.iter().enumerate() {
             if at > 0 {
                 text.push(',');
             }
@@ -344,25 +345,25 @@
             self.address(backend),
             document::zone(backend % self.zones),
             document::KINDS[backend % document::KINDS.len()],
-            backend / GROUP,
+            backend / GROUP_SIZE,
             line.since_ms,
         );
     }
 
     fn address(&self, backend: usize) -> SocketAddr {
         let [_, high, middle, low] = (backend as u32 + 1).to_be_bytes();
-        // Not 127.0.*.*, where real listeners are.
-        let own = SocketAddr::from((Ipv4Addr::new(127, 64 + high, middle, low), PORT));
-        self.real_backend.filter(|_| backend == 0).unwrap_or(own)
+        // Avoids 127.0.*.*, which is used by real listeners.
+        let default_address = SocketAddr::from((Ipv4Addr::new(127, 64 + high, middle, low), BACKEND_PORT));
+        self.real_backend.filter(|_| backend == 0).unwrap_or(default_address)
     }
 }
 
-/// Backends of one group of the list (a cell).
-const GROUP: usize = 40;
-/// Bytes of a follower's request beside its target: `GET  HTTP/1.1`, `host: 127.0.0.1:NNNNN` and line ends.
-const REQUEST_HEAD: usize = "GET  HTTP/1.1\r\nhost: 127.0.0.1:12345\r\n\r\n".len();
+/// Backends in one group of the list (a cell).
+const GROUP_SIZE: usize = 40;
+/// Bytes of a follower's request without its target: `GET  HTTP/1.1`, `host: 127.0.0.1:NNNNN` and line ends.
+const REQUEST_HEAD_BYTES: usize = "GET  HTTP/1.1\r\nhost: 127.0.0.1:12345\r\n\r\n".len();
 
-/// Version and wait of a call.
+/// Parses the version and the wait of a call.
 fn query(target: &str) -> (Option<u64>, Duration) {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = |key: &str| -> Option<u64> {
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,4 +1,5 @@
-//! Real processes of the program under a scale experiment: start, new settings, and what they use.
+//! Processes of the program in a scale experiment: starting them, changing their settings, and measuring their
+//! use of memory and processor time.
 
 use super::document::{self, Place, Size};
 use crate::driver::proxies::call;
@@ -12,48 +13,49 @@
 use thiserror::Error;
 use tokio::process::{Child, Command};
 
-/// A process takes clients so soon after its start, or it has failed: many times what the largest settings take.
-const START: Duration = Duration::from_secs(120);
-/// New settings are in force so soon, or they were lost.
-const RELOAD: Duration = Duration::from_secs(120);
-/// Between two looks at whether something has happened: the error of every time measured here.
-const LOOK: Duration = Duration::from_millis(2);
-/// What a process logs once new settings are in force, and once they are refused.
-const TAKEN: &str = "configuration applied";
-const REFUSED: &str = "configuration rejected";
+/// Time for a process to accept clients after its start: many times what the largest settings take.
+const START_TIMEOUT: Duration = Duration::from_secs(120);
+/// Time for new settings to come into force.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval of polling, which is the error of every time measured here.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Log message of a process when new settings are in force.
+const APPLIED: &str = "configuration applied";
+/// Log message of a process when new settings are rejected.
+const REJECTED: &str = "configuration rejected";
 
 /// Why a real process could not be measured.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A file or process cannot be had.
+    /// A file could not be written or a process not started.
     #[error("proxy: {0}")]
     Io(#[from] std::io::Error),
-    /// It ended or never took clients.
-    #[error("proxy did not take clients in time; last line: {0}")]
+    /// The process ended or did not accept clients in time.
+    #[error("proxy did not accept clients in time; last log line: {0}")]
     Start(String),
-    /// New settings were refused or never taken.
-    #[error("proxy did not take new settings in time; last line: {0}")]
+    /// New settings were rejected or not applied in time.
+    #[error("proxy did not apply new settings in time; last log line: {0}")]
     Reload(String),
 }
 
-/// A running process; it ends with this value.
+/// A running process, killed when this value is dropped.
 pub struct Process {
     child: Child,
     folder: PathBuf,
     place: Place,
     size: Size,
     edition: usize,
-    /// From the start of the process to its first answer on `/-/ready`.
+    /// Time from the start of the process to its first answer on `/-/ready`.
     pub ready: Duration,
-    /// Its ports, so that nobody else gets them.
+    /// The ports of the process, reserved so that no other process gets them.
     _ports: [Reserved; 2],
 }
 
 impl Process {
-    /// Starts `program` in `folder` and waits until it takes clients.
+    /// Starts `program` in `folder` and waits until it accepts clients.
     ///
     /// # Errors
-    /// It does not.
+    /// Fails if the process cannot be started or does not accept clients in time.
     pub async fn start(
         program: &Path, folder: &Path, size: Size, discovery: SocketAddr,
     ) -> Result<Process, ProcessError> {
@@ -77,69 +79,69 @@
     }
 
     async fn wait_ready(&mut self, began: Instant) -> Result<(), ProcessError> {
-        while began.elapsed() < START && matches!(self.child.try_wait(), Ok(None)) {
+        while began.elapsed() < START_TIMEOUT && matches!(self.child.try_wait(), Ok(None)) {
             if call(self.place.listen, "GET", "/-/ready", "").await == Some(200) {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ProcessError::Start(self.last_line()))
     }
 
-    /// Where clients connect.
+    /// Returns the address for clients.
     pub fn address(&self) -> SocketAddr {
         self.place.listen
     }
 
-    /// Bytes of its configuration.
+    /// Returns the size of its configuration, bytes.
     ///
     /// # Errors
-    /// The file cannot be read.
+    /// Fails if the file cannot be read.
     pub fn document_bytes(&self) -> std::io::Result<u64> {
         Ok(std::fs::metadata(self.folder.join("config.json"))?.len())
     }
 
-    /// Bytes that it holds in memory.
+    /// Returns its resident memory, bytes.
     pub fn memory(&self) -> u64 {
         self.child.id().and_then(Usage::of).map_or(0, |usage| usage.memory)
     }
 
-    /// Processor time of all its threads since its start, exact to the nanosecond where the kernel counts it
-    /// (`/proc/PID/task/*/schedstat`).
+    /// Returns the processor time of all its threads since its start, exact to the nanosecond where the kernel
+    /// counts it (`/proc/PID/task/*/schedstat`).
     pub fn processor_time(&self) -> Duration {
         self.child.id().map_or(Duration::ZERO, processor_time)
     }
 
-    /// Writes changed settings of the same size, for the next [`Process::reload`] to take.
+    /// Writes changed settings of the same size, to be applied by the next [`Process::reload`].
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write_next_settings(&mut self) -> Result<(), ProcessError> {
         self.edition += 1;
         let text = document::node(self.size, self.place, self.edition);
         let path = self.folder.join("config.json");
-        let beside = path.with_extension("next");
-        std::fs::write(&beside, text)?;
-        std::fs::rename(&beside, &path)?;
+        let temporary = path.with_extension("next");
+        std::fs::write(&temporary, text)?;
+        std::fs::rename(&temporary, &path)?;
         Ok(())
     }
 
-    /// Has it read its settings anew; the time until they are in force.
+    /// Makes the process reload its settings (SIGHUP), and returns the time until they are in force.
     ///
     /// # Errors
-    /// They are refused, or not in force in time.
+    /// Fails if the settings are rejected or not in force in time.
     pub async fn reload(&self) -> Result<Duration, ProcessError> {
-        let before = self.lines_with(TAKEN);
-        let refused = self.lines_with(REFUSED);
+        let before = self.lines_with(APPLIED);
+        let rejected = self.lines_with(REJECTED);
         let began = Instant::now();
         if let Some(pid) = self.child.id().and_then(|id| Pid::from_raw(id as i32)) {
             kill_process(pid, Signal::HUP).map_err(std::io::Error::from)?;
         }
-        while began.elapsed() < RELOAD && self.lines_with(REFUSED) == refused {
-            if self.lines_with(TAKEN) > before {
+        while began.elapsed() < RELOAD_TIMEOUT && self.lines_with(REJECTED) == rejected {
+            if self.lines_with(APPLIED) > before {
                 return Ok(began.elapsed());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(ProcessError::Reload(self.last_line()))
     }
@@ -156,13 +158,13 @@
         self.log().lines().last().unwrap_or("none").to_string()
     }
 
-    /// Ends it.
+    /// Kills the process.
     pub async fn end(mut self) {
-        let _ = self.child.kill().await; // one that has ended already is as good
+        let _ = self.child.kill().await; // the process may have ended already
     }
 }
 
-/// Processor time of a process.
+/// Returns the processor time of a process, 0 if it does not exist.
 pub fn processor_time(pid: u32) -> Duration {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return Duration::ZERO };
     let nanoseconds = |task: std::fs::DirEntry| -> Option<u64> {
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -1,24 +1,24 @@
-//! The rows of the capacity page: each role's costs at the target, worked out from measured laws.
+//! The rows of the capacity page: the costs of each role at the target, extrapolated from measured laws.
 
 use super::experiment::AxisKind::{self, Backends, Members, Proxies, Routes, Tenants};
 use super::record::{Metric, Record};
 use super::target::{Target, DAY_S};
 
-/// Who pays.
+/// The part of the system to which a cost belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Each proxy.
     Proxy,
-    /// Whoever tells the list of backends, to all proxies.
+    /// The service that sends the list of backends to all proxies.
     Discovery,
-    /// Whoever tells the settings, to all proxies.
+    /// The service that sends the settings to all proxies.
     Configuration,
-    /// Each proxy that joins the proxies' own talk.
+    /// Each proxy that takes part in the gossip between proxies.
     Member,
 }
 
 impl Role {
-    /// Its name on the page.
+    /// Returns the name of the role on the page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Proxy => "proxy",
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a value counts.
+/// The unit of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Bytes.
@@ -40,12 +40,12 @@
     CallsPerSecond,
     /// Seconds.
     Seconds,
-    /// A part of one core, or of a day.
+    /// A share of one core, or of a day.
     Share,
 }
 
 impl Unit {
-    /// A value in words.
+    /// Formats a value with its unit.
     pub fn show(self, value: f64) -> String {
         match self {
             Unit::Bytes => scaled(value, &[(1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "B")]),
@@ -68,30 +68,30 @@
 /// One cost at the target.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Who pays.
+    /// The role that has the cost.
     pub role: Role,
-    /// What it is.
+    /// Name of the cost.
     pub what: &'static str,
-    /// How much at the target.
+    /// Value at the target.
     pub value: f64,
-    /// What that counts.
+    /// Unit of the value.
     pub unit: Unit,
-    /// What it may be, where a budget names it.
+    /// The budget, if the target has one for this cost.
     pub budget: Option<f64>,
-    /// How far beyond what was measured the target lies: the greatest factor of all laws used.
+    /// Ratio of the target to the largest measured size: the largest ratio of all laws used.
     pub extrapolated: f64,
-    /// The mechanism that carries it, or the one that is missing.
+    /// The mechanism that keeps the cost within its budget, or the missing one.
     pub carried_by: &'static str,
 }
 
 impl Row {
-    /// Value over budget.
+    /// Returns the value divided by the budget.
     pub fn ratio(&self) -> Option<f64> {
         Some(self.value / self.budget?)
     }
 }
 
-/// A value worked out from laws, and how far they were stretched.
+/// A value computed from laws, and the largest ratio of extrapolation among them.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     value: f64,
@@ -109,14 +109,14 @@
     }
 }
 
-/// Records to work from; of two that measured one quantity the later one counts.
+/// The records to compute costs from; if several measured the same quantity, the latest one is used.
 pub struct Laws<'a> {
     records: &'a [Record],
     target: &'a Target,
 }
 
 impl<'a> Laws<'a> {
-    /// Of these records, at that target.
+    /// Creates the laws of the records at the target.
     pub fn new(records: &'a [Record], target: &'a Target) -> Laws<'a> {
         Laws { records, target }
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// What the axis adds at the target, without what is there anyway.
+    /// Returns the cost of the axis at the target above its floor.
     fn above_floor(&self, axis: AxisKind, metric: Metric) -> Option<Estimate> {
         let series = self.records.iter().rev().find_map(|record| record.series(axis, metric))?;
         let x = self.count(axis);
@@ -142,12 +142,12 @@
         Some(Estimate { value: series.floor, extrapolated: 1.0 })
     }
 
-    /// Tenants and routes together.
+    /// Returns the sum of the costs of tenants and routes.
     fn settings(&self, metric: Metric) -> Option<Estimate> {
         Some(self.above_floor(Tenants, metric)?.plus(self.above_floor(Routes, metric)?))
     }
 
-    /// All rows whose laws were measured, in the order of the roles.
+    /// Returns all rows whose laws were measured, ordered by role.
     pub fn rows(&self) -> Vec<Row> {
         let proxy = [
             self.proxy_memory(),
@@ -161,19 +161,19 @@
         all.flatten().flatten().collect()
     }
 
-    fn control_core(&self) -> Option<f64> {
+    fn core_budget(&self) -> Option<f64> {
         Some(self.target.control_core_share)
     }
 
-    fn added(&self) -> Option<f64> {
+    fn latency_budget(&self) -> Option<f64> {
         Some(self.target.added_p99_ms / 1e3)
     }
 
-    fn control_memory(&self) -> Option<f64> {
+    fn memory_budget(&self) -> Option<f64> {
         Some(self.target.control_memory_mb * 1e6)
     }
 
-    fn control_bytes(&self) -> Option<f64> {
+    fn bytes_budget(&self) -> Option<f64> {
         Some(self.target.control_bytes_per_s)
     }
 
@@ -188,7 +188,7 @@
         Some(line.scale(lines_per_day / DAY_S))
     }
 
-    /// Bytes a second that one proxy gets of the list on an ordinary day.
+    /// Returns the bytes a second for the list of one proxy on a normal day.
     fn list_bytes(&self) -> Option<Estimate> {
         let rest = self.above_floor(Proxies, Metric::RestBytesPerSecond)?;
         let restart = self.above_floor(Proxies, Metric::RestartBytes)?;
@@ -201,95 +201,95 @@
         Some(document.scale(self.target.settings_changes_per_day / DAY_S))
     }
 
-    /// What a proxy holds.
+    /// Returns the rows of a proxy's memory.
     fn proxy_memory(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "memory of settings, after the start",
                 Unit::Bytes,
                 self.settings(Metric::MemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: one copy, without the parsed document; interned names",
             ),
-            row.make(
+            row.build(
                 "memory of settings, after a reload",
                 Unit::Bytes,
                 self.settings(Metric::ReloadedMemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: deltas of settings; interned names",
             ),
-            row.make(
+            row.build(
                 "memory of the list",
                 Unit::Bytes,
                 self.above_floor(Backends, Metric::MemoryBytes),
-                self.control_memory(),
+                self.memory_budget(),
                 "missing: subsetting, where 320 services share one list",
             ),
         ]
     }
 
-    /// What a change of the settings costs a proxy.
+    /// Returns the rows of a proxy's costs for changes of the settings.
     fn proxy_reloads(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "processor time of reloads",
                 Unit::Share,
                 self.reload_share(),
-                self.control_core(),
+                self.core_budget(),
                 "missing: an index of names, then deltas of settings",
             ),
-            row.make(
+            row.build(
                 "pause of all requests at a reload, with a core to itself",
                 Unit::Seconds,
                 self.settings(Metric::ReloadProcessorSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "pause of all requests at a reload, as measured on a busy machine",
                 Unit::Seconds,
                 self.settings(Metric::ReloadLongestSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "part of the day in such pauses (over 1 % the day's p99 is a pause)",
                 Unit::Share,
                 self.reload_share(),
-                Some(TAIL),
+                Some(P99_TAIL),
                 "missing: an index of names; reading off the event loop",
             ),
-            row.make(
+            row.build(
                 "settings in force after SIGHUP",
                 Unit::Seconds,
                 self.settings(Metric::ReloadSeconds),
                 Some(self.target.in_force_s),
                 "reload, without the way to the proxy",
             ),
-            row.make(
+            row.build(
                 "bytes of settings, each change whole",
                 Unit::BytesPerSecond,
                 self.settings_bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "missing: deltas of settings",
             ),
         ]
     }
 
-    /// What the size of the settings costs a proxy beside changes of them.
+    /// Returns the rows of a proxy's other costs for the size of the settings.
     fn proxy_settings(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "look-up of tenant and route, a request",
                 Unit::Seconds,
                 self.settings(Metric::LookupSeconds),
-                self.added(),
+                self.latency_budget(),
                 "missing: an index of names",
             ),
-            row.make(
+            row.build(
                 "ready after a start, by settings",
                 Unit::Seconds,
                 self.settings(Metric::ReadySeconds),
@@ -299,60 +299,60 @@
         ]
     }
 
-    /// What the list of backends costs a proxy.
+    /// Returns the rows of a proxy's costs for the list of backends.
     fn proxy_list(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         vec![
-            row.make(
+            row.build(
                 "bytes of the list, ordinary day",
                 Unit::BytesPerSecond,
                 self.list_bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "deltas (watch by version)",
             ),
-            row.make(
+            row.build(
                 "processor time of changed lines, ordinary day",
                 Unit::Share,
                 self.line_share(),
-                self.control_core(),
+                self.core_budget(),
                 "deltas (watch by version)",
             ),
-            row.make(
+            row.build(
                 "processor time at rest",
                 Unit::Share,
                 self.above_floor(Backends, Metric::RestProcessorShare),
-                self.control_core(),
+                self.core_budget(),
                 "timers",
             ),
-            row.make(
+            row.build(
                 "processor time of a whole list, once",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::WholeListProcessorSeconds),
                 None,
                 "at a start, and once after discovery moves: a pause then",
             ),
-            row.make(
+            row.build(
                 "processor time of one changed line",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::LineProcessorSeconds),
                 None,
                 "a solution in parts; missing: subsetting, as it grows with the list",
             ),
-            row.make(
+            row.build(
                 "bytes of a whole list, once",
                 Unit::Bytes,
                 self.above_floor(Backends, Metric::WholeListBytes),
                 None,
                 "only at a start; kept lists; missing: subsetting",
             ),
-            row.make(
+            row.build(
                 "a change of the list in force at a real proxy, p99",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::RealInForceP99Seconds),
                 Some(self.target.in_force_s),
                 "long polls",
             ),
-            row.make(
+            row.build(
                 "ready after a start, by the list",
                 Unit::Seconds,
                 self.above_floor(Backends, Metric::ReadySeconds),
@@ -363,7 +363,7 @@
     }
 
     fn proxy_sums(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Proxy);
+        let row = RowBuilder(Role::Proxy);
         let memory = || {
             let lists = self.above_floor(Backends, Metric::MemoryBytes)?;
             let floor = self.floor(Tenants, Metric::MemoryBytes)?;
@@ -379,32 +379,32 @@
             Some(self.settings_bytes()?.plus(self.list_bytes()?).plus(talk))
         };
         vec![
-            row.make(
+            row.build(
                 "all memory together, program included",
                 Unit::Bytes,
                 memory(),
-                self.control_memory(),
+                self.memory_budget(),
                 "the rows above",
             ),
-            row.make(
+            row.build(
                 "all processor time together, talk included",
                 Unit::Share,
                 processor(),
-                self.control_core(),
+                self.core_budget(),
                 "the rows above",
             ),
-            row.make(
+            row.build(
                 "all bytes together, talk included",
                 Unit::BytesPerSecond,
                 bytes(),
-                self.control_bytes(),
+                self.bytes_budget(),
                 "the rows above",
             ),
         ]
     }
 
     fn discovery(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Discovery);
+        let row = RowBuilder(Role::Discovery);
         let all_bytes = Some(self.target.control_bytes_per_s * self.target.proxies);
         let day = self.list_bytes().map(|bytes| bytes.scale(self.target.proxies));
         let calls = || {
@@ -417,49 +417,49 @@
             Some(list.scale(self.target.proxies))
         };
         vec![
-            row.make(
+            row.build(
                 "bytes told, ordinary day",
                 Unit::BytesPerSecond,
                 day,
                 all_bytes,
                 "deltas (watch by version); answers shared by all of a version",
             ),
-            row.make(
+            row.build(
                 "calls answered, ordinary day",
                 Unit::CallsPerSecond,
                 calls(),
                 None,
                 "long polls; missing: a relay tree beyond one machine",
             ),
-            row.make(
+            row.build(
                 "bytes where a rack goes and comes back",
                 Unit::Bytes,
                 self.above_floor(Proxies, Metric::GroupBytes),
                 None,
                 "deltas",
             ),
-            row.make(
+            row.build(
                 "bytes where the largest zone goes and comes back",
                 Unit::Bytes,
                 self.above_floor(Proxies, Metric::LargestGroupBytes),
                 None,
                 "deltas; missing: subsetting",
             ),
-            row.make(
+            row.build(
                 "all proxies know that the zone is gone",
                 Unit::Seconds,
                 self.above_floor(Proxies, Metric::GroupInForceSeconds),
                 Some(self.target.in_force_s),
                 "deltas",
             ),
-            row.make(
+            row.build(
                 "bytes where all proxies ask for the whole list",
                 Unit::Bytes,
                 whole(),
                 None,
                 "missing: a relay tree, subsetting",
             ),
-            row.make(
+            row.build(
                 "all proxies have the whole list",
                 Unit::Seconds,
                 self.above_floor(Proxies, Metric::AllHaveListSeconds),
@@ -470,18 +470,18 @@
     }
 
     fn configuration(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Configuration);
+        let row = RowBuilder(Role::Configuration);
         let all_bytes = Some(self.target.control_bytes_per_s * self.target.proxies);
         let shipped = self.settings_bytes().map(|bytes| bytes.scale(self.target.proxies));
         vec![
-            row.make(
+            row.build(
                 "state: one whole document",
                 Unit::Bytes,
                 self.settings(Metric::DocumentBytes),
                 None,
                 "a file beside each proxy",
             ),
-            row.make(
+            row.build(
                 "bytes told, each change whole to all",
                 Unit::BytesPerSecond,
                 shipped,
@@ -492,46 +492,47 @@
     }
 
     fn members(&self) -> Vec<Option<Row>> {
-        let row = Maker(Role::Member);
+        let row = RowBuilder(Role::Member);
         let membership = self.above_floor(Members, Metric::MembershipBytesPerSecond);
         let talk = self.above_floor(Members, Metric::TalkBytesPerSecond);
         let processor = self.above_floor(Members, Metric::TalkProcessorShare);
         vec![
-            row.make(
+            row.build(
                 "bytes of membership",
                 Unit::BytesPerSecond,
                 membership,
-                self.control_bytes(),
+                self.bytes_budget(),
                 "gossip of bounded datagrams",
             ),
-            row.make(
+            row.build(
                 "bytes of membership and of what each holds",
                 Unit::BytesPerSecond,
                 talk,
-                self.control_bytes(),
+                self.bytes_budget(),
                 "missing: sums by zone in place of a number for each member",
             ),
-            row.make(
+            row.build(
                 "processor time of the talk",
                 Unit::Share,
                 processor,
-                self.control_core(),
+                self.core_budget(),
                 "gossip of bounded datagrams",
             ),
         ]
     }
 }
 
-/// What lies above the 99th percentile: with more of the day than this in pauses, that percentile is a pause.
-const TAIL: f64 = 0.01;
-/// Lines that discovery tells of one restart: it drains, it has left, it serves anew.
+/// The share of requests above the 99th percentile: if pauses take a larger part of the day, the 99th
+/// percentile is a pause.
+const P99_TAIL: f64 = 0.01;
+/// Lines that discovery sends for one restart: the backend drains, leaves and serves again.
 const LINES_PER_RESTART: f64 = 3.0;
 
-/// Makes rows of one role.
-struct Maker(Role);
+/// Creates the rows of one role.
+struct RowBuilder(Role);
 
-impl Maker {
-    fn make(
+impl RowBuilder {
+    fn build(
         &self, what: &'static str, unit: Unit, estimate: Option<Estimate>, budget: Option<f64>,
         carried_by: &'static str,
     ) -> Option<Row> {
