--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that can cross (docs/crossings.md), each in the order that does harm: stand-ins hold back, write
-//! and close on command, and the program is stopped where both have to lie before it when it wakes.
+//! Pairs of events that can cross (docs/crossings.md), each in the harmful order: stand-ins hold back, write and
+//! close on command, and the program is stopped where both events must have arrived before it resumes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,22 +14,23 @@
 use std::io::{BufRead, Write};
 use std::time::{Duration, Instant};
 
-/// What may be sent to a backend once discovery has written that it leaves (`rules.stop_sending_within_us` is 500 ms
-/// at the operators' site).
+/// How long requests may still be sent to a backend after discovery has written that it leaves
+/// (`rules.stop_sending_within_us` is 500 ms at the operators' site).
 const TOLD: Duration = Duration::from_secs(2);
 
 fn asked() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
-/// The time of the wait that a call names.
+/// Returns the wait that a call asks for.
 fn wait_of(target: &str) -> Duration {
     let wait = target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait");
     Duration::from_millis(wait.parse().unwrap())
 }
 
-/// A watch that has fallen silent is opened anew, and its answer heeded, before what it missed counts as told: 2 s
-/// after its wait is over. Silent from its first byte, behind its head, in the middle of its body; pushed and asked.
+/// A silent watch is opened again, and the new answer applied, before a change that it missed counts as notified: 2 s
+/// after its wait is over. The watch is silent from its first byte, after its head, or in the middle of its body,
+/// with pushed and with polled lists.
 #[test]
 fn a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() {
     let cuts = [
@@ -51,7 +52,7 @@
                     let (again, answer) = proxy.discovery.call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-                    let (next, _waits) = proxy.discovery.call(); // by now the list is taken in
+                    let (next, _waits) = proxy.discovery.call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
                     let took = begun.elapsed();
                     assert!(took < wait_of(&target) + TOLD, "{took:?} after {target}, cut behind {cut:?}");
@@ -62,7 +63,7 @@
     });
 }
 
-/// Waits until nothing is sent to the backend any more; a word of discovery that was lost never comes to that.
+/// Waits until requests are refused because the backend drains; panics if that change was lost.
 fn until_out(proxy: &Proxy) {
     let end = Instant::now() + PATIENCE;
     while proxy.ask(&read(3.0)).status() != 503 {
@@ -70,8 +71,8 @@
     }
 }
 
-/// Discovery moves while the answer of the old place is half there: its other half counts as told all the same,
-/// whether the new place has told nothing yet or an older version.
+/// Discovery moves while half of an answer from the old address has arrived. The other half still counts, whether the
+/// new address has sent nothing yet or an older version.
 #[test]
 fn what_the_old_discovery_tells_is_heard_though_discovery_moved() {
     for (settings, answered) in [(SETTINGS.to_string(), false), (asked(), false), (asked(), true)] {
@@ -86,7 +87,7 @@
         let elsewhere = DiscoveryServer::start();
         proxy.move_discovery(elsewhere.address);
         proxy.signal("HUP");
-        let (_, new) = elsewhere.call(); // the old call is behind it
+        let (_, new) = elsewhere.call(); // the proxy follows the new address now
         let mut waits = None;
         if answered {
             new.send((200, list(9, false, &[]))).unwrap();
@@ -99,8 +100,8 @@
     }
 }
 
-/// A line that is not understood whole costs a line of the log. A word in it that the backend leaves is heeded, and
-/// what was sound of a backend that it names stays in force otherwise.
+/// An entry that is not valid as a whole is logged. Its status is applied if it says that the backend leaves;
+/// otherwise the last valid entry of that backend stays in force.
 #[test]
 fn a_bad_line_loses_no_word_that_a_backend_leaves_and_nothing_sound() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -122,14 +123,14 @@
         let proxy = Proxy::start(std::slice::from_ref(&serving));
         proxy.discovery.call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
         proxy.discovery.call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
-        let (next, _waits) = proxy.discovery.call(); // by now the list is taken in
+        let (next, _waits) = proxy.discovery.call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {whole}, {line}");
     }
 }
 
-/// Changes to a list that is not the one held call for the whole list. Who leaves by their word gets nothing new while
-/// that call is out, and what they say besides is not believed.
+/// Changes that do not continue the current list make the proxy poll the whole list. While that call is open,
+/// backends that leave according to these changes get no new requests, and the rest of the changes is ignored.
 #[test]
 fn changes_across_a_gap_are_heeded_where_they_say_who_leaves() {
     let (backend, other) = (BackendServer::start(|_| ok("x")), BackendServer::start(|_| ok("y")));
@@ -138,7 +139,7 @@
     proxy.discovery.call().1.send((200, list(9, true, &[serving]))).unwrap();
     let news = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
     proxy.discovery.call().1.send((200, list(3, false, &news))).unwrap();
-    let (whole, answer) = proxy.discovery.call(); // by now the answer is read
+    let (whole, answer) = proxy.discovery.call(); // the changes have been processed by now
     assert_eq!(whole, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
     answer.send((200, list(3, true, &[entry("b1", other.address, "SERVING")]))).unwrap();
@@ -146,8 +147,8 @@
     assert_eq!(proxy.ask(&pay(3.0)).body, b"y");
 }
 
-/// A request whose client has left lies whole in the queue of the listener, or on a kept connection, when the program
-/// comes to it: it is not sent on, whatever its class and whatever lies behind it.
+/// A whole request is in the listener's queue, or on a kept connection, and its client has left before the program
+/// reads it: it is not forwarded, whatever its class and whatever bytes follow it.
 #[test]
 fn a_request_that_its_client_left_before_it_was_read_is_not_sent_on() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -162,7 +163,7 @@
         }
     }
     hold(&proxy);
-    let later = proxy.client(); // in the queue before the program wakes, behind all of them
+    let later = proxy.client(); // queued behind all of them before the program resumes
     let gone = clients.into_iter().map(|(mut client, how, request)| {
         client.send(&request);
         leave(client, how)
@@ -176,8 +177,7 @@
     assert_eq!(backend.count(), 5, "what nobody waits for was sent on");
 }
 
-/// A connection to discovery that does not come up is given up for another before the call that it was meant for would
-/// count as silent.
+/// A connection to discovery that is not established is abandoned for another before its call would count as silent.
 #[test]
 fn a_connection_to_discovery_that_does_not_come_up_is_given_up() {
     for settings in [SETTINGS.to_string(), asked()] {
@@ -193,8 +193,9 @@
     }
 }
 
-/// The client sends more and leaves while a connection to the backend comes up. What came behind the request hides its
-/// end from a reader that stops there; the first byte asks for it all the same.
+/// The client sends further bytes and leaves while the connection to the backend is being established. A reader that
+/// stops after the request does not see the end of the connection behind these bytes, but the proxy checks for it
+/// before it sends the first byte to the backend.
 #[test]
 fn a_client_that_left_behind_further_bytes_has_nothing_sent_for_it() {
     std::thread::scope(|scope| {
@@ -222,8 +223,9 @@
     });
 }
 
-/// While a connection comes up the backend begins to drain, leaves the list, or is said to be at another address, where
-/// another may be by now: not a byte goes out on it, and requests go where the list says.
+/// While a connection is being established the backend begins to drain, leaves the list, or is listed at another
+/// address, so that the old one may be another's: no byte is sent on the connection, and requests go where the list
+/// says.
 #[test]
 fn news_that_comes_while_a_connection_comes_up_stops_the_send() {
     std::thread::scope(|scope| {
@@ -245,7 +247,7 @@
                     }
                 };
                 answer.send((200, list(10, false, &told))).unwrap();
-                let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+                let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
                 let mut peer = old.reached();
                 let status = client.answer().expect("an answer").status();
                 assert!(matches!(status, 200 | 503), "{news}: it never ran, and got {status}");
@@ -258,8 +260,8 @@
     });
 }
 
-/// SIGTERM while half a head is there, before discovery has ever answered, and a second SIGTERM while an answer is
-/// owed: all that was taken is answered, and the program ends well.
+/// SIGTERM arrives after half a head, before discovery has ever answered, and a second SIGTERM while answers are
+/// outstanding: every accepted request is answered, and the program exits with success.
 #[test]
 fn a_second_sigterm_ends_nothing_that_is_owed() {
     for settings in [SETTINGS.to_string(), asked()] {
@@ -287,8 +289,8 @@
     }
 }
 
-/// A second answer that comes some milliseconds behind the first would be taken for the answer to the next request: no
-/// connection is used again within that time.
+/// Guards against a second answer, some milliseconds after the first, that is taken for the answer to the next
+/// request: no connection is reused within that time.
 #[test]
 fn no_request_goes_where_a_second_answer_may_still_come() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -314,6 +316,6 @@
     let mut client = proxy.client();
     for n in 0..60 {
         assert_eq!(client.ask(&pay(3.0)).body, b"fresh", "request {n}");
-        std::thread::sleep(Duration::from_millis(3)); // as a client that goes on asking
+        std::thread::sleep(Duration::from_millis(3)); // as a client that makes further requests
     }
 }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! A discovery that refuses, resets, stalls, crowds, sends too much or nothing that can be read: what it has to tell is
-//! held in the time that counts, and nothing sound is lost.
+//! A discovery that refuses, resets, stalls, is crowded, or sends too much or malformed answers: the proxy applies
+//! its changes in time and loses nothing valid.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,18 +14,18 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached, whatever failed before.
+/// A change counts as notified this long after discovery had it and could be reached, whatever failed before.
 const TOLD: Duration = Duration::from_secs(6);
 
-/// An answer to a call, as `DiscoveryServer` takes it.
+/// The sender for the answer to a call of [`DiscoveryServer`].
 type Answer = mpsc::Sender<(u16, String)>;
 
-/// Lists are asked for.
+/// Returns settings under which the proxy polls discovery for lists.
 fn asked() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
-/// A proxy that holds version 9, in which `b0` serves.
+/// Starts a proxy that holds version 9 of the list, in which `b0` serves.
 fn holding(backend: SocketAddr, settings: &str) -> Proxy {
     let serving = [entry("b0", backend, "SERVING")];
     let proxy = Proxy::with(&serving, 1024, settings);
@@ -33,7 +33,7 @@
     proxy
 }
 
-/// Answers after a time, as a crowded discovery does that handles calls in turn.
+/// Answers after `time`, as a crowded discovery does that handles calls one after the other.
 fn answer_after(time: Duration, answer: Answer, text: String) {
     std::thread::spawn(move || {
         std::thread::sleep(time);
@@ -41,14 +41,14 @@
     });
 }
 
-/// 503 for three seconds, then a call that gets no answer, and from then on discovery can be reached: it refuses one more
-/// call, and answers each of the others 2.5 s after it came. The proxy holds the change within the time that counts, and
-/// has called neither seldom nor without measure before.
+/// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
+/// one more call and answers each other one 2.5 s after its arrival. The proxy holds the change within [`TOLD`], and
+/// it has called neither too rarely nor too often before.
 #[test]
 fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // the watch ends with its connection
+    drop(proxy.discovery.call()); // closes the watch's connection
     let down = Instant::now();
     let mut refused = 0;
     while down.elapsed() < Duration::from_secs(3) {
@@ -69,19 +69,19 @@
     };
     println!("held {held:?} after discovery could be reached, {refused} calls refused before");
     assert!(held < TOLD, "held {held:?} after discovery could be reached");
-    // Pauses that double: shorter ones of a whole fleet keep a crowded discovery from ever answering.
+    // The pauses double: with shorter ones, a whole fleet would keep a crowded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together outlast the time that counts, where the refusal comes
-/// first: after the longest pause between calls one is refused, the next gets no answer, and each other one its answer
-/// 2.5 s after it came.
+/// Guards against a pause, a silence and a slow answer that together take longer than [`TOLD`], where the refusal
+/// comes first: after the longest pause between calls one is refused, the next gets no answer, and each other one is
+/// answered 2.5 s after its arrival.
 #[test]
 fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // the watch ends with its connection
+    drop(proxy.discovery.call()); // closes the watch's connection
     let down = Instant::now();
     while down.elapsed() < Duration::from_secs(3) {
         proxy.discovery.call().1.send((503, String::new())).unwrap();
@@ -102,8 +102,8 @@
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// A discovery that says nothing is called again after each silence and a pause: one call at a time, as it may be crowded,
-/// and never so seldom that the bound would not hold.
+/// A silent discovery is called again after the silence timeout and a pause: one call at a time, as it may be
+/// crowded, and often enough for the bound to hold.
 #[test]
 fn a_silent_discovery_has_one_call_at_a_time_and_is_called_again_in_time() {
     let (silence, longest_pause) = (Duration::from_secs(2), Duration::from_millis(1_900));
@@ -116,7 +116,7 @@
                 for _ in 0..4 {
                     let next = (proxy.discovery.call(), Instant::now());
                     let gap = next.1 - before.1;
-                    let slack = Duration::from_millis(300); // of a busy machine
+                    let slack = Duration::from_millis(300); // for a busy machine
                     let bounds = silence - slack..silence + longest_pause + slack;
                     assert!(bounds.contains(&gap), "{gap:?}, {settings}");
                     out.push(std::mem::replace(&mut before, next));
@@ -126,8 +126,8 @@
     });
 }
 
-/// A watch that is overdue is kept while another call is opened beside it, and both are answered: the older one's newer
-/// change is heeded though the list was taken from the other, and its older word undoes nothing.
+/// An overdue watch stays open while another call is opened beside it, and both are answered. A newer change from the
+/// older call is applied although the list came from the other; an older one undoes nothing.
 #[test]
 fn an_overdue_watch_is_kept_and_heard_beside_the_next_call() {
     std::thread::scope(|scope| {
@@ -164,18 +164,18 @@
     });
 }
 
-/// What a discovery may do to a call.
+/// A fault of discovery in the answer to a call.
 #[derive(Debug)]
 enum Fault {
     Refuses,
     Resets,
-    /// These bytes, and silence.
+    /// Sends these bytes and no more.
     Stalls(&'static str),
-    /// These bytes as a whole answer.
+    /// Sends this body as a whole answer.
     Babbles(String),
 }
 
-/// Whatever a call gets, the next comes in time, the log says what was wrong, and the list held stays in force.
+/// After each fault the next call is made in time, the log names the fault, and the current list stays in force.
 #[test]
 fn a_faulty_answer_costs_a_line_of_the_log_and_a_short_time() {
     let long = "x".repeat(17 << 20);
@@ -216,8 +216,8 @@
     }
 }
 
-/// Lists of 10 MB, of as many lines as are planned for, indented, come whole; so do changes as long as the list, and an
-/// operator can still name each backend that has left.
+/// Indented lists of 10 MB, with up to the planned number of entries, are applied whole, and so are changes as long
+/// as the list. An operator can still name a backend that has left.
 #[test]
 fn long_lists_and_changes_are_taken_whole() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -246,8 +246,8 @@
     }
 }
 
-/// Draining backends that a whole list leaves out, or that the proxy was started with, get nothing; changes that name them
-/// again change nothing in that.
+/// A draining backend that a whole list leaves out, or with which the proxy was started, gets no requests, not even
+/// after changes that name it again.
 #[test]
 fn draining_backends_that_a_list_leaves_out_get_nothing() {
     let (leaving, other) = (BackendServer::start(|_| ok("leaving")), BackendServer::start(|_| ok("other")));
@@ -274,11 +274,11 @@
     }
 }
 
-/// Calls that are refused while clients take every descriptor that comes free.
+/// Calls that discovery refuses while clients take every descriptor that becomes free.
 const REFUSED: usize = 8;
 
-/// Clients whose requests are half there fill the descriptors, of which there are fewer than the proxy is told of, and
-/// stand in the queue for each that comes free: calls after a broken watch are made all the same, in time.
+/// Clients with half a request use up the descriptors, of which there are fewer than configured, and queue for each
+/// that becomes free. Calls to discovery after a broken watch are still made in time.
 #[test]
 fn a_descriptor_for_discovery_is_left_where_clients_fill_them() {
     for settings in [SETTINGS.to_string(), asked()] {
@@ -315,8 +315,8 @@
     }
 }
 
-/// Guards against a discovery at a new address that lags behind the old one and undoes a drain that was already notified:
-/// the backend has not been started again since.
+/// Guards against a discovery at a new address that lags behind the old one and undoes a drain that was already
+/// notified, although the backend has not been restarted since.
 #[test]
 fn a_drain_outlasts_a_move_to_a_discovery_that_lags_behind() {
     for settings in [SETTINGS.to_string(), asked()] {
@@ -331,9 +331,9 @@
         proxy.move_discovery(lagging.address);
         proxy.signal("HUP");
         lagging.call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
-        let (watch, waits) = lagging.call(); // by now the list is taken in
+        let (watch, waits) = lagging.call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
-        // Once it has caught up its word counts again.
+        // Once it has caught up, its lists count again.
         waits.send((200, list(11, false, &listed("SERVING")))).unwrap();
         let (watch, _waits) = lagging.call();
         assert!(watch.contains("after=11&"), "{watch}");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Limits that hold for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, with the
-//! lab's links between them, which lose, delay, double and cut.
+//! Limits for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, connected by the
+//! testbed's links, which lose, delay, duplicate and cut.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,7 +21,7 @@
 const SIZE: usize = 4;
 const TERM: Duration = Duration::from_millis(500);
 
-/// Proxies of one fleet behind links, and the limit that they share.
+/// Proxies of one fleet behind links, with the limit that they share.
 struct Fleet {
     links: Links,
     proxies: Vec<Proxy>,
@@ -42,7 +42,7 @@
                 "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nmembers = \"{}\"\nsite = \"{name}\"\n\
                  term_ms = {}\n[[limit]]\nname = \"all\"\n{limit}\n",
                 links.addresses[n],
-                members[..2].join(" "), // the rest is learned from these
+                members[..2].join(" "), // the others are learned from these
                 TERM.as_millis()
             );
             std::fs::write(&path, text).unwrap();
@@ -60,7 +60,7 @@
         let settings = SETTINGS
             .replace("\"position\":0", &format!("\"position\":{n}"))
             .replace("\"group_size\":1", &format!("\"group_size\":{SIZE}"));
-        // Sixteen names of one: the module would hold four requests at once on a single backend.
+        // Sixteen names for one backend: on a single one the module keeps no more than four attempts in flight.
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
         let proxy = Proxy::operated_by(&known, &self.operators[n], &settings);
@@ -70,7 +70,7 @@
         proxy
     }
 
-    /// Killed, and started again in its place.
+    /// Kills a proxy and starts it again.
     fn restart(&mut self, n: usize) {
         let _ = self.proxies[n].child.kill();
         let _ = self.proxies[n].child.wait();
@@ -83,12 +83,12 @@
         serde_json::from_slice::<serde_json::Value>(&answer.body).unwrap()["fleet"].clone()
     }
 
-    /// Waits until a proxy sees so many others.
+    /// Waits until a proxy sees `members` other proxies.
     fn sees(&self, n: usize, members: u64) {
         until(&format!("proxy {n} sees {members}"), || self.status(n)["members"] == members);
     }
 
-    /// Cuts a proxy off from all others, both ways, or heals its links.
+    /// Sets the links between a proxy and all others, in both directions.
     fn cut(&self, n: usize, link: Link) {
         for other in (0..SIZE).filter(|o| *o != n) {
             self.links.set(n, other, link);
@@ -105,15 +105,15 @@
     }
 }
 
-/// What clients saw: when, at which proxy, which status.
+/// The answers that clients received, each with its time, proxy and status.
 type Seen = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
 
-/// Clients of one proxy that ask so often a second, for as long as the load lives; each counts its answers.
+/// One client for each proxy, which makes requests at a rate of its own until the load ends and records the answers.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
     seen: Seen,
-    /// Answered with nothing, as when the proxy is killed.
+    /// Requests without an answer, as when the proxy is killed.
     unanswered: Arc<AtomicU64>,
     addresses: Vec<Arc<Mutex<SocketAddr>>>,
 }
@@ -153,7 +153,7 @@
         Load { threads, stop, seen, unanswered, addresses }
     }
 
-    /// Served a second by one proxy in the last span.
+    /// Returns how many requests a second one proxy served in the last `span`.
     fn served(&self, n: usize, span: Duration) -> f64 {
         let from = Instant::now() - span;
         let seen = self.seen.lock().unwrap();
@@ -164,7 +164,7 @@
         *self.addresses[n].lock().unwrap() = to;
     }
 
-    /// Ends it; what was seen.
+    /// Ends the load and returns the answers; panics if one is neither 200 nor 503.
     fn end(self) -> Vec<(Instant, usize, u16)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
@@ -174,7 +174,8 @@
     }
 }
 
-/// The bound of docs/fleet-limits.md: in no span more than the rate for it, a burst, and one request a proxy.
+/// Asserts the bound of docs/fleet-limits.md: in any span no more requests than the rate allows for it, a burst, and
+/// one for each proxy.
 fn holds_the_bound(seen: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
     let Some(first) = seen.first().map(|s| s.0) else { panic!("nothing was seen") };
     let mut served: Vec<f64> =
@@ -186,14 +187,15 @@
         least = least.min(line);
         worst = worst.max(line - least + 1.0);
     }
-    // Seen at the clients: answers that waited come closer together than their requests were admitted.
+    // These are times at the clients: answers that were delayed come closer together than their requests were
+    // admitted.
     let (allowed, late) = (rate * burst_s + SIZE as f64, rate * 0.25);
     println!("{} served; {worst:.1} over the rate at most, {allowed:.1} allowed", served.len());
     assert!(worst <= allowed + late, "{worst:.1} over, {allowed:.1} allowed and {late:.1} for late answers");
 }
 
-/// One proxy gets most of the traffic: the others lend it what they do not use. Cut off, it falls back to its own
-/// within a term; healed, it is lent again. At no time is the fleet over its limit.
+/// One proxy gets most of the traffic and borrows what the others do not use. Cut off, it falls back to its own share
+/// within a term; reconnected, it borrows again. At no time does the fleet exceed its limit.
 #[test]
 fn a_hot_proxy_borrows_falls_back_when_cut_off_and_borrows_again() {
     let fleet = Fleet::start("hot", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
@@ -216,15 +218,16 @@
     holds_the_bound(&load.end(), 80.0, 0.2);
 }
 
-/// Links that lose a fifth, double a tenth and delay past half a term, one-way cuts, and a hot proxy that is killed and
-/// started again each second: the bound holds, and what must not run twice does not.
+/// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
+/// is killed and restarted about every second: the bound holds, and no request of a class that must not run twice
+/// does.
 #[test]
 fn the_bound_holds_through_bad_links_and_restarts() {
     let mut fleet = Fleet::start("bad", "rate_per_s = 60.0", BackendServer::start(|_| ok("b")));
     fleet.links.set_all(Link { loss: 0.2, doubled: 0.1, delay_ms: 5.0, jitter_ms: 300.0 });
     let load = Load::start(&fleet, [60.0, 25.0, 5.0, 5.0], || pay(3.0));
     for round in 0..5 {
-        fleet.links.set(1, round % SIZE, CUT); // it hears, and is not heard
+        fleet.links.set(1, round % SIZE, CUT); // proxy 1 still receives, but is not heard
         std::thread::sleep(Duration::from_millis(700));
         fleet.restart(0);
         load.moved(0, fleet.proxies[0].address);
@@ -242,8 +245,8 @@
     assert!(ids.len() > 50, "{} ran", ids.len());
 }
 
-/// Requests at once: the backend never holds more than the limit, all proxies together, though one of them gets most of
-/// the traffic and its links are cut while its requests are out.
+/// The backend never has more requests in flight than the limit for all proxies together, although one of them gets
+/// most of the traffic and its links are cut while its requests are in flight.
 #[test]
 fn requests_at_once_stay_within_the_limit_of_the_fleet() {
     let (now, most) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
@@ -256,10 +259,10 @@
     });
     let fleet = Fleet::start("slots", "in_flight = 16", backend);
     (0..SIZE).for_each(|n| fleet.sees(n, SIZE as u64 - 1));
-    // A client waits for its answer, so many of them are needed to hold many at once.
+    // Each client waits for its answer, so it takes several to keep many requests in flight.
     let loads: Vec<Load> = (0..8).map(|_| Load::start(&fleet, [20.0, 1.0, 1.0, 1.0], || read(3.0))).collect();
     let served = |span| loads.iter().map(|l| l.served(0, span)).sum::<f64>();
-    // Its own four slots of 150 ms each serve 27 a second.
+    // Its own four slots, at 150 ms a request, serve 27 requests a second.
     until("more than its own slots serve", || served(Duration::from_secs(1)) > 33.0);
     for _ in 0..4 {
         fleet.cut(0, CUT);
@@ -272,7 +275,7 @@
     assert!((5..=16).contains(&most.load(Ordering::SeqCst)), "{}", most.load(Ordering::SeqCst));
 }
 
-/// Another site's proxy, or one with other limits, is not understood: each keeps to its own share.
+/// Datagrams of a proxy of another site, or with other limits, are rejected: each keeps to its own share.
 #[test]
 fn proxies_with_other_limits_do_not_share() {
     let fleet = Fleet::start("apart", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
@@ -293,7 +296,7 @@
         .contains("another site, fleet or set of limits"));
 }
 
-/// A limit of a class that the settings do not have is refused at the start, by name.
+/// A limit for a class that the settings do not have is refused at the start, with its name.
 #[test]
 fn a_limit_for_nothing_is_refused_at_the_start() {
     let path = std::env::temp_dir().join(format!("lotusdeck-limit-{}.toml", std::process::id()));
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -1,4 +1,4 @@
-//! The program as its operators run it: their calls, backends taken out, new settings, a new version under load.
+//! The program as operators run it: their calls, cordons, new settings, and an upgrade under load.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -23,7 +23,7 @@
     (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")))
 }
 
-/// So many requests, one after the other, all served.
+/// Sends `count` requests one after the other and asserts that each is served.
 fn serve(proxy: &Proxy, count: usize) {
     let mut client = proxy.client();
     (0..count).for_each(|_| assert_eq!(client.ask(&pay(3.0)).status(), 200));
@@ -46,7 +46,7 @@
     assert_eq!(proxy.ask("GET /admin/health HTTP/1.1\r\nHost: s\r\n\r\n").status(), 404, "not for clients");
 }
 
-/// Callers that finish no call keep no other out, however many, and each is let go of in the end.
+/// Callers that never finish a call keep no other out, however many they are, and each is disconnected in the end.
 #[test]
 fn silent_callers_do_not_shut_others_out() {
     let (a, b) = two();
@@ -61,7 +61,8 @@
     assert_eq!((a.count() - before, b.count()), (20, 0), "half a call is none");
 }
 
-/// Out at once, whatever the list says, and back after one call, though it was taken out twice.
+/// A cordoned backend gets no new requests, whatever the list says, and is in use again after one uncordon although
+/// it was cordoned twice.
 #[test]
 fn a_cordoned_backend_gets_nothing_until_it_is_given_back() {
     let (a, b) = two();
@@ -69,15 +70,15 @@
     serve(&proxy, 40);
     assert!(a.count() > 0 && b.count() > 0, "both are in use");
     assert_eq!(proxy.call("PUT", "/admin/cordon", "b0"), 200);
-    a.closed(); // its idle connections go
+    a.closed(); // its idle connections are closed
     assert_eq!(proxy.call("PUT", "/admin/cordon", "b0"), 200);
     let before = a.count();
     serve(&proxy, 40);
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(9, true, &both(&a, &b)))).unwrap();
-    let (_, answer) = proxy.discovery.call(); // by now the list is taken in
+    let (_, answer) = proxy.discovery.call(); // the list has been applied by now
     serve(&proxy, 40);
-    // It leaves the list and comes back, as when it is restarted.
+    // It leaves the list and returns, as when it is restarted.
     answer.send((200, list(10, false, &[entry("b0", a.address, "DELETED")]))).unwrap();
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(11, false, &[entry("b0", a.address, "SERVING")]))).unwrap();
@@ -93,7 +94,7 @@
     }
 }
 
-/// The ban holds for a process that starts later, and a call to either of two binds both.
+/// A cordon holds for processes that start later, after its own process has ended, and despite damage to its file.
 #[test]
 fn a_cordon_outlasts_its_process_and_binds_the_next() {
     let (a, b) = two();
@@ -120,13 +121,13 @@
     assert_eq!(a.count(), 0, "damage to the file lifts no ban");
 }
 
-/// While two processes serve, a call to one is heard by the other.
+/// While two processes serve, a cordon by a call to one applies to the other.
 #[test]
 fn a_call_to_one_process_binds_the_other() {
     let (a, b) = two();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = Proxy::inheriting(&both(&a, &b), &listener);
-    let mut kept = old.client(); // its listener is the only one that waits yet
+    let mut kept = old.client(); // the only process that listens yet
     (0..40).for_each(|_| assert_eq!(kept.ask(&pay(3.0)).status(), 200));
     let new = old.successor(&both(&a, &b), &listener);
     assert_eq!(new.call("PUT", "/admin/cordon", "b0"), 200);
@@ -136,7 +137,7 @@
     assert_eq!(a.count(), before);
 }
 
-/// The listening socket is the platform's: it is served as it is, and what is no such socket is refused.
+/// An inherited listening socket is served as it is; a descriptor that is no listening TCP socket is refused.
 #[test]
 fn an_inherited_listener_is_served() {
     let (a, b) = two();
@@ -155,13 +156,13 @@
     format!("GET /{path}/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: 3.0\r\n\r\n")
 }
 
-/// `read` goes, `draw` comes, `pay` becomes free, and one attempt is all there is.
+/// Replaces class `read` by `draw`, makes `pay` repeatable, and limits requests to one attempt.
 fn other_settings(config: &str) -> String {
     let other = config.replace(r#""name":"read""#, r#""name":"draw""#).replace("single_shot", "free");
     other.replace(r#""max_attempts":4"#, r#""max_attempts":1"#)
 }
 
-/// New requests go by the new settings; one that is open ends under those it came with.
+/// New settings apply to new requests; an open one ends under those it arrived with.
 #[test]
 fn new_settings_hold_for_new_requests_only() {
     let gate = Arc::new(Gate::default());
@@ -193,7 +194,7 @@
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
 
-/// The number of a class that settings left out is given to no other while a request of it is open.
+/// The index of a class that was removed is not given to another while a request of it is open.
 #[test]
 fn a_request_keeps_its_rules_across_changes_that_use_numbers_again() {
     let gate = Arc::new(Gate::default());
@@ -221,7 +222,8 @@
     assert_eq!(paid.count(), before, "it is not sent again");
 }
 
-/// Requests are served while a file is read; a change that is asked for meanwhile follows with the file as it is then.
+/// Requests are served while a configuration file is read. A reload that is requested meanwhile follows, with the
+/// file as it is then.
 #[test]
 fn the_program_serves_while_it_reads_and_the_last_file_holds() {
     let (a, b) = two();
@@ -250,7 +252,7 @@
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 404);
 }
 
-/// From a file with a fault nothing is taken, discovery included.
+/// Nothing is applied from a file with a fault, nor its address of discovery.
 #[test]
 fn a_file_with_a_fault_changes_nothing() {
     let (a, b) = two();
@@ -291,15 +293,15 @@
     }
     let (_, waits) = proxy.discovery.call();
     waits.send((200, list(9, true, &both(&a, &b)))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // discovery is where it was
+    let (_, _waits) = proxy.discovery.call(); // discovery is still at the old address
     proxy.reconfigure(&good);
     proxy.logged("configuration applied");
     elsewhere.call();
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 200);
 }
 
-/// At SIGTERM the queue of an inherited listener is the successor's; what was taken is answered, the connection
-/// ends with that answer, and an idle one ends at once.
+/// At SIGTERM the queue of an inherited listener is left to the successor. Accepted requests are answered and their
+/// connections closed with the answer; idle connections are closed at once.
 #[test]
 fn a_successor_takes_over_without_a_request_lost() {
     let gate = Arc::new(Gate::default());
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The program as a whole, on loopback sockets: what it must keep whatever backends, clients and discovery do.
+//! The whole program on loopback sockets: what it guarantees whatever backends, clients and discovery do.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -41,7 +41,7 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// The module saves up its further attempts from the requests that come: so many pay for several.
+/// Sends 25 requests, which earn the retry budget for several further attempts.
 fn warm_up(proxy: &Proxy) {
     let mut client = proxy.client();
     for _ in 0..25 {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Serves until the switch is thrown, and does something else from then on.
+/// Starts a backend that answers 200 until the switch is set, and replies with `to` from then on.
 fn turning(to: impl Fn() -> Reply + Send + Sync + 'static) -> (BackendServer, Arc<AtomicBool>) {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
@@ -57,7 +57,8 @@
     (BackendServer::start(reply), switch)
 }
 
-/// Each outcome that may have run: an unsafe request is not sent again and is not called harmless.
+/// After each outcome that leaves open whether it ran, an unsafe request is not sent again, and its status does not
+/// say that it may be repeated.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
     type Make = fn() -> Reply;
@@ -87,7 +88,7 @@
     }
 }
 
-/// Each outcome that proves that it never ran: even an unsafe request goes on to another backend.
+/// After each answer that proves that it never ran, even an unsafe request is sent to another backend.
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
     for status in [503, 504] {
@@ -107,7 +108,8 @@
     }
 }
 
-/// A refused connection never ran either. Nobody sees it, so the draw gets many chances to meet it.
+/// A refused connection also proves that the request never ran. The test cannot observe refusals, so it sends 30
+/// requests for the random choice to meet one.
 #[test]
 fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
     let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
@@ -116,7 +118,7 @@
     let (_, answer) = proxy.discovery.call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.call(); // by now the list is taken in
+    let _hold = proxy.discovery.call(); // the list has been applied by now
     let before = good.count();
     for _ in 0..30 {
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
@@ -124,7 +126,7 @@
     assert_eq!(good.count() - before, 30);
 }
 
-/// A request that is given up is answered then, not at its deadline, and the client is told when to come back.
+/// A request that is given up is answered then, not at its deadline, and with `Retry-After`.
 #[test]
 fn a_refusal_comes_at_once_and_with_advice() {
     let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
@@ -137,7 +139,7 @@
     }
 }
 
-/// Advice on when to come again goes only where the settings in force allow it.
+/// `Retry-After` is sent only where the settings in force allow it.
 #[test]
 fn a_refusal_has_no_advice_where_the_settings_bar_it() {
     let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
@@ -162,7 +164,7 @@
     let status = proxy.ask(&pay(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
     assert!(begun.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
-    backend.closed(); // the attempt was given up with it
+    backend.closed(); // the attempt was cancelled with the request
     assert_eq!(proxy.ask(&read(0.3)).status(), 503, "a safe one is harmless to repeat");
 }
 
@@ -185,12 +187,13 @@
     let mut client = proxy.client();
     for _ in 0..10 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
-        std::thread::sleep(Duration::from_millis(15)); // until it is known to be quiet
+        std::thread::sleep(Duration::from_millis(15)); // longer than a connection waits before its reuse
     }
     assert_eq!(backend.connections.load(SeqCst), 1);
 }
 
-/// A backend may end a kept connection at any time: a request written to it then would count as a reset.
+/// Guards against a request that is written to a kept connection which the backend has closed, and then counts as
+/// reset.
 #[test]
 fn a_connection_that_the_backend_closed_is_not_used_again() {
     let backend = BackendServer::start(|_| Reply::AnswerAndClose(200, "x".into()));
@@ -227,7 +230,7 @@
     assert!(target.starts_with("GET /api/targets?after=9&wait_ms="), "{target}");
     let change = [entry("b0", old.address, "DRAINING"), entry("b1", new.address, "SERVING")];
     answer.send((200, list(10, false, &change))).unwrap();
-    let (target, answer) = proxy.discovery.call(); // by now the change is taken in
+    let (target, answer) = proxy.discovery.call(); // the change has been applied by now
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
         assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "nothing new for one that drains");
@@ -275,7 +278,7 @@
     ];
     for (status, request) in cases {
         let mut client = proxy.client();
-        // The proxy may answer and close before it has read all of it.
+        // The proxy may answer and close before it has read the whole request.
         let _ = client.0.get_mut().write_all(request.as_bytes());
         let answer = client.answer().unwrap_or_else(|| panic!("no answer to {request:.80}"));
         assert_eq!(answer.status(), status, "{request:.80}");
@@ -302,7 +305,7 @@
     }
 }
 
-/// More clients than descriptors allow: the idle make way, and nobody is turned away or crashes it.
+/// With more clients than descriptors allow, idle connections are closed, and no client is refused.
 #[test]
 fn at_the_bound_idle_connections_make_way() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -322,7 +325,7 @@
     assert!(idle[0].ended(), "the one that was idle longest went first");
 }
 
-/// A machine that was cut off leaves its connections open: none that was idle meanwhile is trusted again.
+/// A machine that was cut off leaves its connections open: none that was idle meanwhile is used again.
 #[test]
 fn idle_connections_to_a_silent_backend_are_dropped() {
     let gate = Arc::new(Gate::default());
@@ -343,13 +346,13 @@
         assert_eq!(client.answer().expect("an answer").status(), 200);
     }
     assert_eq!(backend.connections.load(SeqCst), 2, "both are idle now");
-    std::thread::sleep(Duration::from_millis(15)); // and known to be quiet
+    std::thread::sleep(Duration::from_millis(15)); // longer than a connection waits before its reuse
     assert_eq!(proxy.ask(&read(0.3)).status(), 503);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     assert_eq!(backend.connections.load(SeqCst), 3, "a new one, though one was left");
 }
 
-/// The kernel may run out of descriptors before the bound is reached: then too the idle make way.
+/// Descriptors may run out before the configured limit is reached: idle connections are closed then too.
 #[test]
 fn running_out_of_descriptors_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -363,7 +366,7 @@
     assert!(idle[0].ended());
 }
 
-/// Where every connection holds half of a head, none is idle: after a while they make way all the same.
+/// When every connection has sent half of a head, none is idle; after a while they are closed all the same.
 #[test]
 fn heads_that_never_end_do_not_shut_others_out() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -379,7 +382,8 @@
     assert!(slow[0].ended());
 }
 
-/// On SIGTERM what is under way is answered, and so is what comes while clients do not know of it yet.
+/// After SIGTERM open requests are answered, and so are those that arrive while clients do not know of the shutdown
+/// yet.
 #[test]
 fn a_graceful_shutdown_answers_everything_and_ends() {
     let gate = Arc::new(Gate::default());
--- a/crates/lotusdeck/tests/rig/backend.rs
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -1,4 +1,4 @@
-//! Backends: what they do with requests, and what a test sees of it.
+//! Backends with prepared replies, which report connections and requests to the test.
 
 use super::message::Message;
 use super::PATIENCE;
@@ -7,26 +7,26 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{mpsc, Arc, Condvar, Mutex};
 
-/// What a backend does with a request.
+/// How a backend replies to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
-    /// A status, a header line or none, a body.
+    /// Answers with a status, a header line (or none, if empty) and a body.
     Answer(u16, &'static str, String),
-    /// The same, and the connection is closed without a word of it.
+    /// Answers with a status and a body, and closes the connection without having announced it.
     AnswerAndClose(u16, String),
-    /// These bytes, each piece in a segment of its own, and the connection stays open.
+    /// Writes these texts, each in a segment of its own, and leaves the connection open.
     Pieces(Vec<String>),
-    /// The same, and the connection is closed behind them.
+    /// Writes these texts, each in a segment of its own, and closes the connection.
     PiecesAndClose(Vec<String>),
-    /// The first bytes, the others when the gate opens.
+    /// Writes the first text, and the second once the gate opens.
     Paused(String, Arc<Gate>, String),
-    /// The connection ends after the whole request.
+    /// Closes the connection after the whole request, without an answer.
     Reset,
-    /// Nothing, until the proxy gives up.
+    /// Sends nothing; the connection stays open until the proxy closes it.
     Silence,
-    /// Nothing until the gate opens, then 200.
+    /// Answers 200 once the gate opens.
     Gate(Arc<Gate>),
-    /// Nothing until the gate opens, then the connection ends.
+    /// Closes the connection once the gate opens, without an answer.
     GateReset(Arc<Gate>),
 }
 
@@ -34,7 +34,7 @@
     Reply::Answer(200, "", body.into())
 }
 
-/// Opened once, for all that wait.
+/// Blocks every thread that waits for it until it is opened.
 #[derive(Debug, Default)]
 pub(crate) struct Gate(Mutex<bool>, Condvar);
 
@@ -52,7 +52,7 @@
 pub(crate) enum Seen {
     Connected,
     Request(Message),
-    /// A connection ended, from either side.
+    /// A connection was closed by either side.
     Closed,
 }
 
@@ -61,7 +61,7 @@
     pub seen: mpsc::Receiver<Seen>,
     pub connections: Arc<AtomicU32>,
     pub requests: Arc<AtomicU32>,
-    /// Requests of which the whole answer is written, with all that comes behind it.
+    /// Requests whose [`Reply`] is complete.
     pub answered: Arc<AtomicU32>,
 }
 
@@ -162,7 +162,7 @@
     let _ = tell.send(Seen::Closed);
 }
 
-/// A port on which nobody listens: connections to it are refused for as long as it is held.
+/// A bound port on which nobody listens: connections to it are refused until this is dropped.
 pub(crate) struct Refusing(socket2::Socket);
 
 impl Refusing {
--- a/crates/lotusdeck/tests/rig/client.rs
+++ b/crates/lotusdeck/tests/rig/client.rs
@@ -1,11 +1,11 @@
-//! A client on one connection.
+//! A blocking HTTP client on one connection.
 
 use super::message::Message;
 use super::PATIENCE;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A client on one connection.
+/// A blocking HTTP client on one connection.
 pub(crate) struct Client(pub BufReader<TcpStream>);
 
 impl Client {
@@ -24,7 +24,7 @@
         self.send(request);
         self.answer().expect("a whole answer")
     }
-    /// The proxy ended the connection, with nothing more on it.
+    /// Waits for the end of the connection and returns whether it ended, or failed, without a further byte.
     pub(crate) fn ended(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
--- a/crates/lotusdeck/tests/rig/discovery.rs
+++ b/crates/lotusdeck/tests/rig/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, answered by the test.
+//! A discovery service whose answers the test gives.
 
 use super::message::Message;
 use super::PATIENCE;
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
 
-/// Discovery: hands each call's target to the test, which answers it with a status and a body. Status 0: the text goes
-/// out as it is, and what is sent next goes out behind it.
+/// A discovery service. Passes the request line of each call to the test, which sends back a status and a body. With
+/// status 0 the text is written unchanged, and the call takes further ones.
 pub(crate) struct DiscoveryServer {
     pub address: SocketAddr,
     calls: mpsc::Receiver<(String, mpsc::Sender<(u16, String)>)>,
@@ -47,7 +47,7 @@
         DiscoveryServer { address, calls }
     }
 
-    /// The next call, and where its answer goes.
+    /// Waits for the next call; returns its request line and the sender for its answer.
     pub(crate) fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
         self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
     }
--- a/crates/lotusdeck/tests/rig/fixtures.rs
+++ b/crates/lotusdeck/tests/rig/fixtures.rs
@@ -1,9 +1,9 @@
-//! Endpoint lists, settings and requests as the platform writes them.
+//! Endpoint lists, settings and requests in the platform's format.
 
 use super::next;
 use std::net::SocketAddr;
 
-/// An entry of the list.
+/// Returns an entry of an endpoint list.
 pub(crate) fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"east","type":"big","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
--- a/crates/lotusdeck/tests/rig/message.rs
+++ b/crates/lotusdeck/tests/rig/message.rs
@@ -1,8 +1,8 @@
-//! Requests and responses as they come over a connection.
+//! Reading of HTTP requests and answers from a connection.
 
 use std::io::BufRead;
 
-/// A request or an answer as it came.
+/// An HTTP request or answer as it was received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Message {
     pub first: String,
@@ -17,7 +17,7 @@
     pub(crate) fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
-    /// `None` when the other side ended the connection first.
+    /// Reads a whole message; `None` if the connection ends before that.
     pub(crate) fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -41,7 +41,7 @@
     }
 }
 
-/// A chunked body, its trailers left out.
+/// Reads a chunked body and discards its trailers.
 fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -52,7 +52,7 @@
         body.resize(at + length, 0);
         from.read_exact(&mut body[at..]).ok()?;
         loop {
-            line.clear(); // the end of the chunk, or the trailers up to their own
+            line.clear(); // the line end after the chunk, or the trailers and the empty line after them
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             if line == "\r\n" {
                 break;
--- a/crates/lotusdeck/tests/rig/mod.rs
+++ b/crates/lotusdeck/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! What stands around the program in its tests, on loopback: backends, discovery and a client, all on
-//! blocking sockets and ports that the kernel picks.
+//! Test environment of the program on loopback: backends, discovery and clients on blocking sockets, with ports that
+//! the kernel picks.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 mod backend;
@@ -20,7 +20,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// No wait in these tests is meant to last as long: it only ends a test that would hang.
+/// Upper bound of each wait, which ends a test that would otherwise hang.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 static NUMBER: AtomicU64 = AtomicU64::new(0);
--- a/crates/lotusdeck/tests/rig/proxy.rs
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -14,17 +14,17 @@
 use std::sync::mpsc;
 use std::time::Instant;
 
-/// The program, with a configuration of its own.
+/// A process of the program, with its own configuration.
 pub(crate) struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The address for operators' calls.
     pub admin: SocketAddr,
     pub discovery: Rc<DiscoveryServer>,
     log: mpsc::Receiver<String>,
-    /// Its `$TMPDIR`.
+    /// The `$TMPDIR` of the process.
     pub tmp: PathBuf,
-    /// Where its configuration is, and what stands there.
+    /// The path of its configuration file, and the text it was started with.
     pub config: (PathBuf, String),
 }
 
@@ -37,38 +37,41 @@
         Launch { sockets, settings, ..Launch::new(known) }.run()
     }
 
-    /// With a limit on descriptors that need not be the one it is told.
+    /// Starts the program with a limit on descriptors (`descriptors`) that may differ from the configured one
+    /// (`sockets`).
     pub(crate) fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
         Launch { sockets, settings, descriptors, ..Launch::new(known) }.run()
     }
 
-    /// With an operator file.
+    /// Starts the program with an operator file.
     pub(crate) fn operated(known: &[String], operator: &Path) -> Proxy {
         Launch { operator: Some(operator), ..Launch::new(known) }.run()
     }
 
-    /// With an operator file, and no file longer than so many blocks of 512 bytes.
+    /// Starts the program with an operator file and a limit on the size of files that it writes, in blocks of 512
+    /// bytes.
     pub(crate) fn operated_within(known: &[String], operator: &Path, blocks: Option<u32>) -> Proxy {
         Launch { operator: Some(operator), file_blocks: blocks, ..Launch::new(known) }.run()
     }
 
-    /// With an operator file and settings of its own.
+    /// Starts the program with an operator file and its own settings.
     pub(crate) fn operated_by(known: &[String], operator: &Path, settings: &str) -> Proxy {
         Launch { operator: Some(operator), settings, ..Launch::new(known) }.run()
     }
 
-    /// On a listening socket that somebody else holds.
+    /// Starts the program on an inherited listening socket.
     pub(crate) fn inheriting(known: &[String], listener: &TcpListener) -> Proxy {
         Launch { listener: Some(listener), ..Launch::new(known) }.run()
     }
 
-    /// A new process beside this one: the same listener, directory and discovery, another address for calls.
+    /// Starts another process beside this one, with the same listener, `$TMPDIR` and discovery and with its own
+    /// address for operators' calls.
     pub(crate) fn successor(&self, known: &[String], listener: &TcpListener) -> Proxy {
         let launch = Launch::sharing(known, self.tmp.clone(), self.discovery.clone());
         Launch { listener: Some(listener), ..launch }.run()
     }
 
-    /// An operator's call; the status of its answer.
+    /// Makes an operator's call and returns the status of the answer.
     pub(crate) fn call(&self, method: &str, path: &str, body: &str) -> u16 {
         let length = body.len();
         let request =
@@ -80,19 +83,19 @@
         Client::connect(self.address)
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection and returns the answer.
     pub(crate) fn ask(&self, request: &str) -> Message {
         self.client().ask(request)
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains `what`, and returns it.
     pub(crate) fn logged(&self, what: &str) -> String {
         let end = Instant::now() + PATIENCE;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what:?}"))
     }
 
-    /// Another file in place of its configuration, and the signal for it.
+    /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reconfigure(&self, file: &str) {
         std::fs::write(&self.config.0, file).unwrap();
         self.signal("HUP");
@@ -103,27 +106,27 @@
         assert!(done.success());
     }
 
-    /// Another configuration, in which discovery is elsewhere.
+    /// Changes the address of discovery in the configuration file, without a signal.
     pub(crate) fn move_discovery(&self, to: SocketAddr) {
         let moved = self.config.1.replace(&self.discovery.address.to_string(), &to.to_string());
         std::fs::write(&self.config.0, moved).unwrap();
     }
 }
 
-/// What the program is started with.
+/// The options that the program is started with.
 struct Launch<'a> {
-    /// The list that the platform hands over.
+    /// The entries of the endpoint list in the configuration (`known`).
     known: &'a [String],
-    /// The limit on descriptors that it is told.
+    /// The limit on descriptors in the configuration.
     sockets: u32,
     settings: &'a str,
-    /// The limit on descriptors that it has.
+    /// The limit on descriptors of the process.
     descriptors: u32,
     tmp: PathBuf,
     listener: Option<&'a TcpListener>,
     discovery: Rc<DiscoveryServer>,
     operator: Option<&'a Path>,
-    /// The longest file that it may write, in blocks of 512 bytes.
+    /// The longest file that the process may write, in blocks of 512 bytes.
     file_blocks: Option<u32>,
 }
 
@@ -133,7 +136,7 @@
         Launch::sharing(known, tmp, Rc::new(DiscoveryServer::start()))
     }
 
-    /// With a directory and discovery that may be another process's as well.
+    /// Returns options with a `$TMPDIR` and a discovery that other processes may share.
     fn sharing(known: &'a [String], tmp: PathBuf, discovery: Rc<DiscoveryServer>) -> Launch<'a> {
         Launch {
             known,
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Starts it, and waits until it takes clients.
+    /// Starts the program and waits until it listens for clients and operators.
     fn run(self) -> Proxy {
         let config = self.config();
         std::fs::create_dir_all(&self.tmp).unwrap();
@@ -196,7 +199,7 @@
     }
 }
 
-/// Waits for the line of the log whose message is `message`, and reads its address.
+/// Waits for the log line with this message and returns the address in it.
 fn logged_address(log: &mut impl BufRead, sender: &mpsc::Sender<String>, message: &str) -> SocketAddr {
     loop {
         let mut line = String::new();
@@ -216,7 +219,7 @@
     }
 }
 
-/// The program's command, with a configuration or without any.
+/// Returns the command that runs the program, with a configuration or without any.
 pub(crate) fn launch(config: Option<&str>) -> Command {
     limited(config.map(written).as_deref(), 1024)
 }
@@ -229,7 +232,7 @@
 
 fn limited(config: Option<&Path>, descriptors: u32) -> Command {
     let mut command = Command::new("sh");
-    // A socket that is handed down comes as the standard input and becomes descriptor 3, as in service.
+    // An inherited socket is passed as standard input and becomes descriptor 3, as in production.
     let line = format!(
         "ulimit -n {descriptors}; ulimit -f ${{FILE_BLOCKS:-unlimited}}; exec \"$0\" serve 3<&0 </dev/null"
     );
--- a/crates/lotusdeck/tests/rig/sockets.rs
+++ b/crates/lotusdeck/tests/rig/sockets.rs
@@ -1,5 +1,5 @@
-//! Orders forced by the kernel's own table of sockets: connections that do not come up, ends that have arrived, a
-//! program that is held still.
+//! Control over the order of events: connections that are not established, waits for the states of the kernel's
+//! sockets, and a stopped program.
 #![allow(dead_code)]
 
 use super::{Client, Message, Proxy, PATIENCE};
@@ -7,12 +7,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How the kernel's table of sockets (proc(5), /proc/net/tcp) tells states.
+/// Socket states as /proc/net/tcp writes them (proc(5)).
 pub(crate) const ESTABLISHED: &str = "01";
 pub(crate) const SYN_SENT: &str = "02";
 pub(crate) const LISTEN: &str = "0A";
 
-/// Waits for what the kernel does by itself.
+/// Waits until `done` returns true; panics with `what` if it never does.
 pub(crate) fn until(what: &str, done: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !done() {
@@ -21,7 +21,7 @@
     }
 }
 
-/// The kernel's table of sockets: the lines whose own or other port, by the column, is that of the address.
+/// Returns the lines of /proc/net/tcp whose port in `column` (1: local, 2: remote) is that of the address.
 pub(crate) fn kernel_sockets(column: usize, of: SocketAddr) -> Vec<Vec<String>> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port = format!(":{:04X}", of.port());
@@ -29,33 +29,34 @@
     fields.filter(|fields: &Vec<String>| fields[column].ends_with(&port)).collect()
 }
 
-/// A client that was answered on the connection that it keeps.
+/// Returns a client that has had an answer and keeps its connection.
 pub(crate) fn kept(proxy: &Proxy) -> Client {
     let mut client = proxy.client();
     assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     client
 }
 
-/// Holds the program still, and waits until it is.
+/// Stops the program with SIGSTOP and waits until it has stopped.
 pub(crate) fn hold(proxy: &Proxy) {
     proxy.signal("STOP");
     let stat = format!("/proc/{}/stat", proxy.child.id());
     until("it stops", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Leaves {
-    /// It closes.
+    /// It closes its socket.
     Closes,
-    /// It ends its sending, which the platform's clients do by closing: nobody is taken to wait for an answer.
+    /// It shuts down its sending side. The platform's clients do so only by closing, so none is taken to wait for an
+    /// answer.
     EndsSending,
-    /// Its machine sends a reset.
+    /// It resets the connection.
     Resets,
 }
 
-/// Returns once the kernel has heard of it at the proxy's end, which on a busy machine takes its time. The connection is
-/// held on to where only its sending has ended.
+/// Disconnects a client and returns once the proxy's socket has left ESTABLISHED, which may take a while on a busy
+/// machine. Returns the client if only its sending side was shut down, so that the connection stays open.
 pub(crate) fn leave(client: Client, how: Leaves) -> Option<Client> {
     let tcp = client.0.get_ref();
     let (own, proxy) = (tcp.local_addr().unwrap(), tcp.peer_addr().unwrap());
@@ -82,7 +83,7 @@
 
 pub(crate) const WAYS: [Leaves; 3] = [Leaves::Closes, Leaves::EndsSending, Leaves::Resets];
 
-/// A listener to which connections do not come up until its queue is emptied.
+/// A listener with a full accept queue: connections to it are not established until the queue is emptied.
 pub(crate) struct Unreached {
     listener: socket2::Socket,
     fillers: Vec<TcpStream>,
@@ -94,7 +95,7 @@
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(1).unwrap();
         let mut unreached = Unreached { listener, fillers: Vec::new() };
-        // Full by the kernel's own count: one that does not come up in some time may only be slow to.
+        // Counts by the kernel's table: a connection that is not established after some time may only be slow.
         let end = Instant::now() + PATIENCE;
         while unreached.queued() <= 1 {
             assert!(Instant::now() < end, "the queue does not fill");
@@ -102,14 +103,14 @@
         }
         unreached
     }
-    /// Connections that wait to be accepted: what the kernel tells as the listening socket's queue of bytes read. It
-    /// drops the first segment of others while there are more than `listen` was told.
+    /// Returns how many connections wait to be accepted, which the kernel reports as the receive queue of a listening
+    /// socket. While they are more than the backlog given to `listen`, it drops the SYN of any other.
     pub(crate) fn queued(&self) -> u32 {
         let own = kernel_sockets(1, self.address()).into_iter().find(|fields| fields[3] == LISTEN);
         let own = own.expect("a listening socket");
         u32::from_str_radix(own[4].split(':').nth(1).unwrap(), 16).unwrap()
     }
-    /// Waits until a connection to it is being made and has not come up.
+    /// Waits until a connection to the listener is being established (SYN_SENT).
     pub(crate) fn called(&self) {
         let at = self.address();
         until("a connection on its way", || kernel_sockets(2, at).iter().any(|fields| fields[3] == SYN_SENT));
@@ -117,7 +118,7 @@
     pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap().as_socket().unwrap()
     }
-    /// Takes the fillers out of the way; the next connection that was held back.
+    /// Accepts and drops the filler connections, and returns the next other connection.
     pub(crate) fn reached(&self) -> std::io::BufReader<TcpStream> {
         let fills = |at: SocketAddr| self.fillers.iter().any(|f| f.local_addr().unwrap() == at);
         loop {
@@ -128,7 +129,7 @@
             }
         }
     }
-    /// The first request that comes, on whichever connection; one that is closed with not a byte on it was given up.
+    /// Returns the first request on any connection, and skips connections that were abandoned without a byte.
     pub(crate) fn first_request(&self) -> Message {
         loop {
             let mut peer = self.reached();
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -1,5 +1,5 @@
-//! The program in service, on loopback sockets: new configurations, clients that cannot be read, backends that
-//! answer with more or less than they should.
+//! The program on loopback sockets: reloads, malformed requests, crowds of connections, and backends that fail or
+//! send too much or too little.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,8 +18,8 @@
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-/// On SIGHUP discovery is asked at its new address at once, for the whole list, though a call to the old one
-/// is still out. A file that makes no sense changes nothing, nor does a second signal.
+/// On SIGHUP discovery is polled at its new address at once, for the whole list, although a call to the old one is
+/// still open. An invalid file changes nothing, nor does a second signal.
 #[test]
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
@@ -40,7 +40,7 @@
     let (target, answer) = elsewhere.call();
     assert_eq!(target, "GET /api/targets HTTP/1.1", "an index of the old one means nothing here");
     answer.send((200, list(7, true, &[entry("b1", new.address, "SERVING")]))).unwrap();
-    let (target, answer) = elsewhere.call(); // by now the list is taken in
+    let (target, answer) = elsewhere.call(); // the list has been applied by now
     assert!(target.contains("after=7&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
     answer.send((200, list(8, false, &[entry("b1", new.address, "DRAINING")]))).unwrap();
@@ -48,9 +48,9 @@
     assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "and it is followed there");
 }
 
-/// Where lists cost discovery work, a fleet that moves at once asks for what is new only: whole lists took it 9 s.
-/// The whole one is asked for later, as versions may be counted otherwise there; where that call fails, what is
-/// newer still comes first.
+/// With `subscribe`, where lists are costly for discovery, proxies ask a new discovery only for changes at first:
+/// whole lists for a whole fleet at once took it 9 s. The whole list is polled later, as versions may be numbered
+/// differently there; if that poll fails, changes are polled first again.
 #[test]
 fn a_list_that_is_asked_for_goes_on_from_its_version_where_discovery_moves() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
@@ -68,7 +68,7 @@
     let (target, answer) = elsewhere.call();
     assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "what was missed, at once");
     answer.send((200, list(10, false, &[entry("b1", new.address, "SERVING")]))).unwrap();
-    // Each answer brings nothing, until the whole list is asked for; that call fails the first time.
+    // Each answer has no changes until the whole list is polled; the first such poll fails.
     let (mut asked, mut whole) = (0, 0);
     while whole < 2 {
         let (target, answer) = elsewhere.call();
@@ -79,17 +79,17 @@
         } else {
             assert!(target.contains("after=10&"), "{target}");
             asked += 1;
-            std::thread::sleep(std::time::Duration::from_millis(50)); // a watch, where nothing is new
+            std::thread::sleep(std::time::Duration::from_millis(50)); // as a watch without changes
             answer.send((200, list(10, false, &[]))).unwrap();
         }
     }
     assert!(asked > 1, "what is newer is asked for meanwhile");
-    let (target, _waits) = elsewhere.call(); // by now the list is taken in
+    let (target, _waits) = elsewhere.call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "what is absent from the whole list is gone");
 }
 
-/// Connections break at any backend now and then. One that broke says nothing of the next.
+/// Connections to any backend break now and then, so a single reset must not eject one.
 #[test]
 fn one_reset_does_not_put_a_backend_out_of_use() {
     let switch = Arc::new(AtomicBool::new(false));
@@ -112,7 +112,8 @@
     assert!(a.count() > before, "ejected for one reset");
 }
 
-/// Answers that never come hold no room for long: the backend has answered others meanwhile.
+/// Attempts that never get an answer do not count against a backend's capacity for long, as it has answered others
+/// since.
 #[test]
 fn lost_answers_do_not_use_a_backend_up() {
     let backend = BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok("x") });
@@ -132,7 +133,8 @@
     }
 }
 
-/// A backend that turned one request away has room again as soon as it has finished another.
+/// A backend that rejected a request as full has capacity again as soon as it has finished another, so it is used
+/// again soon.
 #[test]
 fn a_full_backend_is_used_again_before_long() {
     let switch = Arc::new(AtomicBool::new(false));
@@ -146,11 +148,11 @@
     }
     switch.store(true, SeqCst);
     assert_eq!(client.ask(&pay(3.0)).status(), 503);
-    // Half of its time is 0.4 s: it is not refused only if the backend is back by then.
+    // A request is refused after half of its time, here 0.4 s, unless the backend is in use again by then.
     assert_eq!(client.ask(&pay(0.8)).status(), 200);
 }
 
-/// A new configuration while the program stops: it still ends, with everything answered.
+/// A reload during a shutdown: the program still ends, and every request is answered.
 #[test]
 fn sighup_during_a_shutdown_is_harmless() {
     let gate = Arc::new(Gate::default());
@@ -167,8 +169,8 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// Each request that can't be read is answered with an error, its connection ends, and no backend hears of it,
-/// nor of what may hide behind it.
+/// Each malformed request gets an error and its connection is closed. Neither it nor a request that may be smuggled
+/// behind it reaches a backend.
 #[test]
 fn requests_that_cannot_be_read_are_turned_away_and_end_their_connection() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -213,7 +215,7 @@
     ];
     for (status, request) in cases {
         let mut client = proxy.client();
-        // The proxy may answer and close before it has read all of it; then the answer may be lost on the way.
+        // The proxy may answer and close before it has read the whole request; the answer may be lost then.
         let sent = client.0.get_mut().write_all(request.as_bytes());
         match client.answer() {
             Some(answer) => assert_eq!(answer.status(), status, "{request:.200}"),
@@ -225,7 +227,7 @@
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
 
-/// The id of a request that is open is not taken for another; once it is answered it is nobody's.
+/// A request with the id of an open one is rejected and reaches no backend.
 #[test]
 fn an_id_is_not_used_twice_at_a_time() {
     let gate = Arc::new(Gate::default());
@@ -242,7 +244,8 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// Guards against a duplicate whose rejection frees the id, so that the next duplicate runs beside the first request.
+/// Guards against a duplicate whose rejection frees the id, so that the next duplicate runs in parallel with the
+/// first request.
 #[test]
 fn no_duplicate_of_an_open_request_reaches_a_backend() {
     let gate = Arc::new(Gate::default());
@@ -265,7 +268,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// Whoever says nothing, sends half a head or half a body is let go of, with room to spare or not.
+/// Connections that send nothing, half a head or half a body are closed, even while there is room for more.
 #[test]
 fn connections_that_bring_no_whole_request_end() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -285,7 +288,7 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// Silent connections by the hundred push each other out and not a client that has asked before.
+/// Hundreds of silent connections displace each other, but not a client that has made a request before.
 #[test]
 fn silent_connections_make_way_before_proven_ones() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -294,7 +297,7 @@
     assert_eq!(usual.ask(&read(3.0)).status(), 200);
     let mut silent = Vec::new();
     for round in 0..3 {
-        // The last come while the program has no core: it finds all of them at once.
+        // The last ones connect while the program is stopped, so it finds all of them at once.
         silent.extend((0..30).map(|_| proxy.client()));
         proxy.signal("STOP");
         silent.extend((0..60).map(|_| proxy.client()));
@@ -305,7 +308,7 @@
     }
 }
 
-/// Serves until the switch is thrown, and sends these bytes instead from then on.
+/// Starts a backend that answers 200 until the switch is set, and sends these bytes from then on.
 fn spoiling(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
     let (switch, bytes) = (Arc::new(AtomicBool::new(false)), bytes.to_string());
     let thrown = switch.clone();
@@ -313,8 +316,8 @@
     (BackendServer::start(reply), switch)
 }
 
-/// A spoilt answer on a connection that stays open is known for what it is in time for another attempt, and an
-/// unsafe request that met one has failed and is not sent again.
+/// A malformed or incomplete answer on a connection that stays open is detected in time for another attempt. An
+/// unsafe request that got one fails and is not sent again.
 #[test]
 fn spoilt_answers_are_failed_attempts_that_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\n";
@@ -352,7 +355,7 @@
     }
 }
 
-/// A backend that fails at one class alone gets no more of that, and goes on with the others.
+/// A backend that fails one class gets few more requests of that class and still serves the others.
 #[test]
 fn a_backend_that_fails_one_class_serves_the_others() {
     let paying = Arc::new(AtomicBool::new(false));
@@ -381,12 +384,12 @@
         }
         reads += bad.count() - before;
     }
-    // About half of them failed before.
+    // Without this distinction about half of them fail.
     assert!((1..25).contains(&failed), "{failed} of 100 failed");
     assert!(reads > 50, "{reads} of 400 went to the one that serves them");
 }
 
-/// Where many answers are lost, a request that may run again gets a copy while there is time for one.
+/// Where many answers are lost, a repeatable request gets a hedged attempt while there is time for one.
 #[test]
 fn where_answers_are_lost_copies_make_up_for_them() {
     let never = Arc::new(Gate::default());
@@ -402,11 +405,11 @@
     let statuses: Vec<u16> = (0..60).map(|_| proxy.ask(&read(0.4)).status()).collect();
     let lost = |part: &[u16]| part.iter().filter(|s| **s != 200).count();
     assert!(lost(&statuses[..30]) > 3, "it takes some to tell: {statuses:?}");
-    assert!(lost(&statuses[30..]) < 2, "{statuses:?}"); // without copies seven or eight
+    assert!(lost(&statuses[30..]) < 2, "{statuses:?}"); // seven or eight without hedged attempts
     never.open();
 }
 
-/// More than an answer, in its own segment or the next: it is never taken for the answer to another request.
+/// Bytes after an answer, in the same segment or the next, are never taken for the answer to another request.
 #[test]
 fn what_comes_behind_an_answer_is_nobodys() {
     let answer = |body: String| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -431,7 +434,7 @@
     }
 }
 
-/// Answers of status 1xx ahead of the real one, and a load report that makes no sense, spoil nothing.
+/// Answers of status 1xx before the final one, and an invalid load report, are ignored.
 #[test]
 fn early_answers_and_odd_reports_are_passed_over() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
@@ -444,8 +447,8 @@
     }
 }
 
-/// Clients that ask once and keep their connections use up what they may hold: where many are kept, each goes
-/// after its answer, and where few are, none does.
+/// Clients that make one request and keep their connections use up the connections that the proxy may hold: once many
+/// are kept, a connection is closed after its answer; while few are, none is.
 #[test]
 fn answers_end_their_connections_where_many_are_kept() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -465,7 +468,7 @@
     assert!(kept[5].ended());
 }
 
-/// In a crowd of silent connections and of heads that stopped coming, one that still comes is not cut.
+/// Among silent connections and stalled heads, a client whose head still arrives is not disconnected.
 #[test]
 fn a_slow_head_outlasts_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -482,14 +485,14 @@
             }
             client
         }));
-        // A pause as between the pieces of a slow client, longer than a crowd needs to fill all places.
+        // The pause of a slow client between pieces, longer than the crowd needs to fill all places.
         std::thread::sleep(std::time::Duration::from_millis(200));
     }
     assert_eq!(slow.answer().map(|a| a.status()), Some(200));
 }
 
-/// Guards against a request that waits in the listener's queue beyond its time, behind half heads that rest before they make
-/// way: half a second after its time it is lost.
+/// Guards against a request that waits in the listener's queue past its time, behind connections with half a head
+/// that are closed only after a rest. It counts as lost half a second after its time.
 #[test]
 fn a_request_behind_four_hundred_half_heads_is_answered_in_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
