--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of every size and form, both ways: whole, in pieces, and broken off.
+//! Bodies of every size and framing, in both directions: whole, in pieces, and truncated.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,7 +19,7 @@
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-/// Bytes of which none looks like its neighbours, so that a lost or doubled piece shows.
+/// Returns a text of pseudo-random letters, in which a lost or repeated piece shows.
 fn long(length: usize) -> String {
     (0..length as u32).map(|i| char::from(b'a' + (i.wrapping_mul(2_654_435_761) >> 24) as u8 % 26)).collect()
 }
@@ -36,7 +36,7 @@
     text + "0\r\nX-Trailer: 1\r\n\r\n"
 }
 
-/// Each byte in a write of its own.
+/// Splits a text into its bytes, for a write of each.
 fn bytewise(text: &str) -> Vec<String> {
     text.chars().map(String::from).collect()
 }
@@ -62,7 +62,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// However a message is cut, it is the same: both directions, each byte by itself.
+/// Messages are read correctly in both directions when each byte is written by itself.
 #[test]
 fn messages_may_be_cut_anywhere() {
     let body = long(60);
@@ -87,7 +87,7 @@
     }
 }
 
-/// An answer without a length ends with its connection, small or large.
+/// An answer without a length ends with its connection, whether it is small or large.
 #[test]
 fn an_answer_may_end_with_its_connection() {
     let backend = BackendServer::start(|n| {
@@ -113,7 +113,7 @@
     assert_eq!((&got.body[..], got.header("expect")), (&b"cash"[..], None));
 }
 
-/// The first bytes of a large answer reach the client while the rest is still with the backend.
+/// The first bytes of a large answer reach the client before the backend has sent the rest.
 #[test]
 fn a_large_answer_is_passed_on_as_it_comes() {
     let gate = Arc::new(Gate::default());
@@ -126,13 +126,14 @@
     let mut client = proxy.client();
     client.send(&pay(3.0));
     let mut got = vec![0; LARGE / 2];
-    client.0.read_exact(&mut got).unwrap(); // less than came, head and all
+    client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head is read too
     gate.open();
     let left = client.0.fill_buf_until_end();
     assert!(got.len() + left.len() > LARGE && left.ends_with(&long(LARGE).as_bytes()[LARGE - 1000..]));
 }
 
-/// Guards against an id that is free while its request's answer still comes, so that a duplicate runs beside it.
+/// Guards against an id that is free while the answer to its request still arrives, so that a duplicate runs in
+/// parallel.
 #[test]
 fn an_id_is_in_use_until_the_last_byte_of_a_large_answer() {
     let gate = Arc::new(Gate::default());
@@ -165,7 +166,7 @@
 }
 
 impl UntilEnd for std::io::BufReader<std::net::TcpStream> {
-    /// All that comes until the other side closes an idle connection.
+    /// Reads until the other side closes the connection, which it does once that is idle.
     fn fill_buf_until_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.read_to_end(&mut all);
@@ -173,7 +174,8 @@
     }
 }
 
-/// What breaks off after its first bytes went out is cut, so that the client can tell, and is not asked again.
+/// An answer that breaks off after its first bytes were passed on is truncated, so that the client can tell, and the
+/// request is not sent again.
 #[test]
 fn a_large_answer_that_breaks_off_is_cut() {
     for head in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -191,8 +193,8 @@
     }
 }
 
-/// A large request that no backend could be given yet goes to another; one that was turned away after its body
-/// had gone is refused, as it cannot be sent again.
+/// A large request whose connection was refused goes to another backend. One that was rejected after its body was
+/// sent is refused, as it cannot be sent again.
 #[test]
 fn a_large_request_is_repeated_only_while_it_is_whole() {
     let sent = long(LARGE);
@@ -200,11 +202,11 @@
     let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
     let proxy = one(&good);
     let mut client = proxy.client();
-    (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // they pay for further attempts
+    (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // earns the retry budget for further attempts
     let (_, answer) = proxy.discovery.call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.call(); // by now the list is taken in
+    let _hold = proxy.discovery.call(); // the list has been applied by now
     for n in 0..6 {
         assert_eq!(client.ask(&form(&format!("a{n}"))).status(), 200);
     }
@@ -215,7 +217,7 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// A request's time begins with its last byte, however long its body takes; its backend is not blamed.
+/// A request's time begins with its last byte, however long its upload takes; the backend is not blamed for that.
 #[test]
 fn the_time_of_an_upload_begins_with_its_end() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -229,7 +231,8 @@
     assert_eq!(client.answer().unwrap().status(), 200);
 }
 
-/// What is no whole body is a fault, and its backend never runs it.
+/// A request with a body that is incomplete, malformed, too long or followed by surplus bytes gets an error, and no
+/// backend runs it.
 #[test]
 fn bodies_that_are_none_are_turned_away() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -1,5 +1,6 @@
-//! Clients that leave before an attempt of theirs begins, wherever it waits: nothing is sent for them any more. Each
-//! leaves behind further bytes, so that a reader which stops behind the request does not see its end.
+//! Clients that disconnect before an attempt for them begins, wherever it waits: nothing is sent for them. A whole
+//! request is followed by further bytes, so that a reader that stops after the request does not see the end of the
+//! connection.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,25 +15,26 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// More than is kept whole, so that the body flows to the backend.
+/// More than the proxy buffers, so that the body is streamed to the backend.
 const BODY: usize = 300_000;
-/// So much of it comes before the client leaves: the attempt begins with it, and the rest never comes.
+/// The part of the body that arrives before the client leaves: the attempt begins with it, and the rest never
+/// follows.
 const PART: usize = 100_000;
-/// What a client sends behind its request.
+/// The bytes that a client sends after its request.
 const FURTHER: &str = "GET /";
 
-/// Connections are given all the time that a test takes.
+/// Returns settings whose connect timeout is longer than a test.
 fn patient() -> String {
     SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000")
 }
 
-/// The head and the first part of a body that flows.
+/// Returns the head and the first part of a body that is streamed.
 fn upload() -> String {
     let head = pay(3.0).replace("Content-Length: 4\r\n\r\ncash", "");
     format!("{head}Content-Length: {BODY}\r\n\r\n{}", "x".repeat(PART))
 }
 
-/// Waits until that many requests are with the module.
+/// Waits until `count` requests are open.
 fn until_open(proxy: &Proxy, count: u32) {
     let told = format!("\"open_requests\":{count},");
     let status = || Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n").body;
@@ -41,8 +43,8 @@
     });
 }
 
-/// Sends more behind a request that is with the module, and waits until the program has read it: from then on a reader
-/// that stops behind a request sees no end.
+/// Sends further bytes after an open request and waits until the program has read them: from then on a reader that
+/// stops after the request does not see the end of the connection.
 fn say_more(client: &mut Client) {
     client.send(FURTHER);
     let tcp = client.0.get_ref();
@@ -52,7 +54,7 @@
     until("what came is read", || !kernel_sockets(1, proxy).iter().any(unread));
 }
 
-/// Another client's request is the first that this backend gets.
+/// Sends another client's request and asserts that it is the first that the backend gets.
 fn only_the_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
     let marker = read(3.0);
     assert_eq!(proxy.ask(&marker).status(), 200, "{what}");
@@ -62,7 +64,7 @@
     assert_eq!(backend.count(), 1, "{what}");
 }
 
-/// The client of a body that flows leaves in its middle while the connection to the backend comes up.
+/// The client of a streamed body leaves in its middle while the connection to the backend is being established.
 #[test]
 fn a_client_that_left_in_its_body_has_no_attempt_begun() {
     std::thread::scope(|scope| {
@@ -85,7 +87,7 @@
     });
 }
 
-/// The module holds the request, as there is no backend yet, and its client leaves; then discovery names one.
+/// The module holds the request, as there is no backend yet, and its client leaves; then discovery lists one.
 #[test]
 fn a_client_that_left_while_its_request_was_held_has_no_attempt_begun() {
     for how in WAYS {
@@ -101,16 +103,17 @@
             }
             let _held = leave(client, how);
             answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-            let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+            let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
             only_the_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
         }
     }
 }
 
-/// Requests that are answered first: extra attempts are a part of what was asked.
+/// Requests that are answered first: they earn the retry budget, which is a part of the requests.
 const BEFORE: u32 = 12;
 
-/// An attempt is out and its client leaves; then it ends in a way that allows another one. A client that stays gets it.
+/// The client leaves while an attempt is in flight, which then ends in a way that allows another one: none is made. A
+/// client that stays gets it.
 #[test]
 fn a_client_that_left_has_no_attempt_repeated() {
     std::thread::scope(|scope| {
@@ -141,7 +144,7 @@
     until("the first attempt is out", || first.count() == BEFORE + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+    let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
     let Some(how) = how else {
         gate.open();
         assert_eq!(client.answer().expect("an answer").body, b"y", "{request}, reset: {resets}");
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -1,6 +1,7 @@
-//! Requests that come in the very turn in which their connection would be closed (docs/crossings.md). Client, kernel and
-//! loop are real, time stands still but where the test moves it, and client and server share one thread: between the
-//! moment at which a timer is due and the turn of whoever waits for it, nothing but the test runs.
+//! Requests that arrive in the very turn of the event loop in which their connection would be closed
+//! (docs/crossings.md). Client, kernel and loop are real, time advances only where the test moves it, and client and
+//! server share one thread: between the moment at which a timer is due and the turn of the task that waits for it,
+//! only the test runs.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -27,18 +28,18 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinHandle, LocalSet};
 
-/// Connections of each kind.
+/// Number of connections of each kind.
 const MANY: usize = 20;
-/// A silent connection is closed after this time (`IDLE_PATIENCE` of proxy/client.rs).
+/// A silent connection is closed after this time (`IDLE_TIMEOUT` of proxy/src/client.rs).
 const PATIENCE_OF_THE_PROXY: Duration = Duration::from_millis(2100);
-/// After SIGTERM idle connections stay for so long (`LINGER` of proxy/server.rs).
+/// How long idle connections stay open after SIGTERM (`ACCEPT_LINGER` of proxy/src/server.rs).
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A timer is due for certain once its time is over by this: the runtime counts whole milliseconds.
+/// Added to a timer's time so that it is certainly due: the runtime counts whole milliseconds.
 const TURN: Duration = Duration::from_millis(1);
 
-/// Keeps time from going on by itself while everybody waits for a socket, which the runtime would else take for
-/// idleness: it never does while a blocking task runs.
+/// Keeps the runtime from advancing its paused time while all tasks wait for sockets, which it would take for
+/// idleness: it never does so while a blocking task runs.
 struct Still(#[allow(dead_code)] mpsc::Sender<()>);
 
 impl Still {
@@ -49,7 +50,7 @@
     }
 }
 
-/// A server before one backend, on a port that the kernel picks, and what stops it.
+/// A server for one backend, on a port that the kernel picks, and the sender that stops it.
 struct Running {
     server: Rc<Server>,
     address: SocketAddr,
@@ -88,7 +89,7 @@
         Running { server, address, stop, ended }
     }
 
-    /// Runs the loop until it has done what is awaited; no timer is due meanwhile.
+    /// Runs the loop until `done` returns true; no timer is due meanwhile.
     async fn until(&self, done: impl Fn(&Server) -> bool) {
         let end = Instant::now() + PATIENCE;
         while !done(&self.server) {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Clients that were answered on the connections that they keep.
+    /// Returns clients that have had an answer and keep their connections.
     async fn kept(&self) -> Vec<Client> {
         let address = self.address;
         let ask = move || {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Every one is served; the clients, with the connections that they were served on.
+/// Asserts that each client is served; returns the clients with the connections that they were served on.
 async fn all_served(clients: Vec<Client>) -> Vec<Client> {
     let mut served = Vec::new();
     for (n, mut client) in clients.into_iter().enumerate() {
@@ -125,7 +126,7 @@
     served
 }
 
-/// Lets a scenario happen to a server before a backend and the clients that it has answered, while time stands still.
+/// Runs a scenario with a server for one backend and the clients that it has answered, while time stands still.
 async fn with_kept_clients(scenario: impl AsyncFnOnce(Running, Vec<Client>)) {
     let backend = BackendServer::start(|_| ok("x"));
     LocalSet::new()
@@ -138,23 +139,23 @@
         .await;
 }
 
-/// The time of a silent connection runs out, kept or new, and a request comes before the loop has closed it: it is
-/// answered.
+/// The idle timeout of a connection, kept or new, expires, and a request arrives before the loop has closed the
+/// connection: it is answered.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_meets_the_end_of_its_connections_patience_is_answered() {
     with_kept_clients(async |running, mut clients| {
         clients.extend((0..MANY).map(|_| Client::connect(running.address)));
         running.until(|server| server.client_count() == 2 * MANY).await;
         tokio::time::advance(PATIENCE_OF_THE_PROXY + TURN).await;
-        // The timers have gone off, and none of the connections has had its turn.
+        // The timers have expired, and the task of no connection has had its turn.
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
         all_served(clients).await;
     })
     .await;
 }
 
-/// After SIGTERM and its linger all that is idle is closed. A request that comes before the loop has come round to that
-/// is answered, and its connection ended then.
+/// After SIGTERM and the linger time, idle connections are closed. A request that arrives before the loop does that
+/// is answered, and its connection is closed then.
 #[tokio::test(start_paused = true)]
 async fn requests_that_meet_the_end_of_the_linger_are_answered() {
     with_kept_clients(async |running, mut clients| {
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: checks, calls, exit codes.
+//! The command line: checks of files, calls to a proxy, and exit codes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -35,7 +35,7 @@
     )
 }
 
-/// All faults of all files are told, each at its place; sound files are called so.
+/// Every fault of every file is reported with its position, and valid files are accepted.
 #[test]
 fn check_tells_every_fault_where_it_stands() {
     let good = file("good.json", &node(SETTINGS));
@@ -72,7 +72,7 @@
         .contains("http.answer_gap_ms: a whole number of ms from 10 to 60000, default 300"));
 }
 
-/// What operators need to see of backends, learned speeds and counts, as a table and as a document.
+/// `admin status` shows backends, kinds of machines and counts, as a table and as JSON.
 #[test]
 fn status_shows_backends_kinds_and_counts() {
     let a = BackendServer::start(|_| ok("a"));
@@ -99,7 +99,7 @@
     assert_eq!(proxy.call("POST", "/admin/status", ""), 405);
 }
 
-/// SIGHUP rereads the operator file too; where either file is at fault nothing of both is taken.
+/// SIGHUP rereads the operator file too; if either file has a fault, neither is applied.
 #[test]
 fn the_operator_file_is_taken_whole_or_not_at_all() {
     let stalled = |gap: u64| format!("[http]\nanswer_gap_ms = {gap}\n");
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Outer names and stored data, held against fixtures that version 0.2.0 wrote before its internal names changed: the
-//! command line, the platform's settings, the status document, and the files that outlive a process.
+//! Public names and stored data, compared with fixtures that version 0.2.0 wrote before its internal names changed:
+//! the command line, the platform's settings, the status document, and the files that outlive a process.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -38,7 +38,7 @@
     without_defaults.args(arguments).output().unwrap()
 }
 
-/// An empty folder of this test process.
+/// Creates an empty folder for this test process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("lotusdeck-compatibility-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -155,7 +155,7 @@
     }
 }
 
-/// Each path of keys in a document, with the type that stands there.
+/// Collects each path of keys in a document, with the type of its value.
 fn shape(document: &Value, path: &str, found: &mut BTreeMap<String, &'static str>) {
     let kind = match document {
         Value::Null => "null",
@@ -189,7 +189,7 @@
     let backend = BackendServer::start(|_| ok("served"));
     let endpoints = [entry("b0", backend.address, "SERVING"), entry("b1", backend.address, "DRAINING")];
     let proxy = Proxy::operated(&endpoints, &operator_file);
-    // A member of a fleet that has just started has nothing to admit requests with yet.
+    // A fleet member that has just started has no share to admit requests with yet.
     until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
     until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
     let output = run_command(&["admin", "--addr", &proxy.admin.to_string(), "status", "--format", "json"]);
@@ -247,7 +247,7 @@
 #[test]
 fn a_state_file_of_another_format_version_gets_a_clear_error() {
     let mut bytes = std::fs::read(fixture("state/n0.state")).unwrap();
-    bytes[8] = 2; // the version, behind the magic of eight bytes
+    bytes[8] = 2; // the version, after eight bytes of magic
     let error = decode::<SavedEndpoints>(&bytes).unwrap_err();
     assert_eq!(error.to_string(), "format version 2, this program reads 1");
 }
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A proxy that follows a source of configuration: the test is the source, and answers each question by hand.
+//! A proxy that follows a source of configuration: the test is the source and answers each poll itself.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
 
 const EPOCH: u64 = 7;
 
-/// The source's side of the wire, and its versions.
+/// A source of configuration, with its server and its versions.
 struct Published {
     server: DiscoveryServer,
     source: Source,
@@ -31,26 +31,26 @@
         Published { server: DiscoveryServer::start(), source: begin(EPOCH) }
     }
 
-    /// Publishes settings that only differ in their classes, unsound ones too.
+    /// Publishes settings with other classes, which are not validated.
     fn publish(&mut self, profiles: &Value) -> Version {
         let mut settings = settings();
         settings["profiles"] = profiles.clone();
         self.source.publish(&settings, |_| Ok(())).unwrap().version
     }
 
-    /// What the proxy asks next.
+    /// Waits for the next poll of the proxy.
     fn question(&self) -> Question {
         self.server.call()
     }
 
-    /// The next question is this one, and gets the whole document.
+    /// Asserts that the next poll has these parameters, and answers it with the full document.
     fn give_whole(&self, question: &str) {
         let (asked, answer) = self.question();
         assert_eq!(asked, format!("GET /configuration?wait_ms=10000{question} HTTP/1.1"));
         answer.send((200, encode(&Told::FullDocument(self.source.full_document())))).unwrap();
     }
 
-    /// The next question is after this version, and gets all that came since.
+    /// Asserts that the next poll is for changes after this version, and answers it with all of them.
     fn give_delta(&self, after: Version) {
         let (asked, answer) = self.question();
         assert!(asked.contains(&format!("&after={after}")), "{asked}");
@@ -70,18 +70,18 @@
     serde_json::from_str(SETTINGS).unwrap()
 }
 
-/// The classes of the settings, one of them under another name.
+/// Returns the classes of the settings, with one renamed.
 fn renamed(from: &str, to: &str) -> Value {
     let text = SETTINGS.replace(&format!(r#""name":"{from}""#), &format!(r#""name":"{to}""#));
     serde_json::from_str::<Value>(&text).unwrap()["profiles"].clone()
 }
 
-/// What an operator file says that names the source.
+/// Returns the text of an operator file that names the source.
 fn follows(published: &Published) -> String {
     format!("[configuration]\nsource = \"{}\"\n", published.server.address)
 }
 
-/// An operator file that names the source.
+/// Writes an operator file that names the source, and returns its path.
 fn operator(name: &str, published: &Published) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-{name}-{}.toml", std::process::id()));
     std::fs::write(&path, follows(published)).unwrap();
@@ -90,13 +90,13 @@
 
 static NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A request of its own id.
+/// Returns a request with an id of its own.
 fn get(class: &str) -> String {
     let id = NUMBER.fetch_add(1, Ordering::SeqCst);
     format!("GET /{class}/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: r{id}\r\nX-Time-Left: 3.0\r\n\r\n")
 }
 
-/// What operators are told of the configuration.
+/// Returns the configuration section of the status document.
 fn status(proxy: &Proxy) -> Value {
     let answer = Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n");
     serde_json::from_slice::<Value>(&answer.body).unwrap()["configuration"].clone()
@@ -108,7 +108,8 @@
     (server, known)
 }
 
-/// It takes the whole document and then a delta; a request that is open ends under the settings with which it came.
+/// The proxy applies the full document and then a delta; an open request ends under the settings that it arrived
+/// with.
 #[test]
 fn a_delta_is_taken_and_open_requests_keep_their_class() {
     let mut published = Published::start();
@@ -136,14 +137,14 @@
     let (asked, answer) = published.question();
     assert!(asked.contains(&format!("&after={version}")), "{asked}");
     answer.send((200, encode(&Told::Unchanged(version)))).unwrap();
-    let _held = published.question(); // were it let go, its connection would end
+    let _held = published.question(); // dropping it would close its connection
     let status = status(&proxy);
     assert_eq!((&status["version"], &status["standing"]), (&json!("7-2"), &json!("current")), "{status}");
     assert!(status["age_ms"].is_u64(), "{status}");
 }
 
-/// Unsound settings, a delta that does not sum up and a torn message leave the last sound version in force, each with a
-/// line that says why; the next sound version is taken.
+/// Invalid settings, a delta with a wrong checksum and a truncated message leave the last valid version in force, and
+/// each is logged with the reason; the next valid version is applied.
 #[test]
 fn what_is_unsound_is_refused_and_tells_why() {
     let mut published = Published::start();
@@ -177,7 +178,8 @@
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
 
-/// The source ends, and another begins a new epoch: in between the last version stays in force and its standing is told.
+/// The source ends, and another begins a new epoch: meanwhile the last version stays in force, and the status shows
+/// that the source is cut off.
 #[test]
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
     let mut published = Published::start();
@@ -201,7 +203,7 @@
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
 }
 
-/// While a source is followed SIGHUP does not bring the file's settings back; where none is named any more it does.
+/// While a source is followed, SIGHUP does not restore the settings of the file; once none is named, it does.
 #[test]
 fn the_operator_file_says_which_settings_prevail() {
     let mut published = Published::start();
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -1,4 +1,5 @@
-//! Idle clients fill what the process may hold while discovery is down: requests on new connections are served in time.
+//! Idle clients use up the connections that the process may hold while discovery is down: requests on new connections
+//! are served in time.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,18 +13,18 @@
 use rig::*;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the process is told it has.
+/// The limit on descriptors in the configuration.
 const SOCKETS: u32 = 96;
-/// More than it has places for, all of them in the listener's queue when it wakes.
+/// More connections than the process may hold, all of them in the listener's queue when it resumes.
 const CROWD: usize = 150;
 const ROUNDS: usize = 3;
-/// The time that a client gives its request, s; whoever is served gets its answer within it.
+/// The time left that a client gives its request, in seconds; a request that is served gets its answer within it.
 const TIME: f64 = 3.0;
 
-/// What the idle send: nothing, or a head that never ends.
+/// What idle clients send: nothing, or a head that never ends.
 const IDLE: [&[&str]; 3] = [&[""], &["GET /read/k1 HTTP/1.1\r\nHost: s\r\n"], &["", "GET /rea"]];
 
-/// A proxy whose discovery answers every call with 503.
+/// Starts a proxy whose discovery answers every call with 503.
 fn without_discovery(backend: &BackendServer) -> (Proxy, BackendServer) {
     let down = BackendServer::start(|_| Reply::Answer(503, "", String::new()));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], SOCKETS, SETTINGS);
@@ -33,7 +34,7 @@
     (proxy, down)
 }
 
-/// Each round finds the whole crowd in the queue, and a new client's request before it, in its middle and behind it.
+/// In each round the whole crowd is in the queue, with a new client's request before it, in its middle and behind it.
 #[test]
 fn new_clients_are_served_in_time_among_idle_ones_while_discovery_is_down() {
     let mut slow = Vec::new();
@@ -65,7 +66,7 @@
                 }
             }
         }
-        down.request(); // discovery is down still, and is asked again
+        down.request(); // discovery is still down and is called again
     }
     assert!(slow.is_empty(), "{slow:#?}");
 }
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger in the program: what it tells after real requests, a kill, and on a disk that takes nothing.
+//! The ledger in the program: its answers after real requests, after a kill, and on a disk that cannot be written.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -20,7 +20,7 @@
     folder
 }
 
-/// An operator file that switches the ledger on.
+/// Writes an operator file that enables the ledger, and returns its path.
 fn on(folder: &Path, more: &str) -> PathBuf {
     let path = folder.join("operator.toml");
     let at = folder.join("ledger").display().to_string();
@@ -38,7 +38,8 @@
     request.split("X-Correlation-Id: ").nth(1).unwrap().split("\r\n").next().unwrap()
 }
 
-/// While it runs and after a kill: answered, turned away, possibly sent; and nothing of what may be repeated.
+/// The ledger shows each non-repeatable request, while the program runs and after a kill, as answered, failed or
+/// possibly sent. It shows no repeatable one.
 #[test]
 fn every_non_repeatable_request_is_told_of() {
     for mode in ["process", "power"] {
@@ -77,8 +78,8 @@
     }
 }
 
-/// Where nothing can be written such requests are refused at once with the time to come again, and none is sent; the
-/// others go on. Going on without records starts only once there is a segment to tell of it.
+/// When nothing can be written, non-repeatable requests are refused at once with `Retry-After` and none is sent;
+/// others are served. The program goes on without records only once there is a segment that says so.
 #[test]
 fn a_disk_that_takes_nothing_refuses_only_what_must_be_written_down() {
     for more in ["on_failure = \"refuse\"", "on_failure = \"go-on\""] {
@@ -99,7 +100,7 @@
     }
 }
 
-/// A process that ends in order says so: nothing is uncertain then.
+/// A process that ends in order records that, and nothing is uncertain then.
 #[test]
 fn an_orderly_end_leaves_nothing_uncertain() {
     let place = folder("orderly");
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL front in the program: switched on by the operator file, spoken to by a real driver.
+//! The PostgreSQL front in the program: enabled by the operator file and used by a real driver.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -27,14 +27,14 @@
     path
 }
 
-/// Where the front listens, as the log tells.
+/// Returns the port on which the front listens, from the log.
 fn port(proxy: &Proxy) -> u16 {
     let line = proxy.logged("postgres listening");
     let at = line.split("address=127.0.0.1:").nth(1).unwrap();
     at.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
 
-/// Beside the HTTP front of the same process; a stop tells the sessions that are idle.
+/// The front runs beside the HTTP front of the same process; a shutdown notifies idle sessions.
 #[tokio::test]
 async fn the_program_serves_a_driver_and_says_when_it_stops() {
     let test = async {
@@ -57,7 +57,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A file whose front cannot be is refused with the place of the fault, before anything starts.
+/// A file with an invalid front is refused with the position of the fault, before anything starts.
 #[test]
 fn a_faulty_front_is_told_with_its_place() {
     let path = operator("faulty", "");
@@ -67,7 +67,7 @@
     assert!(output.status.code() == Some(2) && told.contains("either discovery or"), "{told}");
 }
 
-/// The soak's short form: servers that die at the worst moments, and no word to a driver that is not true.
+/// A short form of the soak: servers die at the worst moments, and everything that a driver is told is true.
 #[test]
 fn no_write_is_lost_doubled_or_told_wrongly_when_servers_die() {
     let args = lotusdeck_testbed::postgres::Soak {
@@ -81,6 +81,6 @@
     };
     let soaked = lotusdeck_testbed::postgres::run(&args).unwrap();
     assert!(soaked.wrong.is_empty(), "{:?}", soaked.wrong);
-    // How much was played depends on the machine; that it was played does not.
+    // How much is played depends on the machine; that something is played does not.
     assert!(soaked.deaths > 0 && soaked.told[0] > 0, "{soaked:?}");
 }
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! What outlives a process (docs/recovery.md), on loopback: the program killed and started again with discovery
-//! silent, kept lists that are cut, foreign, too old or held by another process.
+//! State that outlives a process (docs/recovery.md), on loopback: the program killed and restarted with discovery
+//! silent, and saved lists that are truncated, foreign, too old or locked by another process.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A folder and an operator file that keeps state there.
+/// Writes an operator file that keeps state in a new folder; returns the paths of both.
 fn keeping(site: &str, half_life_s: u64) -> (PathBuf, PathBuf) {
     let at =
         std::env::temp_dir().join(format!("lotusdeck-state-{}-{site}-{half_life_s}", std::process::id()));
@@ -30,17 +30,17 @@
     (operator, folder)
 }
 
-/// A proxy that has kept the list that discovery gave it, killed at once after.
+/// Starts a proxy, waits until it has saved the list that discovery gave it, and kills it.
 fn kept(operator: &Path, entries: &[String]) {
     let proxy = Proxy::operated(&[], operator);
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(9, true, entries))).unwrap();
     assert!(proxy.logged("state written").contains("index=9"));
-    // Dropped: SIGKILL, with no word to it.
+    // Dropping the proxy kills it with SIGKILL.
 }
 
-/// Started again with no list from the platform and a discovery that never answers, it serves from what it kept;
-/// once discovery answers that the backend drains, nothing new goes there within 500 ms.
+/// Restarted with no list from the platform and a silent discovery, the proxy serves from its saved list. Once
+/// discovery answers that the backend drains, the proxy sends it nothing new after 500 ms.
 #[test]
 fn a_proxy_killed_and_started_again_serves_from_its_kept_list_and_heeds_discovery_once_back() {
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
@@ -53,14 +53,14 @@
     let told = Instant::now();
     let drained = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(12, true, &drained))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+    let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
     assert_eq!(proxy.ask(&read(3.0)).body, b"second");
     assert!(told.elapsed().as_millis() < 500, "{:?}", told.elapsed());
     assert_eq!(first.count(), 1, "nothing new to the drained backend");
 }
 
-/// A cut file, one of another site and one written by another proxy are told and passed over; the start is as
-/// without them, from the platform's list.
+/// A file that is truncated, of another site, written by another proxy or no state file is logged and ignored; the
+/// proxy starts from the platform's list as it does without one.
 #[test]
 fn kept_files_that_are_cut_or_foreign_are_passed_over_with_a_line_each() {
     let backend = BackendServer::start(|_| ok("known"));
@@ -86,8 +86,8 @@
     }
 }
 
-/// A list hours old is not believed; with a half-life that allows it, its removed backend and the cold start of
-/// the other cost a few refusals, each answered at once with a time to come back.
+/// A saved list that is hours old is not restored. With a half-life that allows it, a removed backend and the slow
+/// start of the other cost a few refusals, each at once and with `Retry-After`.
 #[test]
 fn a_list_hours_old_is_weighed_by_its_age() {
     let (gone, backend) = (Refusing::new(), BackendServer::start(|_| ok("here")));
@@ -113,8 +113,8 @@
                 .map(|_| proxy.ask(&read(3.0)))
                 .map(|m| (m.status(), m.header("retry-after").is_some()))
                 .collect();
-            // Refused at once and told when to come back, while the budget for further attempts fills and the
-            // backends, taken as started now, are ramped from cold.
+            // Requests may be refused, at once and with `Retry-After`, while the retry budget fills and the backends,
+            // which count as just started, are in slow start.
             assert!(told.iter().all(|t| *t == (200, false) || *t == (503, true)), "{told:?}");
             assert!(told.iter().filter(|t| t.0 == 200).count() >= 4, "{told:?}");
         } else {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Two processes of one proxy with one folder: the second reads, and leaves the writing to the first.
+/// Of two processes of one proxy with one folder, the second only reads and leaves the writing to the first.
 #[test]
 fn a_second_process_with_the_same_folder_only_reads() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -135,7 +135,7 @@
     assert_eq!(second.ask(&read(3.0)).body, b"b");
 }
 
-/// Where the disk takes no more, the line says so and the file in place stays whole, only older.
+/// When the disk takes no more, the failed write is logged and the older file stays whole.
 #[test]
 fn a_full_disk_leaves_the_last_kept_state_whole() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -151,8 +151,9 @@
     assert_eq!(kept.index, 9);
 }
 
-/// Killed twenty times while lists of up to 400 KB come as fast as it takes them and are written every 100 ms: the
-/// file in place is always whole, and the kept version never goes back. The first kill waits for the first file.
+/// The program is killed twenty times while lists of up to 400 KB arrive as fast as it takes them and are written
+/// every 100 ms: the file is always whole, and the saved version never goes back. The first kill waits for the first
+/// file.
 #[test]
 fn a_kill_at_any_moment_of_a_write_leaves_a_whole_file() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -193,8 +194,8 @@
     );
 }
 
-/// What was learned is kept beside the list, taken at the next start, and passed over with a line where it is cut,
-/// another file or older than the half-life allows; the list is taken all the same.
+/// Estimates are saved beside the list and restored at the next start. If their file is truncated, of another format
+/// or older than the half-life allows, that is logged, and the list is restored all the same.
 #[test]
 fn what_was_learned_is_taken_back_or_passed_over_with_a_line() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -234,7 +235,7 @@
     }
 }
 
-/// The second process of an upgrade keeps the state once the first has ended.
+/// In an upgrade the second process writes the state once the first has ended.
 #[test]
 fn a_second_process_keeps_the_state_once_the_first_has_ended() {
     let backend = BackendServer::start(|_| ok("b"));
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! A process that is killed and started again is soon ready, whatever discovery does.
+//! A process that is killed and restarted is ready in time, whatever discovery does.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,12 +12,12 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A restarted process has to be ready within this time, nine in ten of them.
+/// Nine in ten restarted processes must be ready within this time.
 const READY: Duration = Duration::from_secs(10);
 const RESTARTS: usize = 10;
 
-/// Discovery takes calls and never answers: the list that the process was handed is all it has. Ready is a process
-/// that says so and serves.
+/// Discovery accepts calls and never answers, so the process has only the list from its configuration. A process is
+/// ready when it reports so and serves.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_in_time_without_discovery() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/scale.rs
+++ b/crates/lotusdeck/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale rig around the real program: every quantity of its axes is measured, and no request fails meanwhile.
+//! The scale rig with the real program: every metric of its axes is measured, and no request fails meanwhile.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! The program in the testbed: a short run with faults, judged by the stand-ins alone.
+//! The program in the testbed: short runs with faults, judged only by what the stand-ins saw.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -41,15 +41,15 @@
     ]
 "#;
 
-/// One play of real processes at a time: several share the machine's cores, and a proxy that waits for a core answers
-/// late, which is no fault of it.
+/// Serializes runs of real processes: several share the machine's cores, and a proxy that waits for a core answers
+/// late, which must not count against it.
 fn alone() -> MutexGuard<'static, ()> {
     static PLAYS: Mutex<()> = Mutex::new(());
     PLAYS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays an experiment on sockets, with one seed after the other, until `judge` comes to a verdict: a machine too busy
-/// for the lab's own schedule gives none, and says why. The verdict, with the seed that was played.
+/// Plays an experiment on sockets, with one seed after the other, until `judge` reaches a verdict: on a machine too
+/// busy for the testbed's own schedule it gives the reason instead. Returns the verdict and the seed that was played.
 fn first_verdict<T>(
     experiment: &Experiment, seeds: Range<u64>, name: &str,
     judge: impl Fn(&Arc<Plan>, &Outcome) -> Result<T, String>,
@@ -68,7 +68,7 @@
     panic!("{name}: the lab was late with each of the seeds {seeds:?}: no verdict");
 }
 
-/// The figures of a play that counts, with the rules that it broke; or why it counts for nothing.
+/// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
 fn counted(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Broken>), String> {
     let (figures, broken) = Figures::of(plan, outcome);
     match figures.void {
@@ -77,8 +77,8 @@
     }
 }
 
-/// All rules hold through deaths, drains, cordons, a killed proxy and a reload. A machine too busy for the lab's
-/// own schedule gives no verdict, so the run is then played again.
+/// All rules hold through killed backends, drains, cordons, a killed proxy and a reload. A machine too busy for the
+/// testbed's own schedule gives no verdict, so the run is repeated with another seed.
 #[test]
 fn all_oracles_hold_through_a_short_run_of_troubles() {
     let _alone = alone();
@@ -93,8 +93,8 @@
     assert!(reached, "seed {seed}: every class is served");
 }
 
-/// Scripts that once broke a rule, and some that a campaign draws, hold. Each is judged anew by up to three plays
-/// where the machine was too busy for a verdict; those that never got one are told of, and one verdict is wanted.
+/// Scripts that once broke a rule, and some that a campaign draws, break none. Each is played up to three times, as
+/// the machine may be too busy for a verdict. The output tells how many got one, and at least one must.
 #[test]
 fn saved_and_drawn_scripts_of_campaigns_hold() {
     let _alone = alone();
@@ -122,7 +122,7 @@
     assert!(judged > 0, "the lab was late every time: no verdict");
 }
 
-/// Ports that somebody else holds are named before anything starts.
+/// A port that is in use is named before anything starts.
 #[test]
 fn a_taken_port_is_named() {
     let _alone = alone();
@@ -138,7 +138,8 @@
     assert!(fault.contains(&format!("127.0.0.1:{port} is taken")), "{fault}");
 }
 
-/// The two drivers play one model: on a calm small fleet what is earned of the worth lies within a twentieth.
+/// The two drivers play the same model: on a small fleet without faults the shares of the worth that they earn differ
+/// by at most a twentieth.
 #[test]
 fn virtual_time_and_sockets_lie_near_each_other() {
     let _alone = alone();
@@ -158,7 +159,7 @@
     assert!((real.attempts - played.attempts).abs() <= 0.05, "{} and {}", real.attempts, played.attempts);
 }
 
-/// Twenty kills at random moments under load: what the ledger tells is never wrong.
+/// After twenty kills at random moments under load, the ledger's answers are never wrong.
 #[test]
 fn the_ledger_is_never_wrong_after_kills() {
     let _alone = alone();
@@ -172,7 +173,7 @@
     }
 }
 
-/// An experiment that asks for more descriptors than there can be is refused before anything starts.
+/// An experiment that needs more descriptors than there can be is refused before anything starts.
 #[test]
 fn too_many_descriptors_are_refused_before_the_start() {
     let text = SHORT.split("trouble = [").next().unwrap().to_string() + "limits = { sockets = 1000000000 }";
@@ -188,9 +189,10 @@
     assert!(!folder.exists(), "nothing was started");
 }
 
-/// The fleet rig's loss of power on four processes behind a relay that delays and resets answers: proxies and
-/// backends at once, discovery for six seconds; the platform hands no list. With kept lists the proxies serve while
-/// discovery is still down, blank ones do not; every rule holds both ways and no cold backend is pushed over.
+/// The fleet rig's loss of power on four processes behind a fault proxy that delays and resets answers: proxies and
+/// backends fail at once, discovery for six seconds, and the platform provides no list. With saved lists the proxies
+/// serve while discovery is still down, without them they do not; every rule holds both ways, and no cold backend is
+/// overloaded.
 #[test]
 fn a_fleet_that_loses_power_serves_at_once_from_kept_lists() {
     let _alone = alone();
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -1,5 +1,5 @@
-//! What backends are told of the time that a client has left. Server and test share one thread: while the test holds
-//! it, what a client has written waits in the kernel, and the time of its request goes on.
+//! The time left that backends receive (`X-Time-Left`). Server and test share one thread: while the test blocks it, a
+//! request that a client has written waits in the kernel, and its time passes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -29,24 +29,25 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_blocking, spawn_local, LocalSet};
 
-/// The event loop is held for so long, or a connection rests.
+/// How long a test blocks the event loop.
 const HELD: Duration = Duration::from_millis(400);
+/// How long a connection is idle or pauses within a request.
 const REST: Duration = Duration::from_secs(1);
-/// A busy machine may hold the loop for so long beyond that.
+/// How much longer a busy machine may block the loop.
 const SLACK: Duration = Duration::from_millis(700);
-/// Requests after which one may be sent again.
+/// Requests that earn the retry budget for one further attempt.
 const WARM_UP: usize = 25;
-/// What a client gives its request, in seconds.
+/// The time left that a client gives its request, in seconds.
 const TIME: f64 = 2.5;
 
-/// Runs it on a thread of its own kind: one that notes its looks, as the program's does.
+/// Runs a future on a runtime that records its polls, as the program's does.
 fn on_the_loop(what: impl Future<Output = ()>) {
     let runtime =
         queueing_delay::record_polls(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
     LocalSet::new().block_on(&runtime.unwrap(), what);
 }
 
-/// A server before these backends.
+/// Starts a server for these backends and returns its address.
 async fn start(backends: &[&BackendServer]) -> SocketAddr {
     let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
     let pool = Rc::new(ConnectionPool::new(
@@ -74,7 +75,7 @@
     address
 }
 
-/// A connection on which the server waits for the next request.
+/// Returns a client on a kept connection on which the server waits for the next request.
 async fn kept(address: SocketAddr) -> Client {
     let ask = move || {
         let mut client = Client::connect(address);
@@ -84,7 +85,7 @@
     spawn_blocking(ask).await.unwrap()
 }
 
-/// The client writes while the loop stands still, for all of that time.
+/// Sends a text and blocks the loop for all of [`HELD`].
 fn hold(client: &mut Client, text: &str) {
     client.send(text);
     std::thread::sleep(HELD);
@@ -94,7 +95,7 @@
     spawn_blocking(move || client.answer().expect("a whole answer").status()).await.unwrap()
 }
 
-/// What a request told a backend, in seconds.
+/// Returns the time left of a request that a backend received, in seconds.
 fn time_of(request: &Message) -> f64 {
     request.header("x-time-left").expect("a time").parse().expect("seconds")
 }
@@ -103,7 +104,7 @@
     time_of(&backend.request())
 }
 
-/// What each told that has come since the last call.
+/// Returns the time left of each request that a backend received since the last call.
 fn all_told(backend: &BackendServer) -> Vec<f64> {
     let requests = backend.seen.try_iter().filter_map(|seen| match seen {
         Seen::Request(request) => Some(time_of(&request)),
@@ -112,7 +113,7 @@
     requests.collect()
 }
 
-/// No more than is left where so much of it is over, and nearly all of that.
+/// Asserts that `told` is no more than is left of [`TIME`] after `over`, and no less than that without [`SLACK`].
 fn fits(told: f64, over: Duration) {
     let most = TIME - over.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
@@ -151,7 +152,7 @@
     let backends = [(); 2].map(|()| BackendServer::start(reply.clone()));
     on_the_loop(async {
         let mut client = kept(start(&[&backends[0], &backends[1]]).await).await;
-        // The module saves up its further attempts from the requests that come: so many pay for one.
+        // Requests earn the retry budget; this many earn one further attempt.
         for _ in 0..WARM_UP {
             let asked = move || (client.ask(&read(TIME)).status(), client);
             let (status, back) = spawn_blocking(asked).await.unwrap();
@@ -178,7 +179,7 @@
     });
 }
 
-/// The rest of a connection is not the age of what ends it.
+/// The time for which a connection was idle does not count against the request that ends it.
 #[test]
 fn a_request_on_a_connection_that_rested_keeps_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -191,7 +192,7 @@
     });
 }
 
-/// A task that yields all the time keeps the loop from waiting, and its looks from being told by the runtime.
+/// A task that yields all the time keeps the loop from blocking, so the runtime does not record its polls.
 #[test]
 fn a_request_keeps_its_time_beside_a_task_that_yields() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -210,7 +211,7 @@
     });
 }
 
-/// The time of a request that comes in parts counts from the last of them.
+/// The time of a request that arrives in parts counts from the last of them.
 #[test]
 fn the_age_of_a_request_in_parts_is_that_of_its_last_byte() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -226,7 +227,8 @@
     });
 }
 
-/// A look says nothing of a socket that the loop did not know yet: its bytes may have come long before.
+/// A poll bounds the arrival of bytes only for sockets that were registered before it: on any other they may have
+/// arrived long before.
 #[test]
 fn a_look_counts_for_the_sockets_that_were_registered_before_it() {
     on_the_loop(async {
@@ -234,7 +236,7 @@
         a_look().await;
         let long_ago = Instant::now() - REST;
         let arrivals = QueueingDelay::new(long_ago);
-        // What the event loop does where a socket has become readable.
+        // Does what the event loop does when a socket has become readable.
         let readable = || {
             poll_fn(|cx| {
                 let _ = arrivals.poll_ready(cx, |cx| {
