--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -57,7 +57,7 @@
         let got = client.ask(&form);
         assert_eq!((got.status(), got.body.len()), (200, LARGE));
         assert!(got.body == answer.as_bytes());
-        assert!(backend.request().body == sent.as_bytes());
+        assert!(backend.next_request().body == sent.as_bytes());
     }
     assert_eq!(backend.count(), 2);
 }
@@ -83,7 +83,7 @@
         bytewise(&form).iter().for_each(|byte| client.send(byte));
         let got = client.answer().unwrap();
         assert_eq!((got.status(), &got.body[..]), (200, body.as_bytes()));
-        assert_eq!(backend.request().body, b"cash");
+        assert_eq!(backend.next_request().body, b"cash");
     }
 }
 
@@ -109,7 +109,7 @@
     assert_eq!(client.answer().unwrap().status(), 100);
     client.send("cash");
     assert_eq!(client.answer().unwrap().status(), 200);
-    let got = backend.request();
+    let got = backend.next_request();
     assert_eq!((&got.body[..], got.header("expect")), (&b"cash"[..], None));
 }
 
@@ -189,7 +189,7 @@
         client.send(&read(3.0));
         assert!(client.answer().is_none(), "{head}: it is not whole");
         assert_eq!(backend.count(), 1, "{head}");
-        assert_eq!(proxy.call("GET", "/admin/health", ""), 200);
+        assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
     }
 }
 
@@ -199,14 +199,14 @@
 fn a_large_request_is_repeated_only_while_it_is_whole() {
     let sent = long(LARGE);
     let form = |id: &str| post(id, 3.0, &format!("Content-Length: {LARGE}\r\n")) + &sent;
-    let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
+    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
     let proxy = one(&good);
     let mut client = proxy.client();
     (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // earns the retry budget for further attempts
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.call(); // the list has been applied by now
+    let _hold = proxy.discovery.next_call(); // the list has been applied by now
     for n in 0..6 {
         assert_eq!(client.ask(&form(&format!("a{n}"))).status(), 200);
     }
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -38,7 +38,7 @@
 fn until_open(proxy: &Proxy, count: u32) {
     let told = format!("\"open_requests\":{count},");
     let status = || Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n").body;
-    until("the request is taken in", || {
+    wait_until("the request is taken in", || {
         String::from_utf8(status()).unwrap().replace(' ', "").contains(&told)
     });
 }
@@ -51,16 +51,16 @@
     let port = format!(":{:04X}", tcp.local_addr().unwrap().port());
     let proxy = tcp.peer_addr().unwrap();
     let unread = |fields: &Vec<String>| fields[2].ends_with(&port) && !fields[4].ends_with(":00000000");
-    until("what came is read", || !kernel_sockets(1, proxy).iter().any(unread));
+    wait_until("what came is read", || !kernel_sockets(1, proxy).iter().any(unread));
 }
 
 /// Sends another client's request and asserts that it is the first that the backend gets.
 fn only_the_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
     let marker = read(3.0);
     assert_eq!(proxy.ask(&marker).status(), 200, "{what}");
-    let first = backend.request();
+    let first = backend.next_request();
     let id = first.header("x-correlation-id").expect("an id");
-    assert!(marker.contains(id), "{what}: sent for nobody: {}", first.first);
+    assert!(marker.contains(id), "{what}: sent for nobody: {}", first.start_line);
     assert_eq!(backend.count(), 1, "{what}");
 }
 
@@ -68,20 +68,21 @@
 #[test]
 fn a_client_that_left_in_its_body_has_no_attempt_begun() {
     std::thread::scope(|scope| {
-        for how in WAYS {
+        for how in DISCONNECTS {
             scope.spawn(move || {
-                let backend = Unreached::new();
-                let proxy = Proxy::with(&[entry("b0", backend.address(), "SERVING")], 1024, &patient());
+                let backend = FullListener::new();
+                let proxy =
+                    Proxy::with_settings(&[entry("b0", backend.address(), "SERVING")], 1024, &patient());
                 let mut client = proxy.client();
                 client.send(&upload());
-                backend.called();
-                let _held = leave(client, how);
+                backend.wait_for_connect();
+                let _held = disconnect(client, how);
                 let marker = read(3.0);
                 let mut later = proxy.client();
                 later.send(&marker);
                 let first = backend.first_request();
                 let id = first.header("x-correlation-id").expect("an id");
-                assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.first);
+                assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.start_line);
             });
         }
     });
@@ -90,20 +91,20 @@
 /// The module holds the request, as there is no backend yet, and its client leaves; then discovery lists one.
 #[test]
 fn a_client_that_left_while_its_request_was_held_has_no_attempt_begun() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (request, whole) in [(read(3.0), true), (pay(3.0), true), (upload(), false)] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
-            let (_, answer) = proxy.discovery.call();
+            let (_, answer) = proxy.discovery.next_call();
             let mut client = proxy.client();
             client.send(&request);
             until_open(&proxy, 1);
             if whole {
                 say_more(&mut client);
             }
-            let _held = leave(client, how);
+            let _held = disconnect(client, how);
             answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-            let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
+            let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
             only_the_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
         }
     }
@@ -117,7 +118,7 @@
 #[test]
 fn a_client_that_left_has_no_attempt_repeated() {
     std::thread::scope(|scope| {
-        for how in [None, Some(Leaves::Closes), Some(Leaves::EndsSending), Some(Leaves::Resets)] {
+        for how in [None, Some(Disconnect::Close), Some(Disconnect::ShutdownWrite), Some(Disconnect::Reset)] {
             for (request, resets) in [(read(3.0), false), (pay(3.0), false), (read(3.0), true)] {
                 scope.spawn(move || repeated(how, &request, resets));
             }
@@ -125,7 +126,7 @@
     });
 }
 
-fn repeated(how: Option<Leaves>, request: &str, resets: bool) {
+fn repeated(how: Option<Disconnect>, request: &str, resets: bool) {
     let refused = "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
@@ -136,23 +137,28 @@
     });
     let second = BackendServer::start(|_| ok("y"));
     let proxy = Proxy::start(&[entry("b0", first.address, "SERVING")]);
-    proxy.discovery.call().1.send((200, list(9, true, &[entry("b0", first.address, "SERVING")]))).unwrap();
-    let (_, answer) = proxy.discovery.call();
+    proxy
+        .discovery
+        .next_call()
+        .1
+        .send((200, list(9, true, &[entry("b0", first.address, "SERVING")])))
+        .unwrap();
+    let (_, answer) = proxy.discovery.next_call();
     (0..BEFORE).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
     let mut client = proxy.client();
     client.send(request);
-    until("the first attempt is out", || first.count() == BEFORE + 1);
+    wait_until("the first attempt is out", || first.count() == BEFORE + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
+    let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
     let Some(how) = how else {
         gate.open();
         assert_eq!(client.answer().expect("an answer").body, b"y", "{request}, reset: {resets}");
         return;
     };
     say_more(&mut client);
-    let _held = leave(client, how);
+    let _held = disconnect(client, how);
     gate.open();
-    until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == BEFORE + 1);
+    wait_until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == BEFORE + 1);
     only_the_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
 }
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -91,7 +91,7 @@
 
     /// Runs the loop until `done` returns true; no timer is due meanwhile.
     async fn until(&self, done: impl Fn(&Server) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while !done(&self.server) {
             assert!(Instant::now() < end, "it never comes");
             yield_now().await;
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -96,7 +96,7 @@
     assert!(
         table.contains("served 5") && table.lines().any(|l| l.starts_with("b1 ") && l.contains("draining"))
     );
-    assert_eq!(proxy.call("POST", "/admin/status", ""), 405);
+    assert_eq!(proxy.operator_call("POST", "/admin/status", ""), 405);
 }
 
 /// SIGHUP rereads the operator file too; if either file has a fault, neither is applied.
@@ -106,7 +106,7 @@
     let operator = file("operator.toml", &stalled(60_000));
     let begun = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbeg".to_string();
     let backend = BackendServer::start(move |_| Reply::Pieces(vec![begun.clone()]));
-    let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
+    let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
     let took = |left: f64| {
         let began = std::time::Instant::now();
         assert_eq!(proxy.ask(&pay(left)).status(), 502);
@@ -115,9 +115,9 @@
     assert!(took(0.8) > 0.7, "the answer may rest for a minute: the client's time ends first");
     std::fs::write(&operator, "[http]\nanswer_gap_ms = 1\n").unwrap();
     proxy.signal("HUP");
-    assert!(proxy.logged("configuration rejected").contains("answer_gap_ms"));
+    assert!(proxy.wait_for_log("configuration rejected").contains("answer_gap_ms"));
     std::fs::write(&operator, stalled(20)).unwrap();
     proxy.signal("HUP");
-    proxy.logged("configuration applied");
+    proxy.wait_for_log("configuration applied");
     assert!(took(3.0) < 2.5, "it rested for too long");
 }
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -16,7 +16,7 @@
     Tenant, ZoneId,
 };
 use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
-use rig::sockets::until;
+use rig::sockets::wait_until;
 use rig::{entry, ok, pay, read, BackendServer, Proxy};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -188,10 +188,10 @@
     std::fs::write(&operator_file, text).unwrap();
     let backend = BackendServer::start(|_| ok("served"));
     let endpoints = [entry("b0", backend.address, "SERVING"), entry("b1", backend.address, "DRAINING")];
-    let proxy = Proxy::operated(&endpoints, &operator_file);
+    let proxy = Proxy::with_operator_file(&endpoints, &operator_file);
     // A fleet member that has just started has no share to admit requests with yet.
-    until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
-    until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
+    wait_until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
+    wait_until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
     let output = run_command(&["admin", "--addr", &proxy.admin.to_string(), "status", "--format", "json"]);
     let now: Value = serde_json::from_slice(&output.stdout).unwrap();
     let before: Value = serde_json::from_str(&fixture_text("status.json")).unwrap();
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -40,7 +40,7 @@
 
     /// Waits for the next poll of the proxy.
     fn question(&self) -> Question {
-        self.server.call()
+        self.server.next_call()
     }
 
     /// Asserts that the next poll has these parameters, and answers it with the full document.
@@ -117,16 +117,16 @@
     let held = gate.clone();
     let server = BackendServer::start(move |n| if n == 0 { Reply::Gate(held.clone()) } else { ok("x") });
     let operator = operator("configuration-delta", &published);
-    let proxy = Proxy::operated(&[entry("b0", server.address, "SERVING")], &operator);
+    let proxy = Proxy::with_operator_file(&[entry("b0", server.address, "SERVING")], &operator);
     published.give_whole("");
-    assert!(proxy.logged("configuration applied").contains("version=7-1"));
+    assert!(proxy.wait_for_log("configuration applied").contains("version=7-1"));
     let mut open = proxy.client();
     open.send(&get("read"));
-    server.request();
+    server.next_request();
     assert_eq!(proxy.ask(&get("draw")).status(), 404);
     let version = published.publish(&renamed("read", "draw"));
     published.give_delta(Version::first(EPOCH));
-    let line = proxy.logged("configuration applied");
+    let line = proxy.wait_for_log("configuration applied");
     for told in ["version=7-2", "with class draw", "without class read"] {
         assert!(line.contains(told), "{line}");
     }
@@ -149,14 +149,14 @@
 fn what_is_unsound_is_refused_and_tells_why() {
     let mut published = Published::start();
     let (_server, known) = backend();
-    let proxy = Proxy::operated(&known, &operator("configuration-unsound", &published));
+    let proxy = Proxy::with_operator_file(&known, &operator("configuration-unsound", &published));
     published.give_whole("");
-    proxy.logged("configuration applied");
+    proxy.wait_for_log("configuration applied");
     let mut profiles = renamed("read", "draw");
     profiles[1]["aim_us"] = json!(9_000_000);
     let unsound = published.publish(&profiles);
     published.give_delta(Version::first(EPOCH));
-    let line = proxy.logged("configuration version rejected");
+    let line = proxy.wait_for_log("configuration version rejected");
     for told in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
         assert!(line.contains(told), "{told} is not in {line}");
     }
@@ -167,14 +167,14 @@
     published.publish(&renamed("read", "draw"));
     let delta = published.delta(Version::first(EPOCH));
     answer.send((200, delta.replace("\"gain\":1.0", "\"gain\":2.0"))).unwrap();
-    assert!(proxy.logged("configuration version rejected").contains("checksum of the document"));
+    assert!(proxy.wait_for_log("configuration version rejected").contains("checksum of the document"));
     let (asked, answer) = published.question();
     assert!(!asked.contains("after"), "{asked}");
     answer.send((200, encode(&Told::FullDocument(published.source.full_document()))[..500].into())).unwrap();
-    assert!(proxy.logged("configuration poll failed").contains("answer not understood"));
+    assert!(proxy.wait_for_log("configuration poll failed").contains("answer not understood"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
     published.give_whole("&past=7-2");
-    assert!(proxy.logged("configuration applied").contains("version=7-3"));
+    assert!(proxy.wait_for_log("configuration applied").contains("version=7-3"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
 
@@ -184,14 +184,14 @@
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
     let mut published = Published::start();
     let (_server, known) = backend();
-    let proxy = Proxy::operated(&known, &operator("configuration-end", &published));
+    let proxy = Proxy::with_operator_file(&known, &operator("configuration-end", &published));
     published.publish(&renamed("read", "draw"));
     published.give_whole("");
-    proxy.logged("configuration applied");
+    proxy.wait_for_log("configuration applied");
     for _ in 0..4 {
         drop(published.question());
     }
-    assert!(proxy.logged("configuration poll failed").contains("in_force=\"7-2\""));
+    assert!(proxy.wait_for_log("configuration poll failed").contains("in_force=\"7-2\""));
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
     let (_, answer) = published.question();
     let told = status(&proxy);
@@ -199,7 +199,7 @@
     answer.send((503, "busy".into())).unwrap();
     published.source = begin(EPOCH + 1);
     published.give_whole("&after=7-2");
-    assert!(proxy.logged("configuration applied").contains("version=8-1"));
+    assert!(proxy.wait_for_log("configuration applied").contains("version=8-1"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
 }
 
@@ -209,24 +209,27 @@
     let mut published = Published::start();
     let (_server, known) = backend();
     let operator = operator("configuration-prevails", &published);
-    let proxy = Proxy::operated(&known, &operator);
+    let proxy = Proxy::with_operator_file(&known, &operator);
     published.publish(&renamed("read", "draw"));
     published.give_whole("");
-    proxy.logged("configuration applied");
+    proxy.wait_for_log("configuration applied");
     let later = published.question();
     proxy.reconfigure(&proxy.config.1.replace(r#""group_size":1"#, r#""group_size":2"#));
-    assert!(proxy.logged("configuration applied").contains("a source is followed"));
-    assert!(proxy.logged("configuration applied").contains("version=7-2"), "read anew under its own keys");
+    assert!(proxy.wait_for_log("configuration applied").contains("a source is followed"));
+    assert!(
+        proxy.wait_for_log("configuration applied").contains("version=7-2"),
+        "read anew under its own keys"
+    );
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (200, 404));
     drop(later);
     let _after = published.question();
     std::fs::write(&operator, "").unwrap();
     proxy.signal("HUP");
-    assert!(proxy.logged("configuration applied").contains("with class read"));
+    assert!(proxy.wait_for_log("configuration applied").contains("with class read"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
     assert_eq!(status(&proxy), Value::Null);
     std::fs::write(&operator, follows(&published)).unwrap();
     proxy.signal("HUP");
     published.give_whole("");
-    assert!(proxy.logged("version=7-2").contains("with class draw"));
+    assert!(proxy.wait_for_log("version=7-2").contains("with class draw"));
 }
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -44,15 +44,15 @@
                 scope.spawn(move || {
                     let backend = BackendServer::start(|_| ok("x"));
                     let serving = [entry("b0", backend.address, "SERVING")];
-                    let proxy = Proxy::with(&serving, 1024, &settings);
-                    proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-                    let (target, silent) = proxy.discovery.call();
+                    let proxy = Proxy::with_settings(&serving, 1024, &settings);
+                    proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+                    let (target, silent) = proxy.discovery.next_call();
                     let begun = Instant::now();
                     silent.send((0, cut.into())).unwrap();
-                    let (again, answer) = proxy.discovery.call();
+                    let (again, answer) = proxy.discovery.next_call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-                    let (next, _waits) = proxy.discovery.call(); // the list has been applied by now
+                    let (next, _waits) = proxy.discovery.next_call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
                     let took = begun.elapsed();
                     assert!(took < wait_of(&target) + TOLD, "{took:?} after {target}, cut behind {cut:?}");
@@ -65,7 +65,7 @@
 
 /// Waits until requests are refused because the backend drains; panics if that change was lost.
 fn until_out(proxy: &Proxy) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while proxy.ask(&read(3.0)).status() != 503 {
         assert!(Instant::now() < end, "the word that it drains was lost");
     }
@@ -78,20 +78,20 @@
     for (settings, answered) in [(SETTINGS.to_string(), false), (asked(), false), (asked(), true)] {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::with(&serving, 1024, &settings);
-        proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-        let (_, old) = proxy.discovery.call();
+        let proxy = Proxy::with_settings(&serving, 1024, &settings);
+        proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+        let (_, old) = proxy.discovery.next_call();
         let text = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
         let (first, rest) = text.split_at(text.len() / 2);
         old.send((0, format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{first}", text.len()))).unwrap();
         let elsewhere = DiscoveryServer::start();
         proxy.move_discovery(elsewhere.address);
         proxy.signal("HUP");
-        let (_, new) = elsewhere.call(); // the proxy follows the new address now
+        let (_, new) = elsewhere.next_call(); // the proxy follows the new address now
         let mut waits = None;
         if answered {
             new.send((200, list(9, false, &[]))).unwrap();
-            waits = Some(elsewhere.call());
+            waits = Some(elsewhere.next_call());
         }
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "nothing is told yet");
         old.send((0, rest.into())).unwrap();
@@ -121,9 +121,9 @@
     let sound = sound.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
     for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(sound) {
         let proxy = Proxy::start(std::slice::from_ref(&serving));
-        proxy.discovery.call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
-        proxy.discovery.call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
-        let (next, _waits) = proxy.discovery.call(); // the list has been applied by now
+        proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
+        proxy.discovery.next_call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
+        let (next, _waits) = proxy.discovery.next_call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {whole}, {line}");
     }
@@ -136,14 +136,14 @@
     let (backend, other) = (BackendServer::start(|_| ok("x")), BackendServer::start(|_| ok("y")));
     let serving = entry("b0", backend.address, "SERVING");
     let proxy = Proxy::start(std::slice::from_ref(&serving));
-    proxy.discovery.call().1.send((200, list(9, true, &[serving]))).unwrap();
+    proxy.discovery.next_call().1.send((200, list(9, true, &[serving]))).unwrap();
     let news = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
-    proxy.discovery.call().1.send((200, list(3, false, &news))).unwrap();
-    let (whole, answer) = proxy.discovery.call(); // the changes have been processed by now
+    proxy.discovery.next_call().1.send((200, list(3, false, &news))).unwrap();
+    let (whole, answer) = proxy.discovery.next_call(); // the changes have been processed by now
     assert_eq!(whole, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
     answer.send((200, list(3, true, &[entry("b1", other.address, "SERVING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.call();
+    let (_, _waits) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&pay(3.0)).body, b"y");
 }
 
@@ -154,19 +154,19 @@
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut clients = Vec::new();
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (request, old) in [(read(3.0), false), (read(3.0), true), (pay(3.0), false), (pay(3.0), true)] {
             for behind in ["", "GET /"] {
-                let client = if old { kept(&proxy) } else { proxy.client() };
+                let client = if old { kept_client(&proxy) } else { proxy.client() };
                 clients.push((client, how, request.clone() + behind));
             }
         }
     }
-    hold(&proxy);
+    stop_process(&proxy);
     let later = proxy.client(); // queued behind all of them before the program resumes
     let gone = clients.into_iter().map(|(mut client, how, request)| {
         client.send(&request);
-        leave(client, how)
+        disconnect(client, how)
     });
     let _held: Vec<Option<Client>> = gone.collect();
     proxy.signal("CONT");
@@ -181,14 +181,14 @@
 #[test]
 fn a_connection_to_discovery_that_does_not_come_up_is_given_up() {
     for settings in [SETTINGS.to_string(), asked()] {
-        let proxy = Proxy::with(&[], 1024, &settings);
-        let _first = proxy.discovery.call();
-        let unreached = Unreached::new();
+        let proxy = Proxy::with_settings(&[], 1024, &settings);
+        let _first = proxy.discovery.next_call();
+        let unreached = FullListener::new();
         proxy.move_discovery(unreached.address());
         proxy.signal("HUP");
-        let line = proxy.logged("discovery failed");
+        let line = proxy.wait_for_log("discovery failed");
         assert!(line.contains("no connection"), "{line}");
-        let call = unreached.first_request().first;
+        let call = unreached.first_request().start_line;
         assert!(call.starts_with("GET /api/targets"), "{call}");
     }
 }
@@ -199,24 +199,25 @@
 #[test]
 fn a_client_that_left_behind_further_bytes_has_nothing_sent_for_it() {
     std::thread::scope(|scope| {
-        for how in WAYS {
+        for how in DISCONNECTS {
             for request in [read(3.0), pay(3.0)] {
                 scope.spawn(move || {
-                    let backend = Unreached::new();
+                    let backend = FullListener::new();
                     let settings =
                         SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
-                    let proxy = Proxy::with(&[entry("b0", backend.address(), "SERVING")], 1024, &settings);
+                    let proxy =
+                        Proxy::with_settings(&[entry("b0", backend.address(), "SERVING")], 1024, &settings);
                     let mut client = proxy.client();
                     client.send(&request);
-                    backend.called();
+                    backend.wait_for_connect();
                     client.send("GET /");
-                    let _held = leave(client, how);
+                    let _held = disconnect(client, how);
                     let marker = read(3.0);
                     let mut later = proxy.client();
                     later.send(&marker);
                     let first = backend.first_request();
                     let id = first.header("x-correlation-id").expect("an id");
-                    assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.first);
+                    assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.start_line);
                 });
             }
         }
@@ -231,15 +232,15 @@
     std::thread::scope(|scope| {
         for news in ["DRAINING", "DELETED", "elsewhere"] {
             scope.spawn(move || {
-                let (old, other) = (Unreached::new(), BackendServer::start(|_| ok("other")));
+                let (old, other) = (FullListener::new(), BackendServer::start(|_| ok("other")));
                 let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
                 let serving = [entry("b0", old.address(), "SERVING")];
-                let proxy = Proxy::with(&serving, 1024, &settings);
-                proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-                let (_, answer) = proxy.discovery.call();
+                let proxy = Proxy::with_settings(&serving, 1024, &settings);
+                proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+                let (_, answer) = proxy.discovery.next_call();
                 let mut client = proxy.client();
                 client.send(&pay(3.0));
-                old.called();
+                old.wait_for_connect();
                 let told = match news {
                     "elsewhere" => vec![entry("b0", other.address, "SERVING")],
                     state => {
@@ -247,8 +248,8 @@
                     }
                 };
                 answer.send((200, list(10, false, &told))).unwrap();
-                let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
-                let mut peer = old.reached();
+                let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+                let mut peer = old.accept_other();
                 let status = client.answer().expect("an answer").status();
                 assert!(matches!(status, 200 | 503), "{news}: it never ran, and got {status}");
                 assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{news}");
@@ -268,18 +269,18 @@
         let gate = std::sync::Arc::new(Gate::default());
         let wait = gate.clone();
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-        let mut proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-        let _unanswered = proxy.discovery.call();
+        let mut proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+        let _unanswered = proxy.discovery.next_call();
         let (mut whole, mut half) = (proxy.client(), proxy.client());
         whole.send(&pay(3.0));
-        backend.request();
+        backend.next_request();
         let request = read(3.0);
         let (first, rest) = request.split_at(30);
         half.send(first);
         proxy.signal("TERM");
-        proxy.logged("stopping");
+        proxy.wait_for_log("stopping");
         half.send(rest);
-        backend.request();
+        backend.next_request();
         proxy.signal("TERM");
         gate.open();
         for client in [&mut whole, &mut half] {
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -27,10 +27,10 @@
 /// Starts a proxy whose discovery answers every call with 503.
 fn without_discovery(backend: &BackendServer) -> (Proxy, BackendServer) {
     let down = BackendServer::start(|_| Reply::Answer(503, "", String::new()));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], SOCKETS, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], SOCKETS, SETTINGS);
     proxy.move_discovery(down.address);
     proxy.signal("HUP");
-    down.request();
+    down.next_request();
     (proxy, down)
 }
 
@@ -43,7 +43,7 @@
         let (proxy, down) = without_discovery(&backend);
         let mut crowd = Vec::new();
         for round in 0..ROUNDS {
-            hold(&proxy);
+            stop_process(&proxy);
             let mut asking = Vec::new();
             for place in 0..=CROWD {
                 if [0, CROWD / 2, CROWD].contains(&place) {
@@ -66,7 +66,7 @@
                 }
             }
         }
-        down.request(); // discovery is still down and is called again
+        down.next_request(); // discovery is still down and is called again
     }
     assert!(slow.is_empty(), "{slow:#?}");
 }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -28,8 +28,8 @@
 /// Starts a proxy that holds version 9 of the list, in which `b0` serves.
 fn holding(backend: SocketAddr, settings: &str) -> Proxy {
     let serving = [entry("b0", backend, "SERVING")];
-    let proxy = Proxy::with(&serving, 1024, settings);
-    proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
+    let proxy = Proxy::with_settings(&serving, 1024, settings);
+    proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
     proxy
 }
 
@@ -48,19 +48,19 @@
 fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // closes the watch's connection
+    drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     let mut refused = 0;
     while down.elapsed() < Duration::from_secs(3) {
-        proxy.discovery.call().1.send((503, String::new())).unwrap();
+        proxy.discovery.next_call().1.send((503, String::new())).unwrap();
         refused += 1;
     }
-    let (_, _silent) = proxy.discovery.call();
+    let (_, _silent) = proxy.discovery.next_call();
     let reachable = Instant::now();
-    proxy.discovery.call().1.send((503, String::new())).unwrap();
+    proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
     let held = loop {
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
@@ -81,16 +81,16 @@
 fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // closes the watch's connection
+    drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     while down.elapsed() < Duration::from_secs(3) {
-        proxy.discovery.call().1.send((503, String::new())).unwrap();
+        proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     }
     let reachable = Instant::now();
-    let (_, _silent) = proxy.discovery.call();
+    let (_, _silent) = proxy.discovery.next_call();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
     let held = loop {
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
@@ -110,11 +110,11 @@
     std::thread::scope(|scope| {
         for settings in [SETTINGS.to_string(), asked()] {
             scope.spawn(move || {
-                let proxy = Proxy::with(&[], 1024, &settings);
-                let mut before = (proxy.discovery.call(), Instant::now());
+                let proxy = Proxy::with_settings(&[], 1024, &settings);
+                let mut before = (proxy.discovery.next_call(), Instant::now());
                 let mut out = Vec::new();
                 for _ in 0..4 {
-                    let next = (proxy.discovery.call(), Instant::now());
+                    let next = (proxy.discovery.next_call(), Instant::now());
                     let gap = next.1 - before.1;
                     let slack = Duration::from_millis(300); // for a busy machine
                     let bounds = silence - slack..silence + longest_pause + slack;
@@ -140,15 +140,15 @@
                     true => ((10, &serving), (11, &draining)),
                     false => ((11, &draining), (10, &serving)),
                 };
-                let proxy = Proxy::with(&serving, 1024, &asked());
-                proxy.discovery.call().1.send((200, list(9, false, &[]))).unwrap();
-                let (_, first) = proxy.discovery.call();
+                let proxy = Proxy::with_settings(&serving, 1024, &asked());
+                proxy.discovery.next_call().1.send((200, list(9, false, &[]))).unwrap();
+                let (_, first) = proxy.discovery.next_call();
                 let begun = Instant::now();
-                let (_, second) = proxy.discovery.call();
+                let (_, second) = proxy.discovery.next_call();
                 let gap = begun.elapsed();
                 assert!(gap < Duration::from_millis(10_900), "a second call after {gap:?}");
                 second.send((200, list(other.0, false, other.1))).unwrap();
-                let (watch, waits) = proxy.discovery.call();
+                let (watch, waits) = proxy.discovery.next_call();
                 assert!(watch.contains(&format!("after={}&", other.0)), "{watch}");
                 first.send((200, list(late.0, false, late.1))).expect("the first call is out still");
                 let end = Instant::now() + TOLD;
@@ -156,7 +156,7 @@
                     assert!(Instant::now() < end, "what the first call told was lost: {late:?}");
                 }
                 waits.send((200, list(11, false, &[]))).unwrap();
-                let (watch, _waits) = proxy.discovery.call();
+                let (watch, _waits) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
                 assert_eq!(proxy.ask(&read(3.0)).status(), 503, "older news undid newer");
             });
@@ -194,8 +194,8 @@
     for (fault, line) in faults {
         for settings in [SETTINGS.to_string(), asked()] {
             let backend = BackendServer::start(|_| ok("x"));
-            let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-            let (first, answer) = proxy.discovery.call();
+            let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+            let (first, answer) = proxy.discovery.next_call();
             let begun = Instant::now();
             let kept = match &fault {
                 Fault::Refuses => answer.send((503, String::new())).map(|()| None),
@@ -207,10 +207,10 @@
                 Fault::Babbles(text) => answer.send((200, text.clone())).map(|()| None),
             };
             let _kept = kept.unwrap();
-            let (again, _silent) = proxy.discovery.call();
+            let (again, _silent) = proxy.discovery.next_call();
             let took = begun.elapsed();
             assert!(took < Duration::from_millis(2_500), "{took:?} after {first} until {again}: {fault:?}");
-            let told = proxy.logged(line);
+            let told = proxy.wait_for_log(line);
             assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the list held is lost: {told}");
         }
     }
@@ -229,20 +229,20 @@
         lines.push(entry("b0", backend.address, "SERVING"));
         let whole = list(9, true, &lines);
         assert!(whole.len() > 9_000_000, "{}", whole.len());
-        let proxy = Proxy::with(&[], 1024, &asked());
+        let proxy = Proxy::with_settings(&[], 1024, &asked());
         let begun = Instant::now();
-        proxy.discovery.call().1.send((200, whole)).unwrap();
-        let (watch, changes) = proxy.discovery.call();
+        proxy.discovery.next_call().1.send((200, whole)).unwrap();
+        let (watch, changes) = proxy.discovery.next_call();
         println!("{count} lines: next call after {:?}", begun.elapsed());
         assert!(watch.contains("after=9&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DELETED")).collect();
         lines.push(entry("b0", backend.address, "DRAINING"));
         changes.send((200, list(10, false, &lines))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 503);
-        assert_eq!(proxy.call("PUT", "/admin/cordon", "s-0"), 200, "one that has left is forgotten");
+        assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "s-0"), 200, "one that has left is forgotten");
     }
 }
 
@@ -256,18 +256,18 @@
     for settings in [SETTINGS.to_string(), asked()] {
         let serving = entry("b0", leaving.address, "SERVING");
         for known in [serving, draining.clone()] {
-            let proxy = Proxy::with(&[known.clone(), stays.clone()], 1024, &settings);
+            let proxy = Proxy::with_settings(&[known.clone(), stays.clone()], 1024, &settings);
             if known == draining {
                 assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "drained by the list it began with");
             }
-            proxy.discovery.call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
-            let (_, changes) = proxy.discovery.call();
+            proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
+            let (_, changes) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the whole list");
             changes.send((200, list(10, false, std::slice::from_ref(&draining)))).unwrap();
-            let (_, gone) = proxy.discovery.call();
+            let (_, gone) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining by the changes after it");
             gone.send((200, list(11, false, &[draining.replace("DRAINING", "DELETED")]))).unwrap();
-            let (watch, _waits) = proxy.discovery.call();
+            let (watch, _waits) = proxy.discovery.next_call();
             assert!(watch.contains("after=11&"), "{watch}");
             assert_eq!((proxy.ask(&pay(3.0)).body, leaving.count()), (b"other".to_vec(), 0));
         }
@@ -284,9 +284,9 @@
     for settings in [SETTINGS.to_string(), asked()] {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::launched(&serving, 1024, &settings, 64);
-        proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-        let (_, watch) = proxy.discovery.call();
+        let proxy = Proxy::with_descriptor_limit(&serving, 1024, &settings, 64);
+        proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+        let (_, watch) = proxy.discovery.next_call();
         let half = pay(9.0);
         let half = &half[..half.len() - 2];
         let clients: Vec<Client> = (0..300).map(|_| proxy.client()).collect();
@@ -296,20 +296,20 @@
         });
         let clients: Vec<Client> = clients.collect();
         let descriptors = format!("/proc/{}/fd", proxy.child.id());
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while std::fs::read_dir(&descriptors).unwrap().count() < 64 {
             assert!(Instant::now() < end, "the descriptors are never used up");
         }
         drop(watch);
         for _ in 0..REFUSED {
             let begun = Instant::now();
-            proxy.discovery.call().1.send((503, String::new())).unwrap();
+            proxy.discovery.next_call().1.send((503, String::new())).unwrap();
             let took = begun.elapsed();
             assert!(took < Duration::from_millis(2_200), "{took:?} until the next call");
         }
-        let (_, answer) = proxy.discovery.call();
+        let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         drop(clients);
     }
@@ -323,19 +323,19 @@
         let backend = BackendServer::start(|_| ok("x"));
         let listed = |state| vec![entry("b0", backend.address, state)];
         let proxy = holding(backend.address, &settings);
-        proxy.discovery.call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        proxy.discovery.next_call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
+        let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "it drains");
         let lagging = DiscoveryServer::start();
         proxy.move_discovery(lagging.address);
         proxy.signal("HUP");
-        lagging.call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
-        let (watch, waits) = lagging.call(); // the list has been applied by now
+        lagging.next_call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
+        let (watch, waits) = lagging.next_call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
         // Once it has caught up, its lists count again.
         waits.send((200, list(11, false, &listed("SERVING")))).unwrap();
-        let (watch, _waits) = lagging.call();
+        let (watch, _waits) = lagging.next_call();
         assert!(watch.contains("after=11&"), "{watch}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     }
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -63,8 +63,8 @@
         // Sixteen names for one backend: on a single one the module keeps no more than four attempts in flight.
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
-        let proxy = Proxy::operated_by(&known, &self.operators[n], &settings);
-        let line = proxy.logged("fleet listening");
+        let proxy = Proxy::with_operator_file_and_settings(&known, &self.operators[n], &settings);
+        let line = proxy.wait_for_log("fleet listening");
         let at = line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap();
         self.links.member(n, at.parse().unwrap());
         proxy
@@ -98,7 +98,7 @@
 }
 
 fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !is() {
         assert!(Instant::now() < end, "not before the test's patience ended: {what}");
         std::thread::sleep(Duration::from_millis(20));
@@ -134,7 +134,7 @@
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let at = *address.lock().unwrap();
                     let answer = std::net::TcpStream::connect(at).ok().and_then(|tcp| {
-                        tcp.set_read_timeout(Some(PATIENCE)).ok()?;
+                        tcp.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
                         let mut client = Client(std::io::BufReader::new(tcp));
                         std::io::Write::write_all(client.0.get_mut(), request().as_bytes()).ok()?;
                         client.answer()
@@ -236,8 +236,8 @@
     let seen = load.end();
     holds_the_bound(&seen, 60.0, 0.2);
     let mut ids = HashSet::new();
-    while let Ok(seen) = fleet.backend.seen.try_recv() {
-        if let rig::Seen::Request(m) = seen {
+    while let Ok(event) = fleet.backend.events.try_recv() {
+        if let rig::BackendEvent::Request(m) = event {
             let id = m.header("x-correlation-id").unwrap().to_string();
             assert!(ids.insert(id.clone()), "{id} ran twice");
         }
@@ -285,14 +285,14 @@
     std::fs::write(&other, text).unwrap();
     let settings =
         SETTINGS.replace("\"position\":0", "\"position\":3").replace("\"group_size\":1", "\"group_size\":4");
-    let stranger = Proxy::operated_by(&[], &other, &settings);
-    let line = stranger.logged("fleet listening");
+    let stranger = Proxy::with_operator_file_and_settings(&[], &other, &settings);
+    let line = stranger.wait_for_log("fleet listening");
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
     fleet.links.member(3, at);
     until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
-        .logged("fleet datagram rejected")
+        .wait_for_log("fleet datagram rejected")
         .contains("another site, fleet or set of limits"));
 }
 
@@ -304,7 +304,7 @@
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{{"sockets":1024}},"settings":{SETTINGS}}}"#
     );
-    let out = launch(Some(&config)).env("NODE_OPERATOR", &path).output().unwrap();
+    let out = serve_command(Some(&config)).env("NODE_OPERATOR", &path).output().unwrap();
     let told = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
         !out.status.success() && told.contains("limit \"x\": the settings have no class \"raed\""),
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -53,7 +53,7 @@
             _ => Reply::Gate(shut.clone()),
         });
         let list = [entry("b0", backend.address, "SERVING")];
-        let mut proxy = Proxy::operated(&list, &on(&place, &format!("mode = \"{mode}\"")));
+        let mut proxy = Proxy::with_operator_file(&list, &on(&place, &format!("mode = \"{mode}\"")));
         let (paid, failed, cut) = (pay(3.0), pay(3.0), pay(3.0));
         assert_eq!(proxy.ask(&paid).status(), 200);
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
@@ -63,7 +63,7 @@
         assert!(told.contains("0: b0 at ") && told.contains("sent, answered 200"), "{told}");
         let mut client = proxy.client();
         client.send(&cut);
-        (0..4).for_each(|_| drop(backend.request())); // the last one has reached the backend
+        (0..4).for_each(|_| drop(backend.next_request())); // the last one has reached the backend
         proxy.child.kill().unwrap();
         proxy.child.wait().unwrap();
         let told = ledger(&place, &["query", "--state", "possibly-sent", "--format", "csv"]);
@@ -86,7 +86,7 @@
         let place = folder(&more[14..20].replace('"', ""));
         let backend = BackendServer::start(|_| ok("x"));
         let list = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::operated_within(&list, &on(&place, more), Some(64));
+        let proxy = Proxy::with_file_limit(&list, &on(&place, more), Some(64));
         let answer = proxy.ask(&pay(3.0));
         assert_eq!(answer.status(), 503, "{more}");
         assert!(answer.header("retry-after").is_some());
@@ -106,7 +106,7 @@
     let place = folder("orderly");
     let backend = BackendServer::start(|_| ok("x"));
     let more = "on_failure = \"go-on\"";
-    let mut proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &on(&place, more));
+    let mut proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &on(&place, more));
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     let open = ledger(&place, &["query", "--id", "unknown"]);
     assert!(open.contains("nothing is proved"), "it runs, and may go on without records: {open}");
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -33,15 +33,15 @@
 fn calls_are_answered_yes_or_no() {
     let (a, b) = two();
     let proxy = Proxy::start(&both(&a, &b));
-    assert_eq!(proxy.call("GET", "/admin/health", ""), 200);
-    assert_eq!(proxy.call("PUT", "/admin/health", ""), 405);
-    assert_eq!(proxy.call("GET", "/admin/cordon", ""), 405);
-    assert_eq!(proxy.call("GET", "/admin", ""), 404);
+    assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
+    assert_eq!(proxy.operator_call("PUT", "/admin/health", ""), 405);
+    assert_eq!(proxy.operator_call("GET", "/admin/cordon", ""), 405);
+    assert_eq!(proxy.operator_call("GET", "/admin", ""), 404);
     for path in ["/admin/cordon", "/admin/uncordon"] {
-        assert_eq!(proxy.call("PUT", path, ""), 400);
-        assert_eq!(proxy.call("PUT", path, "nobody"), 404);
-        assert_eq!(proxy.call("PUT", path, &"b".repeat(5000)), 413);
-        assert_eq!(proxy.call("PUT", path, " b0\n"), 200);
+        assert_eq!(proxy.operator_call("PUT", path, ""), 400);
+        assert_eq!(proxy.operator_call("PUT", path, "nobody"), 404);
+        assert_eq!(proxy.operator_call("PUT", path, &"b".repeat(5000)), 413);
+        assert_eq!(proxy.operator_call("PUT", path, " b0\n"), 200);
     }
     assert_eq!(proxy.ask("GET /admin/health HTTP/1.1\r\nHost: s\r\n\r\n").status(), 404, "not for clients");
 }
@@ -53,8 +53,8 @@
     let proxy = Proxy::start(&both(&a, &b));
     let mut silent: Vec<Client> = (0..40).map(|_| Client::connect(proxy.admin)).collect();
     silent[3].send("PUT /admin/cordon HTTP/1.1\r\nContent-Length: 2\r\n\r\nb");
-    assert_eq!(proxy.call("GET", "/admin/health", ""), 200);
-    assert_eq!(proxy.call("PUT", "/admin/cordon", "b1"), 200);
+    assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
+    assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b1"), 200);
     silent.iter_mut().for_each(|caller| assert!(caller.ended()));
     let before = a.count();
     serve(&proxy, 20);
@@ -69,23 +69,23 @@
     let proxy = Proxy::start(&both(&a, &b));
     serve(&proxy, 40);
     assert!(a.count() > 0 && b.count() > 0, "both are in use");
-    assert_eq!(proxy.call("PUT", "/admin/cordon", "b0"), 200);
-    a.closed(); // its idle connections are closed
-    assert_eq!(proxy.call("PUT", "/admin/cordon", "b0"), 200);
+    assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b0"), 200);
+    a.wait_for_close(); // its idle connections are closed
+    assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b0"), 200);
     let before = a.count();
     serve(&proxy, 40);
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(9, true, &both(&a, &b)))).unwrap();
-    let (_, answer) = proxy.discovery.call(); // the list has been applied by now
+    let (_, answer) = proxy.discovery.next_call(); // the list has been applied by now
     serve(&proxy, 40);
     // It leaves the list and returns, as when it is restarted.
     answer.send((200, list(10, false, &[entry("b0", a.address, "DELETED")]))).unwrap();
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(11, false, &[entry("b0", a.address, "SERVING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.call();
+    let (_, _waits) = proxy.discovery.next_call();
     serve(&proxy, 40);
     assert_eq!(a.count(), before, "nothing new goes to it");
-    assert_eq!(proxy.call("PUT", "/admin/uncordon", "b0"), 200);
+    assert_eq!(proxy.operator_call("PUT", "/admin/uncordon", "b0"), 200);
     let mut sent = 0;
     while a.count() == before {
         assert!(sent < 2000, "it was never used again");
@@ -99,10 +99,10 @@
 fn a_cordon_outlasts_its_process_and_binds_the_next() {
     let (a, b) = two();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = Proxy::inheriting(&both(&a, &b), &listener);
-    assert_eq!(old.call("PUT", "/admin/cordon", "b0"), 200);
+    let old = Proxy::with_inherited_listener(&both(&a, &b), &listener);
+    assert_eq!(old.operator_call("PUT", "/admin/cordon", "b0"), 200);
     let mut new = old.successor(&both(&a, &b), &listener);
-    assert_eq!(new.call("GET", "/admin/health", ""), 200);
+    assert_eq!(new.operator_call("GET", "/admin/health", ""), 200);
     serve(&new, 40);
     assert_eq!(a.count(), 0, "both know of it");
     drop(old);
@@ -126,12 +126,12 @@
 fn a_call_to_one_process_binds_the_other() {
     let (a, b) = two();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = Proxy::inheriting(&both(&a, &b), &listener);
+    let old = Proxy::with_inherited_listener(&both(&a, &b), &listener);
     let mut kept = old.client(); // the only process that listens yet
     (0..40).for_each(|_| assert_eq!(kept.ask(&pay(3.0)).status(), 200));
     let new = old.successor(&both(&a, &b), &listener);
-    assert_eq!(new.call("PUT", "/admin/cordon", "b0"), 200);
-    a.closed(); // only the old process had a connection to it
+    assert_eq!(new.operator_call("PUT", "/admin/cordon", "b0"), 200);
+    a.wait_for_close(); // only the old process had a connection to it
     let before = a.count();
     (0..60).for_each(|_| assert_eq!(kept.ask(&pay(3.0)).status(), 200));
     assert_eq!(a.count(), before);
@@ -142,11 +142,11 @@
 fn an_inherited_listener_is_served() {
     let (a, b) = two();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let proxy = Proxy::inheriting(&both(&a, &b), &listener);
+    let proxy = Proxy::with_inherited_listener(&both(&a, &b), &listener);
     assert_eq!(proxy.address, listener.local_addr().unwrap());
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     for (fd, says) in [("3", "no listening TCP socket"), ("77", "not open"), ("x", "expected the number")] {
-        let out = launch(Some(&proxy.config.1)).env("NODE_SOCKET_FD", fd).output().unwrap();
+        let out = serve_command(Some(&proxy.config.1)).env("NODE_SOCKET_FD", fd).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(!out.status.success() && text.contains(says), "{fd}: {text}");
     }
@@ -171,11 +171,11 @@
     let proxy = Proxy::start(&[entry("b0", paid.address, "SERVING")]);
     let (mut open, mut dropped) = (proxy.client(), proxy.client());
     open.send(&pay(3.0));
-    paid.request();
+    paid.next_request();
     dropped.send(&get("read", "d1"));
-    paid.request();
+    paid.next_request();
     proxy.reconfigure(&other_settings(&proxy.config.1));
-    let line = proxy.logged("configuration applied");
+    let line = proxy.wait_for_log("configuration applied");
     for told in ["with class draw", "without class read", "attempts 1 instead of 4"] {
         assert!(line.contains(told), "{line}");
     }
@@ -189,7 +189,7 @@
     assert_ne!(dropped.answer().unwrap().status(), 404, "its class was there when it came");
     assert!(paid.count() <= before + 1, "the unsafe one is not repeated");
     proxy.reconfigure(&proxy.config.1);
-    assert!(proxy.logged("configuration applied").contains("with class read"));
+    assert!(proxy.wait_for_log("configuration applied").contains("with class read"));
     assert_eq!(proxy.ask(&get("read", "n4")).status(), 200, "a class may come back");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
@@ -203,17 +203,17 @@
     let proxy = Proxy::start(&[entry("b0", paid.address, "SERVING")]);
     let mut open = proxy.client();
     open.send(&pay(3.0));
-    paid.request();
+    paid.next_request();
     let without = proxy.config.1.replace(r#""name":"pay""#, r#""name":"cash""#);
     proxy.reconfigure(&without);
-    assert!(proxy.logged("configuration applied").contains("without class pay"));
+    assert!(proxy.wait_for_log("configuration applied").contains("without class pay"));
     let free = without.replace(r#""name":"cash""#, r#""name":"draw""#).replace("single_shot", "free");
     let free = free.replace(r#""name":"vote""#, r#""name":"poll""#);
     for (file, told) in
         [(&free, "with class draw"), (&without, "with class cash"), (&free, "with class poll")]
     {
         proxy.reconfigure(file);
-        assert!(proxy.logged("configuration applied").contains(told));
+        assert!(proxy.wait_for_log("configuration applied").contains(told));
     }
     assert_eq!(proxy.ask(&get("draw", "n2")).status(), 200);
     let before = paid.count();
@@ -236,7 +236,7 @@
     let (opened, writer) = mpsc::channel();
     let pipe = path.clone();
     std::thread::spawn(move || opened.send(File::options().write(true).open(pipe).unwrap()));
-    let mut writer = writer.recv_timeout(PATIENCE).expect("the file is read");
+    let mut writer = writer.recv_timeout(TEST_TIMEOUT).expect("the file is read");
     assert_eq!(proxy.ask(&read(3.0)).status(), 200, "while it is read");
     let last = proxy.config.1.replace(r#""name":"read""#, r#""name":"view""#);
     std::fs::write(&slow, last).unwrap();
@@ -245,8 +245,8 @@
     assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the one before is not read yet");
     writer.write_all(other_settings(&proxy.config.1).as_bytes()).unwrap();
     drop(writer);
-    assert!(proxy.logged("configuration applied").contains("with class draw"));
-    let line = proxy.logged("configuration applied");
+    assert!(proxy.wait_for_log("configuration applied").contains("with class draw"));
+    let line = proxy.wait_for_log("configuration applied");
     assert!(line.contains("with class view") && line.contains("without class draw"), "{line}");
     assert_eq!(proxy.ask(&get("view", "1")).status(), 200);
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 404);
@@ -287,16 +287,16 @@
     ];
     for file in broken {
         proxy.reconfigure(&file);
-        proxy.logged("configuration rejected");
+        proxy.wait_for_log("configuration rejected");
         assert_eq!(proxy.ask(&get("draw", "1")).status(), 404, "{file}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{file}");
     }
-    let (_, waits) = proxy.discovery.call();
+    let (_, waits) = proxy.discovery.next_call();
     waits.send((200, list(9, true, &both(&a, &b)))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // discovery is still at the old address
+    let (_, _waits) = proxy.discovery.next_call(); // discovery is still at the old address
     proxy.reconfigure(&good);
-    proxy.logged("configuration applied");
-    elsewhere.call();
+    proxy.wait_for_log("configuration applied");
+    elsewhere.next_call();
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 200);
 }
 
@@ -309,25 +309,25 @@
     let first = BackendServer::start(move |n| if n == 1 { Reply::Gate(held.clone()) } else { ok("first") });
     let second = BackendServer::start(|_| ok("second"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut old = Proxy::inheriting(&[entry("b0", first.address, "SERVING")], &listener);
+    let mut old = Proxy::with_inherited_listener(&[entry("b0", first.address, "SERVING")], &listener);
     let (mut idle, mut open) = (old.client(), old.client());
     assert_eq!(idle.ask(&read(3.0)).body, b"first");
     open.send(&pay(3.0));
-    (0..2).for_each(|_| drop(first.request()));
+    (0..2).for_each(|_| drop(first.next_request()));
     old.signal("TERM");
     assert!(idle.ended());
-    old.logged("stopping");
+    old.wait_for_log("stopping");
     let mut late = old.client();
     late.send(&read(3.0));
     let new = old.successor(&[entry("b1", second.address, "SERVING")], &listener);
-    assert_eq!(new.call("GET", "/admin/health", ""), 200);
+    assert_eq!(new.operator_call("GET", "/admin/health", ""), 200);
     assert_eq!(late.answer().unwrap().body, b"second", "the old process leaves the queue alone");
-    assert_eq!(old.call("GET", "/admin/health", ""), 503, "it takes no clients any more");
-    new.logged("processes=2");
+    assert_eq!(old.operator_call("GET", "/admin/health", ""), 503, "it takes no clients any more");
+    new.wait_for_log("processes=2");
     gate.open();
     let answer = open.answer().unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(old.child.wait().unwrap().success());
-    new.logged("processes=1");
+    new.wait_for_log("processes=1");
     assert_eq!(new.ask(&read(3.0)).body, b"second", "the new one goes on");
 }
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -29,7 +29,7 @@
 
 /// Returns the port on which the front listens, from the log.
 fn port(proxy: &Proxy) -> u16 {
-    let line = proxy.logged("postgres listening");
+    let line = proxy.wait_for_log("postgres listening");
     let at = line.split("address=127.0.0.1:").nth(1).unwrap();
     at.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
@@ -40,7 +40,7 @@
     let test = async {
         let (at, seen) = stand_in::stand_in().await;
         let path = operator("serves", &format!("{{ name = \"pg-1\", address = \"{at}\" }}"));
-        let mut proxy = Proxy::operated(&[], &path);
+        let mut proxy = Proxy::with_operator_file(&[], &path);
         let mut config = tokio_postgres::Config::new();
         config.host("127.0.0.1").port(port(&proxy)).user("ann").password("do re mi").dbname("scores");
         let (client, connection) = config.connect(tokio_postgres::NoTls).await.unwrap();
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -32,8 +32,8 @@
     );
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"the body"[..]));
     assert_eq!(answer.header("content-type"), Some("text/x"));
-    let got = backend.request();
-    assert_eq!(got.first, "POST /vote/k%201?q=%2F HTTP/1.1");
+    let got = backend.next_request();
+    assert_eq!(got.start_line, "POST /vote/k%201?q=%2F HTTP/1.1");
     assert_eq!((got.header("x-correlation-id"), got.header("idempotency-key")), (Some("00aa"), Some("77")));
     assert_eq!((&got.body[..], got.header("x-private")), (&b"abc"[..], None));
     let left: f64 = got.header("x-time-left").unwrap().parse().unwrap();
@@ -112,13 +112,13 @@
 /// requests for the random choice to meet one.
 #[test]
 fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
-    let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
+    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
     let proxy = one(&good);
     warm_up(&proxy);
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.call(); // the list has been applied by now
+    let _hold = proxy.discovery.next_call(); // the list has been applied by now
     let before = good.count();
     for _ in 0..30 {
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
@@ -144,7 +144,7 @@
 fn a_refusal_has_no_advice_where_the_settings_bar_it() {
     let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
     let barred = SETTINGS.replace("\"max_retry_after_us\"", "\"retry_after\":false,\"max_retry_after_us\"");
-    let proxy = Proxy::with(&[entry("b0", away.address, "SERVING")], 1024, &barred);
+    let proxy = Proxy::with_settings(&[entry("b0", away.address, "SERVING")], 1024, &barred);
     let advised = || {
         let answer = proxy.ask(&pay(3.0));
         assert_eq!(answer.status(), 503);
@@ -152,7 +152,7 @@
     };
     assert!(!advised());
     proxy.reconfigure(&proxy.config.1.replace("\"retry_after\":false", "\"retry_after\":true"));
-    proxy.logged("configuration applied");
+    proxy.wait_for_log("configuration applied");
     assert!(advised());
 }
 
@@ -164,7 +164,7 @@
     let status = proxy.ask(&pay(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
     assert!(begun.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
-    backend.closed(); // the attempt was cancelled with the request
+    backend.wait_for_close(); // the attempt was cancelled with the request
     assert_eq!(proxy.ask(&read(0.3)).status(), 503, "a safe one is harmless to repeat");
 }
 
@@ -174,9 +174,9 @@
     let proxy = one(&backend);
     let mut client = proxy.client();
     client.send(&read(3.0));
-    backend.request();
+    backend.next_request();
     drop(client);
-    backend.closed();
+    backend.wait_for_close();
     assert_eq!(backend.count(), 1);
 }
 
@@ -201,7 +201,7 @@
     for round in 1..=5 {
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
         assert_eq!(backend.count(), round);
-        backend.closed();
+        backend.wait_for_close();
     }
 }
 
@@ -209,9 +209,9 @@
 fn a_connection_is_retired_before_the_backends_idle_limit() {
     let backend = BackendServer::start(|_| ok("x"));
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
-    backend.closed();
+    backend.wait_for_close();
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     assert_eq!(backend.connections.load(SeqCst), 2);
 }
@@ -221,33 +221,33 @@
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let proxy = one(&old);
     assert_eq!(proxy.ask(&read(3.0)).body, b"old");
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     let bad = r#"{"name":7},{"name":"x","address":"nowhere","status":"SERVING"}"#.to_string();
     let odd = entry("b9", old.address, "RESTING");
     answer.send((200, list(9, true, &[bad, odd, entry("b0", old.address, "SERVING")]))).unwrap();
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert!(target.starts_with("GET /api/targets?after=9&wait_ms="), "{target}");
     let change = [entry("b0", old.address, "DRAINING"), entry("b1", new.address, "SERVING")];
     answer.send((200, list(10, false, &change))).unwrap();
-    let (target, answer) = proxy.discovery.call(); // the change has been applied by now
+    let (target, answer) = proxy.discovery.next_call(); // the change has been applied by now
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
         assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "nothing new for one that drains");
     }
     answer.send((503, String::new())).unwrap();
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert!(target.contains("after=10&"), "a failure is asked again: {target}");
     answer.send((200, "no list".into())).unwrap();
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert!(target.contains("after=10&"), "so is nonsense: {target}");
     drop(answer); // the connection breaks
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(3, false, &[]))).unwrap();
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1", "a gap means the whole list");
     answer.send((200, list(3, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
-    let (target, _hold) = proxy.discovery.call();
+    let (target, _hold) = proxy.discovery.next_call();
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "what is absent from the whole list is gone");
     assert_eq!(old.count(), 2);
@@ -287,7 +287,7 @@
     for left in ["", "X-Time-Left: 1e300\r\n"] {
         let request = format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
         assert_eq!(proxy.ask(&request).status(), 200, "{left}");
-        let told: f64 = backend.request().header("x-time-left").unwrap().parse().unwrap();
+        let told: f64 = backend.next_request().header("x-time-left").unwrap().parse().unwrap();
         assert!(told > 1.0 && told <= 3.0, "the class's deadline: {told}");
     }
 }
@@ -298,7 +298,7 @@
     for (config, expected) in
         [(None, "--config <CONFIG>"), (Some("{"), "line 1"), (Some("{}"), "name"), (Some(sound), "settings")]
     {
-        let out = launch(config).output().unwrap();
+        let out = serve_command(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{config:?}");
         assert!(text.contains(expected) && !text.contains("panicked"), "{config:?}: {text}");
@@ -309,7 +309,7 @@
 #[test]
 fn at_the_bound_idle_connections_make_way() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
         .map(|_| {
             let mut client = proxy.client();
@@ -339,7 +339,7 @@
     let (mut first, mut second) = (proxy.client(), proxy.client());
     for client in [&mut first, &mut second] {
         client.send(&read(3.0));
-        backend.request();
+        backend.next_request();
     }
     gate.open();
     for client in [&mut first, &mut second] {
@@ -356,7 +356,7 @@
 #[test]
 fn running_out_of_descriptors_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
+    let proxy = Proxy::with_descriptor_limit(&[entry("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
     let mut idle = Vec::new();
     for _ in 0..60 {
         let mut client = proxy.client();
@@ -370,7 +370,7 @@
 #[test]
 fn heads_that_never_end_do_not_shut_others_out() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = proxy.client();
@@ -395,13 +395,13 @@
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     }
     busy.send(&pay(3.0));
-    backend.request();
+    backend.next_request();
     proxy.signal("TERM");
-    proxy.logged("stopping");
+    proxy.wait_for_log("stopping");
     for client in [&mut kept, &mut proxy.client()] {
         assert_eq!(client.ask(&pay(2.0)).status(), 200, "new connections and kept ones go on for a while");
     }
-    assert_eq!(proxy.call("GET", "/admin/health", ""), 503, "operators know better");
+    assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 503, "operators know better");
     assert!(idle.ended(), "an idle connection is closed");
     gate.open();
     assert_eq!(busy.answer().expect("the answer that was owed").body, b"gated");
@@ -414,15 +414,15 @@
     let ((bad, switch), good) = (turning(|| Reply::Reset), BackendServer::start(|_| ok("counted")));
     let proxy = two(&bad, &good);
     warm_up(&proxy);
-    while bad.seen.try_recv().is_ok() || good.seen.try_recv().is_ok() {}
+    while bad.events.try_recv().is_ok() || good.events.try_recv().is_ok() {}
     switch.store(true, SeqCst);
     let before = bad.count();
     for sent in 0.. {
         assert!(sent < 100, "the draw never met it");
         assert_eq!(proxy.ask(&vote(3.0)).status(), 200);
-        let served = good.request();
+        let served = good.next_request();
         if bad.count() > before {
-            let reset = bad.request();
+            let reset = bad.next_request();
             assert_eq!(reset.header("idempotency-key"), served.header("idempotency-key"));
             assert_eq!(reset.header("x-correlation-id"), served.header("x-correlation-id"));
             return;
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -32,10 +32,10 @@
 
 /// Starts a proxy, waits until it has saved the list that discovery gave it, and kills it.
 fn kept(operator: &Path, entries: &[String]) {
-    let proxy = Proxy::operated(&[], operator);
-    let (_, answer) = proxy.discovery.call();
+    let proxy = Proxy::with_operator_file(&[], operator);
+    let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(9, true, entries))).unwrap();
-    assert!(proxy.logged("state written").contains("index=9"));
+    assert!(proxy.wait_for_log("state written").contains("index=9"));
     // Dropping the proxy kills it with SIGKILL.
 }
 
@@ -46,14 +46,14 @@
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
     let (operator, _) = keeping("power", 600);
     kept(&operator, &[entry("b0", first.address, "SERVING")]);
-    let proxy = Proxy::operated(&[], &operator);
-    assert!(proxy.logged("endpoint list restored").contains("index=9"));
-    let (_, answer) = proxy.discovery.call();
+    let proxy = Proxy::with_operator_file(&[], &operator);
+    assert!(proxy.wait_for_log("endpoint list restored").contains("index=9"));
+    let (_, answer) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&read(3.0)).body, b"first", "served with discovery silent");
     let told = Instant::now();
     let drained = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(12, true, &drained))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // the list has been applied by now
+    let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
     assert_eq!(proxy.ask(&read(3.0)).body, b"second");
     assert!(told.elapsed().as_millis() < 500, "{:?}", told.elapsed());
     assert_eq!(first.count(), 1, "nothing new to the drained backend");
@@ -80,8 +80,8 @@
     ];
     for (bytes, told) in cases {
         std::fs::write(&file, bytes).unwrap();
-        let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-        assert!(proxy.logged("endpoint list not restored").contains(told), "{told}");
+        let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+        assert!(proxy.wait_for_log("endpoint list not restored").contains(told), "{told}");
         assert_eq!(proxy.ask(&read(3.0)).body, b"known");
     }
 }
@@ -90,7 +90,7 @@
 /// start of the other cost a few refusals, each at once and with `Retry-After`.
 #[test]
 fn a_list_hours_old_is_weighed_by_its_age() {
-    let (gone, backend) = (Refusing::new(), BackendServer::start(|_| ok("here")));
+    let (gone, backend) = (RefusingPort::new(), BackendServer::start(|_| ok("here")));
     let entries = [entry("b0", gone.address(), "SERVING"), entry("b1", backend.address, "SERVING")];
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let three_hours = 3 * 3_600_000;
@@ -106,9 +106,9 @@
             list: body,
         };
         std::fs::write(folder.join("n0.state"), encode(&saved)).unwrap();
-        let proxy = Proxy::operated(&[], &operator);
+        let proxy = Proxy::with_operator_file(&[], &operator);
         if taken {
-            proxy.logged("endpoint list restored");
+            proxy.wait_for_log("endpoint list restored");
             let told: Vec<(u16, bool)> = (0..8)
                 .map(|_| proxy.ask(&read(3.0)))
                 .map(|m| (m.status(), m.header("retry-after").is_some()))
@@ -118,7 +118,7 @@
             assert!(told.iter().all(|t| *t == (200, false) || *t == (503, true)), "{told:?}");
             assert!(told.iter().filter(|t| t.0 == 200).count() >= 4, "{told:?}");
         } else {
-            assert!(proxy.logged("endpoint list not restored").contains("too old"));
+            assert!(proxy.wait_for_log("endpoint list not restored").contains("too old"));
         }
     }
 }
@@ -128,10 +128,10 @@
 fn a_second_process_with_the_same_folder_only_reads() {
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, _) = keeping("two", 600);
-    let first = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    first.logged("no saved endpoint list");
-    let second = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    second.logged("state is locked by another process");
+    let first = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+    first.wait_for_log("no saved endpoint list");
+    let second = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+    second.wait_for_log("state is locked by another process");
     assert_eq!(second.ask(&read(3.0)).body, b"b");
 }
 
@@ -141,12 +141,12 @@
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = keeping("full", 600);
     kept(&operator, &[entry("b0", backend.address, "SERVING")]);
-    let proxy = Proxy::operated_within(&[], &operator, Some(1));
-    proxy.logged("endpoint list restored");
-    let (_, answer) = proxy.discovery.call();
+    let proxy = Proxy::with_file_limit(&[], &operator, Some(1));
+    proxy.wait_for_log("endpoint list restored");
+    let (_, answer) = proxy.discovery.next_call();
     let many: Vec<String> = (0..20).map(|i| entry(&format!("b{i}"), backend.address, "SERVING")).collect();
     answer.send((200, list(15, true, &many))).unwrap();
-    proxy.logged("state write failed");
+    proxy.wait_for_log("state write failed");
     let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
     assert_eq!(kept.index, 9);
 }
@@ -172,12 +172,12 @@
         (0..4000).map(|i| entry(&format!("backend-{i:05}"), backend.address, "SERVING")).collect();
     let (mut index, mut last, mut torn) = (10, 0, 0);
     for _ in 0..20 {
-        let proxy = Proxy::operated(&[], &operator);
+        let proxy = Proxy::with_operator_file(&[], &operator);
         let until = Instant::now() + std::time::Duration::from_millis(120 + roll(200));
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until || !file.exists() {
             assert!(Instant::now() < end, "seed {seed}: no list was ever kept");
-            let (_, answer) = proxy.discovery.call();
+            let (_, answer) = proxy.discovery.next_call();
             index += 1;
             answer.send((200, list(index, true, &entries[..2000 + roll(2000) as usize]))).unwrap();
         }
@@ -201,12 +201,12 @@
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = keeping("learned", 600);
     {
-        let proxy = Proxy::operated(&[], &operator);
-        let (_, answer) = proxy.discovery.call();
+        let proxy = Proxy::with_operator_file(&[], &operator);
+        let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-        let (_, _waits) = proxy.discovery.call();
+        let (_, _waits) = proxy.discovery.next_call();
         (0..20).for_each(|_| drop(proxy.ask(&read(3.0))));
-        while !proxy.logged("state written").contains("n0.learned") {}
+        while !proxy.wait_for_log("state written").contains("n0.learned") {}
     }
     let file = folder.join("n0.learned");
     let sound = std::fs::read(&file).unwrap();
@@ -214,8 +214,8 @@
     assert!(learned.overall_latency.samples >= 1.0 && learned.overall_latency.value > 0.0, "{learned:?}");
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
     let again = || {
-        let proxy = Proxy::operated(&[], &operator);
-        let told = proxy.logged("estimates");
+        let proxy = Proxy::with_operator_file(&[], &operator);
+        let told = proxy.wait_for_log("estimates");
         assert_eq!(proxy.ask(&read(3.0)).body, b"b");
         told
     };
@@ -241,15 +241,15 @@
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = keeping("handed", 600);
     let known = [entry("b0", backend.address, "SERVING")];
-    let first = Proxy::operated(&known, &operator);
-    first.logged("no saved endpoint list");
-    let second = Proxy::operated(&known, &operator);
-    second.logged("state is locked by another process");
+    let first = Proxy::with_operator_file(&known, &operator);
+    first.wait_for_log("no saved endpoint list");
+    let second = Proxy::with_operator_file(&known, &operator);
+    second.wait_for_log("state is locked by another process");
     drop(first);
-    second.logged("this one writes the state now");
-    let (_, answer) = second.discovery.call();
+    second.wait_for_log("this one writes the state now");
+    let (_, answer) = second.discovery.next_call();
     answer.send((200, list(21, true, &known))).unwrap();
-    assert!(second.logged("state written").contains("index=21"));
+    assert!(second.wait_for_log("state written").contains("index=21"));
     let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
     assert_eq!(kept.index, 21);
 }
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -23,7 +23,7 @@
     let backend = BackendServer::start(|_| ok("x"));
     let known = [entry("b0", backend.address, "SERVING")];
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut proxy = Proxy::inheriting(&known, &listener);
+    let mut proxy = Proxy::with_inherited_listener(&known, &listener);
     let mut late = Vec::new();
     for restart in 0..RESTARTS {
         let begun = Instant::now();
--- a/crates/lotusdeck/tests/rig/backend.rs
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -1,7 +1,7 @@
 //! Backends with prepared replies, which report connections and requests to the test.
 
 use super::message::Message;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -44,12 +44,12 @@
         self.1.notify_all();
     }
     pub(crate) fn wait(&self) {
-        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open).unwrap();
+        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), TEST_TIMEOUT, |open| !*open).unwrap();
     }
 }
 
 #[derive(Debug)]
-pub(crate) enum Seen {
+pub(crate) enum BackendEvent {
     Connected,
     Request(Message),
     /// A connection was closed by either side.
@@ -58,7 +58,7 @@
 
 pub(crate) struct BackendServer {
     pub address: SocketAddr,
-    pub seen: mpsc::Receiver<Seen>,
+    pub events: mpsc::Receiver<BackendEvent>,
     pub connections: Arc<AtomicU32>,
     pub requests: Arc<AtomicU32>,
     /// Requests whose [`Reply`] is complete.
@@ -69,7 +69,7 @@
     pub(crate) fn start(reply: impl Fn(u32) -> Reply + Send + Sync + 'static) -> BackendServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (event_sender, events) = mpsc::channel();
         let (connections, requests) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let answered = Arc::new(AtomicU32::new(0));
         let done = answered.clone();
@@ -77,20 +77,20 @@
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(Seen::Connected);
-                let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
+                let _ = event_sender.send(BackendEvent::Connected);
+                let (event_sender, count, reply) = (event_sender.clone(), count.clone(), reply.clone());
                 let done = done.clone();
-                std::thread::spawn(move || serve(tcp, &tell, [&count, &done], &*reply));
+                std::thread::spawn(move || serve_connection(tcp, &event_sender, [&count, &done], &*reply));
             }
         });
-        BackendServer { address, seen, connections, requests, answered }
+        BackendServer { address, events, connections, requests, answered }
     }
 
     /// Waits for the next request.
-    pub(crate) fn request(&self) -> Message {
+    pub(crate) fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) =
-                self.seen.recv_timeout(PATIENCE).expect("a request at the backend")
+            if let BackendEvent::Request(message) =
+                self.events.recv_timeout(TEST_TIMEOUT).expect("a request at the backend")
             {
                 return message;
             }
@@ -98,8 +98,11 @@
     }
 
     /// Waits until a connection ends.
-    pub(crate) fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+    pub(crate) fn wait_for_close(&self) {
+        while !matches!(
+            self.events.recv_timeout(TEST_TIMEOUT).expect("a closed connection"),
+            BackendEvent::Closed
+        ) {}
     }
 
     pub(crate) fn count(&self) -> u32 {
@@ -107,22 +110,22 @@
     }
 }
 
-fn serve(
-    tcp: TcpStream, tell: &mpsc::Sender<Seen>, [count, answered]: [&AtomicU32; 2],
+fn serve_connection(
+    tcp: TcpStream, event_sender: &mpsc::Sender<BackendEvent>, [count, answered]: [&AtomicU32; 2],
     reply: &dyn Fn(u32) -> Reply,
 ) {
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(Seen::Request(message));
+        let _ = event_sender.send(BackendEvent::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
             let length = body.len();
             let text = format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
             out.write_all(text.as_bytes()).is_ok()
         };
-        let go_on = match reply(number) {
+        let keep_open = match reply(number) {
             Reply::Answer(status, header, body) => send(status, header, &body),
             Reply::AnswerAndClose(status, body) => {
                 send(status, "", &body);
@@ -155,22 +158,22 @@
             }
         };
         answered.fetch_add(1, Ordering::SeqCst);
-        if !go_on {
+        if !keep_open {
             break;
         }
     }
-    let _ = tell.send(Seen::Closed);
+    let _ = event_sender.send(BackendEvent::Closed);
 }
 
 /// A bound port on which nobody listens: connections to it are refused until this is dropped.
-pub(crate) struct Refusing(socket2::Socket);
+pub(crate) struct RefusingPort(socket2::Socket);
 
-impl Refusing {
-    pub(crate) fn new() -> Refusing {
+impl RefusingPort {
+    pub(crate) fn new() -> RefusingPort {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
-        Refusing(socket)
+        RefusingPort(socket)
     }
     pub(crate) fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
--- a/crates/lotusdeck/tests/rig/client.rs
+++ b/crates/lotusdeck/tests/rig/client.rs
@@ -1,7 +1,7 @@
 //! A blocking HTTP client on one connection.
 
 use super::message::Message;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -11,7 +11,7 @@
 impl Client {
     pub(crate) fn connect(to: SocketAddr) -> Client {
         let tcp = TcpStream::connect(to).unwrap();
-        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+        tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client(BufReader::new(tcp))
     }
     pub(crate) fn send(&mut self, request: &str) {
--- a/crates/lotusdeck/tests/rig/discovery.rs
+++ b/crates/lotusdeck/tests/rig/discovery.rs
@@ -1,7 +1,7 @@
 //! A discovery service whose answers the test gives.
 
 use super::message::Message;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
@@ -17,22 +17,22 @@
     pub(crate) fn start() -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, calls) = mpsc::channel();
+        let (call_sender, calls) = mpsc::channel();
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
-                let tell: mpsc::Sender<_> = tell.clone();
+                let call_sender: mpsc::Sender<_> = call_sender.clone();
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
-                        let (answer, wait) = mpsc::channel::<(u16, String)>();
-                        if tell.send((message.first, answer)).is_err() {
+                        let (answer_sender, answers) = mpsc::channel::<(u16, String)>();
+                        if call_sender.send((message.start_line, answer_sender)).is_err() {
                             return;
                         }
                         let (status, body) = loop {
-                            match wait.recv() {
+                            match answers.recv() {
                                 Ok((0, raw)) if tcp.write_all(raw.as_bytes()).is_ok() => {}
                                 Ok((0, _)) | Err(_) => return,
-                                Ok(whole) => break whole,
+                                Ok(answer) => break answer,
                             }
                         };
                         let length = body.len();
@@ -48,7 +48,7 @@
     }
 
     /// Waits for the next call; returns its request line and the sender for its answer.
-    pub(crate) fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+    pub(crate) fn next_call(&self) -> (String, mpsc::Sender<(u16, String)>) {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
 }
--- a/crates/lotusdeck/tests/rig/fixtures.rs
+++ b/crates/lotusdeck/tests/rig/fixtures.rs
@@ -1,6 +1,6 @@
 //! Endpoint lists, settings and requests in the platform's format.
 
-use super::next;
+use super::next_number;
 use std::net::SocketAddr;
 
 /// Returns an entry of an endpoint list.
@@ -25,23 +25,26 @@
 "gain":4.0,"late_worth":0.5}],
 "rules":{"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,"ramp_time_us":9000000,"tip_after_us":2000000}}"#;
 
-fn id() -> String {
-    format!("{:016x}", next())
+fn next_id() -> String {
+    format!("{:016x}", next_number())
 }
 
 pub(crate) fn read(left: f64) -> String {
-    format!("GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n", id())
+    format!(
+        "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n",
+        next_id()
+    )
 }
 
 pub(crate) fn pay(left: f64) -> String {
-    let id = id();
+    let id = next_id();
     format!(
         "POST /pay/k1?q=1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\ncash"
     )
 }
 
 pub(crate) fn vote(left: f64) -> String {
-    let id = id();
+    let id = next_id();
     format!(
         "POST /vote/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nIdempotency-Key: key-{id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\nyeah"
     )
--- a/crates/lotusdeck/tests/rig/message.rs
+++ b/crates/lotusdeck/tests/rig/message.rs
@@ -5,7 +5,7 @@
 /// An HTTP request or answer as it was received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -15,7 +15,7 @@
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
     pub(crate) fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
     /// Reads a whole message; `None` if the connection ends before that.
     pub(crate) fn read(from: &mut impl BufRead) -> Option<Message> {
@@ -24,14 +24,14 @@
             let read = from.read_line(&mut text).ok()?;
             (read > 0).then(|| text.trim_end().to_string())
         };
-        let mut message = Message { first: line()?, ..Message::default() };
+        let mut message = Message { start_line: line()?, ..Message::default() };
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(':') else { break };
             message.headers.push((name.into(), value.trim().into()));
         }
         if message.header("transfer-encoding") == Some("chunked") {
-            message.body = chunks(from)?;
+            message.body = read_chunked(from)?;
             return Some(message);
         }
         let length = message.header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -42,7 +42,7 @@
 }
 
 /// Reads a chunked body and discards its trailers.
-fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
+fn read_chunked(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut line = String::new();
--- a/crates/lotusdeck/tests/rig/mod.rs
+++ b/crates/lotusdeck/tests/rig/mod.rs
@@ -10,21 +10,21 @@
 mod proxy;
 pub(crate) mod sockets;
 
-pub(crate) use backend::{ok, BackendServer, Gate, Refusing, Reply, Seen};
+pub(crate) use backend::{ok, BackendEvent, BackendServer, Gate, RefusingPort, Reply};
 pub(crate) use client::Client;
 pub(crate) use discovery::DiscoveryServer;
 pub(crate) use fixtures::{entry, list, pay, read, vote, SETTINGS};
 pub(crate) use message::Message;
-pub(crate) use proxy::{launch, Proxy};
+pub(crate) use proxy::{serve_command, Proxy};
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 /// Upper bound of each wait, which ends a test that would otherwise hang.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-fn next() -> u64 {
-    NUMBER.fetch_add(1, Ordering::SeqCst)
+fn next_number() -> u64 {
+    NEXT_NUMBER.fetch_add(1, Ordering::SeqCst)
 }
--- a/crates/lotusdeck/tests/rig/proxy.rs
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -4,7 +4,7 @@
 use super::discovery::DiscoveryServer;
 use super::fixtures::{list, SETTINGS};
 use super::message::Message;
-use super::{next, PATIENCE};
+use super::{next_number, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -33,34 +33,38 @@
         Launch::new(known).run()
     }
 
-    pub(crate) fn with(known: &[String], sockets: u32, settings: &str) -> Proxy {
+    pub(crate) fn with_settings(known: &[String], sockets: u32, settings: &str) -> Proxy {
         Launch { sockets, settings, ..Launch::new(known) }.run()
     }
 
     /// Starts the program with a limit on descriptors (`descriptors`) that may differ from the configured one
     /// (`sockets`).
-    pub(crate) fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
+    pub(crate) fn with_descriptor_limit(
+        known: &[String], sockets: u32, settings: &str, descriptors: u32,
+    ) -> Proxy {
         Launch { sockets, settings, descriptors, ..Launch::new(known) }.run()
     }
 
     /// Starts the program with an operator file.
-    pub(crate) fn operated(known: &[String], operator: &Path) -> Proxy {
+    pub(crate) fn with_operator_file(known: &[String], operator: &Path) -> Proxy {
         Launch { operator: Some(operator), ..Launch::new(known) }.run()
     }
 
     /// Starts the program with an operator file and a limit on the size of files that it writes, in blocks of 512
     /// bytes.
-    pub(crate) fn operated_within(known: &[String], operator: &Path, blocks: Option<u32>) -> Proxy {
+    pub(crate) fn with_file_limit(known: &[String], operator: &Path, blocks: Option<u32>) -> Proxy {
         Launch { operator: Some(operator), file_blocks: blocks, ..Launch::new(known) }.run()
     }
 
     /// Starts the program with an operator file and its own settings.
-    pub(crate) fn operated_by(known: &[String], operator: &Path, settings: &str) -> Proxy {
+    pub(crate) fn with_operator_file_and_settings(
+        known: &[String], operator: &Path, settings: &str,
+    ) -> Proxy {
         Launch { operator: Some(operator), settings, ..Launch::new(known) }.run()
     }
 
     /// Starts the program on an inherited listening socket.
-    pub(crate) fn inheriting(known: &[String], listener: &TcpListener) -> Proxy {
+    pub(crate) fn with_inherited_listener(known: &[String], listener: &TcpListener) -> Proxy {
         Launch { listener: Some(listener), ..Launch::new(known) }.run()
     }
 
@@ -72,7 +76,7 @@
     }
 
     /// Makes an operator's call and returns the status of the answer.
-    pub(crate) fn call(&self, method: &str, path: &str, body: &str) -> u16 {
+    pub(crate) fn operator_call(&self, method: &str, path: &str, body: &str) -> u16 {
         let length = body.len();
         let request =
             format!("{method} {path} HTTP/1.1\r\nHost: o\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -89,8 +93,8 @@
     }
 
     /// Waits for a log line that contains `what`, and returns it.
-    pub(crate) fn logged(&self, what: &str) -> String {
-        let end = Instant::now() + PATIENCE;
+    pub(crate) fn wait_for_log(&self, what: &str) -> String {
+        let end = Instant::now() + TEST_TIMEOUT;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what:?}"))
     }
@@ -132,7 +136,7 @@
 
 impl<'a> Launch<'a> {
     fn new(known: &'a [String]) -> Launch<'a> {
-        let tmp = std::env::temp_dir().join(format!("lotusdeck-{}-{}", std::process::id(), next()));
+        let tmp = std::env::temp_dir().join(format!("lotusdeck-{}-{}", std::process::id(), next_number()));
         Launch::sharing(known, tmp, Rc::new(DiscoveryServer::start()))
     }
 
@@ -155,7 +159,7 @@
     fn run(self) -> Proxy {
         let config = self.config();
         std::fs::create_dir_all(&self.tmp).unwrap();
-        let path = written(&config);
+        let path = write_config(&config);
         let mut child = self.command(&path).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (sender, lines) = mpsc::channel();
@@ -183,7 +187,7 @@
     }
 
     fn command(&self, config: &Path) -> Command {
-        let mut command = limited(Some(config), self.descriptors);
+        let mut command = serve_command_with_limit(Some(config), self.descriptors);
         if let Some(listener) = self.listener {
             let socket: OwnedFd = listener.try_clone().unwrap().into();
             command.stdin(socket).env("NODE_SOCKET_FD", "3");
@@ -220,17 +224,17 @@
 }
 
 /// Returns the command that runs the program, with a configuration or without any.
-pub(crate) fn launch(config: Option<&str>) -> Command {
-    limited(config.map(written).as_deref(), 1024)
+pub(crate) fn serve_command(config: Option<&str>) -> Command {
+    serve_command_with_limit(config.map(write_config).as_deref(), 1024)
 }
 
-fn written(config: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("lotusdeck-{}-{}.json", std::process::id(), next()));
+fn write_config(config: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("lotusdeck-{}-{}.json", std::process::id(), next_number()));
     std::fs::write(&path, config).unwrap();
     path
 }
 
-fn limited(config: Option<&Path>, descriptors: u32) -> Command {
+fn serve_command_with_limit(config: Option<&Path>, descriptors: u32) -> Command {
     let mut command = Command::new("sh");
     // An inherited socket is passed as standard input and becomes descriptor 3, as in production.
     let line = format!(
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -24,10 +24,10 @@
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let proxy = one(&old);
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     answer.send((200, list(900, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
-    let (target, _waits) = proxy.discovery.call();
+    let (target, _waits) = proxy.discovery.next_call();
     assert!(target.contains("after=900&"), "{target}");
     std::fs::write(&proxy.config.0, "{").unwrap();
     proxy.signal("HUP");
@@ -37,14 +37,14 @@
     for _ in 0..2 {
         proxy.signal("HUP");
     }
-    let (target, answer) = elsewhere.call();
+    let (target, answer) = elsewhere.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1", "an index of the old one means nothing here");
     answer.send((200, list(7, true, &[entry("b1", new.address, "SERVING")]))).unwrap();
-    let (target, answer) = elsewhere.call(); // the list has been applied by now
+    let (target, answer) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=7&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
     answer.send((200, list(8, false, &[entry("b1", new.address, "DRAINING")]))).unwrap();
-    let (_, _waits) = elsewhere.call();
+    let (_, _waits) = elsewhere.next_call();
     assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "and it is followed there");
 }
 
@@ -56,22 +56,22 @@
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let settings =
         SETTINGS.replace("\"automatic\"", "\"subscribe\"").replace("9000000,\"ramp", "300000,\"ramp");
-    let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
-    let (target, answer) = proxy.discovery.call();
+    let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+    let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets?after=4&wait_ms=0 HTTP/1.1", "the list known is version 4");
     answer.send((200, list(9, false, &[]))).unwrap();
-    let (target, _waits) = proxy.discovery.call();
+    let (target, _waits) = proxy.discovery.next_call();
     assert!(target.contains("after=9&"), "{target}");
     let elsewhere = DiscoveryServer::start();
     proxy.move_discovery(elsewhere.address);
     proxy.signal("HUP");
-    let (target, answer) = elsewhere.call();
+    let (target, answer) = elsewhere.next_call();
     assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "what was missed, at once");
     answer.send((200, list(10, false, &[entry("b1", new.address, "SERVING")]))).unwrap();
     // Each answer has no changes until the whole list is polled; the first such poll fails.
     let (mut asked, mut whole) = (0, 0);
     while whole < 2 {
-        let (target, answer) = elsewhere.call();
+        let (target, answer) = elsewhere.next_call();
         if target == "GET /api/targets HTTP/1.1" {
             whole += 1;
             let truth = list(3, true, &[entry("b1", new.address, "SERVING")]);
@@ -84,7 +84,7 @@
         }
     }
     assert!(asked > 1, "what is newer is asked for meanwhile");
-    let (target, _waits) = elsewhere.call(); // the list has been applied by now
+    let (target, _waits) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "what is absent from the whole list is gone");
 }
@@ -161,7 +161,7 @@
     let mut proxy = one(&backend);
     let mut client = proxy.client();
     client.send(&pay(3.0));
-    backend.request();
+    backend.next_request();
     proxy.signal("TERM");
     proxy.signal("HUP");
     gate.open();
@@ -237,7 +237,7 @@
     let request = pay(3.0);
     let mut first = proxy.client();
     first.send(&request);
-    backend.request();
+    backend.next_request();
     assert_eq!(proxy.ask(&request).status(), 409);
     gate.open();
     assert_eq!(first.answer().expect("the answer to the first").body, b"gated");
@@ -255,7 +255,7 @@
     let request = pay(3.0);
     let mut first = proxy.client();
     first.send(&request);
-    backend.request();
+    backend.next_request();
     for number in 1..=4 {
         let mut duplicate = proxy.client();
         duplicate.send(&request);
@@ -292,7 +292,7 @@
 #[test]
 fn silent_connections_make_way_before_proven_ones() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut usual = proxy.client();
     assert_eq!(usual.ask(&read(3.0)).status(), 200);
     let mut silent = Vec::new();
@@ -452,7 +452,7 @@
 #[test]
 fn answers_end_their_connections_where_many_are_kept() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut kept = Vec::new();
     let closing: Vec<bool> = (0..8)
         .map(|_| {
@@ -472,7 +472,7 @@
 #[test]
 fn a_slow_head_outlasts_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow = proxy.client();
     let request = read(3.0);
     let mut crowd = Vec::new();
@@ -496,7 +496,7 @@
 #[test]
 fn a_request_behind_four_hundred_half_heads_is_answered_in_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let half_heads: Vec<Client> = (0..400)
         .map(|_| {
             let mut client = proxy.client();
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -101,13 +101,13 @@
 }
 
 fn told(backend: &BackendServer) -> f64 {
-    time_of(&backend.request())
+    time_of(&backend.next_request())
 }
 
 /// Returns the time left of each request that a backend received since the last call.
 fn all_told(backend: &BackendServer) -> Vec<f64> {
-    let requests = backend.seen.try_iter().filter_map(|seen| match seen {
-        Seen::Request(request) => Some(time_of(&request)),
+    let requests = backend.events.try_iter().filter_map(|event| match event {
+        BackendEvent::Request(request) => Some(time_of(&request)),
         _ => None,
     });
     requests.collect()
