--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -15,12 +15,12 @@
 
 const LARGE: usize = 3_000_000;
 
-fn one(backend: &BackendServer) -> Proxy {
+fn proxy_for(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
 /// Returns a text of pseudo-random letters, in which a lost or repeated piece shows.
-fn long(length: usize) -> String {
+fn sample_text(length: usize) -> String {
     (0..length as u32).map(|i| char::from(b'a' + (i.wrapping_mul(2_654_435_761) >> 24) as u8 % 26)).collect()
 }
 
@@ -43,12 +43,12 @@
 
 #[test]
 fn large_bodies_pass_unchanged_both_ways_and_the_connection_goes_on() {
-    let answer = long(LARGE);
+    let answer = sample_text(LARGE);
     let reply = answer.clone();
     let backend = BackendServer::start(move |_| ok(&reply));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
-    let sent = long(LARGE / 2);
+    let sent = sample_text(LARGE / 2);
     let forms = [
         post("1", 3.0, &format!("Content-Length: {}\r\n", sent.len())) + &sent,
         post("2", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sent, 10_007),
@@ -65,13 +65,13 @@
 /// Messages are read correctly in both directions when each byte is written by itself.
 #[test]
 fn messages_may_be_cut_anywhere() {
-    let body = long(60);
+    let body = sample_text(60);
     let answer = format!("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunked(&body, 7));
     let early = format!("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 100 X\r\n\r\n{answer}");
     let sized = format!("HTTP/1.1 200 X\r\nContent-Length: 60\r\n\r\n{body}");
     let answers = [answer, early, sized];
     let backend = BackendServer::start(move |n| Reply::Pieces(bytewise(&answers[n as usize % 3])));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.0.get_ref().set_nodelay(true).unwrap();
     let forms = [
@@ -91,19 +91,19 @@
 #[test]
 fn an_answer_may_end_with_its_connection() {
     let backend = BackendServer::start(|n| {
-        let body = long(if n == 0 { 50 } else { LARGE });
+        let body = sample_text(if n == 0 { 50 } else { LARGE });
         Reply::PiecesAndClose(vec![format!("HTTP/1.1 200 X\r\n\r\n{body}")])
     });
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
-    assert!(client.ask(&pay(3.0)).body == long(50).as_bytes());
-    assert!(client.ask(&pay(3.0)).body == long(LARGE).as_bytes());
+    assert!(client.ask(&pay(3.0)).body == sample_text(50).as_bytes());
+    assert!(client.ask(&pay(3.0)).body == sample_text(LARGE).as_bytes());
 }
 
 #[test]
 fn a_client_that_expects_a_word_before_its_body_gets_it() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.send(&post("1", 3.0, "Content-Length: 4\r\nExpect: 100-continue\r\n"));
     assert_eq!(client.answer().unwrap().status(), 100);
@@ -120,16 +120,16 @@
     let held = gate.clone();
     let backend = BackendServer::start(move |_| {
         let head = format!("HTTP/1.1 200 X\r\nContent-Length: {LARGE}\r\n\r\n");
-        Reply::Paused(head + &long(LARGE / 2), held.clone(), long(LARGE)[LARGE / 2..].into())
+        Reply::Paused(head + &sample_text(LARGE / 2), held.clone(), sample_text(LARGE)[LARGE / 2..].into())
     });
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.send(&pay(3.0));
     let mut got = vec![0; LARGE / 2];
     client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head is read too
     gate.open();
-    let left = client.0.fill_buf_until_end();
-    assert!(got.len() + left.len() > LARGE && left.ends_with(&long(LARGE).as_bytes()[LARGE - 1000..]));
+    let left = client.0.read_until_closed();
+    assert!(got.len() + left.len() > LARGE && left.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
 }
 
 /// Guards against an id that is free while the answer to its request still arrives, so that a duplicate runs in
@@ -140,9 +140,9 @@
     let held = gate.clone();
     let backend = BackendServer::start(move |_| {
         let head = format!("HTTP/1.1 200 X\r\nContent-Length: {LARGE}\r\n\r\n");
-        Reply::Paused(head + &long(LARGE / 2), held.clone(), long(LARGE)[LARGE / 2..].into())
+        Reply::Paused(head + &sample_text(LARGE / 2), held.clone(), sample_text(LARGE)[LARGE / 2..].into())
     });
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let request = pay(3.0);
     let mut client = proxy.client();
     client.send(&request);
@@ -156,18 +156,18 @@
         assert_eq!((&*status_line, backend.count()), ("HTTP/1.1 409", 1), "duplicate {number}");
     }
     gate.open();
-    let rest = client.0.fill_buf_until_end();
-    assert!(rest.ends_with(&long(LARGE).as_bytes()[LARGE - 1000..]), "the answer goes on");
+    let rest = client.0.read_until_closed();
+    assert!(rest.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]), "the answer goes on");
     assert_eq!(proxy.ask(&request).status(), 200, "an answered request's id is free");
 }
 
-trait UntilEnd {
-    fn fill_buf_until_end(&mut self) -> Vec<u8>;
+trait ReadUntilClosed {
+    fn read_until_closed(&mut self) -> Vec<u8>;
 }
 
-impl UntilEnd for std::io::BufReader<std::net::TcpStream> {
+impl ReadUntilClosed for std::io::BufReader<std::net::TcpStream> {
     /// Reads until the other side closes the connection, which it does once that is idle.
-    fn fill_buf_until_end(&mut self) -> Vec<u8> {
+    fn read_until_closed(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.read_to_end(&mut all);
         all
@@ -180,11 +180,14 @@
 fn a_large_answer_that_breaks_off_is_cut() {
     for head in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let backend = BackendServer::start(move |_| {
-            let part =
-                if head.starts_with('C') { long(200_000) } else { format!("30d40\r\n{}", long(200_000)) };
+            let part = if head.starts_with('C') {
+                sample_text(200_000)
+            } else {
+                format!("30d40\r\n{}", sample_text(200_000))
+            };
             Reply::PiecesAndClose(vec![format!("HTTP/1.1 200 X\r\n{head}\r\n\r\n{part}")])
         });
-        let proxy = one(&backend);
+        let proxy = proxy_for(&backend);
         let mut client = proxy.client();
         client.send(&read(3.0));
         assert!(client.answer().is_none(), "{head}: it is not whole");
@@ -197,23 +200,24 @@
 /// sent is refused, as it cannot be sent again.
 #[test]
 fn a_large_request_is_repeated_only_while_it_is_whole() {
-    let sent = long(LARGE);
+    let sent = sample_text(LARGE);
     let form = |id: &str| post(id, 3.0, &format!("Content-Length: {LARGE}\r\n")) + &sent;
-    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
-    let proxy = one(&good);
+    let (refusing, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
+    let proxy = proxy_for(&good);
     let mut client = proxy.client();
     (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // earns the retry budget for further attempts
     let (_, answer) = proxy.discovery.next_call();
-    let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
+    let both = [entry("b0", good.address, "SERVING"), entry("b1", refusing.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
     let _hold = proxy.discovery.next_call(); // the list has been applied by now
     for n in 0..6 {
         assert_eq!(client.ask(&form(&format!("a{n}"))).status(), 200);
     }
-    let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
-    let proxy = Proxy::start(&[entry("b0", away.address, "SERVING"), entry("b1", away.address, "SERVING")]);
+    let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
+    let proxy =
+        Proxy::start(&[entry("b0", rejecting.address, "SERVING"), entry("b1", rejecting.address, "SERVING")]);
     let answer = proxy.ask(&form("b"));
-    assert_eq!((answer.status(), away.count()), (503, 1));
+    assert_eq!((answer.status(), rejecting.count()), (503, 1));
     assert!(answer.header("retry-after").is_some());
 }
 
@@ -221,9 +225,9 @@
 #[test]
 fn the_time_of_an_upload_begins_with_its_end() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
-    let (half, left) = (long(LARGE / 2), 0.3);
+    let (half, left) = (sample_text(LARGE / 2), 0.3);
     client.send(&post("1", left, &format!("Content-Length: {}\r\n", half.len() * 2)));
     client.send(&half);
     std::thread::sleep(Duration::from_secs_f64(left * 2.0));
@@ -236,12 +240,13 @@
 #[test]
 fn bodies_that_are_none_are_turned_away() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
-    let stopped = post("1", 3.0, &format!("Content-Length: {LARGE}\r\n")) + &long(200_000);
-    let broken = post("2", 3.0, "Transfer-Encoding: chunked\r\n") + "30d40\r\n" + &long(200_000) + "!!";
-    let surplus = post("3", 3.0, "Content-Length: 200000\r\n") + &long(200_000) + &pay(3.0);
+    let proxy = proxy_for(&backend);
+    let stopped = post("1", 3.0, &format!("Content-Length: {LARGE}\r\n")) + &sample_text(200_000);
+    let broken =
+        post("2", 3.0, "Transfer-Encoding: chunked\r\n") + "30d40\r\n" + &sample_text(200_000) + "!!";
+    let surplus = post("3", 3.0, "Content-Length: 200000\r\n") + &sample_text(200_000) + &pay(3.0);
     let behind =
-        post("5", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&long(200_000), 9_000) + &pay(3.0);
+        post("5", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sample_text(200_000), 9_000) + &pay(3.0);
     for request in [stopped, broken, surplus, behind] {
         let mut client = proxy.client();
         let _ = client.0.get_mut().write_all(request.as_bytes());
@@ -252,10 +257,10 @@
     }
     let mut endless = proxy.client();
     endless.send(&post("4", 3.0, "Transfer-Encoding: chunked\r\n"));
-    let chunk = format!("f4240\r\n{}\r\n", long(1_000_000));
-    let taken = (0..60).take_while(|_| endless.0.get_mut().write_all(chunk.as_bytes()).is_ok()).count();
+    let chunk = format!("f4240\r\n{}\r\n", sample_text(1_000_000));
+    let sent_chunks = (0..60).take_while(|_| endless.0.get_mut().write_all(chunk.as_bytes()).is_ok()).count();
     let status = endless.answer().map_or(413, |a| a.status());
-    assert!(status == 413, "{status} after {taken} MB");
+    assert!(status == 413, "{status} after {sent_chunks} MB");
     assert_eq!(backend.count(), 0, "none came whole");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -16,37 +16,37 @@
 use std::sync::Arc;
 
 /// More than the proxy buffers, so that the body is streamed to the backend.
-const BODY: usize = 300_000;
+const BODY_BYTES: usize = 300_000;
 /// The part of the body that arrives before the client leaves: the attempt begins with it, and the rest never
 /// follows.
-const PART: usize = 100_000;
+const SENT_BYTES: usize = 100_000;
 /// The bytes that a client sends after its request.
-const FURTHER: &str = "GET /";
+const FURTHER_BYTES: &str = "GET /";
 
 /// Returns settings whose connect timeout is longer than a test.
-fn patient() -> String {
+fn long_connect_timeout() -> String {
     SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000")
 }
 
 /// Returns the head and the first part of a body that is streamed.
-fn upload() -> String {
+fn partial_upload() -> String {
     let head = pay(3.0).replace("Content-Length: 4\r\n\r\ncash", "");
-    format!("{head}Content-Length: {BODY}\r\n\r\n{}", "x".repeat(PART))
+    format!("{head}Content-Length: {BODY_BYTES}\r\n\r\n{}", "x".repeat(SENT_BYTES))
 }
 
 /// Waits until `count` requests are open.
-fn until_open(proxy: &Proxy, count: u32) {
-    let told = format!("\"open_requests\":{count},");
+fn wait_for_open_requests(proxy: &Proxy, count: u32) {
+    let open_requests = format!("\"open_requests\":{count},");
     let status = || Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n").body;
     wait_until("the request is taken in", || {
-        String::from_utf8(status()).unwrap().replace(' ', "").contains(&told)
+        String::from_utf8(status()).unwrap().replace(' ', "").contains(&open_requests)
     });
 }
 
 /// Sends further bytes after an open request and waits until the program has read them: from then on a reader that
 /// stops after the request does not see the end of the connection.
-fn say_more(client: &mut Client) {
-    client.send(FURTHER);
+fn send_further_bytes(client: &mut Client) {
+    client.send(FURTHER_BYTES);
     let tcp = client.0.get_ref();
     let port = format!(":{:04X}", tcp.local_addr().unwrap().port());
     let proxy = tcp.peer_addr().unwrap();
@@ -55,7 +55,7 @@
 }
 
 /// Sends another client's request and asserts that it is the first that the backend gets.
-fn only_the_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
+fn assert_only_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
     let marker = read(3.0);
     assert_eq!(proxy.ask(&marker).status(), 200, "{what}");
     let first = backend.next_request();
@@ -71,10 +71,13 @@
         for how in DISCONNECTS {
             scope.spawn(move || {
                 let backend = FullListener::new();
-                let proxy =
-                    Proxy::with_settings(&[entry("b0", backend.address(), "SERVING")], 1024, &patient());
+                let proxy = Proxy::with_settings(
+                    &[entry("b0", backend.address(), "SERVING")],
+                    1024,
+                    &long_connect_timeout(),
+                );
                 let mut client = proxy.client();
-                client.send(&upload());
+                client.send(&partial_upload());
                 backend.wait_for_connect();
                 let _held = disconnect(client, how);
                 let marker = read(3.0);
@@ -92,26 +95,26 @@
 #[test]
 fn a_client_that_left_while_its_request_was_held_has_no_attempt_begun() {
     for how in DISCONNECTS {
-        for (request, whole) in [(read(3.0), true), (pay(3.0), true), (upload(), false)] {
+        for (request, whole) in [(read(3.0), true), (pay(3.0), true), (partial_upload(), false)] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
             let (_, answer) = proxy.discovery.next_call();
             let mut client = proxy.client();
             client.send(&request);
-            until_open(&proxy, 1);
+            wait_for_open_requests(&proxy, 1);
             if whole {
-                say_more(&mut client);
+                send_further_bytes(&mut client);
             }
             let _held = disconnect(client, how);
             answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
             let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
-            only_the_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
+            assert_only_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
         }
     }
 }
 
 /// Requests that are answered first: they earn the retry budget, which is a part of the requests.
-const BEFORE: u32 = 12;
+const WARM_UP: u32 = 12;
 
 /// The client leaves while an attempt is in flight, which then ends in a way that allows another one: none is made. A
 /// client that stays gets it.
@@ -120,18 +123,18 @@
     std::thread::scope(|scope| {
         for how in [None, Some(Disconnect::Close), Some(Disconnect::ShutdownWrite), Some(Disconnect::Reset)] {
             for (request, resets) in [(read(3.0), false), (pay(3.0), false), (read(3.0), true)] {
-                scope.spawn(move || repeated(how, &request, resets));
+                scope.spawn(move || check_repetition(how, &request, resets));
             }
         }
     });
 }
 
-fn repeated(how: Option<Disconnect>, request: &str, resets: bool) {
+fn check_repetition(how: Option<Disconnect>, request: &str, resets: bool) {
     let refused = "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let first = BackendServer::start(move |number| match resets {
-        _ if number < BEFORE => ok("x"),
+        _ if number < WARM_UP => ok("x"),
         true => Reply::GateReset(wait.clone()),
         false => Reply::Paused(String::new(), wait.clone(), refused.into()),
     });
@@ -144,10 +147,10 @@
         .send((200, list(9, true, &[entry("b0", first.address, "SERVING")])))
         .unwrap();
     let (_, answer) = proxy.discovery.next_call();
-    (0..BEFORE).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
+    (0..WARM_UP).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
     let mut client = proxy.client();
     client.send(request);
-    wait_until("the first attempt is out", || first.count() == BEFORE + 1);
+    wait_until("the first attempt is out", || first.count() == WARM_UP + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
     let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
@@ -156,9 +159,9 @@
         assert_eq!(client.answer().expect("an answer").body, b"y", "{request}, reset: {resets}");
         return;
     };
-    say_more(&mut client);
+    send_further_bytes(&mut client);
     let _held = disconnect(client, how);
     gate.open();
-    wait_until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == BEFORE + 1);
-    only_the_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
+    wait_until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == WARM_UP + 1);
+    assert_only_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
 }
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -29,24 +29,24 @@
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinHandle, LocalSet};
 
 /// Number of connections of each kind.
-const MANY: usize = 20;
+const CLIENTS_PER_KIND: usize = 20;
 /// A silent connection is closed after this time (`IDLE_TIMEOUT` of proxy/src/client.rs).
-const PATIENCE_OF_THE_PROXY: Duration = Duration::from_millis(2100);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 /// How long idle connections stay open after SIGTERM (`ACCEPT_LINGER` of proxy/src/server.rs).
 const LINGER: Duration = Duration::from_millis(500);
 
 /// Added to a timer's time so that it is certainly due: the runtime counts whole milliseconds.
-const TURN: Duration = Duration::from_millis(1);
+const TIMER_TOLERANCE: Duration = Duration::from_millis(1);
 
 /// Keeps the runtime from advancing its paused time while all tasks wait for sockets, which it would take for
 /// idleness: it never does so while a blocking task runs.
-struct Still(#[allow(dead_code)] mpsc::Sender<()>);
+struct PausedClock(#[allow(dead_code)] mpsc::Sender<()>);
 
-impl Still {
-    fn stand() -> Still {
+impl PausedClock {
+    fn hold() -> PausedClock {
         let (held, wait) = mpsc::channel();
         spawn_blocking(move || wait.recv());
-        Still(held)
+        PausedClock(held)
     }
 }
 
@@ -67,14 +67,14 @@
             SharedStallTimeouts::default(),
         ));
         let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
-        let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-        let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+        let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
+        let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
         let host = Host::new(
             balancer,
             settings,
             Clock::new(),
-            lines,
-            Cordon::load(&none),
+            pools,
+            Cordon::load(&no_file),
             OptionalServices::default(),
         );
         let listed: EndpointList =
@@ -90,7 +90,7 @@
     }
 
     /// Runs the loop until `done` returns true; no timer is due meanwhile.
-    async fn until(&self, done: impl Fn(&Server) -> bool) {
+    async fn wait_until(&self, done: impl Fn(&Server) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
         while !done(&self.server) {
             assert!(Instant::now() < end, "it never comes");
@@ -99,7 +99,7 @@
     }
 
     /// Returns clients that have had an answer and keep their connections.
-    async fn kept(&self) -> Vec<Client> {
+    async fn kept_clients(&self) -> Vec<Client> {
         let address = self.address;
         let ask = move || {
             let mut client = Client::connect(address);
@@ -107,7 +107,7 @@
             client
         };
         let mut clients = Vec::new();
-        for _ in 0..MANY {
+        for _ in 0..CLIENTS_PER_KIND {
             clients.push(spawn_blocking(ask).await.unwrap());
         }
         clients
@@ -115,7 +115,7 @@
 }
 
 /// Asserts that each client is served; returns the clients with the connections that they were served on.
-async fn all_served(clients: Vec<Client>) -> Vec<Client> {
+async fn assert_all_served(clients: Vec<Client>) -> Vec<Client> {
     let mut served = Vec::new();
     for (n, mut client) in clients.into_iter().enumerate() {
         let answered = spawn_blocking(move || (client.answer().map(|a| a.status()), client)).await;
@@ -131,9 +131,9 @@
     let backend = BackendServer::start(|_| ok("x"));
     LocalSet::new()
         .run_until(async {
-            let _still = Still::stand();
+            let _paused = PausedClock::hold();
             let running = Running::start(backend.address);
-            let clients = running.kept().await;
+            let clients = running.kept_clients().await;
             scenario(running, clients).await;
         })
         .await;
@@ -144,12 +144,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_meets_the_end_of_its_connections_patience_is_answered() {
     with_kept_clients(async |running, mut clients| {
-        clients.extend((0..MANY).map(|_| Client::connect(running.address)));
-        running.until(|server| server.client_count() == 2 * MANY).await;
-        tokio::time::advance(PATIENCE_OF_THE_PROXY + TURN).await;
+        clients.extend((0..CLIENTS_PER_KIND).map(|_| Client::connect(running.address)));
+        running.wait_until(|server| server.client_count() == 2 * CLIENTS_PER_KIND).await;
+        tokio::time::advance(IDLE_TIMEOUT + TIMER_TOLERANCE).await;
         // The timers have expired, and the task of no connection has had its turn.
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
-        all_served(clients).await;
+        assert_all_served(clients).await;
     })
     .await;
 }
@@ -164,9 +164,9 @@
         while server.is_accepting() {
             yield_now().await;
         }
-        tokio::time::advance(LINGER + TURN).await;
+        tokio::time::advance(LINGER + TIMER_TOLERANCE).await;
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
-        for mut client in all_served(clients).await {
+        for mut client in assert_all_served(clients).await {
             assert!(spawn_blocking(move || client.ended()).await.unwrap());
         }
         ended.await.unwrap();
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -17,11 +17,11 @@
     command.args(args).env_remove("NODE_ADMIN_ADDR").env_remove("NODE_CONFIG").output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("lotusdeck-command-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join(name);
@@ -29,7 +29,7 @@
     path
 }
 
-fn node(settings: &str) -> String {
+fn node_config(settings: &str) -> String {
     format!(
         "{{\"name\": \"n0\",\n \"listen\": \"127.0.0.1:0\", \"discovery\": \"127.0.0.1:1\",\n \"seed\": \"ab\",\n \"settings\": {settings}}}"
     )
@@ -38,15 +38,16 @@
 /// Every fault of every file is reported with its position, and valid files are accepted.
 #[test]
 fn check_tells_every_fault_where_it_stands() {
-    let good = file("good.json", &node(SETTINGS));
-    let bad =
-        node(&SETTINGS.replace("\"cold_from\":0.3", "\"cold_from\":\"x\"").replace("\"group_size\":1,", ""));
-    let bad = file("bad.json", &bad.replace("127.0.0.1:1\"", "nowhere\""));
-    let toml = file("bad.toml", "[http]\nanswer_gap_ms = 1\nx = 2\n");
+    let good = write_file("good.json", &node_config(SETTINGS));
+    let bad = node_config(
+        &SETTINGS.replace("\"cold_from\":0.3", "\"cold_from\":\"x\"").replace("\"group_size\":1,", ""),
+    );
+    let bad = write_file("bad.json", &bad.replace("127.0.0.1:1\"", "nowhere\""));
+    let toml = write_file("bad.toml", "[http]\nanswer_gap_ms = 1\nx = 2\n");
     let sound = lotusdeck(&["check", good.to_str().unwrap()]);
-    assert_eq!(sound.status.code(), Some(0), "{}", said(&sound));
+    assert_eq!(sound.status.code(), Some(0), "{}", output_text(&sound));
     let output = lotusdeck(&["check", bad.to_str().unwrap(), toml.to_str().unwrap()]);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     for line in [
         "bad.json:2:40: discovery: expected address:port, got \"nowhere\"",
@@ -67,8 +68,8 @@
     assert_eq!(lotusdeck(&["check"]).status.code(), Some(2));
     assert_eq!(lotusdeck(&["admin", "--addr", "127.0.0.1:1", "health"]).status.code(), Some(1));
     let completions = lotusdeck(&["completions", "bash"]);
-    assert!(completions.status.success() && said(&completions).contains("lotusdeck"));
-    assert!(said(&lotusdeck(&["check", "--keys"]))
+    assert!(completions.status.success() && output_text(&completions).contains("lotusdeck"));
+    assert!(output_text(&lotusdeck(&["check", "--keys"]))
         .contains("http.answer_gap_ms: a whole number of ms from 10 to 60000, default 300"));
 }
 
@@ -92,7 +93,7 @@
     assert_eq!(document["counts"]["served"], 5);
     assert_eq!(document["kinds"][0]["name"], "big");
     assert_eq!(document["settings_generation"], 1);
-    let table = said(&admin(&["status"]));
+    let table = output_text(&admin(&["status"]));
     assert!(
         table.contains("served 5") && table.lines().any(|l| l.starts_with("b1 ") && l.contains("draining"))
     );
@@ -103,7 +104,7 @@
 #[test]
 fn the_operator_file_is_taken_whole_or_not_at_all() {
     let stalled = |gap: u64| format!("[http]\nanswer_gap_ms = {gap}\n");
-    let operator = file("operator.toml", &stalled(60_000));
+    let operator = write_file("operator.toml", &stalled(60_000));
     let begun = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbeg".to_string();
     let backend = BackendServer::start(move |_| Reply::Pieces(vec![begun.clone()]));
     let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -9,7 +9,7 @@
 mod rig;
 
 use lotusdeck_configuration::history::HistoryBounds;
-use lotusdeck_configuration::{encode, Message as Told, Source, Version};
+use lotusdeck_configuration::{encode, Message as SourceMessage, Source, Version};
 use rig::*;
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -19,50 +19,50 @@
 const EPOCH: u64 = 7;
 
 /// A source of configuration, with its server and its versions.
-struct Published {
+struct TestSource {
     server: DiscoveryServer,
-    source: Source,
+    versions: Source,
 }
 
-type Question = (String, mpsc::Sender<(u16, String)>);
+type Poll = (String, mpsc::Sender<(u16, String)>);
 
-impl Published {
-    fn start() -> Published {
-        Published { server: DiscoveryServer::start(), source: begin(EPOCH) }
+impl TestSource {
+    fn start() -> TestSource {
+        TestSource { server: DiscoveryServer::start(), versions: new_source(EPOCH) }
     }
 
     /// Publishes settings with other classes, which are not validated.
     fn publish(&mut self, profiles: &Value) -> Version {
         let mut settings = settings();
         settings["profiles"] = profiles.clone();
-        self.source.publish(&settings, |_| Ok(())).unwrap().version
+        self.versions.publish(&settings, |_| Ok(())).unwrap().version
     }
 
     /// Waits for the next poll of the proxy.
-    fn question(&self) -> Question {
+    fn next_poll(&self) -> Poll {
         self.server.next_call()
     }
 
     /// Asserts that the next poll has these parameters, and answers it with the full document.
-    fn give_whole(&self, question: &str) {
-        let (asked, answer) = self.question();
-        assert_eq!(asked, format!("GET /configuration?wait_ms=10000{question} HTTP/1.1"));
-        answer.send((200, encode(&Told::FullDocument(self.source.full_document())))).unwrap();
+    fn answer_full_document(&self, parameters: &str) {
+        let (poll, answer) = self.next_poll();
+        assert_eq!(poll, format!("GET /configuration?wait_ms=10000{parameters} HTTP/1.1"));
+        answer.send((200, encode(&SourceMessage::FullDocument(self.versions.full_document())))).unwrap();
     }
 
     /// Asserts that the next poll is for changes after this version, and answers it with all of them.
-    fn give_delta(&self, after: Version) {
-        let (asked, answer) = self.question();
-        assert!(asked.contains(&format!("&after={after}")), "{asked}");
+    fn answer_delta(&self, after: Version) {
+        let (poll, answer) = self.next_poll();
+        assert!(poll.contains(&format!("&after={after}")), "{poll}");
         answer.send((200, self.delta(after))).unwrap();
     }
 
     fn delta(&self, after: Version) -> String {
-        encode(&Told::Delta(self.source.delta(after).unwrap()))
+        encode(&SourceMessage::Delta(self.versions.delta(after).unwrap()))
     }
 }
 
-fn begin(epoch: u64) -> Source {
+fn new_source(epoch: u64) -> Source {
     Source::new(epoch, &settings(), HistoryBounds::default(), |_| Ok(())).unwrap()
 }
 
@@ -77,22 +77,22 @@
 }
 
 /// Returns the text of an operator file that names the source.
-fn follows(published: &Published) -> String {
-    format!("[configuration]\nsource = \"{}\"\n", published.server.address)
+fn operator_text(source: &TestSource) -> String {
+    format!("[configuration]\nsource = \"{}\"\n", source.server.address)
 }
 
 /// Writes an operator file that names the source, and returns its path.
-fn operator(name: &str, published: &Published) -> PathBuf {
+fn operator_file(name: &str, source: &TestSource) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-{name}-{}.toml", std::process::id()));
-    std::fs::write(&path, follows(published)).unwrap();
+    std::fs::write(&path, operator_text(source)).unwrap();
     path
 }
 
-static NUMBER: AtomicU32 = AtomicU32::new(0);
+static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
 /// Returns a request with an id of its own.
 fn get(class: &str) -> String {
-    let id = NUMBER.fetch_add(1, Ordering::SeqCst);
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!("GET /{class}/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: r{id}\r\nX-Time-Left: 3.0\r\n\r\n")
 }
 
@@ -112,32 +112,32 @@
 /// with.
 #[test]
 fn a_delta_is_taken_and_open_requests_keep_their_class() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let server = BackendServer::start(move |n| if n == 0 { Reply::Gate(held.clone()) } else { ok("x") });
-    let operator = operator("configuration-delta", &published);
+    let operator = operator_file("configuration-delta", &source);
     let proxy = Proxy::with_operator_file(&[entry("b0", server.address, "SERVING")], &operator);
-    published.give_whole("");
+    source.answer_full_document("");
     assert!(proxy.wait_for_log("configuration applied").contains("version=7-1"));
     let mut open = proxy.client();
     open.send(&get("read"));
     server.next_request();
     assert_eq!(proxy.ask(&get("draw")).status(), 404);
-    let version = published.publish(&renamed("read", "draw"));
-    published.give_delta(Version::first(EPOCH));
+    let version = source.publish(&renamed("read", "draw"));
+    source.answer_delta(Version::first(EPOCH));
     let line = proxy.wait_for_log("configuration applied");
-    for told in ["version=7-2", "with class draw", "without class read"] {
-        assert!(line.contains(told), "{line}");
+    for field in ["version=7-2", "with class draw", "without class read"] {
+        assert!(line.contains(field), "{line}");
     }
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
     assert_eq!(proxy.ask(&get("read")).status(), 404);
     gate.open();
     assert_eq!(open.answer().unwrap().status(), 200, "its class was there when it came");
-    let (asked, answer) = published.question();
-    assert!(asked.contains(&format!("&after={version}")), "{asked}");
-    answer.send((200, encode(&Told::Unchanged(version)))).unwrap();
-    let _held = published.question(); // dropping it would close its connection
+    let (poll, answer) = source.next_poll();
+    assert!(poll.contains(&format!("&after={version}")), "{poll}");
+    answer.send((200, encode(&SourceMessage::Unchanged(version)))).unwrap();
+    let _held = source.next_poll(); // dropping it would close its connection
     let status = status(&proxy);
     assert_eq!((&status["version"], &status["standing"]), (&json!("7-2"), &json!("current")), "{status}");
     assert!(status["age_ms"].is_u64(), "{status}");
@@ -147,33 +147,35 @@
 /// each is logged with the reason; the next valid version is applied.
 #[test]
 fn what_is_unsound_is_refused_and_tells_why() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let proxy = Proxy::with_operator_file(&known, &operator("configuration-unsound", &published));
-    published.give_whole("");
+    let proxy = Proxy::with_operator_file(&known, &operator_file("configuration-unsound", &source));
+    source.answer_full_document("");
     proxy.wait_for_log("configuration applied");
     let mut profiles = renamed("read", "draw");
     profiles[1]["aim_us"] = json!(9_000_000);
-    let unsound = published.publish(&profiles);
-    published.give_delta(Version::first(EPOCH));
+    let unsound = source.publish(&profiles);
+    source.answer_delta(Version::first(EPOCH));
     let line = proxy.wait_for_log("configuration version rejected");
-    for told in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
-        assert!(line.contains(told), "{told} is not in {line}");
+    for field in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
+        assert!(line.contains(field), "{field} is not in {line}");
     }
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
-    let (asked, answer) = published.question();
-    assert!(asked.contains(&format!("&after=7-1&past={unsound}")), "{asked}");
+    let (poll, answer) = source.next_poll();
+    assert!(poll.contains(&format!("&after=7-1&past={unsound}")), "{poll}");
     assert_eq!(status(&proxy)["refused"], json!("7-2"));
-    published.publish(&renamed("read", "draw"));
-    let delta = published.delta(Version::first(EPOCH));
+    source.publish(&renamed("read", "draw"));
+    let delta = source.delta(Version::first(EPOCH));
     answer.send((200, delta.replace("\"gain\":1.0", "\"gain\":2.0"))).unwrap();
     assert!(proxy.wait_for_log("configuration version rejected").contains("checksum of the document"));
-    let (asked, answer) = published.question();
-    assert!(!asked.contains("after"), "{asked}");
-    answer.send((200, encode(&Told::FullDocument(published.source.full_document()))[..500].into())).unwrap();
+    let (poll, answer) = source.next_poll();
+    assert!(!poll.contains("after"), "{poll}");
+    answer
+        .send((200, encode(&SourceMessage::FullDocument(source.versions.full_document()))[..500].into()))
+        .unwrap();
     assert!(proxy.wait_for_log("configuration poll failed").contains("answer not understood"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
-    published.give_whole("&past=7-2");
+    source.answer_full_document("&past=7-2");
     assert!(proxy.wait_for_log("configuration applied").contains("version=7-3"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
@@ -182,23 +184,23 @@
 /// that the source is cut off.
 #[test]
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let proxy = Proxy::with_operator_file(&known, &operator("configuration-end", &published));
-    published.publish(&renamed("read", "draw"));
-    published.give_whole("");
+    let proxy = Proxy::with_operator_file(&known, &operator_file("configuration-end", &source));
+    source.publish(&renamed("read", "draw"));
+    source.answer_full_document("");
     proxy.wait_for_log("configuration applied");
     for _ in 0..4 {
-        drop(published.question());
+        drop(source.next_poll());
     }
     assert!(proxy.wait_for_log("configuration poll failed").contains("in_force=\"7-2\""));
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
-    let (_, answer) = published.question();
-    let told = status(&proxy);
-    assert_eq!((&told["version"], &told["standing"]), (&json!("7-2"), &json!("cut off")), "{told}");
+    let (_, answer) = source.next_poll();
+    let status = status(&proxy);
+    assert_eq!((&status["version"], &status["standing"]), (&json!("7-2"), &json!("cut off")), "{status}");
     answer.send((503, "busy".into())).unwrap();
-    published.source = begin(EPOCH + 1);
-    published.give_whole("&after=7-2");
+    source.versions = new_source(EPOCH + 1);
+    source.answer_full_document("&after=7-2");
     assert!(proxy.wait_for_log("configuration applied").contains("version=8-1"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
 }
@@ -206,14 +208,14 @@
 /// While a source is followed, SIGHUP does not restore the settings of the file; once none is named, it does.
 #[test]
 fn the_operator_file_says_which_settings_prevail() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let operator = operator("configuration-prevails", &published);
+    let operator = operator_file("configuration-prevails", &source);
     let proxy = Proxy::with_operator_file(&known, &operator);
-    published.publish(&renamed("read", "draw"));
-    published.give_whole("");
+    source.publish(&renamed("read", "draw"));
+    source.answer_full_document("");
     proxy.wait_for_log("configuration applied");
-    let later = published.question();
+    let later = source.next_poll();
     proxy.reconfigure(&proxy.config.1.replace(r#""group_size":1"#, r#""group_size":2"#));
     assert!(proxy.wait_for_log("configuration applied").contains("a source is followed"));
     assert!(
@@ -222,14 +224,14 @@
     );
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (200, 404));
     drop(later);
-    let _after = published.question();
+    let _after = source.next_poll();
     std::fs::write(&operator, "").unwrap();
     proxy.signal("HUP");
     assert!(proxy.wait_for_log("configuration applied").contains("with class read"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
     assert_eq!(status(&proxy), Value::Null);
-    std::fs::write(&operator, follows(&published)).unwrap();
+    std::fs::write(&operator, operator_text(&source)).unwrap();
     proxy.signal("HUP");
-    published.give_whole("");
+    source.answer_full_document("");
     assert!(proxy.wait_for_log("version=7-2").contains("with class draw"));
 }
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -16,14 +16,14 @@
 
 /// How long requests may still be sent to a backend after discovery has written that it leaves
 /// (`rules.stop_sending_within_us` is 500 ms at the operators' site).
-const TOLD: Duration = Duration::from_secs(2);
+const NOTIFIED_AFTER: Duration = Duration::from_secs(2);
 
-fn asked() -> String {
+fn polling_settings() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
 /// Returns the wait that a call asks for.
-fn wait_of(target: &str) -> Duration {
+fn requested_wait(target: &str) -> Duration {
     let wait = target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait");
     Duration::from_millis(wait.parse().unwrap())
 }
@@ -40,7 +40,7 @@
     ];
     std::thread::scope(|scope| {
         for cut in cuts {
-            for settings in [SETTINGS.to_string(), asked()] {
+            for settings in [SETTINGS.to_string(), polling_settings()] {
                 scope.spawn(move || {
                     let backend = BackendServer::start(|_| ok("x"));
                     let serving = [entry("b0", backend.address, "SERVING")];
@@ -55,7 +55,10 @@
                     let (next, _waits) = proxy.discovery.next_call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
                     let took = begun.elapsed();
-                    assert!(took < wait_of(&target) + TOLD, "{took:?} after {target}, cut behind {cut:?}");
+                    assert!(
+                        took < requested_wait(&target) + NOTIFIED_AFTER,
+                        "{took:?} after {target}, cut behind {cut:?}"
+                    );
                     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
                 });
             }
@@ -64,7 +67,7 @@
 }
 
 /// Waits until requests are refused because the backend drains; panics if that change was lost.
-fn until_out(proxy: &Proxy) {
+fn wait_until_draining(proxy: &Proxy) {
     let end = Instant::now() + TEST_TIMEOUT;
     while proxy.ask(&read(3.0)).status() != 503 {
         assert!(Instant::now() < end, "the word that it drains was lost");
@@ -75,7 +78,9 @@
 /// new address has sent nothing yet or an older version.
 #[test]
 fn what_the_old_discovery_tells_is_heard_though_discovery_moved() {
-    for (settings, answered) in [(SETTINGS.to_string(), false), (asked(), false), (asked(), true)] {
+    for (settings, answered) in
+        [(SETTINGS.to_string(), false), (polling_settings(), false), (polling_settings(), true)]
+    {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
         let proxy = Proxy::with_settings(&serving, 1024, &settings);
@@ -95,7 +100,7 @@
         }
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "nothing is told yet");
         old.send((0, rest.into())).unwrap();
-        until_out(&proxy);
+        wait_until_draining(&proxy);
         drop(waits);
     }
 }
@@ -137,8 +142,8 @@
     let serving = entry("b0", backend.address, "SERVING");
     let proxy = Proxy::start(std::slice::from_ref(&serving));
     proxy.discovery.next_call().1.send((200, list(9, true, &[serving]))).unwrap();
-    let news = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
-    proxy.discovery.next_call().1.send((200, list(3, false, &news))).unwrap();
+    let change = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
+    proxy.discovery.next_call().1.send((200, list(3, false, &change))).unwrap();
     let (whole, answer) = proxy.discovery.next_call(); // the changes have been processed by now
     assert_eq!(whole, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
@@ -180,7 +185,7 @@
 /// A connection to discovery that is not established is abandoned for another before its call would count as silent.
 #[test]
 fn a_connection_to_discovery_that_does_not_come_up_is_given_up() {
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let proxy = Proxy::with_settings(&[], 1024, &settings);
         let _first = proxy.discovery.next_call();
         let unreached = FullListener::new();
@@ -230,7 +235,7 @@
 #[test]
 fn news_that_comes_while_a_connection_comes_up_stops_the_send() {
     std::thread::scope(|scope| {
-        for news in ["DRAINING", "DELETED", "elsewhere"] {
+        for change in ["DRAINING", "DELETED", "elsewhere"] {
             scope.spawn(move || {
                 let (old, other) = (FullListener::new(), BackendServer::start(|_| ok("other")));
                 let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
@@ -241,21 +246,21 @@
                 let mut client = proxy.client();
                 client.send(&pay(3.0));
                 old.wait_for_connect();
-                let told = match news {
+                let entries = match change {
                     "elsewhere" => vec![entry("b0", other.address, "SERVING")],
                     state => {
                         vec![entry("b0", old.address(), state), entry("b1", other.address, "SERVING")]
                     }
                 };
-                answer.send((200, list(10, false, &told))).unwrap();
+                answer.send((200, list(10, false, &entries))).unwrap();
                 let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
                 let mut peer = old.accept_other();
                 let status = client.answer().expect("an answer").status();
-                assert!(matches!(status, 200 | 503), "{news}: it never ran, and got {status}");
-                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{news}");
+                assert!(matches!(status, 200 | 503), "{change}: it never ran, and got {status}");
+                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{change}");
                 drop(proxy);
                 let sent = peer.fill_buf().unwrap_or_default();
-                assert!(sent.is_empty(), "{news}: {}", String::from_utf8_lossy(sent));
+                assert!(sent.is_empty(), "{change}: {}", String::from_utf8_lossy(sent));
             });
         }
     });
@@ -265,7 +270,7 @@
 /// outstanding: every accepted request is answered, and the program exits with success.
 #[test]
 fn a_second_sigterm_ends_nothing_that_is_owed() {
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let gate = std::sync::Arc::new(Gate::default());
         let wait = gate.clone();
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -19,10 +19,10 @@
 const CROWD: usize = 150;
 const ROUNDS: usize = 3;
 /// The time left that a client gives its request, in seconds; a request that is served gets its answer within it.
-const TIME: f64 = 3.0;
+const TIME_LEFT_S: f64 = 3.0;
 
 /// What idle clients send: nothing, or a head that never ends.
-const IDLE: [&[&str]; 3] = [&[""], &["GET /read/k1 HTTP/1.1\r\nHost: s\r\n"], &["", "GET /rea"]];
+const IDLE_BYTES: [&[&str]; 3] = [&[""], &["GET /read/k1 HTTP/1.1\r\nHost: s\r\n"], &["", "GET /rea"]];
 
 /// Starts a proxy whose discovery answers every call with 503.
 fn without_discovery(backend: &BackendServer) -> (Proxy, BackendServer) {
@@ -37,19 +37,19 @@
 /// In each round the whole crowd is in the queue, with a new client's request before it, in its middle and behind it.
 #[test]
 fn new_clients_are_served_in_time_among_idle_ones_while_discovery_is_down() {
-    let mut slow = Vec::new();
-    for idle in IDLE {
+    let mut late = Vec::new();
+    for idle in IDLE_BYTES {
         let backend = BackendServer::start(|_| ok("x"));
         let (proxy, down) = without_discovery(&backend);
         let mut crowd = Vec::new();
         for round in 0..ROUNDS {
             stop_process(&proxy);
-            let mut asking = Vec::new();
+            let mut new_clients = Vec::new();
             for place in 0..=CROWD {
                 if [0, CROWD / 2, CROWD].contains(&place) {
                     let mut client = proxy.client();
-                    client.send(&read(TIME));
-                    asking.push((place, client));
+                    client.send(&read(TIME_LEFT_S));
+                    new_clients.push((place, client));
                 }
                 let mut client = proxy.client();
                 client.send(idle[place % idle.len()]);
@@ -57,16 +57,16 @@
             }
             let woken = Instant::now();
             proxy.signal("CONT");
-            for (place, mut client) in asking {
+            for (place, mut client) in new_clients {
                 let status = client.answer().map(|answer| answer.status());
                 let took = woken.elapsed();
                 println!("{idle:?}, round {round}, behind {place}: {status:?} after {took:?}");
-                if status != Some(200) || took > Duration::from_secs_f64(TIME) {
-                    slow.push(format!("{idle:?}, round {round}, behind {place}: {status:?} after {took:?}"));
+                if status != Some(200) || took > Duration::from_secs_f64(TIME_LEFT_S) {
+                    late.push(format!("{idle:?}, round {round}, behind {place}: {status:?} after {took:?}"));
                 }
             }
         }
         down.next_request(); // discovery is still down and is called again
     }
-    assert!(slow.is_empty(), "{slow:#?}");
+    assert!(late.is_empty(), "{late:#?}");
 }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 
 /// A change counts as notified this long after discovery had it and could be reached, whatever failed before.
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
 /// The sender for the answer to a call of [`DiscoveryServer`].
 type Answer = mpsc::Sender<(u16, String)>;
 
 /// Returns settings under which the proxy polls discovery for lists.
-fn asked() -> String {
+fn polling_settings() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
 /// Starts a proxy that holds version 9 of the list, in which `b0` serves.
-fn holding(backend: SocketAddr, settings: &str) -> Proxy {
+fn start_with_list(backend: SocketAddr, settings: &str) -> Proxy {
     let serving = [entry("b0", backend, "SERVING")];
     let proxy = Proxy::with_settings(&serving, 1024, settings);
     proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
@@ -42,12 +42,12 @@
 }
 
 /// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
-/// one more call and answers each other one 2.5 s after its arrival. The proxy holds the change within [`TOLD`], and
+/// one more call and answers each other one 2.5 s after its arrival. The proxy holds the change within [`NOTIFIED_AFTER`], and
 /// it has called neither too rarely nor too often before.
 #[test]
 fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = holding(backend.address, &asked());
+    let proxy = start_with_list(backend.address, &polling_settings());
     drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     let mut refused = 0;
@@ -64,23 +64,23 @@
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * TOLD, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "it never comes to hold the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after discovery could be reached, {refused} calls refused before");
-    assert!(held < TOLD, "held {held:?} after discovery could be reached");
+    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
     // The pauses double: with shorter ones, a whole fleet would keep a crowded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together take longer than [`TOLD`], where the refusal
+/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the refusal
 /// comes first: after the longest pause between calls one is refused, the next gets no answer, and each other one is
 /// answered 2.5 s after its arrival.
 #[test]
 fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = holding(backend.address, &asked());
+    let proxy = start_with_list(backend.address, &polling_settings());
     drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     while down.elapsed() < Duration::from_secs(3) {
@@ -94,11 +94,11 @@
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * TOLD, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "it never comes to hold the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after the last refusal");
-    assert!(held < TOLD, "held {held:?} after discovery could be reached");
+    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
@@ -108,7 +108,7 @@
 fn a_silent_discovery_has_one_call_at_a_time_and_is_called_again_in_time() {
     let (silence, longest_pause) = (Duration::from_secs(2), Duration::from_millis(1_900));
     std::thread::scope(|scope| {
-        for settings in [SETTINGS.to_string(), asked()] {
+        for settings in [SETTINGS.to_string(), polling_settings()] {
             scope.spawn(move || {
                 let proxy = Proxy::with_settings(&[], 1024, &settings);
                 let mut before = (proxy.discovery.next_call(), Instant::now());
@@ -140,7 +140,7 @@
                     true => ((10, &serving), (11, &draining)),
                     false => ((11, &draining), (10, &serving)),
                 };
-                let proxy = Proxy::with_settings(&serving, 1024, &asked());
+                let proxy = Proxy::with_settings(&serving, 1024, &polling_settings());
                 proxy.discovery.next_call().1.send((200, list(9, false, &[]))).unwrap();
                 let (_, first) = proxy.discovery.next_call();
                 let begun = Instant::now();
@@ -151,7 +151,7 @@
                 let (watch, waits) = proxy.discovery.next_call();
                 assert!(watch.contains(&format!("after={}&", other.0)), "{watch}");
                 first.send((200, list(late.0, false, late.1))).expect("the first call is out still");
-                let end = Instant::now() + TOLD;
+                let end = Instant::now() + NOTIFIED_AFTER;
                 while proxy.ask(&read(3.0)).status() != 503 {
                     assert!(Instant::now() < end, "what the first call told was lost: {late:?}");
                 }
@@ -167,12 +167,12 @@
 /// A fault of discovery in the answer to a call.
 #[derive(Debug)]
 enum Fault {
-    Refuses,
-    Resets,
+    Refuse,
+    Reset,
     /// Sends these bytes and no more.
-    Stalls(&'static str),
+    Stall(&'static str),
     /// Sends this body as a whole answer.
-    Babbles(String),
+    SendBody(String),
 }
 
 /// After each fault the next call is made in time, the log names the fault, and the current list stays in force.
@@ -181,37 +181,37 @@
     let long = "x".repeat(17 << 20);
     let endless = vec!["{}".to_string(); 40_000];
     let faults = [
-        (Fault::Refuses, "answered 503"),
-        (Fault::Resets, "call broken"),
-        (Fault::Stalls(""), "silent"),
-        (Fault::Stalls("HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n{\"index\":10,"), "does not answer"),
-        (Fault::Stalls("HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n"), "longer than 16777216 bytes"),
-        (Fault::Babbles("{\"index\":10,\"snapshot\":true}".into()), "answer not understood"),
-        (Fault::Babbles("[".into()), "answer not understood"),
-        (Fault::Babbles(list(10, true, &endless)), "expected an array of 32768 entries at most"),
-        (Fault::Babbles(long), "longer than 16777216 bytes"),
+        (Fault::Refuse, "answered 503"),
+        (Fault::Reset, "call broken"),
+        (Fault::Stall(""), "silent"),
+        (Fault::Stall("HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n{\"index\":10,"), "does not answer"),
+        (Fault::Stall("HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n"), "longer than 16777216 bytes"),
+        (Fault::SendBody("{\"index\":10,\"snapshot\":true}".into()), "answer not understood"),
+        (Fault::SendBody("[".into()), "answer not understood"),
+        (Fault::SendBody(list(10, true, &endless)), "expected an array of 32768 entries at most"),
+        (Fault::SendBody(long), "longer than 16777216 bytes"),
     ];
     for (fault, line) in faults {
-        for settings in [SETTINGS.to_string(), asked()] {
+        for settings in [SETTINGS.to_string(), polling_settings()] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
             let (first, answer) = proxy.discovery.next_call();
             let begun = Instant::now();
             let kept = match &fault {
-                Fault::Refuses => answer.send((503, String::new())).map(|()| None),
-                Fault::Resets => {
+                Fault::Refuse => answer.send((503, String::new())).map(|()| None),
+                Fault::Reset => {
                     drop(answer);
                     Ok(None)
                 }
-                Fault::Stalls(text) => answer.send((0, text.to_string())).map(|()| Some(answer)),
-                Fault::Babbles(text) => answer.send((200, text.clone())).map(|()| None),
+                Fault::Stall(text) => answer.send((0, text.to_string())).map(|()| Some(answer)),
+                Fault::SendBody(text) => answer.send((200, text.clone())).map(|()| None),
             };
             let _kept = kept.unwrap();
             let (again, _silent) = proxy.discovery.next_call();
             let took = begun.elapsed();
             assert!(took < Duration::from_millis(2_500), "{took:?} after {first} until {again}: {fault:?}");
-            let told = proxy.wait_for_log(line);
-            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the list held is lost: {told}");
+            let logged = proxy.wait_for_log(line);
+            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the list held is lost: {logged}");
         }
     }
 }
@@ -229,7 +229,7 @@
         lines.push(entry("b0", backend.address, "SERVING"));
         let whole = list(9, true, &lines);
         assert!(whole.len() > 9_000_000, "{}", whole.len());
-        let proxy = Proxy::with_settings(&[], 1024, &asked());
+        let proxy = Proxy::with_settings(&[], 1024, &polling_settings());
         let begun = Instant::now();
         proxy.discovery.next_call().1.send((200, whole)).unwrap();
         let (watch, changes) = proxy.discovery.next_call();
@@ -253,7 +253,7 @@
     let (leaving, other) = (BackendServer::start(|_| ok("leaving")), BackendServer::start(|_| ok("other")));
     let stays = entry("b1", other.address, "SERVING");
     let draining = entry("b0", leaving.address, "DRAINING");
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let serving = entry("b0", leaving.address, "SERVING");
         for known in [serving, draining.clone()] {
             let proxy = Proxy::with_settings(&[known.clone(), stays.clone()], 1024, &settings);
@@ -275,13 +275,13 @@
 }
 
 /// Calls that discovery refuses while clients take every descriptor that becomes free.
-const REFUSED: usize = 8;
+const REFUSED_CALLS: usize = 8;
 
 /// Clients with half a request use up the descriptors, of which there are fewer than configured, and queue for each
 /// that becomes free. Calls to discovery after a broken watch are still made in time.
 #[test]
 fn a_descriptor_for_discovery_is_left_where_clients_fill_them() {
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
         let proxy = Proxy::with_descriptor_limit(&serving, 1024, &settings, 64);
@@ -301,7 +301,7 @@
             assert!(Instant::now() < end, "the descriptors are never used up");
         }
         drop(watch);
-        for _ in 0..REFUSED {
+        for _ in 0..REFUSED_CALLS {
             let begun = Instant::now();
             proxy.discovery.next_call().1.send((503, String::new())).unwrap();
             let took = begun.elapsed();
@@ -319,10 +319,10 @@
 /// notified, although the backend has not been restarted since.
 #[test]
 fn a_drain_outlasts_a_move_to_a_discovery_that_lags_behind() {
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let backend = BackendServer::start(|_| ok("x"));
         let listed = |state| vec![entry("b0", backend.address, state)];
-        let proxy = holding(backend.address, &settings);
+        let proxy = start_with_list(backend.address, &settings);
         proxy.discovery.next_call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
         let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -84,12 +84,12 @@
     }
 
     /// Waits until a proxy sees `members` other proxies.
-    fn sees(&self, n: usize, members: u64) {
-        until(&format!("proxy {n} sees {members}"), || self.status(n)["members"] == members);
+    fn wait_for_members(&self, n: usize, members: u64) {
+        wait_until(&format!("proxy {n} sees {members}"), || self.status(n)["members"] == members);
     }
 
     /// Sets the links between a proxy and all others, in both directions.
-    fn cut(&self, n: usize, link: Link) {
+    fn set_links(&self, n: usize, link: Link) {
         for other in (0..SIZE).filter(|o| *o != n) {
             self.links.set(n, other, link);
             self.links.set(other, n, link);
@@ -97,22 +97,22 @@
     }
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
-    while !is() {
+    while !done() {
         assert!(Instant::now() < end, "not before the test's patience ended: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// The answers that clients received, each with its time, proxy and status.
-type Seen = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
+type Answers = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
 
 /// One client for each proxy, which makes requests at a rate of its own until the load ends and records the answers.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
-    seen: Seen,
+    answers: Answers,
     /// Requests without an answer, as when the proxy is killed.
     unanswered: Arc<AtomicU64>,
     addresses: Vec<Arc<Mutex<SocketAddr>>>,
@@ -120,12 +120,12 @@
 
 impl Load {
     fn start(fleet: &Fleet, per_s: [f64; SIZE], request: fn() -> String) -> Load {
-        let (stop, seen, unanswered) =
-            (Arc::<AtomicBool>::default(), Seen::default(), Arc::<AtomicU64>::default());
+        let (stop, answers, unanswered) =
+            (Arc::<AtomicBool>::default(), Answers::default(), Arc::<AtomicU64>::default());
         let addresses: Vec<_> = fleet.proxies.iter().map(|p| Arc::new(Mutex::new(p.address))).collect();
         let thread = |(n, address): (usize, &Arc<Mutex<SocketAddr>>)| {
-            let (stop, seen, unanswered, address) =
-                (stop.clone(), seen.clone(), unanswered.clone(), address.clone());
+            let (stop, answers, unanswered, address) =
+                (stop.clone(), answers.clone(), unanswered.clone(), address.clone());
             let gap = Duration::from_secs_f64(1.0 / per_s[n]);
             std::thread::spawn(move || {
                 let mut due = Instant::now();
@@ -142,7 +142,7 @@
                     match answer {
                         Some(m) => {
                             assert!(m.status() != 503 || m.header("retry-after").is_some(), "{m:?}");
-                            seen.lock().unwrap().push((Instant::now(), n, m.status()));
+                            answers.lock().unwrap().push((Instant::now(), n, m.status()));
                         }
                         None => drop(unanswered.fetch_add(1, Ordering::SeqCst)),
                     }
@@ -150,17 +150,17 @@
             })
         };
         let threads = addresses.iter().enumerate().map(thread).collect();
-        Load { threads, stop, seen, unanswered, addresses }
+        Load { threads, stop, answers, unanswered, addresses }
     }
 
     /// Returns how many requests a second one proxy served in the last `span`.
     fn served(&self, n: usize, span: Duration) -> f64 {
         let from = Instant::now() - span;
-        let seen = self.seen.lock().unwrap();
-        seen.iter().filter(|s| s.0 >= from && s.1 == n && s.2 == 200).count() as f64 / span.as_secs_f64()
+        let answers = self.answers.lock().unwrap();
+        answers.iter().filter(|s| s.0 >= from && s.1 == n && s.2 == 200).count() as f64 / span.as_secs_f64()
     }
 
-    fn moved(&self, n: usize, to: SocketAddr) {
+    fn set_address(&self, n: usize, to: SocketAddr) {
         *self.addresses[n].lock().unwrap() = to;
     }
 
@@ -168,24 +168,24 @@
     fn end(self) -> Vec<(Instant, usize, u16)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
-        let seen = self.seen.lock().unwrap().clone();
-        assert!(seen.iter().all(|s| matches!(s.2, 200 | 503)), "served or refused, nothing else");
-        seen
+        let answers = self.answers.lock().unwrap().clone();
+        assert!(answers.iter().all(|s| matches!(s.2, 200 | 503)), "served or refused, nothing else");
+        answers
     }
 }
 
 /// Asserts the bound of docs/fleet-limits.md: in any span no more requests than the rate allows for it, a burst, and
 /// one for each proxy.
-fn holds_the_bound(seen: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
-    let Some(first) = seen.first().map(|s| s.0) else { panic!("nothing was seen") };
+fn assert_bound(answers: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
+    let Some(first) = answers.first().map(|s| s.0) else { panic!("nothing was seen") };
     let mut served: Vec<f64> =
-        seen.iter().filter(|s| s.2 == 200).map(|s| (s.0 - first).as_secs_f64()).collect();
+        answers.iter().filter(|s| s.2 == 200).map(|s| (s.0 - first).as_secs_f64()).collect();
     served.sort_by(f64::total_cmp);
     let (mut least, mut worst) = (f64::INFINITY, 0.0f64);
     for (k, at) in served.iter().enumerate() {
-        let line = k as f64 - rate * at;
-        least = least.min(line);
-        worst = worst.max(line - least + 1.0);
+        let excess = k as f64 - rate * at;
+        least = least.min(excess);
+        worst = worst.max(excess - least + 1.0);
     }
     // These are times at the clients: answers that were delayed come closer together than their requests were
     // admitted.
@@ -199,23 +199,25 @@
 #[test]
 fn a_hot_proxy_borrows_falls_back_when_cut_off_and_borrows_again() {
     let fleet = Fleet::start("hot", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
-    (0..SIZE).for_each(|n| fleet.sees(n, SIZE as u64 - 1));
+    (0..SIZE).for_each(|n| fleet.wait_for_members(n, SIZE as u64 - 1));
     let load = Load::start(&fleet, [60.0, 4.0, 4.0, 4.0], || read(3.0));
     let second = Duration::from_secs(1);
     let own = 80.0 / SIZE as f64;
-    until("it is lent twice its own", || load.served(0, second) > 2.0 * own);
-    fleet.cut(0, CUT);
+    wait_until("it is lent twice its own", || load.served(0, second) > 2.0 * own);
+    fleet.set_links(0, CUT);
     let cut = Instant::now();
-    until("it falls back to its own", || cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own);
+    wait_until("it falls back to its own", || {
+        cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own
+    });
     assert!(load.served(0, second) > 0.5 * own, "its own stays: {}", load.served(0, second));
-    fleet.cut(0, Link::default());
+    fleet.set_links(0, Link::default());
     let healed = Instant::now();
-    until("it is lent again", || load.served(0, second) > 2.0 * own);
+    wait_until("it is lent again", || load.served(0, second) > 2.0 * own);
     println!("lent again {:.1} s after the heal", healed.elapsed().as_secs_f64());
     let shares = fleet.status(0)["shares"][0].clone();
     assert!(shares["borrowed_rate"].as_f64().unwrap() > 0.0, "{shares}");
     assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "one answer each");
-    holds_the_bound(&load.end(), 80.0, 0.2);
+    assert_bound(&load.end(), 80.0, 0.2);
 }
 
 /// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
@@ -230,11 +232,11 @@
         fleet.links.set(1, round % SIZE, CUT); // proxy 1 still receives, but is not heard
         std::thread::sleep(Duration::from_millis(700));
         fleet.restart(0);
-        load.moved(0, fleet.proxies[0].address);
+        load.set_address(0, fleet.proxies[0].address);
     }
     std::thread::sleep(Duration::from_millis(500));
-    let seen = load.end();
-    holds_the_bound(&seen, 60.0, 0.2);
+    let answers = load.end();
+    assert_bound(&answers, 60.0, 0.2);
     let mut ids = HashSet::new();
     while let Ok(event) = fleet.backend.events.try_recv() {
         if let rig::BackendEvent::Request(m) = event {
@@ -258,16 +260,16 @@
         ok("b")
     });
     let fleet = Fleet::start("slots", "in_flight = 16", backend);
-    (0..SIZE).for_each(|n| fleet.sees(n, SIZE as u64 - 1));
+    (0..SIZE).for_each(|n| fleet.wait_for_members(n, SIZE as u64 - 1));
     // Each client waits for its answer, so it takes several to keep many requests in flight.
     let loads: Vec<Load> = (0..8).map(|_| Load::start(&fleet, [20.0, 1.0, 1.0, 1.0], || read(3.0))).collect();
     let served = |span| loads.iter().map(|l| l.served(0, span)).sum::<f64>();
     // Its own four slots, at 150 ms a request, serve 27 requests a second.
-    until("more than its own slots serve", || served(Duration::from_secs(1)) > 33.0);
+    wait_until("more than its own slots serve", || served(Duration::from_secs(1)) > 33.0);
     for _ in 0..4 {
-        fleet.cut(0, CUT);
+        fleet.set_links(0, CUT);
         std::thread::sleep(Duration::from_millis(600));
-        fleet.cut(0, Link::default());
+        fleet.set_links(0, Link::default());
         std::thread::sleep(Duration::from_millis(300));
     }
     loads.into_iter().for_each(|load| drop(load.end()));
@@ -279,18 +281,18 @@
 #[test]
 fn proxies_with_other_limits_do_not_share() {
     let fleet = Fleet::start("apart", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
-    fleet.sees(0, 3);
+    fleet.wait_for_members(0, 3);
     let text = std::fs::read_to_string(&fleet.operators[3]).unwrap().replace("80.0", "90.0");
     let other = fleet.operators[3].with_extension("other.toml");
     std::fs::write(&other, text).unwrap();
     let settings =
         SETTINGS.replace("\"position\":0", "\"position\":3").replace("\"group_size\":1", "\"group_size\":4");
-    let stranger = Proxy::with_operator_file_and_settings(&[], &other, &settings);
-    let line = stranger.wait_for_log("fleet listening");
+    let other_proxy = Proxy::with_operator_file_and_settings(&[], &other, &settings);
+    let line = other_proxy.wait_for_log("fleet listening");
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
     fleet.links.member(3, at);
-    until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
+    wait_until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
         .wait_for_log("fleet datagram rejected")
         .contains("another site, fleet or set of limits"));
@@ -305,9 +307,9 @@
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{{"sockets":1024}},"settings":{SETTINGS}}}"#
     );
     let out = serve_command(Some(&config)).env("NODE_OPERATOR", &path).output().unwrap();
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        !out.status.success() && told.contains("limit \"x\": the settings have no class \"raed\""),
-        "{told}"
+        !out.status.success() && printed.contains("limit \"x\": the settings have no class \"raed\""),
+        "{printed}"
     );
 }
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -13,7 +13,7 @@
 use std::process::Command;
 use std::sync::Arc;
 
-fn folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("lotusdeck-ledger-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -21,20 +21,20 @@
 }
 
 /// Writes an operator file that enables the ledger, and returns its path.
-fn on(folder: &Path, more: &str) -> PathBuf {
+fn operator_file(folder: &Path, more: &str) -> PathBuf {
     let path = folder.join("operator.toml");
     let at = folder.join("ledger").display().to_string();
     std::fs::write(&path, format!("[ledger]\nfolder = \"{at}\"\nsegment_mb = 1\n{more}\n")).unwrap();
     path
 }
 
-fn ledger(folder: &Path, args: &[&str]) -> String {
+fn run_ledger(folder: &Path, args: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let output = command.arg("ledger").args(args).arg(folder.join("ledger")).output().unwrap();
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn id(request: &str) -> &str {
+fn id_of(request: &str) -> &str {
     request.split("X-Correlation-Id: ").nth(1).unwrap().split("\r\n").next().unwrap()
 }
 
@@ -43,37 +43,38 @@
 #[test]
 fn every_non_repeatable_request_is_told_of() {
     for mode in ["process", "power"] {
-        let place = folder(mode);
+        let folder = empty_folder(mode);
         let gate = Arc::new(Gate::default());
-        let shut = gate.clone();
+        let held = gate.clone();
         let backend = BackendServer::start(move |n| match n {
             0 => ok("paid"),
             1 => Reply::Answer(200, "", "read".into()),
             2 => Reply::Answer(500, "", "no".into()),
-            _ => Reply::Gate(shut.clone()),
+            _ => Reply::Gate(held.clone()),
         });
         let list = [entry("b0", backend.address, "SERVING")];
-        let mut proxy = Proxy::with_operator_file(&list, &on(&place, &format!("mode = \"{mode}\"")));
+        let mut proxy =
+            Proxy::with_operator_file(&list, &operator_file(&folder, &format!("mode = \"{mode}\"")));
         let (paid, failed, cut) = (pay(3.0), pay(3.0), pay(3.0));
         assert_eq!(proxy.ask(&paid).status(), 200);
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
         assert_eq!(proxy.ask(&failed).status(), 502);
-        let told = ledger(&place, &["query", "--id", id(&paid)]);
-        assert!(told.contains("pay/k1") && told.contains(": sent\n"), "{told}");
-        assert!(told.contains("0: b0 at ") && told.contains("sent, answered 200"), "{told}");
+        let output = run_ledger(&folder, &["query", "--id", id_of(&paid)]);
+        assert!(output.contains("pay/k1") && output.contains(": sent\n"), "{output}");
+        assert!(output.contains("0: b0 at ") && output.contains("sent, answered 200"), "{output}");
         let mut client = proxy.client();
         client.send(&cut);
         (0..4).for_each(|_| drop(backend.next_request())); // the last one has reached the backend
         proxy.child.kill().unwrap();
         proxy.child.wait().unwrap();
-        let told = ledger(&place, &["query", "--state", "possibly-sent", "--format", "csv"]);
-        assert_eq!(told.lines().count(), 2, "{told}");
-        assert!(told.contains(id(&cut)) && told.contains("b0,"), "{told}");
-        let told = ledger(&place, &["query", "--backend", "b0", "--format", "json"]);
-        assert_eq!(told.lines().count(), 3, "{told}");
-        assert!(told.contains("{\"answered\":500}"), "{told}");
-        assert!(ledger(&place, &["query", "--id", "never-seen"]).contains("it was never sent"));
-        assert!(ledger(&place, &["verify"]).contains("3 requests, 1 possibly sent"));
+        let output = run_ledger(&folder, &["query", "--state", "possibly-sent", "--format", "csv"]);
+        assert_eq!(output.lines().count(), 2, "{output}");
+        assert!(output.contains(id_of(&cut)) && output.contains("b0,"), "{output}");
+        let output = run_ledger(&folder, &["query", "--backend", "b0", "--format", "json"]);
+        assert_eq!(output.lines().count(), 3, "{output}");
+        assert!(output.contains("{\"answered\":500}"), "{output}");
+        assert!(run_ledger(&folder, &["query", "--id", "never-seen"]).contains("it was never sent"));
+        assert!(run_ledger(&folder, &["verify"]).contains("3 requests, 1 possibly sent"));
         gate.open();
     }
 }
@@ -83,10 +84,10 @@
 #[test]
 fn a_disk_that_takes_nothing_refuses_only_what_must_be_written_down() {
     for more in ["on_failure = \"refuse\"", "on_failure = \"go-on\""] {
-        let place = folder(&more[14..20].replace('"', ""));
+        let folder = empty_folder(&more[14..20].replace('"', ""));
         let backend = BackendServer::start(|_| ok("x"));
         let list = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::with_file_limit(&list, &on(&place, more), Some(64));
+        let proxy = Proxy::with_file_limit(&list, &operator_file(&folder, more), Some(64));
         let answer = proxy.ask(&pay(3.0));
         assert_eq!(answer.status(), 503, "{more}");
         assert!(answer.header("retry-after").is_some());
@@ -103,16 +104,17 @@
 /// A process that ends in order records that, and nothing is uncertain then.
 #[test]
 fn an_orderly_end_leaves_nothing_uncertain() {
-    let place = folder("orderly");
+    let folder = empty_folder("orderly");
     let backend = BackendServer::start(|_| ok("x"));
     let more = "on_failure = \"go-on\"";
-    let mut proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &on(&place, more));
+    let mut proxy =
+        Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator_file(&folder, more));
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
-    let open = ledger(&place, &["query", "--id", "unknown"]);
+    let open = run_ledger(&folder, &["query", "--id", "unknown"]);
     assert!(open.contains("nothing is proved"), "it runs, and may go on without records: {open}");
     proxy.signal("TERM");
     proxy.child.wait().unwrap();
-    let closed = ledger(&place, &["query", "--id", "unknown"]);
+    let closed = run_ledger(&folder, &["query", "--id", "unknown"]);
     assert!(closed.contains("it was never sent"), "{closed}");
-    assert!(ledger(&place, &["verify"]).contains("nothing is damaged"));
+    assert!(run_ledger(&folder, &["verify"]).contains("nothing is damaged"));
 }
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -15,24 +15,24 @@
 use std::process::Command;
 use std::sync::{mpsc, Arc};
 
-fn both(a: &BackendServer, b: &BackendServer) -> [String; 2] {
+fn both_serving(a: &BackendServer, b: &BackendServer) -> [String; 2] {
     [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")]
 }
 
-fn two() -> (BackendServer, BackendServer) {
+fn two_backends() -> (BackendServer, BackendServer) {
     (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")))
 }
 
 /// Sends `count` requests one after the other and asserts that each is served.
-fn serve(proxy: &Proxy, count: usize) {
+fn assert_served(proxy: &Proxy, count: usize) {
     let mut client = proxy.client();
     (0..count).for_each(|_| assert_eq!(client.ask(&pay(3.0)).status(), 200));
 }
 
 #[test]
 fn calls_are_answered_yes_or_no() {
-    let (a, b) = two();
-    let proxy = Proxy::start(&both(&a, &b));
+    let (a, b) = two_backends();
+    let proxy = Proxy::start(&both_serving(&a, &b));
     assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
     assert_eq!(proxy.operator_call("PUT", "/admin/health", ""), 405);
     assert_eq!(proxy.operator_call("GET", "/admin/cordon", ""), 405);
@@ -49,15 +49,15 @@
 /// Callers that never finish a call keep no other out, however many they are, and each is disconnected in the end.
 #[test]
 fn silent_callers_do_not_shut_others_out() {
-    let (a, b) = two();
-    let proxy = Proxy::start(&both(&a, &b));
+    let (a, b) = two_backends();
+    let proxy = Proxy::start(&both_serving(&a, &b));
     let mut silent: Vec<Client> = (0..40).map(|_| Client::connect(proxy.admin)).collect();
     silent[3].send("PUT /admin/cordon HTTP/1.1\r\nContent-Length: 2\r\n\r\nb");
     assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
     assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b1"), 200);
     silent.iter_mut().for_each(|caller| assert!(caller.ended()));
     let before = a.count();
-    serve(&proxy, 20);
+    assert_served(&proxy, 20);
     assert_eq!((a.count() - before, b.count()), (20, 0), "half a call is none");
 }
 
@@ -65,31 +65,31 @@
 /// it was cordoned twice.
 #[test]
 fn a_cordoned_backend_gets_nothing_until_it_is_given_back() {
-    let (a, b) = two();
-    let proxy = Proxy::start(&both(&a, &b));
-    serve(&proxy, 40);
+    let (a, b) = two_backends();
+    let proxy = Proxy::start(&both_serving(&a, &b));
+    assert_served(&proxy, 40);
     assert!(a.count() > 0 && b.count() > 0, "both are in use");
     assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b0"), 200);
     a.wait_for_close(); // its idle connections are closed
     assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "b0"), 200);
     let before = a.count();
-    serve(&proxy, 40);
+    assert_served(&proxy, 40);
     let (_, answer) = proxy.discovery.next_call();
-    answer.send((200, list(9, true, &both(&a, &b)))).unwrap();
+    answer.send((200, list(9, true, &both_serving(&a, &b)))).unwrap();
     let (_, answer) = proxy.discovery.next_call(); // the list has been applied by now
-    serve(&proxy, 40);
+    assert_served(&proxy, 40);
     // It leaves the list and returns, as when it is restarted.
     answer.send((200, list(10, false, &[entry("b0", a.address, "DELETED")]))).unwrap();
     let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(11, false, &[entry("b0", a.address, "SERVING")]))).unwrap();
     let (_, _waits) = proxy.discovery.next_call();
-    serve(&proxy, 40);
+    assert_served(&proxy, 40);
     assert_eq!(a.count(), before, "nothing new goes to it");
     assert_eq!(proxy.operator_call("PUT", "/admin/uncordon", "b0"), 200);
     let mut sent = 0;
     while a.count() == before {
         assert!(sent < 2000, "it was never used again");
-        serve(&proxy, 1);
+        assert_served(&proxy, 1);
         sent += 1;
     }
 }
@@ -97,16 +97,16 @@
 /// A cordon holds for processes that start later, after its own process has ended, and despite damage to its file.
 #[test]
 fn a_cordon_outlasts_its_process_and_binds_the_next() {
-    let (a, b) = two();
+    let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = Proxy::with_inherited_listener(&both(&a, &b), &listener);
+    let old = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
     assert_eq!(old.operator_call("PUT", "/admin/cordon", "b0"), 200);
-    let mut new = old.successor(&both(&a, &b), &listener);
+    let mut new = old.successor(&both_serving(&a, &b), &listener);
     assert_eq!(new.operator_call("GET", "/admin/health", ""), 200);
-    serve(&new, 40);
+    assert_served(&new, 40);
     assert_eq!(a.count(), 0, "both know of it");
     drop(old);
-    serve(&new, 40);
+    assert_served(&new, 40);
     assert_eq!(a.count(), 0, "it outlasts the process that was told");
     new.child.kill().unwrap();
     new.child.wait().unwrap();
@@ -116,20 +116,20 @@
     });
     let mut file = std::fs::File::options().append(true).open(file.unwrap().path()).unwrap();
     file.write_all(b"\xff\0\n").unwrap();
-    let last = new.successor(&both(&a, &b), &listener);
-    serve(&last, 40);
+    let last = new.successor(&both_serving(&a, &b), &listener);
+    assert_served(&last, 40);
     assert_eq!(a.count(), 0, "damage to the file lifts no ban");
 }
 
 /// While two processes serve, a cordon by a call to one applies to the other.
 #[test]
 fn a_call_to_one_process_binds_the_other() {
-    let (a, b) = two();
+    let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = Proxy::with_inherited_listener(&both(&a, &b), &listener);
+    let old = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
     let mut kept = old.client(); // the only process that listens yet
     (0..40).for_each(|_| assert_eq!(kept.ask(&pay(3.0)).status(), 200));
-    let new = old.successor(&both(&a, &b), &listener);
+    let new = old.successor(&both_serving(&a, &b), &listener);
     assert_eq!(new.operator_call("PUT", "/admin/cordon", "b0"), 200);
     a.wait_for_close(); // only the old process had a connection to it
     let before = a.count();
@@ -140,9 +140,9 @@
 /// An inherited listening socket is served as it is; a descriptor that is no listening TCP socket is refused.
 #[test]
 fn an_inherited_listener_is_served() {
-    let (a, b) = two();
+    let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let proxy = Proxy::with_inherited_listener(&both(&a, &b), &listener);
+    let proxy = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
     assert_eq!(proxy.address, listener.local_addr().unwrap());
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     for (fd, says) in [("3", "no listening TCP socket"), ("77", "not open"), ("x", "expected the number")] {
@@ -226,8 +226,8 @@
 /// file as it is then.
 #[test]
 fn the_program_serves_while_it_reads_and_the_last_file_holds() {
-    let (a, b) = two();
-    let proxy = Proxy::start(&both(&a, &b));
+    let (a, b) = two_backends();
+    let proxy = Proxy::start(&both_serving(&a, &b));
     let path = proxy.config.0.clone();
     let slow = path.with_extension("slow");
     assert!(Command::new("mkfifo").arg(&slow).status().unwrap().success());
@@ -255,8 +255,8 @@
 /// Nothing is applied from a file with a fault, nor its address of discovery.
 #[test]
 fn a_file_with_a_fault_changes_nothing() {
-    let (a, b) = two();
-    let proxy = Proxy::start(&both(&a, &b));
+    let (a, b) = two_backends();
+    let proxy = Proxy::start(&both_serving(&a, &b));
     let elsewhere = DiscoveryServer::start();
     let at = proxy.discovery.address.to_string();
     let good = other_settings(&proxy.config.1).replace(&at, &elsewhere.address.to_string());
@@ -292,7 +292,7 @@
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{file}");
     }
     let (_, waits) = proxy.discovery.next_call();
-    waits.send((200, list(9, true, &both(&a, &b)))).unwrap();
+    waits.send((200, list(9, true, &both_serving(&a, &b)))).unwrap();
     let (_, _waits) = proxy.discovery.next_call(); // discovery is still at the old address
     proxy.reconfigure(&good);
     proxy.wait_for_log("configuration applied");
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
-fn operator(name: &str, servers: &str) -> PathBuf {
+fn operator_file(name: &str, servers: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-postgres-{}-{name}.toml", std::process::id()));
     let verifier = Verifier::of_password(b"do re mi", b"salt", 4096).stored();
     let text = format!(
@@ -39,7 +39,7 @@
 async fn the_program_serves_a_driver_and_says_when_it_stops() {
     let test = async {
         let (at, seen) = stand_in::stand_in().await;
-        let path = operator("serves", &format!("{{ name = \"pg-1\", address = \"{at}\" }}"));
+        let path = operator_file("serves", &format!("{{ name = \"pg-1\", address = \"{at}\" }}"));
         let mut proxy = Proxy::with_operator_file(&[], &path);
         let mut config = tokio_postgres::Config::new();
         config.host("127.0.0.1").port(port(&proxy)).user("ann").password("do re mi").dbname("scores");
@@ -50,8 +50,8 @@
         assert_eq!(rows[0].get::<_, String>(0), "select 1");
         assert_eq!(*seen.logins.borrow(), 1);
         proxy.signal("TERM");
-        let farewell = connection.await.unwrap().unwrap_err();
-        assert_eq!(farewell.code().map(|c| c.code()), Some("57P01"), "{farewell}");
+        let shutdown_error = connection.await.unwrap().unwrap_err();
+        assert_eq!(shutdown_error.code().map(|c| c.code()), Some("57P01"), "{shutdown_error}");
         proxy.child.wait().unwrap();
     };
     LocalSet::new().run_until(test).await;
@@ -60,11 +60,11 @@
 /// A file with an invalid front is refused with the position of the fault, before anything starts.
 #[test]
 fn a_faulty_front_is_told_with_its_place() {
-    let path = operator("faulty", "");
+    let path = operator_file("faulty", "");
     let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let output = check.arg("check").arg(&path).output().unwrap();
-    let told = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.code() == Some(2) && told.contains("either discovery or"), "{told}");
+    let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.code() == Some(2) && text.contains("either discovery or"), "{text}");
 }
 
 /// A short form of the soak: servers die at the worst moments, and everything that a driver is told is true.
@@ -79,8 +79,8 @@
         proxy: Some(env!("CARGO_BIN_EXE_lotusdeck").into()),
         out: std::env::temp_dir().join(format!("lotusdeck-pg-soak-{}", std::process::id())),
     };
-    let soaked = lotusdeck_testbed::postgres::run(&args).unwrap();
-    assert!(soaked.wrong.is_empty(), "{:?}", soaked.wrong);
+    let report = lotusdeck_testbed::postgres::run(&args).unwrap();
+    assert!(report.wrong.is_empty(), "{:?}", report.wrong);
     // How much is played depends on the machine; that something is played does not.
-    assert!(soaked.deaths > 0 && soaked.told[0] > 0, "{soaked:?}");
+    assert!(report.deaths > 0 && report.told[0] > 0, "{report:?}");
 }
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -14,18 +14,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn one(backend: &BackendServer) -> Proxy {
+fn proxy_for(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-fn two(a: &BackendServer, b: &BackendServer) -> Proxy {
+fn proxy_for_two(a: &BackendServer, b: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")])
 }
 
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
     let backend = BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let answer = proxy.ask(
         "POST /vote/k%201?q=%2F HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 00aa\r\nIdempotency-Key: 77\r\n\
          X-Time-Left: 2.5\r\nConnection: x-private\r\nX-Private: 1\r\nContent-Length: 3\r\n\r\nabc",
@@ -50,7 +50,7 @@
 }
 
 /// Starts a backend that answers 200 until the switch is set, and replies with `to` from then on.
-fn turning(to: impl Fn() -> Reply + Send + Sync + 'static) -> (BackendServer, Arc<AtomicBool>) {
+fn switchable_backend(to: impl Fn() -> Reply + Send + Sync + 'static) -> (BackendServer, Arc<AtomicBool>) {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
     let reply = move |_| if thrown.load(SeqCst) { to() } else { ok("x") };
@@ -76,8 +76,8 @@
         ),
     ];
     for (what, reply, left) in cases {
-        let ((a, first), (b, second)) = (turning(reply), turning(reply));
-        let proxy = two(&a, &b);
+        let ((a, first), (b, second)) = (switchable_backend(reply), switchable_backend(reply));
+        let proxy = proxy_for_two(&a, &b);
         warm_up(&proxy);
         let before = a.count() + b.count();
         first.store(true, SeqCst);
@@ -92,14 +92,15 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
     for status in [503, 504] {
-        let away = move || Reply::Answer(status, "X-Unprocessed: 1", String::new());
-        let ((away, switch), good) = (turning(away), BackendServer::start(|_| ok("paid")));
-        let proxy = two(&away, &good);
+        let rejecting = move || Reply::Answer(status, "X-Unprocessed: 1", String::new());
+        let ((rejecting, switch), good) =
+            (switchable_backend(rejecting), BackendServer::start(|_| ok("paid")));
+        let proxy = proxy_for_two(&rejecting, &good);
         warm_up(&proxy);
         switch.store(true, SeqCst);
-        let (away_before, good_before) = (away.count(), good.count());
+        let (rejected_before, good_before) = (rejecting.count(), good.count());
         let mut sent = 0;
-        while away.count() == away_before {
+        while rejecting.count() == rejected_before {
             assert!(sent < 100, "the draw never met it");
             assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
             sent += 1;
@@ -112,11 +113,11 @@
 /// requests for the random choice to meet one.
 #[test]
 fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
-    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
-    let proxy = one(&good);
+    let (refusing, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
+    let proxy = proxy_for(&good);
     warm_up(&proxy);
     let (_, answer) = proxy.discovery.next_call();
-    let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
+    let both = [entry("b0", good.address, "SERVING"), entry("b1", refusing.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
     let _hold = proxy.discovery.next_call(); // the list has been applied by now
     let before = good.count();
@@ -129,37 +130,39 @@
 /// A request that is given up is answered then, not at its deadline, and with `Retry-After`.
 #[test]
 fn a_refusal_comes_at_once_and_with_advice() {
-    let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
-    let proxy = one(&away);
+    let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
+    let proxy = proxy_for(&rejecting);
     for request in [pay(3.0), read(3.0)] {
         let answer = proxy.ask(&request);
         assert_eq!(answer.status(), 503);
-        let advice: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
-        assert!(advice > 0.0 && advice <= 2.0, "{advice}");
+        let retry_after_s: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+        assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
     }
 }
 
 /// `Retry-After` is sent only where the settings in force allow it.
 #[test]
 fn a_refusal_has_no_advice_where_the_settings_bar_it() {
-    let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
-    let barred = SETTINGS.replace("\"max_retry_after_us\"", "\"retry_after\":false,\"max_retry_after_us\"");
-    let proxy = Proxy::with_settings(&[entry("b0", away.address, "SERVING")], 1024, &barred);
-    let advised = || {
+    let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
+    let without_retry_after =
+        SETTINGS.replace("\"max_retry_after_us\"", "\"retry_after\":false,\"max_retry_after_us\"");
+    let proxy =
+        Proxy::with_settings(&[entry("b0", rejecting.address, "SERVING")], 1024, &without_retry_after);
+    let has_retry_after = || {
         let answer = proxy.ask(&pay(3.0));
         assert_eq!(answer.status(), 503);
         answer.header("retry-after").is_some()
     };
-    assert!(!advised());
+    assert!(!has_retry_after());
     proxy.reconfigure(&proxy.config.1.replace("\"retry_after\":false", "\"retry_after\":true"));
     proxy.wait_for_log("configuration applied");
-    assert!(advised());
+    assert!(has_retry_after());
 }
 
 #[test]
 fn silence_is_answered_before_the_client_gives_up() {
     let backend = BackendServer::start(|_| Reply::Silence);
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let begun = std::time::Instant::now();
     let status = proxy.ask(&pay(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
@@ -171,7 +174,7 @@
 #[test]
 fn a_client_that_leaves_takes_its_attempt_along() {
     let backend = BackendServer::start(|_| Reply::Silence);
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.send(&read(3.0));
     backend.next_request();
@@ -183,7 +186,7 @@
 #[test]
 fn requests_in_turn_share_a_warm_connection() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     for _ in 0..10 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
@@ -197,7 +200,7 @@
 #[test]
 fn a_connection_that_the_backend_closed_is_not_used_again() {
     let backend = BackendServer::start(|_| Reply::AnswerAndClose(200, "x".into()));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     for round in 1..=5 {
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
         assert_eq!(backend.count(), round);
@@ -219,13 +222,13 @@
 #[test]
 fn the_watch_follows_changes_failures_and_gaps() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
-    let proxy = one(&old);
+    let proxy = proxy_for(&old);
     assert_eq!(proxy.ask(&read(3.0)).body, b"old");
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     let bad = r#"{"name":7},{"name":"x","address":"nowhere","status":"SERVING"}"#.to_string();
-    let odd = entry("b9", old.address, "RESTING");
-    answer.send((200, list(9, true, &[bad, odd, entry("b0", old.address, "SERVING")]))).unwrap();
+    let unknown_status = entry("b9", old.address, "RESTING");
+    answer.send((200, list(9, true, &[bad, unknown_status, entry("b0", old.address, "SERVING")]))).unwrap();
     let (target, answer) = proxy.discovery.next_call();
     assert!(target.starts_with("GET /api/targets?after=9&wait_ms="), "{target}");
     let change = [entry("b0", old.address, "DRAINING"), entry("b1", new.address, "SERVING")];
@@ -256,7 +259,7 @@
 #[test]
 fn odd_requests_get_their_own_answers_and_harm_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let long = 32 * 1024 * 1024 + 1;
     let body = "y".repeat(1000);
     let cases = [
@@ -287,8 +290,8 @@
     for left in ["", "X-Time-Left: 1e300\r\n"] {
         let request = format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
         assert_eq!(proxy.ask(&request).status(), 200, "{left}");
-        let told: f64 = backend.next_request().header("x-time-left").unwrap().parse().unwrap();
-        assert!(told > 1.0 && told <= 3.0, "the class's deadline: {told}");
+        let time_left: f64 = backend.next_request().header("x-time-left").unwrap().parse().unwrap();
+        assert!(time_left > 1.0 && time_left <= 3.0, "the class's deadline: {time_left}");
     }
 }
 
@@ -335,7 +338,7 @@
         2 => Reply::Silence,
         _ => ok("x"),
     });
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     for client in [&mut first, &mut second] {
         client.send(&read(3.0));
@@ -389,7 +392,7 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("late") });
-    let mut proxy = one(&backend);
+    let mut proxy = proxy_for(&backend);
     let (mut busy, mut kept, mut idle) = (proxy.client(), proxy.client(), proxy.client());
     for client in [&mut kept, &mut idle] {
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
@@ -411,8 +414,9 @@
 
 #[test]
 fn keyed_requests_are_repeated_under_the_same_key() {
-    let ((bad, switch), good) = (turning(|| Reply::Reset), BackendServer::start(|_| ok("counted")));
-    let proxy = two(&bad, &good);
+    let ((bad, switch), good) =
+        (switchable_backend(|| Reply::Reset), BackendServer::start(|_| ok("counted")));
+    let proxy = proxy_for_two(&bad, &good);
     warm_up(&proxy);
     while bad.events.try_recv().is_ok() || good.events.try_recv().is_ok() {}
     switch.store(true, SeqCst);
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -15,7 +15,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Writes an operator file that keeps state in a new folder; returns the paths of both.
-fn keeping(site: &str, half_life_s: u64) -> (PathBuf, PathBuf) {
+fn write_operator_file(site: &str, half_life_s: u64) -> (PathBuf, PathBuf) {
     let at =
         std::env::temp_dir().join(format!("lotusdeck-state-{}-{site}-{half_life_s}", std::process::id()));
     let _ = std::fs::remove_dir_all(&at);
@@ -31,7 +31,7 @@
 }
 
 /// Starts a proxy, waits until it has saved the list that discovery gave it, and kills it.
-fn kept(operator: &Path, entries: &[String]) {
+fn save_list(operator: &Path, entries: &[String]) {
     let proxy = Proxy::with_operator_file(&[], operator);
     let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(9, true, entries))).unwrap();
@@ -44,8 +44,8 @@
 #[test]
 fn a_proxy_killed_and_started_again_serves_from_its_kept_list_and_heeds_discovery_once_back() {
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
-    let (operator, _) = keeping("power", 600);
-    kept(&operator, &[entry("b0", first.address, "SERVING")]);
+    let (operator, _) = write_operator_file("power", 600);
+    save_list(&operator, &[entry("b0", first.address, "SERVING")]);
     let proxy = Proxy::with_operator_file(&[], &operator);
     assert!(proxy.wait_for_log("endpoint list restored").contains("index=9"));
     let (_, answer) = proxy.discovery.next_call();
@@ -64,8 +64,8 @@
 #[test]
 fn kept_files_that_are_cut_or_foreign_are_passed_over_with_a_line_each() {
     let backend = BackendServer::start(|_| ok("known"));
-    let (operator, folder) = keeping("here", 600);
-    kept(&operator, &[entry("b0", backend.address, "SERVING")]);
+    let (operator, folder) = write_operator_file("here", 600);
+    save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
     let file = folder.join("n0.state");
     let sound = std::fs::read(&file).unwrap();
     let mut foreign: SavedEndpoints = decode(&sound).unwrap();
@@ -95,7 +95,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let three_hours = 3 * 3_600_000;
     for (half_life_s, taken) in [(600, false), (86_400, true)] {
-        let (operator, folder) = keeping("old", half_life_s);
+        let (operator, folder) = write_operator_file("old", half_life_s);
         std::fs::create_dir_all(&folder).unwrap();
         let body = list(9, true, &entries).into_bytes();
         let saved = SavedEndpoints {
@@ -127,7 +127,7 @@
 #[test]
 fn a_second_process_with_the_same_folder_only_reads() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, _) = keeping("two", 600);
+    let (operator, _) = write_operator_file("two", 600);
     let first = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
     first.wait_for_log("no saved endpoint list");
     let second = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
@@ -139,8 +139,8 @@
 #[test]
 fn a_full_disk_leaves_the_last_kept_state_whole() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("full", 600);
-    kept(&operator, &[entry("b0", backend.address, "SERVING")]);
+    let (operator, folder) = write_operator_file("full", 600);
+    save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
     let proxy = Proxy::with_file_limit(&[], &operator, Some(1));
     proxy.wait_for_log("endpoint list restored");
     let (_, answer) = proxy.discovery.next_call();
@@ -157,12 +157,12 @@
 #[test]
 fn a_kill_at_any_moment_of_a_write_leaves_a_whole_file() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("torn", 600);
+    let (operator, folder) = write_operator_file("torn", 600);
     let file = folder.join("n0.state");
     let seed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64 | 1;
     println!("seed {seed}");
     let mut rng = seed;
-    let mut roll = |n: u64| {
+    let mut random_below = |n: u64| {
         rng ^= rng << 13;
         rng ^= rng >> 7;
         rng ^= rng << 17;
@@ -170,19 +170,19 @@
     };
     let entries: Vec<String> =
         (0..4000).map(|i| entry(&format!("backend-{i:05}"), backend.address, "SERVING")).collect();
-    let (mut index, mut last, mut torn) = (10, 0, 0);
+    let (mut index, mut last, mut unfinished) = (10, 0, 0);
     for _ in 0..20 {
         let proxy = Proxy::with_operator_file(&[], &operator);
-        let until = Instant::now() + std::time::Duration::from_millis(120 + roll(200));
+        let until = Instant::now() + std::time::Duration::from_millis(120 + random_below(200));
         let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until || !file.exists() {
             assert!(Instant::now() < end, "seed {seed}: no list was ever kept");
             let (_, answer) = proxy.discovery.next_call();
             index += 1;
-            answer.send((200, list(index, true, &entries[..2000 + roll(2000) as usize]))).unwrap();
+            answer.send((200, list(index, true, &entries[..2000 + random_below(2000) as usize]))).unwrap();
         }
         drop(proxy); // SIGKILL
-        torn += usize::from(folder.join("n0.state.new").exists());
+        unfinished += usize::from(folder.join("n0.state.new").exists());
         let kept: SavedEndpoints =
             decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
         assert!(kept.index >= last, "seed {seed}: {} after {last}", kept.index);
@@ -190,7 +190,7 @@
     }
     assert!(last > 20, "seed {seed}: lists were written as they came, the last kept is {last}");
     println!(
-        "seed {seed}: {torn} of 20 kills left a new file unfinished beside the whole one; kept up to {last}"
+        "seed {seed}: {unfinished} of 20 kills left a new file unfinished beside the whole one; kept up to {last}"
     );
 }
 
@@ -199,7 +199,7 @@
 #[test]
 fn what_was_learned_is_taken_back_or_passed_over_with_a_line() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("learned", 600);
+    let (operator, folder) = write_operator_file("learned", 600);
     {
         let proxy = Proxy::with_operator_file(&[], &operator);
         let (_, answer) = proxy.discovery.next_call();
@@ -239,7 +239,7 @@
 #[test]
 fn a_second_process_keeps_the_state_once_the_first_has_ended() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("handed", 600);
+    let (operator, folder) = write_operator_file("handed", 600);
     let known = [entry("b0", backend.address, "SERVING")];
     let first = Proxy::with_operator_file(&known, &operator);
     first.wait_for_log("no saved endpoint list");
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Nine in ten restarted processes must be ready within this time.
-const READY: Duration = Duration::from_secs(10);
+const READY_WITHIN: Duration = Duration::from_secs(10);
 const RESTARTS: usize = 10;
 
 /// Discovery accepts calls and never answers, so the process has only the list from its configuration. A process is
@@ -35,7 +35,7 @@
         assert_eq!(client.ask(&read(3.0)).status(), 200);
         let took = begun.elapsed();
         println!("restart {restart}: ready after {took:?}");
-        late.extend((took > READY).then_some(took));
+        late.extend((took > READY_WITHIN).then_some(took));
     }
     assert!(late.len() * 10 <= RESTARTS, "late: {late:?}");
 }
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
 
-fn one(backend: &BackendServer) -> Proxy {
+fn proxy_for(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
@@ -23,7 +23,7 @@
 #[test]
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
-    let proxy = one(&old);
+    let proxy = proxy_for(&old);
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     answer.send((200, list(900, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
@@ -117,7 +117,7 @@
 #[test]
 fn lost_answers_do_not_use_a_backend_up() {
     let backend = BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok("x") });
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     for _ in 0..25 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
@@ -139,9 +139,10 @@
 fn a_full_backend_is_used_again_before_long() {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
-    let away = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
-    let backend = BackendServer::start(move |_| if thrown.swap(false, SeqCst) { away() } else { ok("x") });
-    let proxy = one(&backend);
+    let rejection = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
+    let backend =
+        BackendServer::start(move |_| if thrown.swap(false, SeqCst) { rejection() } else { ok("x") });
+    let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     for _ in 0..25 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
@@ -158,7 +159,7 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = one(&backend);
+    let mut proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.send(&pay(3.0));
     backend.next_request();
@@ -174,14 +175,14 @@
 #[test]
 fn requests_that_cannot_be_read_are_turned_away_and_end_their_connection() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let get = |more: &str| format!("GET /read/k HTTP/1.1\r\nHost: s\r\n{more}\r\n");
     let post = |more: &str, body: &str| {
         format!("POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 5\r\n{more}\r\n{body}")
     };
-    let hidden = "0\r\n\r\nGET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 6\r\n\r\n";
+    let smuggled = "0\r\n\r\nGET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 6\r\n\r\n";
     let (length, chunked) = ("Content-Length: 70\r\n", "Transfer-Encoding: chunked\r\n");
-    let one_more = "4\r\ncash\r\n0\r\n\r\n".to_string() + &post(&format!("{length}{chunked}"), hidden);
+    let one_more = "4\r\ncash\r\n0\r\n\r\n".to_string() + &post(&format!("{length}{chunked}"), smuggled);
     let cases = [
         (400, post(chunked, &one_more)),
         (400, get("X-Correlation-Id: 1\r\nX-Time-Left: soon\r\n")),
@@ -202,9 +203,9 @@
         (400, read(3.0) + "GET"),
         (413, post("Content-Length: 33554433\r\n", "")),
         (413, post("Content-Length: 60000000\r\n", &"y".repeat(200_000))),
-        (400, post(&format!("{length}{chunked}"), hidden)),
-        (400, post(&format!("{chunked}{length}"), hidden)),
-        (400, post(&format!("CONTENT-length: 70\r\n{chunked}"), hidden)),
+        (400, post(&format!("{length}{chunked}"), smuggled)),
+        (400, post(&format!("{chunked}{length}"), smuggled)),
+        (400, post(&format!("CONTENT-length: 70\r\n{chunked}"), smuggled)),
         (400, post("Transfer-Encoding: gzip, chunked\r\n", "4\r\ncash\r\n0\r\n\r\n")),
         (400, post(&format!("{chunked}{chunked}"), "4\r\ncash\r\n0\r\n\r\n")),
         (400, post(chunked, "four\r\ncash\r\n0\r\n\r\n")),
@@ -233,7 +234,7 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let request = pay(3.0);
     let mut first = proxy.client();
     first.send(&request);
@@ -251,7 +252,7 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let request = pay(3.0);
     let mut first = proxy.client();
     first.send(&request);
@@ -272,7 +273,7 @@
 #[test]
 fn connections_that_bring_no_whole_request_end() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_for(&backend);
     let parts =
         ["", "GET /read/k HTT", "POST /pay/k HTTP/1.1\r\nX-Correlation-Id: 1\r\nContent-Length: 4\r\n\r\nca"];
     let mut clients = parts.map(|part| {
@@ -293,8 +294,8 @@
 fn silent_connections_make_way_before_proven_ones() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
-    let mut usual = proxy.client();
-    assert_eq!(usual.ask(&read(3.0)).status(), 200);
+    let mut proven = proxy.client();
+    assert_eq!(proven.ask(&read(3.0)).status(), 200);
     let mut silent = Vec::new();
     for round in 0..3 {
         // The last ones connect while the program is stopped, so it finds all of them at once.
@@ -304,12 +305,12 @@
         proxy.signal("CONT");
         let older = &mut silent[90 * round + 30..90 * round + 80];
         assert!(older.iter_mut().all(|client| client.ended()), "the oldest went");
-        assert_eq!(usual.ask(&read(3.0)).status(), 200, "the usual client was let go of");
+        assert_eq!(proven.ask(&read(3.0)).status(), 200, "the usual client was let go of");
     }
 }
 
 /// Starts a backend that answers 200 until the switch is set, and sends these bytes from then on.
-fn spoiling(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
+fn backend_with_malformed_answers(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
     let (switch, bytes) = (Arc::new(AtomicBool::new(false)), bytes.to_string());
     let thrown = switch.clone();
     let reply = move |_| if thrown.load(SeqCst) { Reply::Pieces(vec![bytes.clone()]) } else { ok("x") };
@@ -321,7 +322,7 @@
 #[test]
 fn spoilt_answers_are_failed_attempts_that_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\n";
-    for spoilt in [
+    for malformed in [
         "\u{1}\u{7f} noise without an end".to_string(),
         format!("{head}X-Endless"),
         format!("{head}Content-Length: 10\r\n\r\nshort"),
@@ -330,7 +331,8 @@
         format!("{head}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"),
         format!("{head}\r\nno length at all"),
     ] {
-        let ((bad, switch), good) = (spoiling(&spoilt), BackendServer::start(|_| ok("good")));
+        let ((bad, switch), good) =
+            (backend_with_malformed_answers(&malformed), BackendServer::start(|_| ok("good")));
         let proxy =
             Proxy::start(&[entry("b0", bad.address, "SERVING"), entry("b1", good.address, "SERVING")]);
         let mut client = proxy.client();
@@ -340,14 +342,14 @@
         switch.store(true, SeqCst);
         let before = bad.count();
         while bad.count() == before {
-            assert_eq!(client.ask(&read(3.0)).body, b"good", "{spoilt:.80}");
+            assert_eq!(client.ask(&read(3.0)).body, b"good", "{malformed:.80}");
         }
         let before = bad.count();
         for sent in 0.. {
             assert!(sent < 200, "the draw never met it");
             let (was, status) = (good.count(), client.ask(&pay(3.0)).status());
             if bad.count() > before {
-                assert_eq!((status, good.count()), (502, was), "{spoilt:.80}");
+                assert_eq!((status, good.count()), (502, was), "{malformed:.80}");
                 break;
             }
             assert_eq!(status, 200);
@@ -392,12 +394,12 @@
 /// Where many answers are lost, a repeatable request gets a hedged attempt while there is time for one.
 #[test]
 fn where_answers_are_lost_copies_make_up_for_them() {
-    let never = Arc::new(Gate::default());
-    let losing = || {
-        let never = never.clone();
-        BackendServer::start(move |n| if n % 4 == 3 { Reply::Gate(never.clone()) } else { ok("x") })
+    let never_opened = Arc::new(Gate::default());
+    let losing_backend = || {
+        let never_opened = never_opened.clone();
+        BackendServer::start(move |n| if n % 4 == 3 { Reply::Gate(never_opened.clone()) } else { ok("x") })
     };
-    let (one, two, three) = (losing(), losing(), losing());
+    let (one, two, three) = (losing_backend(), losing_backend(), losing_backend());
     let entries = [&one, &two, &three].map(|b| entry("b", b.address, "SERVING"));
     let entries: Vec<String> =
         entries.iter().enumerate().map(|(n, e)| e.replace("\"b\"", &format!("\"b{n}\""))).collect();
@@ -406,26 +408,26 @@
     let lost = |part: &[u16]| part.iter().filter(|s| **s != 200).count();
     assert!(lost(&statuses[..30]) > 3, "it takes some to tell: {statuses:?}");
     assert!(lost(&statuses[30..]) < 2, "{statuses:?}"); // seven or eight without hedged attempts
-    never.open();
+    never_opened.open();
 }
 
 /// Bytes after an answer, in the same segment or the next, are never taken for the answer to another request.
 #[test]
 fn what_comes_behind_an_answer_is_nobodys() {
     let answer = |body: String| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    for behind in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
+    for surplus in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
         for one_segment in [true, false] {
-            let more = behind.clone();
+            let more = surplus.clone();
             let backend = BackendServer::start(move |n| match (n % 2 == 0, one_segment) {
                 (true, true) => Reply::Pieces(vec![answer(n.to_string()) + &more]),
                 (true, false) => Reply::Pieces(vec![answer(n.to_string()), more.clone()]),
                 _ => ok(&n.to_string()),
             });
-            let proxy = one(&backend);
+            let proxy = proxy_for(&backend);
             let mut client = proxy.client();
             for n in 0..12 {
                 let got = client.ask(&pay(3.0));
-                assert_eq!((got.status(), got.body), (200, n.to_string().into_bytes()), "{behind:?}");
+                assert_eq!((got.status(), got.body), (200, n.to_string().into_bytes()), "{surplus:?}");
                 while backend.answered.load(SeqCst) <= n {
                     std::thread::yield_now();
                 }
@@ -437,11 +439,12 @@
 /// Answers of status 1xx before the final one, and an invalid load report, are ignored.
 #[test]
 fn early_answers_and_odd_reports_are_passed_over() {
-    let early = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
-    let real = "HTTP/1.1 200 OK\r\nX-Backend-Load: \u{7f}=,,inflight\r\nContent-Length: 4\r\n\r\nreal";
-    let real = real.replace('\u{7f}', "?");
-    let backend = BackendServer::start(move |_| Reply::Pieces(vec![early.clone(), real.clone()]));
-    let proxy = one(&backend);
+    let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
+    let final_answer =
+        "HTTP/1.1 200 OK\r\nX-Backend-Load: \u{7f}=,,inflight\r\nContent-Length: 4\r\n\r\nreal";
+    let final_answer = final_answer.replace('\u{7f}', "?");
+    let backend = BackendServer::start(move |_| Reply::Pieces(vec![interim.clone(), final_answer.clone()]));
+    let proxy = proxy_for(&backend);
     for _ in 0..5 {
         assert_eq!(proxy.ask(&pay(3.0)).body, b"real");
     }
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -43,9 +43,9 @@
 
 /// Serializes runs of real processes: several share the machine's cores, and a proxy that waits for a core answers
 /// late, which must not count against it.
-fn alone() -> MutexGuard<'static, ()> {
-    static PLAYS: Mutex<()> = Mutex::new(());
-    PLAYS.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_runs() -> MutexGuard<'static, ()> {
+    static RUNS: Mutex<()> = Mutex::new(());
+    RUNS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Plays an experiment on sockets, with one seed after the other, until `judge` reaches a verdict: on a machine too
@@ -69,7 +69,7 @@
 }
 
 /// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
-fn counted(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Broken>), String> {
+fn valid_figures(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Broken>), String> {
     let (figures, broken) = Figures::of(plan, outcome);
     match figures.void {
         Some(why) => Err(why),
@@ -81,11 +81,11 @@
 /// testbed's own schedule gives no verdict, so the run is repeated with another seed.
 #[test]
 fn all_oracles_hold_through_a_short_run_of_troubles() {
-    let _alone = alone();
+    let _lock = lock_runs();
     let experiment = Experiment::parse("short", SHORT).unwrap();
     let seeds = experiment.seed..experiment.seed + 3;
     let (seed, (figures, broken)) =
-        first_verdict(&experiment, seeds, "lab", |plan, outcome| counted(plan, outcome));
+        first_verdict(&experiment, seeds, "lab", |plan, outcome| valid_figures(plan, outcome));
     assert_eq!(broken, [], "seed {seed}");
     let served = figures.whole.in_time + figures.whole.late;
     assert!(served * 2 > figures.whole.arrivals, "seed {seed}: {:?}", figures.whole);
@@ -97,7 +97,7 @@
 /// the machine may be too busy for a verdict. The output tells how many got one, and at least one must.
 #[test]
 fn saved_and_drawn_scripts_of_campaigns_hold() {
-    let _alone = alone();
+    let _lock = lock_runs();
     let saved = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/regressions");
     let files =
         std::fs::read_dir(saved).map(|dir| dir.map(|entry| entry.unwrap().path()).collect::<Vec<_>>());
@@ -116,8 +116,8 @@
     });
     let judged = verdicts.iter().flatten().count();
     println!("{judged} of {} scripts judged", all.len());
-    for (e, (broken, told)) in all.iter().zip(&verdicts).filter_map(|(e, v)| Some((e, v.as_ref()?))) {
-        assert_eq!(*broken, [], "{} seed {}:\n{told}", e.name, e.seed);
+    for (e, (broken, report)) in all.iter().zip(&verdicts).filter_map(|(e, v)| Some((e, v.as_ref()?))) {
+        assert_eq!(*broken, [], "{} seed {}:\n{report}", e.name, e.seed);
     }
     assert!(judged > 0, "the lab was late every time: no verdict");
 }
@@ -125,7 +125,7 @@
 /// A port that is in use is named before anything starts.
 #[test]
 fn a_taken_port_is_named() {
-    let _alone = alone();
+    let _lock = lock_runs();
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let port = taken.local_addr().unwrap().port();
     let text = SHORT.replace("proxies = 2", &format!("proxies = 1\nbase_port = {port}"));
@@ -142,11 +142,11 @@
 /// by at most a twentieth.
 #[test]
 fn virtual_time_and_sockets_lie_near_each_other() {
-    let _alone = alone();
+    let _lock = lock_runs();
     let text = SHORT.split("trouble = [").next().unwrap();
     let experiment = Experiment::parse("short", text).unwrap();
     let (seed, (real, played)) = first_verdict(&experiment, 31..34, "near", |plan, outcome| {
-        let (real, _) = counted(plan, outcome)?;
+        let (real, _) = valid_figures(plan, outcome)?;
         Ok((real, Figures::of(plan, &virtual_time::play(plan, PolicyChoice::Halb).unwrap()).0))
     });
     let apart = (real.whole.part() - played.whole.part()).abs();
@@ -162,7 +162,7 @@
 /// After twenty kills at random moments under load, the ledger's answers are never wrong.
 #[test]
 fn the_ledger_is_never_wrong_after_kills() {
-    let _alone = alone();
+    let _lock = lock_runs();
     for mode in ["process", "power"] {
         let plan = Arc::new(Plan::draw(&ledger::experiment(10, 250.0, 3, mode).unwrap(), 3));
         let folder = std::env::temp_dir().join(format!("lotusdeck-soak-{}-{mode}", std::process::id()));
@@ -195,7 +195,7 @@
 /// overloaded.
 #[test]
 fn a_fleet_that_loses_power_serves_at_once_from_kept_lists() {
-    let _alone = alone();
+    let _lock = lock_runs();
     let restart_s = fleet::last_restart(Script::PowerLoss, 4);
     let worth = |way: Way| {
         let experiment = fleet::experiment(Script::PowerLoss, way, 4, 5.0).unwrap();
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -30,18 +30,18 @@
 use tokio::task::{spawn_blocking, spawn_local, LocalSet};
 
 /// How long a test blocks the event loop.
-const HELD: Duration = Duration::from_millis(400);
+const BLOCKED_FOR: Duration = Duration::from_millis(400);
 /// How long a connection is idle or pauses within a request.
-const REST: Duration = Duration::from_secs(1);
+const IDLE_FOR: Duration = Duration::from_secs(1);
 /// How much longer a busy machine may block the loop.
 const SLACK: Duration = Duration::from_millis(700);
 /// Requests that earn the retry budget for one further attempt.
 const WARM_UP: usize = 25;
 /// The time left that a client gives its request, in seconds.
-const TIME: f64 = 2.5;
+const TIME_LEFT_S: f64 = 2.5;
 
 /// Runs a future on a runtime that records its polls, as the program's does.
-fn on_the_loop(what: impl Future<Output = ()>) {
+fn run_recording_polls(what: impl Future<Output = ()>) {
     let runtime =
         queueing_delay::record_polls(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
     LocalSet::new().block_on(&runtime.unwrap(), what);
@@ -56,10 +56,16 @@
         SharedStallTimeouts::default(),
     ));
     let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
-    let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-    let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
-    let host =
-        Host::new(balancer, settings, Clock::new(), lines, Cordon::load(&none), OptionalServices::default());
+    let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
+    let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+    let host = Host::new(
+        balancer,
+        settings,
+        Clock::new(),
+        pools,
+        Cordon::load(&no_file),
+        OptionalServices::default(),
+    );
     let named = |(n, b): (usize, &&BackendServer)| entry(&format!("b{n}"), b.address, "SERVING");
     let entries: Vec<String> = backends.iter().enumerate().map(named).collect();
     let listed: EndpointList = serde_json::from_str(&list(1, true, &entries)).unwrap();
@@ -76,7 +82,7 @@
 }
 
 /// Returns a client on a kept connection on which the server waits for the next request.
-async fn kept(address: SocketAddr) -> Client {
+async fn kept_client(address: SocketAddr) -> Client {
     let ask = move || {
         let mut client = Client::connect(address);
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
@@ -85,10 +91,10 @@
     spawn_blocking(ask).await.unwrap()
 }
 
-/// Sends a text and blocks the loop for all of [`HELD`].
-fn hold(client: &mut Client, text: &str) {
+/// Sends a text and blocks the loop for all of [`BLOCKED_FOR`].
+fn send_and_block(client: &mut Client, text: &str) {
     client.send(text);
-    std::thread::sleep(HELD);
+    std::thread::sleep(BLOCKED_FOR);
 }
 
 async fn status(mut client: Client) -> u16 {
@@ -96,26 +102,26 @@
 }
 
 /// Returns the time left of a request that a backend received, in seconds.
-fn time_of(request: &Message) -> f64 {
+fn time_left_of(request: &Message) -> f64 {
     request.header("x-time-left").expect("a time").parse().expect("seconds")
 }
 
-fn told(backend: &BackendServer) -> f64 {
-    time_of(&backend.next_request())
+fn received_time_left(backend: &BackendServer) -> f64 {
+    time_left_of(&backend.next_request())
 }
 
 /// Returns the time left of each request that a backend received since the last call.
-fn all_told(backend: &BackendServer) -> Vec<f64> {
+fn all_received_times(backend: &BackendServer) -> Vec<f64> {
     let requests = backend.events.try_iter().filter_map(|event| match event {
-        BackendEvent::Request(request) => Some(time_of(&request)),
+        BackendEvent::Request(request) => Some(time_left_of(&request)),
         _ => None,
     });
     requests.collect()
 }
 
-/// Asserts that `told` is no more than is left of [`TIME`] after `over`, and no less than that without [`SLACK`].
-fn fits(told: f64, over: Duration) {
-    let most = TIME - over.as_secs_f64();
+/// Asserts that `told` is no more than is left of [`TIME_LEFT_S`] after `elapsed`, and no less than that without [`SLACK`].
+fn assert_time_left(told: f64, elapsed: Duration) {
+    let most = TIME_LEFT_S - elapsed.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
     assert!(least < told && told <= most, "told {told}, where at most {most} and at least {least} is left");
 }
@@ -123,24 +129,24 @@
 #[test]
 fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_its_socket() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        hold(&mut client, &read(TIME));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
 #[test]
 fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_the_listeners_queue() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
+    run_recording_polls(async {
         let address = start(&[&backend]).await;
-        drop(kept(address).await);
+        drop(kept_client(address).await);
         let mut client = Client::connect(address);
-        hold(&mut client, &read(TIME));
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
@@ -150,31 +156,31 @@
     let switch = thrown.clone();
     let reply = move |_| if switch.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
     let backends = [(); 2].map(|()| BackendServer::start(reply.clone()));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backends[0], &backends[1]]).await).await;
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backends[0], &backends[1]]).await).await;
         // Requests earn the retry budget; this many earn one further attempt.
         for _ in 0..WARM_UP {
-            let asked = move || (client.ask(&read(TIME)).status(), client);
+            let asked = move || (client.ask(&read(TIME_LEFT_S)).status(), client);
             let (status, back) = spawn_blocking(asked).await.unwrap();
             assert_eq!(status, 200);
             client = back;
         }
-        backends.iter().for_each(|backend| drop(all_told(backend)));
+        backends.iter().for_each(|backend| drop(all_received_times(backend)));
         thrown.store(true, SeqCst);
-        hold(&mut client, &read(TIME));
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        let told: Vec<f64> = backends.iter().flat_map(all_told).collect();
+        let told: Vec<f64> = backends.iter().flat_map(all_received_times).collect();
         assert_eq!(told.len(), 2, "attempts");
-        told.into_iter().for_each(|told| fits(told, HELD));
+        told.into_iter().for_each(|told| assert_time_left(told, BLOCKED_FOR));
     });
 }
 
 #[test]
 fn a_request_whose_time_is_over_when_it_is_read_reaches_no_backend() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        hold(&mut client, &pay(HELD.as_secs_f64()));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        send_and_block(&mut client, &pay(BLOCKED_FOR.as_secs_f64()));
         assert_eq!((status(client).await, backend.count()), (503, 0));
     });
 }
@@ -183,12 +189,12 @@
 #[test]
 fn a_request_on_a_connection_that_rested_keeps_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        tokio::time::sleep(REST).await;
-        client.send(&read(TIME));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        tokio::time::sleep(IDLE_FOR).await;
+        client.send(&read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), Duration::ZERO);
+        assert_time_left(received_time_left(&backend), Duration::ZERO);
     });
 }
 
@@ -196,17 +202,17 @@
 #[test]
 fn a_request_keeps_its_time_beside_a_task_that_yields() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
         let busy = spawn_local(async {
             loop {
                 queueing_delay::yield_to_poll().await;
             }
         });
-        tokio::time::sleep(REST).await;
-        client.send(&read(TIME));
+        tokio::time::sleep(IDLE_FOR).await;
+        client.send(&read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), Duration::ZERO);
+        assert_time_left(received_time_left(&backend), Duration::ZERO);
         busy.abort();
     });
 }
@@ -215,15 +221,15 @@
 #[test]
 fn the_age_of_a_request_in_parts_is_that_of_its_last_byte() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        let request = pay(TIME);
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        let request = pay(TIME_LEFT_S);
         let (first, last) = request.split_at(request.len() - 1);
         client.send(first);
-        tokio::time::sleep(REST).await;
-        hold(&mut client, last);
+        tokio::time::sleep(IDLE_FOR).await;
+        send_and_block(&mut client, last);
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
@@ -231,10 +237,10 @@
 /// arrived long before.
 #[test]
 fn a_look_counts_for_the_sockets_that_were_registered_before_it() {
-    on_the_loop(async {
-        let a_look = || tokio::time::sleep(Duration::from_millis(1));
-        a_look().await;
-        let long_ago = Instant::now() - REST;
+    run_recording_polls(async {
+        let wait_for_poll = || tokio::time::sleep(Duration::from_millis(1));
+        wait_for_poll().await;
+        let long_ago = Instant::now() - IDLE_FOR;
         let arrivals = QueueingDelay::new(long_ago);
         // Does what the event loop does when a socket has become readable.
         let readable = || {
@@ -247,7 +253,7 @@
             })
         };
         assert_eq!(readable().await, long_ago);
-        a_look().await;
+        wait_for_poll().await;
         assert_ne!(readable().await, long_ago, "it was registered before this look");
     });
 }
