--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn large_bodies_pass_unchanged_both_ways_and_the_connection_goes_on() {
+fn large_bodies_are_forwarded_unchanged_both_ways_and_the_connection_is_kept() {
     let answer = sample_text(LARGE);
     let reply = answer.clone();
     let backend = BackendServer::start(move |_| ok(&reply));
@@ -64,7 +64,7 @@
 
 /// Messages are read correctly in both directions when each byte is written by itself.
 #[test]
-fn messages_may_be_cut_anywhere() {
+fn messages_written_byte_by_byte_are_read_correctly() {
     let body = sample_text(60);
     let answer = format!("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunked(&body, 7));
     let early = format!("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 100 X\r\n\r\n{answer}");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_client_that_expects_a_word_before_its_body_gets_it() {
+fn a_client_that_expects_100_continue_gets_it() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
@@ -115,7 +115,7 @@
 
 /// The first bytes of a large answer reach the client before the backend has sent the rest.
 #[test]
-fn a_large_answer_is_passed_on_as_it_comes() {
+fn a_large_answer_is_streamed_to_the_client() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let backend = BackendServer::start(move |_| {
@@ -177,7 +177,7 @@
 /// An answer that breaks off after its first bytes were passed on is truncated, so that the client can tell, and the
 /// request is not sent again.
 #[test]
-fn a_large_answer_that_breaks_off_is_cut() {
+fn a_large_answer_that_breaks_off_is_truncated() {
     for head in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
         let backend = BackendServer::start(move |_| {
             let part = if head.starts_with('C') {
@@ -238,7 +238,7 @@
 /// A request with a body that is incomplete, malformed, too long or followed by surplus bytes gets an error, and no
 /// backend runs it.
 #[test]
-fn bodies_that_are_none_are_turned_away() {
+fn malformed_bodies_are_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let stopped = post("1", 3.0, &format!("Content-Length: {LARGE}\r\n")) + &sample_text(200_000);
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -66,7 +66,7 @@
 
 /// The client of a streamed body leaves in its middle while the connection to the backend is being established.
 #[test]
-fn a_client_that_left_in_its_body_has_no_attempt_begun() {
+fn no_attempt_begins_for_a_client_that_left_in_its_body() {
     std::thread::scope(|scope| {
         for how in DISCONNECTS {
             scope.spawn(move || {
@@ -93,7 +93,7 @@
 
 /// The module holds the request, as there is no backend yet, and its client leaves; then discovery lists one.
 #[test]
-fn a_client_that_left_while_its_request_was_held_has_no_attempt_begun() {
+fn no_attempt_begins_for_a_client_that_left_while_its_request_was_held() {
     for how in DISCONNECTS {
         for (request, whole) in [(read(3.0), true), (pay(3.0), true), (partial_upload(), false)] {
             let backend = BackendServer::start(|_| ok("x"));
@@ -119,7 +119,7 @@
 /// The client leaves while an attempt is in flight, which then ends in a way that allows another one: none is made. A
 /// client that stays gets it.
 #[test]
-fn a_client_that_left_has_no_attempt_repeated() {
+fn no_attempt_is_repeated_for_a_client_that_left() {
     std::thread::scope(|scope| {
         for how in [None, Some(Disconnect::Close), Some(Disconnect::ShutdownWrite), Some(Disconnect::Reset)] {
             for (request, resets) in [(read(3.0), false), (pay(3.0), false), (read(3.0), true)] {
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -142,7 +142,7 @@
 /// The idle timeout of a connection, kept or new, expires, and a request arrives before the loop has closed the
 /// connection: it is answered.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_meets_the_end_of_its_connections_patience_is_answered() {
+async fn a_request_that_meets_the_idle_timeout_of_its_connection_is_answered() {
     with_kept_clients(async |running, mut clients| {
         clients.extend((0..CLIENTS_PER_KIND).map(|_| Client::connect(running.address)));
         running.wait_until(|server| server.client_count() == 2 * CLIENTS_PER_KIND).await;
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -37,7 +37,7 @@
 
 /// Every fault of every file is reported with its position, and valid files are accepted.
 #[test]
-fn check_tells_every_fault_where_it_stands() {
+fn check_reports_every_fault_with_its_position() {
     let good = write_file("good.json", &node_config(SETTINGS));
     let bad = node_config(
         &SETTINGS.replace("\"cold_from\":0.3", "\"cold_from\":\"x\"").replace("\"group_size\":1,", ""),
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_ledger_of_before_is_exported_and_queried_word_for_word() {
+fn a_ledger_of_version_0_2_0_is_exported_and_queried_word_for_word() {
     let folder = fixture("ledger");
     let folder = folder.to_str().unwrap();
     for (arguments, expected) in [
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn kept_endpoints_of_before_are_read_and_written_byte_for_byte() {
+fn endpoints_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.state")).unwrap();
     let kept: SavedEndpoints = decode(&bytes).unwrap();
     assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn kept_estimates_of_before_are_read_and_written_byte_for_byte() {
+fn estimates_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.learned")).unwrap();
     let kept: Estimates = decode(&bytes).unwrap();
     assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_cordon_file_of_before_bans_the_same_backend() {
+fn a_cordon_file_of_version_0_2_0_cordons_the_same_backend() {
     let folder = empty_folder("cordon");
     std::fs::copy(fixture("n0.cordon"), folder.join("n0.cordon")).unwrap();
     let cordon = Cordon::load(&folder.join("n0"));
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -111,7 +111,7 @@
 /// The proxy applies the full document and then a delta; an open request ends under the settings that it arrived
 /// with.
 #[test]
-fn a_delta_is_taken_and_open_requests_keep_their_class() {
+fn a_delta_is_applied_and_open_requests_keep_their_class() {
     let mut source = TestSource::start();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -146,7 +146,7 @@
 /// Invalid settings, a delta with a wrong checksum and a truncated message leave the last valid version in force, and
 /// each is logged with the reason; the next valid version is applied.
 #[test]
-fn what_is_unsound_is_refused_and_tells_why() {
+fn invalid_versions_are_rejected_with_the_reason() {
     let mut source = TestSource::start();
     let (_server, known) = backend();
     let proxy = Proxy::with_operator_file(&known, &operator_file("configuration-unsound", &source));
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -32,7 +32,7 @@
 /// after its wait is over. The watch is silent from its first byte, after its head, or in the middle of its body,
 /// with pushed and with polled lists.
 #[test]
-fn a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_reopened_before_a_missed_change_counts_as_notified() {
     let cuts = [
         "",
         "HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n",
@@ -77,7 +77,7 @@
 /// Discovery moves while half of an answer from the old address has arrived. The other half still counts, whether the
 /// new address has sent nothing yet or an older version.
 #[test]
-fn what_the_old_discovery_tells_is_heard_though_discovery_moved() {
+fn changes_from_the_old_discovery_are_applied_after_discovery_moved() {
     for (settings, answered) in
         [(SETTINGS.to_string(), false), (polling_settings(), false), (polling_settings(), true)]
     {
@@ -108,7 +108,7 @@
 /// An entry that is not valid as a whole is logged. Its status is applied if it says that the backend leaves;
 /// otherwise the last valid entry of that backend stays in force.
 #[test]
-fn a_bad_line_loses_no_word_that_a_backend_leaves_and_nothing_sound() {
+fn an_invalid_entry_loses_no_departure_and_nothing_valid() {
     let backend = BackendServer::start(|_| ok("x"));
     let at = backend.address;
     let serving = entry("b0", at, "SERVING");
@@ -137,7 +137,7 @@
 /// Changes that do not continue the current list make the proxy poll the whole list. While that call is open,
 /// backends that leave according to these changes get no new requests, and the rest of the changes is ignored.
 #[test]
-fn changes_across_a_gap_are_heeded_where_they_say_who_leaves() {
+fn changes_across_a_gap_are_applied_only_to_backends_that_leave() {
     let (backend, other) = (BackendServer::start(|_| ok("x")), BackendServer::start(|_| ok("y")));
     let serving = entry("b0", backend.address, "SERVING");
     let proxy = Proxy::start(std::slice::from_ref(&serving));
@@ -155,7 +155,7 @@
 /// A whole request is in the listener's queue, or on a kept connection, and its client has left before the program
 /// reads it: it is not forwarded, whatever its class and whatever bytes follow it.
 #[test]
-fn a_request_that_its_client_left_before_it_was_read_is_not_sent_on() {
+fn a_request_that_its_client_left_before_it_was_read_is_not_forwarded() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut clients = Vec::new();
@@ -184,7 +184,7 @@
 
 /// A connection to discovery that is not established is abandoned for another before its call would count as silent.
 #[test]
-fn a_connection_to_discovery_that_does_not_come_up_is_given_up() {
+fn a_connection_to_discovery_that_is_not_established_is_abandoned() {
     for settings in [SETTINGS.to_string(), polling_settings()] {
         let proxy = Proxy::with_settings(&[], 1024, &settings);
         let _first = proxy.discovery.next_call();
@@ -202,7 +202,7 @@
 /// stops after the request does not see the end of the connection behind these bytes, but the proxy checks for it
 /// before it sends the first byte to the backend.
 #[test]
-fn a_client_that_left_behind_further_bytes_has_nothing_sent_for_it() {
+fn nothing_is_sent_for_a_client_that_left_after_further_bytes() {
     std::thread::scope(|scope| {
         for how in DISCONNECTS {
             for request in [read(3.0), pay(3.0)] {
@@ -233,7 +233,7 @@
 /// address, so that the old one may be another's: no byte is sent on the connection, and requests go where the list
 /// says.
 #[test]
-fn news_that_comes_while_a_connection_comes_up_stops_the_send() {
+fn a_list_change_while_a_connection_is_established_stops_the_send() {
     std::thread::scope(|scope| {
         for change in ["DRAINING", "DELETED", "elsewhere"] {
             scope.spawn(move || {
@@ -269,7 +269,7 @@
 /// SIGTERM arrives after half a head, before discovery has ever answered, and a second SIGTERM while answers are
 /// outstanding: every accepted request is answered, and the program exits with success.
 #[test]
-fn a_second_sigterm_ends_nothing_that_is_owed() {
+fn a_second_sigterm_loses_no_accepted_request() {
     for settings in [SETTINGS.to_string(), polling_settings()] {
         let gate = std::sync::Arc::new(Gate::default());
         let wait = gate.clone();
@@ -298,7 +298,7 @@
 /// Guards against a second answer, some milliseconds after the first, that is taken for the answer to the next
 /// request: no connection is reused within that time.
 #[test]
-fn no_request_goes_where_a_second_answer_may_still_come() {
+fn no_connection_is_reused_while_a_second_answer_may_still_arrive() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -129,7 +129,7 @@
 /// An overdue watch stays open while another call is opened beside it, and both are answered. A newer change from the
 /// older call is applied although the list came from the other; an older one undoes nothing.
 #[test]
-fn an_overdue_watch_is_kept_and_heard_beside_the_next_call() {
+fn an_overdue_watch_is_kept_and_its_answer_applied_beside_the_next_call() {
     std::thread::scope(|scope| {
         for drains_late in [true, false] {
             scope.spawn(move || {
@@ -177,7 +177,7 @@
 
 /// After each fault the next call is made in time, the log names the fault, and the current list stays in force.
 #[test]
-fn a_faulty_answer_costs_a_line_of_the_log_and_a_short_time() {
+fn a_faulty_answer_is_logged_and_the_next_call_made_in_time() {
     let long = "x".repeat(17 << 20);
     let endless = vec!["{}".to_string(); 40_000];
     let faults = [
@@ -280,7 +280,7 @@
 /// Clients with half a request use up the descriptors, of which there are fewer than configured, and queue for each
 /// that becomes free. Calls to discovery after a broken watch are still made in time.
 #[test]
-fn a_descriptor_for_discovery_is_left_where_clients_fill_them() {
+fn a_descriptor_is_left_for_discovery_when_clients_use_them_up() {
     for settings in [SETTINGS.to_string(), polling_settings()] {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -250,7 +250,7 @@
 /// The backend never has more requests in flight than the limit for all proxies together, although one of them gets
 /// most of the traffic and its links are cut while its requests are in flight.
 #[test]
-fn requests_at_once_stay_within_the_limit_of_the_fleet() {
+fn requests_in_flight_stay_within_the_limit_of_the_fleet() {
     let (now, most) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
     let (held, peak) = (now.clone(), most.clone());
     let backend = BackendServer::start(move |_| {
@@ -300,7 +300,7 @@
 
 /// A limit for a class that the settings do not have is refused at the start, with its name.
 #[test]
-fn a_limit_for_nothing_is_refused_at_the_start() {
+fn a_limit_for_an_unknown_class_is_refused_at_the_start() {
     let path = std::env::temp_dir().join(format!("lotusdeck-limit-{}.toml", std::process::id()));
     std::fs::write(&path, "[[limit]]\nname = \"x\"\nclass = \"raed\"\nrate_per_s = 5\n").unwrap();
     let config = format!(
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -41,7 +41,7 @@
 /// The ledger shows each non-repeatable request, while the program runs and after a kill, as answered, failed or
 /// possibly sent. It shows no repeatable one.
 #[test]
-fn every_non_repeatable_request_is_told_of() {
+fn every_non_repeatable_request_is_in_the_ledger() {
     for mode in ["process", "power"] {
         let folder = empty_folder(mode);
         let gate = Arc::new(Gate::default());
@@ -82,7 +82,7 @@
 /// When nothing can be written, non-repeatable requests are refused at once with `Retry-After` and none is sent;
 /// others are served. The program goes on without records only once there is a segment that says so.
 #[test]
-fn a_disk_that_takes_nothing_refuses_only_what_must_be_written_down() {
+fn only_requests_that_must_be_recorded_are_refused_when_the_disk_takes_nothing() {
     for more in ["on_failure = \"refuse\"", "on_failure = \"go-on\""] {
         let folder = empty_folder(&more[14..20].replace('"', ""));
         let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn calls_are_answered_yes_or_no() {
+fn operators_calls_get_the_status_of_their_outcome() {
     let (a, b) = two_backends();
     let proxy = Proxy::start(&both_serving(&a, &b));
     assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
@@ -48,7 +48,7 @@
 
 /// Callers that never finish a call keep no other out, however many they are, and each is disconnected in the end.
 #[test]
-fn silent_callers_do_not_shut_others_out() {
+fn silent_callers_do_not_keep_others_out() {
     let (a, b) = two_backends();
     let proxy = Proxy::start(&both_serving(&a, &b));
     let mut silent: Vec<Client> = (0..40).map(|_| Client::connect(proxy.admin)).collect();
@@ -64,7 +64,7 @@
 /// A cordoned backend gets no new requests, whatever the list says, and is in use again after one uncordon although
 /// it was cordoned twice.
 #[test]
-fn a_cordoned_backend_gets_nothing_until_it_is_given_back() {
+fn a_cordoned_backend_gets_nothing_until_it_is_uncordoned() {
     let (a, b) = two_backends();
     let proxy = Proxy::start(&both_serving(&a, &b));
     assert_served(&proxy, 40);
@@ -96,7 +96,7 @@
 
 /// A cordon holds for processes that start later, after its own process has ended, and despite damage to its file.
 #[test]
-fn a_cordon_outlasts_its_process_and_binds_the_next() {
+fn a_cordon_outlasts_its_process_and_holds_for_the_next() {
     let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
@@ -123,7 +123,7 @@
 
 /// While two processes serve, a cordon by a call to one applies to the other.
 #[test]
-fn a_call_to_one_process_binds_the_other() {
+fn a_cordon_by_one_process_applies_to_the_other() {
     let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
@@ -164,7 +164,7 @@
 
 /// New settings apply to new requests; an open one ends under those it arrived with.
 #[test]
-fn new_settings_hold_for_new_requests_only() {
+fn new_settings_apply_to_new_requests_only() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let paid = BackendServer::start(move |n| if n < 2 { Reply::GateReset(held.clone()) } else { ok("x") });
@@ -196,7 +196,7 @@
 
 /// The index of a class that was removed is not given to another while a request of it is open.
 #[test]
-fn a_request_keeps_its_rules_across_changes_that_use_numbers_again() {
+fn a_request_keeps_its_class_across_changes_that_reuse_class_indexes() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let paid = BackendServer::start(move |n| if n == 0 { Reply::GateReset(held.clone()) } else { ok("x") });
@@ -225,7 +225,7 @@
 /// Requests are served while a configuration file is read. A reload that is requested meanwhile follows, with the
 /// file as it is then.
 #[test]
-fn the_program_serves_while_it_reads_and_the_last_file_holds() {
+fn the_program_serves_while_it_reads_a_file_and_applies_the_last_one() {
     let (a, b) = two_backends();
     let proxy = Proxy::start(&both_serving(&a, &b));
     let path = proxy.config.0.clone();
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -59,7 +59,7 @@
 
 /// A file with an invalid front is refused with the position of the fault, before anything starts.
 #[test]
-fn a_faulty_front_is_told_with_its_place() {
+fn an_invalid_front_is_reported_with_its_position() {
     let path = operator_file("faulty", "");
     let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let output = check.arg("check").arg(&path).output().unwrap();
@@ -69,7 +69,7 @@
 
 /// A short form of the soak: servers die at the worst moments, and everything that a driver is told is true.
 #[test]
-fn no_write_is_lost_doubled_or_told_wrongly_when_servers_die() {
+fn no_write_is_lost_doubled_or_reported_wrongly_when_servers_die() {
     let args = lotusdeck_testbed::postgres::Soak {
         seconds: 6.0,
         servers: 4,
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_answer_are_forwarded_unchanged() {
     let backend = BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
     let proxy = proxy_for(&backend);
     let answer = proxy.ask(
@@ -129,7 +129,7 @@
 
 /// A request that is given up is answered then, not at its deadline, and with `Retry-After`.
 #[test]
-fn a_refusal_comes_at_once_and_with_advice() {
+fn a_refusal_comes_at_once_with_retry_after() {
     let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
     let proxy = proxy_for(&rejecting);
     for request in [pay(3.0), read(3.0)] {
@@ -142,7 +142,7 @@
 
 /// `Retry-After` is sent only where the settings in force allow it.
 #[test]
-fn a_refusal_has_no_advice_where_the_settings_bar_it() {
+fn a_refusal_has_no_retry_after_where_the_settings_forbid_it() {
     let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
     let without_retry_after =
         SETTINGS.replace("\"max_retry_after_us\"", "\"retry_after\":false,\"max_retry_after_us\"");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn silence_is_answered_before_the_client_gives_up() {
+fn a_request_to_a_silent_backend_is_answered_before_the_client_gives_up() {
     let backend = BackendServer::start(|_| Reply::Silence);
     let proxy = proxy_for(&backend);
     let begun = std::time::Instant::now();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn an_attempt_is_cancelled_when_its_client_leaves() {
     let backend = BackendServer::start(|_| Reply::Silence);
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn requests_in_turn_share_a_warm_connection() {
+fn consecutive_requests_share_a_connection() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn odd_requests_get_their_own_answers_and_harm_nothing() {
+fn invalid_requests_get_their_own_status_and_reach_no_backend() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let long = 32 * 1024 * 1024 + 1;
@@ -310,7 +310,7 @@
 
 /// With more clients than descriptors allow, idle connections are closed, and no client is refused.
 #[test]
-fn at_the_bound_idle_connections_make_way() {
+fn idle_connections_are_closed_when_clients_exceed_the_limit() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
@@ -357,7 +357,7 @@
 
 /// Descriptors may run out before the configured limit is reached: idle connections are closed then too.
 #[test]
-fn running_out_of_descriptors_ends_nothing() {
+fn clients_are_served_when_descriptors_run_out() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_descriptor_limit(&[entry("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
     let mut idle = Vec::new();
@@ -371,7 +371,7 @@
 
 /// When every connection has sent half of a head, none is idle; after a while they are closed all the same.
 #[test]
-fn heads_that_never_end_do_not_shut_others_out() {
+fn incomplete_heads_do_not_keep_other_clients_out() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -42,7 +42,7 @@
 /// Restarted with no list from the platform and a silent discovery, the proxy serves from its saved list. Once
 /// discovery answers that the backend drains, the proxy sends it nothing new after 500 ms.
 #[test]
-fn a_proxy_killed_and_started_again_serves_from_its_kept_list_and_heeds_discovery_once_back() {
+fn a_restarted_proxy_serves_from_its_saved_list_and_follows_discovery_once_back() {
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
     let (operator, _) = write_operator_file("power", 600);
     save_list(&operator, &[entry("b0", first.address, "SERVING")]);
@@ -62,7 +62,7 @@
 /// A file that is truncated, of another site, written by another proxy or no state file is logged and ignored; the
 /// proxy starts from the platform's list as it does without one.
 #[test]
-fn kept_files_that_are_cut_or_foreign_are_passed_over_with_a_line_each() {
+fn truncated_or_foreign_state_files_are_logged_and_ignored() {
     let backend = BackendServer::start(|_| ok("known"));
     let (operator, folder) = write_operator_file("here", 600);
     save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
@@ -89,7 +89,7 @@
 /// A saved list that is hours old is not restored. With a half-life that allows it, a removed backend and the slow
 /// start of the other cost a few refusals, each at once and with `Retry-After`.
 #[test]
-fn a_list_hours_old_is_weighed_by_its_age() {
+fn a_list_hours_old_is_restored_only_if_the_half_life_allows_it() {
     let (gone, backend) = (RefusingPort::new(), BackendServer::start(|_| ok("here")));
     let entries = [entry("b0", gone.address(), "SERVING"), entry("b1", backend.address, "SERVING")];
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -197,7 +197,7 @@
 /// Estimates are saved beside the list and restored at the next start. If their file is truncated, of another format
 /// or older than the half-life allows, that is logged, and the list is restored all the same.
 #[test]
-fn what_was_learned_is_taken_back_or_passed_over_with_a_line() {
+fn estimates_are_restored_or_logged_and_ignored() {
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = write_operator_file("learned", 600);
     {
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -52,7 +52,7 @@
 /// whole lists for a whole fleet at once took it 9 s. The whole list is polled later, as versions may be numbered
 /// differently there; if that poll fails, changes are polled first again.
 #[test]
-fn a_list_that_is_asked_for_goes_on_from_its_version_where_discovery_moves() {
+fn a_polled_list_continues_from_its_version_when_discovery_moves() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let settings =
         SETTINGS.replace("\"automatic\"", "\"subscribe\"").replace("9000000,\"ramp", "300000,\"ramp");
@@ -115,7 +115,7 @@
 /// Attempts that never get an answer do not count against a backend's capacity for long, as it has answered others
 /// since.
 #[test]
-fn lost_answers_do_not_use_a_backend_up() {
+fn unanswered_attempts_do_not_use_up_a_backends_capacity() {
     let backend = BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok("x") });
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
@@ -173,7 +173,7 @@
 /// Each malformed request gets an error and its connection is closed. Neither it nor a request that may be smuggled
 /// behind it reaches a backend.
 #[test]
-fn requests_that_cannot_be_read_are_turned_away_and_end_their_connection() {
+fn malformed_requests_are_rejected_and_their_connection_closed() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let get = |more: &str| format!("GET /read/k HTTP/1.1\r\nHost: s\r\n{more}\r\n");
@@ -271,7 +271,7 @@
 
 /// Connections that send nothing, half a head or half a body are closed, even while there is room for more.
 #[test]
-fn connections_that_bring_no_whole_request_end() {
+fn connections_without_a_whole_request_are_closed() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let parts =
@@ -291,7 +291,7 @@
 
 /// Hundreds of silent connections displace each other, but not a client that has made a request before.
 #[test]
-fn silent_connections_make_way_before_proven_ones() {
+fn silent_connections_are_closed_before_proven_ones() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut proven = proxy.client();
@@ -320,7 +320,7 @@
 /// A malformed or incomplete answer on a connection that stays open is detected in time for another attempt. An
 /// unsafe request that got one fails and is not sent again.
 #[test]
-fn spoilt_answers_are_failed_attempts_that_may_have_run() {
+fn malformed_answers_are_failed_attempts_that_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\n";
     for malformed in [
         "\u{1}\u{7f} noise without an end".to_string(),
@@ -393,7 +393,7 @@
 
 /// Where many answers are lost, a repeatable request gets a hedged attempt while there is time for one.
 #[test]
-fn where_answers_are_lost_copies_make_up_for_them() {
+fn hedged_attempts_make_up_for_lost_answers() {
     let never_opened = Arc::new(Gate::default());
     let losing_backend = || {
         let never_opened = never_opened.clone();
@@ -413,7 +413,7 @@
 
 /// Bytes after an answer, in the same segment or the next, are never taken for the answer to another request.
 #[test]
-fn what_comes_behind_an_answer_is_nobodys() {
+fn bytes_after_an_answer_are_not_taken_for_the_next_answer() {
     let answer = |body: String| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     for surplus in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
         for one_segment in [true, false] {
@@ -438,7 +438,7 @@
 
 /// Answers of status 1xx before the final one, and an invalid load report, are ignored.
 #[test]
-fn early_answers_and_odd_reports_are_passed_over() {
+fn interim_answers_and_invalid_load_reports_are_ignored() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
     let final_answer =
         "HTTP/1.1 200 OK\r\nX-Backend-Load: \u{7f}=,,inflight\r\nContent-Length: 4\r\n\r\nreal";
@@ -453,7 +453,7 @@
 /// Clients that make one request and keep their connections use up the connections that the proxy may hold: once many
 /// are kept, a connection is closed after its answer; while few are, none is.
 #[test]
-fn answers_end_their_connections_where_many_are_kept() {
+fn connections_are_closed_after_an_answer_once_many_are_kept() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut kept = Vec::new();
@@ -473,7 +473,7 @@
 
 /// Among silent connections and stalled heads, a client whose head still arrives is not disconnected.
 #[test]
-fn a_slow_head_outlasts_a_crowd() {
+fn a_slow_head_is_served_among_silent_connections() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow = proxy.client();
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -141,7 +141,7 @@
 /// The two drivers play the same model: on a small fleet without faults the shares of the worth that they earn differ
 /// by at most a twentieth.
 #[test]
-fn virtual_time_and_sockets_lie_near_each_other() {
+fn virtual_time_and_sockets_earn_nearly_the_same() {
     let _lock = lock_runs();
     let text = SHORT.split("trouble = [").next().unwrap();
     let experiment = Experiment::parse("short", text).unwrap();
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -236,7 +236,7 @@
 /// A poll bounds the arrival of bytes only for sockets that were registered before it: on any other they may have
 /// arrived long before.
 #[test]
-fn a_look_counts_for_the_sockets_that_were_registered_before_it() {
+fn a_poll_counts_for_the_sockets_that_were_registered_before_it() {
     run_recording_polls(async {
         let wait_for_poll = || tokio::time::sleep(Duration::from_millis(1));
         wait_for_poll().await;
