--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -157,7 +157,7 @@
     }
     gate.open();
     let rest = client.0.read_until_closed();
-    assert!(rest.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]), "the answer goes on");
+    assert!(rest.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]), "the answer continues");
     assert_eq!(proxy.ask(&request).status(), 200, "an answered request's id is free");
 }
 
@@ -261,6 +261,6 @@
     let sent_chunks = (0..60).take_while(|_| endless.0.get_mut().write_all(chunk.as_bytes()).is_ok()).count();
     let status = endless.answer().map_or(413, |a| a.status());
     assert!(status == 413, "{status} after {sent_chunks} MB");
-    assert_eq!(backend.count(), 0, "none came whole");
+    assert_eq!(backend.count(), 0, "no request arrived whole");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -38,7 +38,7 @@
 fn wait_for_open_requests(proxy: &Proxy, count: u32) {
     let open_requests = format!("\"open_requests\":{count},");
     let status = || Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n").body;
-    wait_until("the request is taken in", || {
+    wait_until("the request is open", || {
         String::from_utf8(status()).unwrap().replace(' ', "").contains(&open_requests)
     });
 }
@@ -51,7 +51,7 @@
     let port = format!(":{:04X}", tcp.local_addr().unwrap().port());
     let proxy = tcp.peer_addr().unwrap();
     let unread = |fields: &Vec<String>| fields[2].ends_with(&port) && !fields[4].ends_with(":00000000");
-    wait_until("what came is read", || !kernel_sockets(1, proxy).iter().any(unread));
+    wait_until("the further bytes are read", || !kernel_sockets(1, proxy).iter().any(unread));
 }
 
 /// Sends another client's request and asserts that it is the first that the backend gets.
@@ -59,8 +59,8 @@
     let marker = read(3.0);
     assert_eq!(proxy.ask(&marker).status(), 200, "{what}");
     let first = backend.next_request();
-    let id = first.header("x-correlation-id").expect("an id");
-    assert!(marker.contains(id), "{what}: sent for nobody: {}", first.start_line);
+    let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+    assert!(marker.contains(id), "{what}: sent for a client that left: {}", first.start_line);
     assert_eq!(backend.count(), 1, "{what}");
 }
 
@@ -84,8 +84,8 @@
                 let mut later = proxy.client();
                 later.send(&marker);
                 let first = backend.first_request();
-                let id = first.header("x-correlation-id").expect("an id");
-                assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.start_line);
+                let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+                assert!(marker.contains(id), "{how:?}: sent for a client that left: {}", first.start_line);
             });
         }
     });
@@ -150,7 +150,7 @@
     (0..WARM_UP).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
     let mut client = proxy.client();
     client.send(request);
-    wait_until("the first attempt is out", || first.count() == WARM_UP + 1);
+    wait_until("the first attempt is in flight", || first.count() == WARM_UP + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
     let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
@@ -162,6 +162,6 @@
     send_further_bytes(&mut client);
     let _held = disconnect(client, how);
     gate.open();
-    wait_until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == WARM_UP + 1);
+    wait_until("the first attempt has ended", || first.answered.load(Ordering::SeqCst) == WARM_UP + 1);
     assert_only_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
 }
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -60,13 +60,13 @@
 
 impl Running {
     fn start(backend: SocketAddr) -> Running {
-        let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
+        let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("valid settings");
         let pool = Rc::new(ConnectionPool::new(
             &settings.network,
             BodyBudget::new(1 << 20),
             SharedStallTimeouts::default(),
         ));
-        let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
+        let balancer = Balancer::new(settings.config.clone(), 1).expect("a valid configuration");
         let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
         let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
         let host = Host::new(
@@ -93,7 +93,7 @@
     async fn wait_until(&self, done: impl Fn(&Server) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
         while !done(&self.server) {
-            assert!(Instant::now() < end, "it never comes");
+            assert!(Instant::now() < end, "the server never reached the expected state");
             yield_now().await;
         }
     }
@@ -120,7 +120,7 @@
     for (n, mut client) in clients.into_iter().enumerate() {
         let answered = spawn_blocking(move || (client.answer().map(|a| a.status()), client)).await;
         let (status, client) = answered.unwrap();
-        assert_eq!(status, Some(200), "connection {n} was closed on its request");
+        assert_eq!(status, Some(200), "connection {n} was closed instead of its request being answered");
         served.push(client);
     }
     served
--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn exit_codes_tell_refusals_from_failures() {
-    assert_eq!(lotusdeck(&["serve"]).status.code(), Some(2), "no configuration named");
+    assert_eq!(lotusdeck(&["serve"]).status.code(), Some(2), "without a configuration");
     assert_eq!(lotusdeck(&["serve", "--config", "/nowhere"]).status.code(), Some(2));
     assert_eq!(lotusdeck(&["check"]).status.code(), Some(2));
     assert_eq!(lotusdeck(&["admin", "--addr", "127.0.0.1:1", "health"]).status.code(), Some(1));
@@ -113,12 +113,12 @@
         assert_eq!(proxy.ask(&pay(left)).status(), 502);
         began.elapsed().as_secs_f64()
     };
-    assert!(took(0.8) > 0.7, "the answer may rest for a minute: the client's time ends first");
+    assert!(took(0.8) > 0.7, "the answer may stall for a minute: the client's time ends first");
     std::fs::write(&operator, "[http]\nanswer_gap_ms = 1\n").unwrap();
     proxy.signal("HUP");
     assert!(proxy.wait_for_log("configuration rejected").contains("answer_gap_ms"));
     std::fs::write(&operator, stalled(20)).unwrap();
     proxy.signal("HUP");
     proxy.wait_for_log("configuration applied");
-    assert!(took(3.0) < 2.5, "it rested for too long");
+    assert!(took(3.0) < 2.5, "the stalled answer was not ended in time");
 }
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -133,7 +133,7 @@
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
     assert_eq!(proxy.ask(&get("read")).status(), 404);
     gate.open();
-    assert_eq!(open.answer().unwrap().status(), 200, "its class was there when it came");
+    assert_eq!(open.answer().unwrap().status(), 200, "its class existed when it arrived");
     let (poll, answer) = source.next_poll();
     assert!(poll.contains(&format!("&after={version}")), "{poll}");
     answer.send((200, encode(&SourceMessage::Unchanged(version)))).unwrap();
@@ -220,7 +220,7 @@
     assert!(proxy.wait_for_log("configuration applied").contains("a source is followed"));
     assert!(
         proxy.wait_for_log("configuration applied").contains("version=7-2"),
-        "read anew under its own keys"
+        "the document is applied again with the new keys of the file"
     );
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (200, 404));
     drop(later);
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -24,7 +24,8 @@
 
 /// Returns the wait that a call asks for.
 fn requested_wait(target: &str) -> Duration {
-    let wait = target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait");
+    let wait =
+        target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait_ms parameter");
     Duration::from_millis(wait.parse().unwrap())
 }
 
@@ -70,7 +71,7 @@
 fn wait_until_draining(proxy: &Proxy) {
     let end = Instant::now() + TEST_TIMEOUT;
     while proxy.ask(&read(3.0)).status() != 503 {
-        assert!(Instant::now() < end, "the word that it drains was lost");
+        assert!(Instant::now() < end, "the change that the backend drains was lost");
     }
 }
 
@@ -98,7 +99,7 @@
             new.send((200, list(9, false, &[]))).unwrap();
             waits = Some(elsewhere.next_call());
         }
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "nothing is told yet");
+        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the change has not arrived yet");
         old.send((0, rest.into())).unwrap();
         wait_until_draining(&proxy);
         drop(waits);
@@ -179,7 +180,7 @@
     for _ in 0..5 {
         assert_eq!(later.ask(&read(3.0)).status(), 200);
     }
-    assert_eq!(backend.count(), 5, "what nobody waits for was sent on");
+    assert_eq!(backend.count(), 5, "a request whose client had left was forwarded");
 }
 
 /// A connection to discovery that is not established is abandoned for another before its call would count as silent.
@@ -221,8 +222,12 @@
                     let mut later = proxy.client();
                     later.send(&marker);
                     let first = backend.first_request();
-                    let id = first.header("x-correlation-id").expect("an id");
-                    assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.start_line);
+                    let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+                    assert!(
+                        marker.contains(id),
+                        "{how:?}: sent for a client that left: {}",
+                        first.start_line
+                    );
                 });
             }
         }
@@ -256,7 +261,7 @@
                 let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
                 let mut peer = old.accept_other();
                 let status = client.answer().expect("an answer").status();
-                assert!(matches!(status, 200 | 503), "{change}: it never ran, and got {status}");
+                assert!(matches!(status, 200 | 503), "{change}: the request never ran, and got {status}");
                 assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{change}");
                 drop(proxy);
                 let sent = peer.fill_buf().unwrap_or_default();
@@ -289,7 +294,7 @@
         proxy.signal("TERM");
         gate.open();
         for client in [&mut whole, &mut half] {
-            assert_eq!(client.answer().expect("what was owed").body, b"gated");
+            assert_eq!(client.answer().expect("an answer to an accepted request").body, b"gated");
         }
         assert!(proxy.child.wait().unwrap().success());
     }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -64,7 +64,7 @@
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after discovery could be reached, {refused} calls refused before");
@@ -94,7 +94,7 @@
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after the last refusal");
@@ -150,15 +150,15 @@
                 second.send((200, list(other.0, false, other.1))).unwrap();
                 let (watch, waits) = proxy.discovery.next_call();
                 assert!(watch.contains(&format!("after={}&", other.0)), "{watch}");
-                first.send((200, list(late.0, false, late.1))).expect("the first call is out still");
+                first.send((200, list(late.0, false, late.1))).expect("the first call is still open");
                 let end = Instant::now() + NOTIFIED_AFTER;
                 while proxy.ask(&read(3.0)).status() != 503 {
-                    assert!(Instant::now() < end, "what the first call told was lost: {late:?}");
+                    assert!(Instant::now() < end, "the answer to the first call was lost: {late:?}");
                 }
                 waits.send((200, list(11, false, &[]))).unwrap();
                 let (watch, _waits) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
-                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "older news undid newer");
+                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list undid a newer one");
             });
         }
     });
@@ -211,7 +211,7 @@
             let took = begun.elapsed();
             assert!(took < Duration::from_millis(2_500), "{took:?} after {first} until {again}: {fault:?}");
             let logged = proxy.wait_for_log(line);
-            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the list held is lost: {logged}");
+            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the current list is lost: {logged}");
         }
     }
 }
@@ -242,7 +242,11 @@
         let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 503);
-        assert_eq!(proxy.operator_call("PUT", "/admin/cordon", "s-0"), 200, "one that has left is forgotten");
+        assert_eq!(
+            proxy.operator_call("PUT", "/admin/cordon", "s-0"),
+            200,
+            "a backend that has left is unknown"
+        );
     }
 }
 
@@ -258,14 +262,14 @@
         for known in [serving, draining.clone()] {
             let proxy = Proxy::with_settings(&[known.clone(), stays.clone()], 1024, &settings);
             if known == draining {
-                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "drained by the list it began with");
+                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the list of the configuration");
             }
             proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
             let (_, changes) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the whole list");
             changes.send((200, list(10, false, std::slice::from_ref(&draining)))).unwrap();
             let (_, gone) = proxy.discovery.next_call();
-            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining by the changes after it");
+            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the changes after it");
             gone.send((200, list(11, false, &[draining.replace("DRAINING", "DELETED")]))).unwrap();
             let (watch, _waits) = proxy.discovery.next_call();
             assert!(watch.contains("after=11&"), "{watch}");
@@ -326,7 +330,7 @@
         proxy.discovery.next_call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
         let (watch, _waits) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "it drains");
+        assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "the backend drains");
         let lagging = DiscoveryServer::start();
         proxy.move_discovery(lagging.address);
         proxy.signal("HUP");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -85,7 +85,7 @@
 
     /// Waits until a proxy sees `members` other proxies.
     fn wait_for_members(&self, n: usize, members: u64) {
-        wait_until(&format!("proxy {n} sees {members}"), || self.status(n)["members"] == members);
+        wait_until(&format!("proxy {n} sees {members} others"), || self.status(n)["members"] == members);
     }
 
     /// Sets the links between a proxy and all others, in both directions.
@@ -100,7 +100,7 @@
 fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < end, "not before the test's patience ended: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -177,7 +177,7 @@
 /// Asserts the bound of docs/fleet-limits.md: in any span no more requests than the rate allows for it, a burst, and
 /// one for each proxy.
 fn assert_bound(answers: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
-    let Some(first) = answers.first().map(|s| s.0) else { panic!("nothing was seen") };
+    let Some(first) = answers.first().map(|s| s.0) else { panic!("no answer was received") };
     let mut served: Vec<f64> =
         answers.iter().filter(|s| s.2 == 200).map(|s| (s.0 - first).as_secs_f64()).collect();
     served.sort_by(f64::total_cmp);
@@ -203,20 +203,20 @@
     let load = Load::start(&fleet, [60.0, 4.0, 4.0, 4.0], || read(3.0));
     let second = Duration::from_secs(1);
     let own = 80.0 / SIZE as f64;
-    wait_until("it is lent twice its own", || load.served(0, second) > 2.0 * own);
+    wait_until("it serves twice its own share", || load.served(0, second) > 2.0 * own);
     fleet.set_links(0, CUT);
     let cut = Instant::now();
-    wait_until("it falls back to its own", || {
+    wait_until("it falls back to its own share", || {
         cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own
     });
-    assert!(load.served(0, second) > 0.5 * own, "its own stays: {}", load.served(0, second));
+    assert!(load.served(0, second) > 0.5 * own, "its own share stays: {}", load.served(0, second));
     fleet.set_links(0, Link::default());
     let healed = Instant::now();
-    wait_until("it is lent again", || load.served(0, second) > 2.0 * own);
+    wait_until("it borrows again", || load.served(0, second) > 2.0 * own);
     println!("lent again {:.1} s after the heal", healed.elapsed().as_secs_f64());
     let shares = fleet.status(0)["shares"][0].clone();
     assert!(shares["borrowed_rate"].as_f64().unwrap() > 0.0, "{shares}");
-    assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "one answer each");
+    assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "every request is answered");
     assert_bound(&load.end(), 80.0, 0.2);
 }
 
@@ -265,7 +265,7 @@
     let loads: Vec<Load> = (0..8).map(|_| Load::start(&fleet, [20.0, 1.0, 1.0, 1.0], || read(3.0))).collect();
     let served = |span| loads.iter().map(|l| l.served(0, span)).sum::<f64>();
     // Its own four slots, at 150 ms a request, serve 27 requests a second.
-    wait_until("more than its own slots serve", || served(Duration::from_secs(1)) > 33.0);
+    wait_until("it serves more than its own slots allow", || served(Duration::from_secs(1)) > 33.0);
     for _ in 0..4 {
         fleet.set_links(0, CUT);
         std::thread::sleep(Duration::from_millis(600));
@@ -292,7 +292,7 @@
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
     fleet.links.member(3, at);
-    wait_until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
+    wait_until("its datagrams are rejected", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
         .wait_for_log("fleet datagram rejected")
         .contains("another site, fleet or set of limits"));
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -111,7 +111,7 @@
         Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator_file(&folder, more));
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     let open = run_ledger(&folder, &["query", "--id", "unknown"]);
-    assert!(open.contains("nothing is proved"), "it runs, and may go on without records: {open}");
+    assert!(open.contains("nothing is proved"), "the process runs and may go on without records: {open}");
     proxy.signal("TERM");
     proxy.child.wait().unwrap();
     let closed = run_ledger(&folder, &["query", "--id", "unknown"]);
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -58,7 +58,7 @@
     silent.iter_mut().for_each(|caller| assert!(caller.ended()));
     let before = a.count();
     assert_served(&proxy, 20);
-    assert_eq!((a.count() - before, b.count()), (20, 0), "half a call is none");
+    assert_eq!((a.count() - before, b.count()), (20, 0), "an incomplete call has no effect");
 }
 
 /// A cordoned backend gets no new requests, whatever the list says, and is in use again after one uncordon although
@@ -84,7 +84,7 @@
     answer.send((200, list(11, false, &[entry("b0", a.address, "SERVING")]))).unwrap();
     let (_, _waits) = proxy.discovery.next_call();
     assert_served(&proxy, 40);
-    assert_eq!(a.count(), before, "nothing new goes to it");
+    assert_eq!(a.count(), before, "a cordoned backend gets no new requests");
     assert_eq!(proxy.operator_call("PUT", "/admin/uncordon", "b0"), 200);
     let mut sent = 0;
     while a.count() == before {
@@ -104,10 +104,10 @@
     let mut new = old.successor(&both_serving(&a, &b), &listener);
     assert_eq!(new.operator_call("GET", "/admin/health", ""), 200);
     assert_served(&new, 40);
-    assert_eq!(a.count(), 0, "both know of it");
+    assert_eq!(a.count(), 0, "the cordon holds in both processes");
     drop(old);
     assert_served(&new, 40);
-    assert_eq!(a.count(), 0, "it outlasts the process that was told");
+    assert_eq!(a.count(), 0, "the cordon outlasts the process that took the call");
     new.child.kill().unwrap();
     new.child.wait().unwrap();
     let file = std::fs::read_dir(&new.tmp).unwrap().flatten().find(|f| {
@@ -118,7 +118,7 @@
     file.write_all(b"\xff\0\n").unwrap();
     let last = new.successor(&both_serving(&a, &b), &listener);
     assert_served(&last, 40);
-    assert_eq!(a.count(), 0, "damage to the file lifts no ban");
+    assert_eq!(a.count(), 0, "damage to the file lifts no cordon");
 }
 
 /// While two processes serve, a cordon by a call to one applies to the other.
@@ -180,17 +180,17 @@
         assert!(line.contains(told), "{line}");
     }
     assert_eq!(proxy.ask(&get("draw", "n1")).status(), 200);
-    assert_eq!(proxy.ask(&get("pay", "n2")).status(), 200, "it is free now");
+    assert_eq!(proxy.ask(&get("pay", "n2")).status(), 200, "the class is repeatable now");
     assert_eq!(proxy.ask(&get("read", "n3")).status(), 404);
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 400, "and no unsafe one any more");
+    assert_eq!(proxy.ask(&pay(3.0)).status(), 400, "the class is no longer an unsafe one");
     let before = paid.count();
     gate.open();
-    assert_eq!(open.answer().unwrap().status(), 502, "it came as unsafe: it is not sent again");
-    assert_ne!(dropped.answer().unwrap().status(), 404, "its class was there when it came");
+    assert_eq!(open.answer().unwrap().status(), 502, "it arrived as unsafe: it is not sent again");
+    assert_ne!(dropped.answer().unwrap().status(), 404, "its class existed when it arrived");
     assert!(paid.count() <= before + 1, "the unsafe one is not repeated");
     proxy.reconfigure(&proxy.config.1);
     assert!(proxy.wait_for_log("configuration applied").contains("with class read"));
-    assert_eq!(proxy.ask(&get("read", "n4")).status(), 200, "a class may come back");
+    assert_eq!(proxy.ask(&get("read", "n4")).status(), 200, "a class may be added again");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
 
@@ -242,7 +242,7 @@
     std::fs::write(&slow, last).unwrap();
     std::fs::rename(&slow, &path).unwrap();
     proxy.signal("HUP");
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the one before is not read yet");
+    assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the file before it is not read yet");
     writer.write_all(other_settings(&proxy.config.1).as_bytes()).unwrap();
     drop(writer);
     assert!(proxy.wait_for_log("configuration applied").contains("with class draw"));
@@ -322,12 +322,12 @@
     let new = old.successor(&[entry("b1", second.address, "SERVING")], &listener);
     assert_eq!(new.operator_call("GET", "/admin/health", ""), 200);
     assert_eq!(late.answer().unwrap().body, b"second", "the old process leaves the queue alone");
-    assert_eq!(old.operator_call("GET", "/admin/health", ""), 503, "it takes no clients any more");
+    assert_eq!(old.operator_call("GET", "/admin/health", ""), 503, "it accepts no more clients");
     new.wait_for_log("processes=2");
     gate.open();
     let answer = open.answer().unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(old.child.wait().unwrap().success());
     new.wait_for_log("processes=1");
-    assert_eq!(new.ask(&read(3.0)).body, b"second", "the new one goes on");
+    assert_eq!(new.ask(&read(3.0)).body, b"second", "the new process still serves");
 }
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -67,8 +67,8 @@
         ("reset", || Reply::Reset, 3.0),
         ("silence", || Reply::Silence, 0.3),
         ("unlisted", || Reply::Answer(404, "", String::new()), 3.0),
-        ("503 without a word on it", || Reply::Answer(503, "", String::new()), 3.0),
-        ("the word on another status", || Reply::Answer(500, "X-Unprocessed: 1", String::new()), 3.0),
+        ("503 without X-Unprocessed", || Reply::Answer(503, "", String::new()), 3.0),
+        ("X-Unprocessed with another status", || Reply::Answer(500, "X-Unprocessed: 1", String::new()), 3.0),
         (
             "too long",
             || Reply::Pieces(vec!["HTTP/1.1 200 X\r\nContent-Length: 33554433\r\n\r\nx".into()]),
@@ -101,11 +101,11 @@
         let (rejected_before, good_before) = (rejecting.count(), good.count());
         let mut sent = 0;
         while rejecting.count() == rejected_before {
-            assert!(sent < 100, "the draw never met it");
+            assert!(sent < 100, "the backend was never chosen");
             assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
             sent += 1;
         }
-        assert_eq!(good.count() - good_before, sent, "every one was served once");
+        assert_eq!(good.count() - good_before, sent, "every request was served once");
     }
 }
 
@@ -135,7 +135,8 @@
     for request in [pay(3.0), read(3.0)] {
         let answer = proxy.ask(&request);
         assert_eq!(answer.status(), 503);
-        let retry_after_s: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+        let retry_after_s: f64 =
+            answer.header("retry-after").expect("a Retry-After header").parse().expect("a number");
         assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
     }
 }
@@ -168,7 +169,7 @@
     assert!(status == 502 || status == 504, "{status}");
     assert!(begun.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
     backend.wait_for_close(); // the attempt was cancelled with the request
-    assert_eq!(proxy.ask(&read(0.3)).status(), 503, "a safe one is harmless to repeat");
+    assert_eq!(proxy.ask(&read(0.3)).status(), 503, "503 as a safe request may be repeated");
 }
 
 #[test]
@@ -236,23 +237,23 @@
     let (target, answer) = proxy.discovery.next_call(); // the change has been applied by now
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
-        assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "nothing new for one that drains");
+        assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a draining backend gets no new requests");
     }
     answer.send((503, String::new())).unwrap();
     let (target, answer) = proxy.discovery.next_call();
-    assert!(target.contains("after=10&"), "a failure is asked again: {target}");
+    assert!(target.contains("after=10&"), "the call is repeated after a failure: {target}");
     answer.send((200, "no list".into())).unwrap();
     let (target, answer) = proxy.discovery.next_call();
-    assert!(target.contains("after=10&"), "so is nonsense: {target}");
+    assert!(target.contains("after=10&"), "the call is repeated after an invalid answer: {target}");
     drop(answer); // the connection breaks
     let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(3, false, &[]))).unwrap();
     let (target, answer) = proxy.discovery.next_call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "a gap means the whole list");
+    assert_eq!(target, "GET /api/targets HTTP/1.1", "the whole list is requested after a gap");
     answer.send((200, list(3, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
     let (target, _hold) = proxy.discovery.next_call();
     assert!(target.contains("after=3&"), "{target}");
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "what is absent from the whole list is gone");
+    assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "a backend that the whole list leaves out is removed");
     assert_eq!(old.count(), 2);
 }
 
@@ -325,7 +326,7 @@
         assert_eq!(client.ask(&read(3.0)).status(), 200);
         idle.push(client);
     }
-    assert!(idle[0].ended(), "the one that was idle longest went first");
+    assert!(idle[0].ended(), "the connection that was idle longest was closed first");
 }
 
 /// A machine that was cut off leaves its connections open: none that was idle meanwhile is used again.
@@ -348,11 +349,11 @@
     for client in [&mut first, &mut second] {
         assert_eq!(client.answer().expect("an answer").status(), 200);
     }
-    assert_eq!(backend.connections.load(SeqCst), 2, "both are idle now");
+    assert_eq!(backend.connections.load(SeqCst), 2, "both connections are idle now");
     std::thread::sleep(Duration::from_millis(15)); // longer than a connection waits before its reuse
     assert_eq!(proxy.ask(&read(0.3)).status(), 503);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
-    assert_eq!(backend.connections.load(SeqCst), 3, "a new one, though one was left");
+    assert_eq!(backend.connections.load(SeqCst), 3, "a new connection, although an idle one was left");
 }
 
 /// Descriptors may run out before the configured limit is reached: idle connections are closed then too.
@@ -402,12 +403,12 @@
     proxy.signal("TERM");
     proxy.wait_for_log("stopping");
     for client in [&mut kept, &mut proxy.client()] {
-        assert_eq!(client.ask(&pay(2.0)).status(), 200, "new connections and kept ones go on for a while");
+        assert_eq!(client.ask(&pay(2.0)).status(), 200, "new and kept connections are served for a while");
     }
-    assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 503, "operators know better");
+    assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 503, "the health call reports the shutdown");
     assert!(idle.ended(), "an idle connection is closed");
     gate.open();
-    assert_eq!(busy.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(busy.answer().expect("the answer to the open request").body, b"gated");
     assert!(busy.ended());
     assert!(proxy.child.wait().unwrap().success());
 }
@@ -422,7 +423,7 @@
     switch.store(true, SeqCst);
     let before = bad.count();
     for sent in 0.. {
-        assert!(sent < 100, "the draw never met it");
+        assert!(sent < 100, "the backend was never chosen");
         assert_eq!(proxy.ask(&vote(3.0)).status(), 200);
         let served = good.next_request();
         if bad.count() > before {
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -56,7 +56,7 @@
     let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
     assert_eq!(proxy.ask(&read(3.0)).body, b"second");
     assert!(told.elapsed().as_millis() < 500, "{:?}", told.elapsed());
-    assert_eq!(first.count(), 1, "nothing new to the drained backend");
+    assert_eq!(first.count(), 1, "the drained backend gets no new requests");
 }
 
 /// A file that is truncated, of another site, written by another proxy or no state file is logged and ignored; the
@@ -176,7 +176,7 @@
         let until = Instant::now() + std::time::Duration::from_millis(120 + random_below(200));
         let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until || !file.exists() {
-            assert!(Instant::now() < end, "seed {seed}: no list was ever kept");
+            assert!(Instant::now() < end, "seed {seed}: no list was ever saved");
             let (_, answer) = proxy.discovery.next_call();
             index += 1;
             answer.send((200, list(index, true, &entries[..2000 + random_below(2000) as usize]))).unwrap();
@@ -188,9 +188,9 @@
         assert!(kept.index >= last, "seed {seed}: {} after {last}", kept.index);
         last = kept.index;
     }
-    assert!(last > 20, "seed {seed}: lists were written as they came, the last kept is {last}");
+    assert!(last > 20, "seed {seed}: the last saved version is only {last}");
     println!(
-        "seed {seed}: {unfinished} of 20 kills left a new file unfinished beside the whole one; kept up to {last}"
+        "seed {seed}: {unfinished} of 20 kills left an unfinished new file beside the whole one; last saved version {last}"
     );
 }
 
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -37,5 +37,5 @@
         println!("restart {restart}: ready after {took:?}");
         late.extend((took > READY_WITHIN).then_some(took));
     }
-    assert!(late.len() * 10 <= RESTARTS, "late: {late:?}");
+    assert!(late.len() * 10 <= RESTARTS, "ready too late: {late:?}");
 }
--- a/crates/lotusdeck/tests/rig/proxy.rs
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -96,7 +96,9 @@
     pub(crate) fn wait_for_log(&self, what: &str) -> String {
         let end = Instant::now() + TEST_TIMEOUT;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
-        std::iter::from_fn(next).find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what:?}"))
+        std::iter::from_fn(next)
+            .find(|line| line.contains(what))
+            .unwrap_or_else(|| panic!("no log line with {what:?}"))
     }
 
     /// Replaces the configuration file and sends SIGHUP.
--- a/crates/lotusdeck/tests/rig/sockets.rs
+++ b/crates/lotusdeck/tests/rig/sockets.rs
@@ -16,7 +16,7 @@
 pub(crate) fn wait_until(what: &str, done: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
@@ -40,7 +40,7 @@
 pub(crate) fn stop_process(proxy: &Proxy) {
     proxy.signal("STOP");
     let stat = format!("/proc/{}/stat", proxy.child.id());
-    wait_until("it stops", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
+    wait_until("the program is stopped", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
 }
 
 /// How a client disconnects.
@@ -77,7 +77,9 @@
     };
     let port = format!(":{:04X}", own.port());
     let is_established = |fields: &Vec<String>| fields[2].ends_with(&port) && fields[3] == ESTABLISHED;
-    wait_until("the proxy's end hears of it", || !kernel_sockets(1, proxy).iter().any(is_established));
+    wait_until("the proxy's socket has left ESTABLISHED", || {
+        !kernel_sockets(1, proxy).iter().any(is_established)
+    });
     kept
 }
 
@@ -99,7 +101,7 @@
         // Counts by the kernel's table: a connection that is not established after some time may only be slow.
         let end = Instant::now() + TEST_TIMEOUT;
         while full.queued() <= 1 {
-            assert!(Instant::now() < end, "the queue does not fill");
+            assert!(Instant::now() < end, "the accept queue does not fill");
             full.fillers.extend(TcpStream::connect_timeout(&full.address(), TEST_TIMEOUT));
         }
         full
@@ -114,7 +116,7 @@
     /// Waits until a connection to the listener is being established (SYN_SENT).
     pub(crate) fn wait_for_connect(&self) {
         let at = self.address();
-        wait_until("a connection on its way", || {
+        wait_until("a connection is being established", || {
             kernel_sockets(2, at).iter().any(|fields| fields[3] == SYN_SENT)
         });
     }
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -31,21 +31,21 @@
     assert!(target.contains("after=900&"), "{target}");
     std::fs::write(&proxy.config.0, "{").unwrap();
     proxy.signal("HUP");
-    assert_eq!(proxy.ask(&read(3.0)).body, b"old", "a bad file ends nothing");
+    assert_eq!(proxy.ask(&read(3.0)).body, b"old", "an invalid file changes nothing");
     let elsewhere = DiscoveryServer::start();
     proxy.move_discovery(elsewhere.address);
     for _ in 0..2 {
         proxy.signal("HUP");
     }
     let (target, answer) = elsewhere.next_call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "an index of the old one means nothing here");
+    assert_eq!(target, "GET /api/targets HTTP/1.1", "the old discovery's index is not used here");
     answer.send((200, list(7, true, &[entry("b1", new.address, "SERVING")]))).unwrap();
     let (target, answer) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=7&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
     answer.send((200, list(8, false, &[entry("b1", new.address, "DRAINING")]))).unwrap();
     let (_, _waits) = elsewhere.next_call();
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "and it is followed there");
+    assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "changes of the new discovery are applied");
 }
 
 /// With `subscribe`, where lists are costly for discovery, proxies ask a new discovery only for changes at first:
@@ -58,7 +58,7 @@
         SETTINGS.replace("\"automatic\"", "\"subscribe\"").replace("9000000,\"ramp", "300000,\"ramp");
     let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     let (target, answer) = proxy.discovery.next_call();
-    assert_eq!(target, "GET /api/targets?after=4&wait_ms=0 HTTP/1.1", "the list known is version 4");
+    assert_eq!(target, "GET /api/targets?after=4&wait_ms=0 HTTP/1.1", "the configured list has version 4");
     answer.send((200, list(9, false, &[]))).unwrap();
     let (target, _waits) = proxy.discovery.next_call();
     assert!(target.contains("after=9&"), "{target}");
@@ -66,7 +66,7 @@
     proxy.move_discovery(elsewhere.address);
     proxy.signal("HUP");
     let (target, answer) = elsewhere.next_call();
-    assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "what was missed, at once");
+    assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "missed changes are requested at once");
     answer.send((200, list(10, false, &[entry("b1", new.address, "SERVING")]))).unwrap();
     // Each answer has no changes until the whole list is polled; the first such poll fails.
     let (mut asked, mut whole) = (0, 0);
@@ -83,10 +83,10 @@
             answer.send((200, list(10, false, &[]))).unwrap();
         }
     }
-    assert!(asked > 1, "what is newer is asked for meanwhile");
+    assert!(asked > 1, "changes are requested meanwhile");
     let (target, _waits) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "what is absent from the whole list is gone");
+    assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the whole list leaves out is removed");
 }
 
 /// Connections to any backend break now and then, so a single reset must not eject one.
@@ -109,7 +109,7 @@
     for _ in 0..60 {
         assert_eq!(client.ask(&pay(3.0)).status(), 200);
     }
-    assert!(a.count() > before, "ejected for one reset");
+    assert!(a.count() > before, "the backend was ejected for one reset");
 }
 
 /// Attempts that never get an answer do not count against a backend's capacity for long, as it has answered others
@@ -166,7 +166,7 @@
     proxy.signal("TERM");
     proxy.signal("HUP");
     gate.open();
-    assert_eq!(client.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(client.answer().expect("the answer to the open request").body, b"gated");
     assert!(proxy.child.wait().unwrap().success());
 }
 
@@ -222,7 +222,7 @@
             Some(answer) => assert_eq!(answer.status(), status, "{request:.200}"),
             None => assert!(request.len() > 64 * 1024 || sent.is_err(), "no answer to {request:.200}"),
         }
-        assert!(client.ended(), "the connection goes on after {request:.200}");
+        assert!(client.ended(), "the connection stays open after {request:.200}");
     }
     assert_eq!(backend.count(), 0);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
@@ -304,8 +304,8 @@
         silent.extend((0..60).map(|_| proxy.client()));
         proxy.signal("CONT");
         let older = &mut silent[90 * round + 30..90 * round + 80];
-        assert!(older.iter_mut().all(|client| client.ended()), "the oldest went");
-        assert_eq!(proven.ask(&read(3.0)).status(), 200, "the usual client was let go of");
+        assert!(older.iter_mut().all(|client| client.ended()), "the oldest connections were closed");
+        assert_eq!(proven.ask(&read(3.0)).status(), 200, "the proven client was disconnected");
     }
 }
 
@@ -346,7 +346,7 @@
         }
         let before = bad.count();
         for sent in 0.. {
-            assert!(sent < 200, "the draw never met it");
+            assert!(sent < 200, "the backend was never chosen");
             let (was, status) = (good.count(), client.ask(&pay(3.0)).status());
             if bad.count() > before {
                 assert_eq!((status, good.count()), (502, was), "{malformed:.80}");
@@ -406,7 +406,7 @@
     let proxy = Proxy::start(&entries);
     let statuses: Vec<u16> = (0..60).map(|_| proxy.ask(&read(0.4)).status()).collect();
     let lost = |part: &[u16]| part.iter().filter(|s| **s != 200).count();
-    assert!(lost(&statuses[..30]) > 3, "it takes some to tell: {statuses:?}");
+    assert!(lost(&statuses[..30]) > 3, "losses are detected only after some: {statuses:?}");
     assert!(lost(&statuses[30..]) < 2, "{statuses:?}"); // seven or eight without hedged attempts
     never_opened.open();
 }
@@ -467,7 +467,7 @@
         })
         .collect();
     assert!(!closing[0] && !closing[3], "{closing:?}");
-    assert!(closing[5], "half of the places are kept: {closing:?}");
+    assert!(closing[5], "the connection is closed once half of the places are kept: {closing:?}");
     assert!(kept[5].ended());
 }
 
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -65,7 +65,7 @@
             Err(why) => println!("{name} seed {seed}: {why}"),
         }
     }
-    panic!("{name}: the lab was late with each of the seeds {seeds:?}: no verdict");
+    panic!("{name}: the testbed was late with each of the seeds {seeds:?}: no verdict");
 }
 
 /// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
@@ -119,7 +119,7 @@
     for (e, (broken, report)) in all.iter().zip(&verdicts).filter_map(|(e, v)| Some((e, v.as_ref()?))) {
         assert_eq!(*broken, [], "{} seed {}:\n{report}", e.name, e.seed);
     }
-    assert!(judged > 0, "the lab was late every time: no verdict");
+    assert!(judged > 0, "the testbed was late in every run: no verdict");
 }
 
 /// A port that is in use is named before anything starts.
@@ -200,7 +200,7 @@
     let worth = |way: Way| {
         let experiment = fleet::experiment(Script::PowerLoss, way, 4, 5.0).unwrap();
         let (seed, back) = first_verdict(&experiment, 7..10, &format!("power-{way:?}"), |plan, outcome| {
-            fleet::judge(plan, outcome, restart_s).ok_or_else(|| "the lab was late".to_string())
+            fleet::judge(plan, outcome, restart_s).ok_or_else(|| "the testbed was late".to_string())
         });
         println!("{way:?} seed {seed}: {back:?}");
         assert_eq!((back.broken, back.cold_over), (0, 0), "{way:?} seed {seed}");
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -49,13 +49,13 @@
 
 /// Starts a server for these backends and returns its address.
 async fn start(backends: &[&BackendServer]) -> SocketAddr {
-    let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
+    let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("valid settings");
     let pool = Rc::new(ConnectionPool::new(
         &settings.network,
         BodyBudget::new(1 << 20),
         SharedStallTimeouts::default(),
     ));
-    let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
+    let balancer = Balancer::new(settings.config.clone(), 1).expect("a valid configuration");
     let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
     let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
     let host = Host::new(
@@ -103,7 +103,7 @@
 
 /// Returns the time left of a request that a backend received, in seconds.
 fn time_left_of(request: &Message) -> f64 {
-    request.header("x-time-left").expect("a time").parse().expect("seconds")
+    request.header("x-time-left").expect("an X-Time-Left header").parse().expect("seconds")
 }
 
 fn received_time_left(backend: &BackendServer) -> f64 {
@@ -123,7 +123,10 @@
 fn assert_time_left(told: f64, elapsed: Duration) {
     let most = TIME_LEFT_S - elapsed.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
-    assert!(least < told && told <= most, "told {told}, where at most {most} and at least {least} is left");
+    assert!(
+        least < told && told <= most,
+        "received {told} s, expected more than {least} s and at most {most} s"
+    );
 }
 
 #[test]
@@ -254,6 +257,6 @@
         };
         assert_eq!(readable().await, long_ago);
         wait_for_poll().await;
-        assert_ne!(readable().await, long_ago, "it was registered before this look");
+        assert_ne!(readable().await, long_ago, "it was registered before this poll");
     });
 }
