--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -205,7 +205,7 @@
     let (refusing, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
     let proxy = proxy_for(&good);
     let mut client = proxy.client();
-    (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // earns the retry budget for further attempts
+    (0..25).for_each(|_| assert_eq!(client.ask(&read(3.0)).status(), 200)); // earns the retry budget
     let (_, answer) = proxy.discovery.next_call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", refusing.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -116,8 +116,8 @@
 /// Requests that are answered first: they earn the retry budget, which is a part of the requests.
 const WARM_UP: u32 = 12;
 
-/// The client leaves while an attempt is in flight, which then ends in a way that allows another one: none is made. A
-/// client that stays gets it.
+/// The client leaves during an attempt that then ends in a way that allows another one: none is made. A client that
+/// stays gets it.
 #[test]
 fn no_attempt_is_repeated_for_a_client_that_left() {
     std::thread::scope(|scope| {
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -180,8 +180,8 @@
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
 
-/// The source ends, and another begins a new epoch: meanwhile the last version stays in force, and the status shows
-/// that the source is cut off.
+/// The source ends, and another begins a new epoch: meanwhile the last version stays in force, and the status says
+/// that the proxy is cut off from the source.
 #[test]
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
     let mut source = TestSource::start();
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! A discovery that refuses, resets, stalls, is crowded, or sends too much or malformed answers: the proxy applies
-//! its changes in time and loses nothing valid.
+//! A discovery that refuses, resets or stalls calls, is crowded, or sends answers that are too long or malformed: the
+//! proxy applies its changes in time and loses nothing valid.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -42,8 +42,8 @@
 }
 
 /// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
-/// one more call and answers each other one 2.5 s after its arrival. The proxy holds the change within [`NOTIFIED_AFTER`], and
-/// it has called neither too rarely nor too often before.
+/// one more call and answers each other one 2.5 s after its arrival. The proxy has the change within
+/// [`NOTIFIED_AFTER`], and its calls before that were neither too rare nor too frequent.
 #[test]
 fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -74,9 +74,9 @@
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the refusal
-/// comes first: after the longest pause between calls one is refused, the next gets no answer, and each other one is
-/// answered 2.5 s after its arrival.
+/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the
+/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each other
+/// one is answered 2.5 s after its arrival.
 #[test]
 fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -221,8 +221,7 @@
 }
 
 /// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
-/// is killed and restarted about every second: the bound holds, and no request of a class that must not run twice
-/// does.
+/// is killed and restarted about every second: the bound holds, and no request that must not run twice does.
 #[test]
 fn the_bound_holds_through_bad_links_and_restarts() {
     let mut fleet = Fleet::start("bad", "rate_per_s = 60.0", BackendServer::start(|_| ok("b")));
@@ -277,7 +276,7 @@
     assert!((5..=16).contains(&most.load(Ordering::SeqCst)), "{}", most.load(Ordering::SeqCst));
 }
 
-/// Datagrams of a proxy of another site, or with other limits, are rejected: each keeps to its own share.
+/// Datagrams of a proxy of another site, or with other limits, are rejected, and each proxy keeps to its own share.
 #[test]
 fn proxies_with_other_limits_do_not_share() {
     let fleet = Fleet::start("apart", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -57,8 +57,8 @@
     (BackendServer::start(reply), switch)
 }
 
-/// After each outcome that leaves open whether it ran, an unsafe request is not sent again, and its status does not
-/// say that it may be repeated.
+/// An unsafe request is not sent again after an outcome that leaves open whether it ran, and its status does not say
+/// that it may be repeated.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
     type Make = fn() -> Reply;
@@ -88,7 +88,7 @@
     }
 }
 
-/// After each answer that proves that it never ran, even an unsafe request is sent to another backend.
+/// Even an unsafe request is sent to another backend after an answer that proves that it never ran.
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
     for status in [503, 504] {
@@ -329,7 +329,7 @@
     assert!(idle[0].ended(), "the connection that was idle longest was closed first");
 }
 
-/// A machine that was cut off leaves its connections open: none that was idle meanwhile is used again.
+/// A backend's machine that was cut off leaves its connections open: none that was idle meanwhile is used again.
 #[test]
 fn idle_connections_to_a_silent_backend_are_dropped() {
     let gate = Arc::new(Gate::default());
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -81,7 +81,7 @@
     address
 }
 
-/// Returns a client on a kept connection on which the server waits for the next request.
+/// Returns a client whose connection is kept, so that the server waits on it for the next request.
 async fn kept_client(address: SocketAddr) -> Client {
     let ask = move || {
         let mut client = Client::connect(address);
@@ -119,7 +119,8 @@
     requests.collect()
 }
 
-/// Asserts that `told` is no more than is left of [`TIME_LEFT_S`] after `elapsed`, and no less than that without [`SLACK`].
+/// Asserts that `told` is at most what is left of [`TIME_LEFT_S`] after `elapsed`, and less than [`SLACK`] below
+/// that.
 fn assert_time_left(told: f64, elapsed: Duration) {
     let most = TIME_LEFT_S - elapsed.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
