--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -209,7 +209,7 @@
     let (_, answer) = proxy.discovery.next_call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", refusing.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.next_call(); // the list has been applied by now
+    let _open_watch = proxy.discovery.next_call(); // the list has been applied by now
     for n in 0..6 {
         assert_eq!(client.ask(&form(&format!("a{n}"))).status(), 200);
     }
@@ -223,7 +223,7 @@
 
 /// A request's time begins with its last byte, however long its upload takes; the backend is not blamed for that.
 #[test]
-fn the_time_of_an_upload_begins_with_its_end() {
+fn the_time_of_a_request_begins_at_the_end_of_its_upload() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -107,7 +107,7 @@
             }
             let _held = disconnect(client, how);
             answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-            let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+            let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
             assert_only_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
         }
     }
@@ -153,7 +153,7 @@
     wait_until("the first attempt is in flight", || first.count() == WARM_UP + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
-    let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+    let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
     let Some(how) = how else {
         gate.open();
         assert_eq!(client.answer().expect("an answer").body, b"y", "{request}, reset: {resets}");
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -53,7 +53,7 @@
                     let (again, answer) = proxy.discovery.next_call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-                    let (next, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+                    let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
                     let took = begun.elapsed();
                     assert!(
@@ -94,15 +94,15 @@
         proxy.move_discovery(elsewhere.address);
         proxy.signal("HUP");
         let (_, new) = elsewhere.next_call(); // the proxy follows the new address now
-        let mut waits = None;
+        let mut open_watch = None;
         if answered {
             new.send((200, list(9, false, &[]))).unwrap();
-            waits = Some(elsewhere.next_call());
+            open_watch = Some(elsewhere.next_call());
         }
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the change has not arrived yet");
         old.send((0, rest.into())).unwrap();
         wait_until_draining(&proxy);
-        drop(waits);
+        drop(open_watch);
     }
 }
 
@@ -129,7 +129,7 @@
         let proxy = Proxy::start(std::slice::from_ref(&serving));
         proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
         proxy.discovery.next_call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
-        let (next, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+        let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {whole}, {line}");
     }
@@ -149,7 +149,7 @@
     assert_eq!(whole, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
     answer.send((200, list(3, true, &[entry("b1", other.address, "SERVING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.next_call();
+    let (_, _open_watch) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&pay(3.0)).body, b"y");
 }
 
@@ -258,7 +258,7 @@
                     }
                 };
                 answer.send((200, list(10, false, &entries))).unwrap();
-                let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+                let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
                 let mut peer = old.accept_other();
                 let status = client.answer().expect("an answer").status();
                 assert!(matches!(status, 200 | 503), "{change}: the request never ran, and got {status}");
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -45,7 +45,7 @@
 /// one more call and answers each other one 2.5 s after its arrival. The proxy has the change within
 /// [`NOTIFIED_AFTER`], and its calls before that were neither too rare nor too frequent.
 #[test]
-fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
+fn a_change_is_applied_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = start_with_list(backend.address, &polling_settings());
     drop(proxy.discovery.next_call()); // closes the watch's connection
@@ -78,7 +78,7 @@
 /// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each other
 /// one is answered 2.5 s after its arrival.
 #[test]
-fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
+fn a_change_is_applied_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = start_with_list(backend.address, &polling_settings());
     drop(proxy.discovery.next_call()); // closes the watch's connection
@@ -148,15 +148,15 @@
                 let gap = begun.elapsed();
                 assert!(gap < Duration::from_millis(10_900), "a second call after {gap:?}");
                 second.send((200, list(other.0, false, other.1))).unwrap();
-                let (watch, waits) = proxy.discovery.next_call();
+                let (watch, open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains(&format!("after={}&", other.0)), "{watch}");
                 first.send((200, list(late.0, false, late.1))).expect("the first call is still open");
                 let end = Instant::now() + NOTIFIED_AFTER;
                 while proxy.ask(&read(3.0)).status() != 503 {
                     assert!(Instant::now() < end, "the answer to the first call was lost: {late:?}");
                 }
-                waits.send((200, list(11, false, &[]))).unwrap();
-                let (watch, _waits) = proxy.discovery.next_call();
+                open_watch.send((200, list(11, false, &[]))).unwrap();
+                let (watch, _open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
                 assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list undid a newer one");
             });
@@ -219,7 +219,7 @@
 /// Indented lists of 10 MB, with up to the planned number of entries, are applied whole, and so are changes as long
 /// as the list. An operator can still name a backend that has left.
 #[test]
-fn long_lists_and_changes_are_taken_whole() {
+fn long_lists_and_changes_are_applied_whole() {
     let backend = BackendServer::start(|_| ok("x"));
     for count in [1_500, 11_000] {
         let indent = " ".repeat(10_000_000 / count - 150);
@@ -239,7 +239,7 @@
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DELETED")).collect();
         lines.push(entry("b0", backend.address, "DRAINING"));
         changes.send((200, list(10, false, &lines))).unwrap();
-        let (watch, _waits) = proxy.discovery.next_call();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 503);
         assert_eq!(
@@ -271,7 +271,7 @@
             let (_, gone) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the changes after it");
             gone.send((200, list(11, false, &[draining.replace("DRAINING", "DELETED")]))).unwrap();
-            let (watch, _waits) = proxy.discovery.next_call();
+            let (watch, _open_watch) = proxy.discovery.next_call();
             assert!(watch.contains("after=11&"), "{watch}");
             assert_eq!((proxy.ask(&pay(3.0)).body, leaving.count()), (b"other".to_vec(), 0));
         }
@@ -313,7 +313,7 @@
         }
         let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-        let (watch, _waits) = proxy.discovery.next_call();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         drop(clients);
     }
@@ -328,18 +328,18 @@
         let listed = |state| vec![entry("b0", backend.address, state)];
         let proxy = start_with_list(backend.address, &settings);
         proxy.discovery.next_call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
-        let (watch, _waits) = proxy.discovery.next_call();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "the backend drains");
         let lagging = DiscoveryServer::start();
         proxy.move_discovery(lagging.address);
         proxy.signal("HUP");
         lagging.next_call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
-        let (watch, waits) = lagging.next_call(); // the list has been applied by now
+        let (watch, open_watch) = lagging.next_call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
         // Once it has caught up, its lists count again.
-        waits.send((200, list(11, false, &listed("SERVING")))).unwrap();
-        let (watch, _waits) = lagging.next_call();
+        open_watch.send((200, list(11, false, &listed("SERVING")))).unwrap();
+        let (watch, _open_watch) = lagging.next_call();
         assert!(watch.contains("after=11&"), "{watch}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     }
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -82,7 +82,7 @@
     answer.send((200, list(10, false, &[entry("b0", a.address, "DELETED")]))).unwrap();
     let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(11, false, &[entry("b0", a.address, "SERVING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.next_call();
+    let (_, _open_watch) = proxy.discovery.next_call();
     assert_served(&proxy, 40);
     assert_eq!(a.count(), before, "a cordoned backend gets no new requests");
     assert_eq!(proxy.operator_call("PUT", "/admin/uncordon", "b0"), 200);
@@ -145,10 +145,10 @@
     let proxy = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
     assert_eq!(proxy.address, listener.local_addr().unwrap());
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
-    for (fd, says) in [("3", "no listening TCP socket"), ("77", "not open"), ("x", "expected the number")] {
+    for (fd, error) in [("3", "no listening TCP socket"), ("77", "not open"), ("x", "expected the number")] {
         let out = serve_command(Some(&proxy.config.1)).env("NODE_SOCKET_FD", fd).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && text.contains(says), "{fd}: {text}");
+        assert!(!out.status.success() && text.contains(error), "{fd}: {text}");
     }
 }
 
@@ -176,8 +176,8 @@
     paid.next_request();
     proxy.reconfigure(&other_settings(&proxy.config.1));
     let line = proxy.wait_for_log("configuration applied");
-    for told in ["with class draw", "without class read", "attempts 1 instead of 4"] {
-        assert!(line.contains(told), "{line}");
+    for expected in ["with class draw", "without class read", "attempts 1 instead of 4"] {
+        assert!(line.contains(expected), "{line}");
     }
     assert_eq!(proxy.ask(&get("draw", "n1")).status(), 200);
     assert_eq!(proxy.ask(&get("pay", "n2")).status(), 200, "the class is repeatable now");
@@ -209,11 +209,11 @@
     assert!(proxy.wait_for_log("configuration applied").contains("without class pay"));
     let free = without.replace(r#""name":"cash""#, r#""name":"draw""#).replace("single_shot", "free");
     let free = free.replace(r#""name":"vote""#, r#""name":"poll""#);
-    for (file, told) in
+    for (file, expected) in
         [(&free, "with class draw"), (&without, "with class cash"), (&free, "with class poll")]
     {
         proxy.reconfigure(file);
-        assert!(proxy.wait_for_log("configuration applied").contains(told));
+        assert!(proxy.wait_for_log("configuration applied").contains(expected));
     }
     assert_eq!(proxy.ask(&get("draw", "n2")).status(), 200);
     let before = paid.count();
@@ -291,9 +291,9 @@
         assert_eq!(proxy.ask(&get("draw", "1")).status(), 404, "{file}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{file}");
     }
-    let (_, waits) = proxy.discovery.next_call();
-    waits.send((200, list(9, true, &both_serving(&a, &b)))).unwrap();
-    let (_, _waits) = proxy.discovery.next_call(); // discovery is still at the old address
+    let (_, answer) = proxy.discovery.next_call();
+    answer.send((200, list(9, true, &both_serving(&a, &b)))).unwrap();
+    let (_, _open_watch) = proxy.discovery.next_call(); // discovery is still at the old address
     proxy.reconfigure(&good);
     proxy.wait_for_log("configuration applied");
     elsewhere.next_call();
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -52,8 +52,8 @@
 /// Starts a backend that answers 200 until the switch is set, and replies with `to` from then on.
 fn switchable_backend(to: impl Fn() -> Reply + Send + Sync + 'static) -> (BackendServer, Arc<AtomicBool>) {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.load(SeqCst) { to() } else { ok("x") };
+    let switched = switch.clone();
+    let reply = move |_| if switched.load(SeqCst) { to() } else { ok("x") };
     (BackendServer::start(reply), switch)
 }
 
@@ -119,7 +119,7 @@
     let (_, answer) = proxy.discovery.next_call();
     let both = [entry("b0", good.address, "SERVING"), entry("b1", refusing.address(), "SERVING")];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.next_call(); // the list has been applied by now
+    let _open_watch = proxy.discovery.next_call(); // the list has been applied by now
     let before = good.count();
     for _ in 0..30 {
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
@@ -251,7 +251,7 @@
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1", "the whole list is requested after a gap");
     answer.send((200, list(3, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
-    let (target, _hold) = proxy.discovery.next_call();
+    let (target, _open_watch) = proxy.discovery.next_call();
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "a backend that the whole list leaves out is removed");
     assert_eq!(old.count(), 2);
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -50,12 +50,12 @@
     assert!(proxy.wait_for_log("endpoint list restored").contains("index=9"));
     let (_, answer) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&read(3.0)).body, b"first", "served with discovery silent");
-    let told = Instant::now();
+    let answered_at = Instant::now();
     let drained = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(12, true, &drained))).unwrap();
-    let (_, _waits) = proxy.discovery.next_call(); // the list has been applied by now
+    let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
     assert_eq!(proxy.ask(&read(3.0)).body, b"second");
-    assert!(told.elapsed().as_millis() < 500, "{:?}", told.elapsed());
+    assert!(answered_at.elapsed().as_millis() < 500, "{:?}", answered_at.elapsed());
     assert_eq!(first.count(), 1, "the drained backend gets no new requests");
 }
 
@@ -78,10 +78,10 @@
         (encode(&other), "kept by proxy"),
         (b"garbage".to_vec(), "not a state file"),
     ];
-    for (bytes, told) in cases {
+    for (bytes, expected) in cases {
         std::fs::write(&file, bytes).unwrap();
         let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
-        assert!(proxy.wait_for_log("endpoint list not restored").contains(told), "{told}");
+        assert!(proxy.wait_for_log("endpoint list not restored").contains(expected), "{expected}");
         assert_eq!(proxy.ask(&read(3.0)).body, b"known");
     }
 }
@@ -109,14 +109,14 @@
         let proxy = Proxy::with_operator_file(&[], &operator);
         if taken {
             proxy.wait_for_log("endpoint list restored");
-            let told: Vec<(u16, bool)> = (0..8)
+            let answers: Vec<(u16, bool)> = (0..8)
                 .map(|_| proxy.ask(&read(3.0)))
                 .map(|m| (m.status(), m.header("retry-after").is_some()))
                 .collect();
             // Requests may be refused, at once and with `Retry-After`, while the retry budget fills and the backends,
             // which count as just started, are in slow start.
-            assert!(told.iter().all(|t| *t == (200, false) || *t == (503, true)), "{told:?}");
-            assert!(told.iter().filter(|t| t.0 == 200).count() >= 4, "{told:?}");
+            assert!(answers.iter().all(|t| *t == (200, false) || *t == (503, true)), "{answers:?}");
+            assert!(answers.iter().filter(|t| t.0 == 200).count() >= 4, "{answers:?}");
         } else {
             assert!(proxy.wait_for_log("endpoint list not restored").contains("too old"));
         }
@@ -204,7 +204,7 @@
         let proxy = Proxy::with_operator_file(&[], &operator);
         let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-        let (_, _waits) = proxy.discovery.next_call();
+        let (_, _open_watch) = proxy.discovery.next_call();
         (0..20).for_each(|_| drop(proxy.ask(&read(3.0))));
         while !proxy.wait_for_log("state written").contains("n0.learned") {}
     }
@@ -213,13 +213,13 @@
     let learned: Estimates = decode(&sound).unwrap();
     assert!(learned.overall_latency.samples >= 1.0 && learned.overall_latency.value > 0.0, "{learned:?}");
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
-    let again = || {
+    let restart = || {
         let proxy = Proxy::with_operator_file(&[], &operator);
-        let told = proxy.wait_for_log("estimates");
+        let line = proxy.wait_for_log("estimates");
         assert_eq!(proxy.ask(&read(3.0)).body, b"b");
-        told
+        line
     };
-    assert!(again().contains("estimates restored"));
+    assert!(restart().contains("estimates restored"));
     let mut old = learned.clone();
     old.written_ms -= 3 * 3_600_000;
     let list_in_its_place = std::fs::read(folder.join("n0.state")).unwrap();
@@ -228,10 +228,10 @@
         (list_in_its_place, "the first bytes are not LDLEARN"),
         (encode(&old), "too old"),
     ];
-    for (bytes, told) in cases {
+    for (bytes, expected) in cases {
         std::fs::write(&file, bytes).unwrap();
-        let line = again();
-        assert!(line.contains("not restored") && line.contains(told), "{told}: {line}");
+        let line = restart();
+        assert!(line.contains("not restored") && line.contains(expected), "{expected}: {line}");
     }
 }
 
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -27,7 +27,7 @@
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     answer.send((200, list(900, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
-    let (target, _waits) = proxy.discovery.next_call();
+    let (target, _open_watch) = proxy.discovery.next_call();
     assert!(target.contains("after=900&"), "{target}");
     std::fs::write(&proxy.config.0, "{").unwrap();
     proxy.signal("HUP");
@@ -44,7 +44,7 @@
     assert!(target.contains("after=7&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
     answer.send((200, list(8, false, &[entry("b1", new.address, "DRAINING")]))).unwrap();
-    let (_, _waits) = elsewhere.next_call();
+    let (_, _open_watch) = elsewhere.next_call();
     assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "changes of the new discovery are applied");
 }
 
@@ -60,7 +60,7 @@
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets?after=4&wait_ms=0 HTTP/1.1", "the configured list has version 4");
     answer.send((200, list(9, false, &[]))).unwrap();
-    let (target, _waits) = proxy.discovery.next_call();
+    let (target, _open_watch) = proxy.discovery.next_call();
     assert!(target.contains("after=9&"), "{target}");
     let elsewhere = DiscoveryServer::start();
     proxy.move_discovery(elsewhere.address);
@@ -74,8 +74,8 @@
         let (target, answer) = elsewhere.next_call();
         if target == "GET /api/targets HTTP/1.1" {
             whole += 1;
-            let truth = list(3, true, &[entry("b1", new.address, "SERVING")]);
-            answer.send(if whole == 1 { (503, String::new()) } else { (200, truth) }).unwrap();
+            let whole_list = list(3, true, &[entry("b1", new.address, "SERVING")]);
+            answer.send(if whole == 1 { (503, String::new()) } else { (200, whole_list) }).unwrap();
         } else {
             assert!(target.contains("after=10&"), "{target}");
             asked += 1;
@@ -84,17 +84,17 @@
         }
     }
     assert!(asked > 1, "changes are requested meanwhile");
-    let (target, _waits) = elsewhere.next_call(); // the list has been applied by now
+    let (target, _open_watch) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the whole list leaves out is removed");
 }
 
 /// Connections to any backend break now and then, so a single reset must not eject one.
 #[test]
-fn one_reset_does_not_put_a_backend_out_of_use() {
+fn one_reset_does_not_eject_a_backend() {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
+    let switched = switch.clone();
+    let reply = move |_| if switched.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
     let (a, b) = (BackendServer::start(reply), BackendServer::start(|_| ok("x")));
     let proxy = Proxy::start(&[entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")]);
     let mut client = proxy.client();
@@ -122,10 +122,10 @@
     for _ in 0..25 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
     }
-    let mut hung = Vec::new();
+    let mut unanswered = Vec::new();
     for round in 0..6 {
-        hung.push(proxy.client());
-        hung[round].send(&pay(3.0));
+        unanswered.push(proxy.client());
+        unanswered[round].send(&pay(3.0));
         while backend.count() < 26 + 2 * round as u32 {
             std::thread::yield_now();
         }
@@ -138,10 +138,10 @@
 #[test]
 fn a_full_backend_is_used_again_before_long() {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
+    let switched = switch.clone();
     let rejection = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
     let backend =
-        BackendServer::start(move |_| if thrown.swap(false, SeqCst) { rejection() } else { ok("x") });
+        BackendServer::start(move |_| if switched.swap(false, SeqCst) { rejection() } else { ok("x") });
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     for _ in 0..25 {
@@ -312,8 +312,8 @@
 /// Starts a backend that answers 200 until the switch is set, and sends these bytes from then on.
 fn backend_with_malformed_answers(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
     let (switch, bytes) = (Arc::new(AtomicBool::new(false)), bytes.to_string());
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.load(SeqCst) { Reply::Pieces(vec![bytes.clone()]) } else { ok("x") };
+    let switched = switch.clone();
+    let reply = move |_| if switched.load(SeqCst) { Reply::Pieces(vec![bytes.clone()]) } else { ok("x") };
     (BackendServer::start(reply), switch)
 }
 
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -119,14 +119,14 @@
     requests.collect()
 }
 
-/// Asserts that `told` is at most what is left of [`TIME_LEFT_S`] after `elapsed`, and less than [`SLACK`] below
+/// Asserts that `received` is at most what is left of [`TIME_LEFT_S`] after `elapsed`, and less than [`SLACK`] below
 /// that.
-fn assert_time_left(told: f64, elapsed: Duration) {
+fn assert_time_left(received: f64, elapsed: Duration) {
     let most = TIME_LEFT_S - elapsed.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
     assert!(
-        least < told && told <= most,
-        "received {told} s, expected more than {least} s and at most {most} s"
+        least < received && received <= most,
+        "received {received} s, expected more than {least} s and at most {most} s"
     );
 }
 
@@ -156,8 +156,8 @@
 
 #[test]
 fn a_further_attempt_is_told_no_more_than_is_left() {
-    let thrown = Arc::new(AtomicBool::new(false));
-    let switch = thrown.clone();
+    let switched = Arc::new(AtomicBool::new(false));
+    let switch = switched.clone();
     let reply = move |_| if switch.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
     let backends = [(); 2].map(|()| BackendServer::start(reply.clone()));
     run_recording_polls(async {
@@ -170,12 +170,12 @@
             client = back;
         }
         backends.iter().for_each(|backend| drop(all_received_times(backend)));
-        thrown.store(true, SeqCst);
+        switched.store(true, SeqCst);
         send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        let told: Vec<f64> = backends.iter().flat_map(all_received_times).collect();
-        assert_eq!(told.len(), 2, "attempts");
-        told.into_iter().for_each(|told| assert_time_left(told, BLOCKED_FOR));
+        let received: Vec<f64> = backends.iter().flat_map(all_received_times).collect();
+        assert_eq!(received.len(), 2, "attempts");
+        received.into_iter().for_each(|received| assert_time_left(received, BLOCKED_FOR));
     });
 }
 
