--- a/crates/lotusdeck/tests/command.rs
+++ b/crates/lotusdeck/tests/command.rs
@@ -44,8 +44,8 @@
     );
     let bad = write_file("bad.json", &bad.replace("127.0.0.1:1\"", "nowhere\""));
     let toml = write_file("bad.toml", "[http]\nanswer_gap_ms = 1\nx = 2\n");
-    let sound = lotusdeck(&["check", good.to_str().unwrap()]);
-    assert_eq!(sound.status.code(), Some(0), "{}", output_text(&sound));
+    let valid = lotusdeck(&["check", good.to_str().unwrap()]);
+    assert_eq!(valid.status.code(), Some(0), "{}", output_text(&valid));
     let output = lotusdeck(&["check", bad.to_str().unwrap(), toml.to_str().unwrap()]);
     let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn exit_codes_tell_refusals_from_failures() {
+fn exit_codes_distinguish_refusals_from_failures() {
     assert_eq!(lotusdeck(&["serve"]).status.code(), Some(2), "without a configuration");
     assert_eq!(lotusdeck(&["serve", "--config", "/nowhere"]).status.code(), Some(2));
     assert_eq!(lotusdeck(&["check"]).status.code(), Some(2));
@@ -102,11 +102,11 @@
 
 /// SIGHUP rereads the operator file too; if either file has a fault, neither is applied.
 #[test]
-fn the_operator_file_is_taken_whole_or_not_at_all() {
+fn the_operator_file_is_applied_whole_or_not_at_all() {
     let stalled = |gap: u64| format!("[http]\nanswer_gap_ms = {gap}\n");
     let operator = write_file("operator.toml", &stalled(60_000));
-    let begun = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbeg".to_string();
-    let backend = BackendServer::start(move |_| Reply::Pieces(vec![begun.clone()]));
+    let partial = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbeg".to_string();
+    let backend = BackendServer::start(move |_| Reply::Pieces(vec![partial.clone()]));
     let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
     let took = |left: f64| {
         let began = std::time::Instant::now();
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_status_document_with_ledger_and_fleet_has_the_keys_of_before() {
+fn the_status_document_with_ledger_and_fleet_has_the_keys_of_version_0_2_0() {
     let folder = empty_folder("status");
     let operator_file = folder.join("operator.toml");
     let text = format!(
@@ -223,25 +223,25 @@
 #[test]
 fn endpoints_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.state")).unwrap();
-    let kept: SavedEndpoints = decode(&bytes).unwrap();
-    assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
-    assert_eq!((kept.written_ms, kept.index), (1_796_282_781_872, 9));
-    let list: Value = serde_json::from_slice(&kept.list).unwrap();
+    let saved: SavedEndpoints = decode(&bytes).unwrap();
+    assert_eq!((saved.site.as_str(), saved.proxy.as_str()), ("fixture", "n0"));
+    assert_eq!((saved.written_ms, saved.index), (1_796_282_781_872, 9));
+    let list: Value = serde_json::from_slice(&saved.list).unwrap();
     assert_eq!(list["endpoints"][1]["name"], "b1");
-    assert_eq!(encode(&kept), bytes);
+    assert_eq!(encode(&saved), bytes);
 }
 
 #[test]
 fn estimates_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.learned")).unwrap();
-    let kept: Estimates = decode(&bytes).unwrap();
-    assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
-    assert_eq!(kept.written_ms, 1_796_282_785_615);
-    assert_eq!(kept.overall_latency.value, 0.001_725_777_777_777_778_1);
-    assert_eq!(kept.overall_latency.samples, 9.0);
-    assert_eq!((kept.class_latency.len(), kept.kinds.len()), (2, 1));
-    assert!(kept.ejected.is_empty() && kept.warmup_spend.is_empty());
-    assert_eq!(encode(&kept), bytes);
+    let saved: Estimates = decode(&bytes).unwrap();
+    assert_eq!((saved.site.as_str(), saved.proxy.as_str()), ("fixture", "n0"));
+    assert_eq!(saved.written_ms, 1_796_282_785_615);
+    assert_eq!(saved.overall_latency.value, 0.001_725_777_777_777_778_1);
+    assert_eq!(saved.overall_latency.samples, 9.0);
+    assert_eq!((saved.class_latency.len(), saved.kinds.len()), (2, 1));
+    assert!(saved.ejected.is_empty() && saved.warmup_spend.is_empty());
+    assert_eq!(encode(&saved), bytes);
 }
 
 #[test]
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -154,7 +154,7 @@
     proxy.wait_for_log("configuration applied");
     let mut profiles = renamed("read", "draw");
     profiles[1]["aim_us"] = json!(9_000_000);
-    let unsound = source.publish(&profiles);
+    let invalid = source.publish(&profiles);
     source.answer_delta(Version::first(EPOCH));
     let line = proxy.wait_for_log("configuration version rejected");
     for field in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
@@ -162,7 +162,7 @@
     }
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
     let (poll, answer) = source.next_poll();
-    assert!(poll.contains(&format!("&after=7-1&past={unsound}")), "{poll}");
+    assert!(poll.contains(&format!("&after=7-1&past={invalid}")), "{poll}");
     assert_eq!(status(&proxy)["refused"], json!("7-2"));
     source.publish(&renamed("read", "draw"));
     let delta = source.delta(Version::first(EPOCH));
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -48,14 +48,14 @@
                     let proxy = Proxy::with_settings(&serving, 1024, &settings);
                     proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
                     let (target, silent) = proxy.discovery.next_call();
-                    let begun = Instant::now();
+                    let started = Instant::now();
                     silent.send((0, cut.into())).unwrap();
                     let (again, answer) = proxy.discovery.next_call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
                     let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
-                    let took = begun.elapsed();
+                    let took = started.elapsed();
                     assert!(
                         took < requested_wait(&target) + NOTIFIED_AFTER,
                         "{took:?} after {target}, cut behind {cut:?}"
@@ -123,9 +123,10 @@
     ];
     let twice = [format!("{serving},{draining}"), format!("{draining},{serving}")];
     let cases = leaving.iter().flat_map(|line| [(line.clone(), false, 503), (line.clone(), true, 503)]);
-    let sound = [serving.replace(&at.to_string(), "nowhere"), entry("b0", at, "RESTING")];
-    let sound = sound.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
-    for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(sound) {
+    let not_leaving = [serving.replace(&at.to_string(), "nowhere"), entry("b0", at, "RESTING")];
+    let not_leaving =
+        not_leaving.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
+    for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(not_leaving) {
         let proxy = Proxy::start(std::slice::from_ref(&serving));
         proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
         proxy.discovery.next_call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -143,9 +143,9 @@
                 let proxy = Proxy::with_settings(&serving, 1024, &polling_settings());
                 proxy.discovery.next_call().1.send((200, list(9, false, &[]))).unwrap();
                 let (_, first) = proxy.discovery.next_call();
-                let begun = Instant::now();
+                let started = Instant::now();
                 let (_, second) = proxy.discovery.next_call();
-                let gap = begun.elapsed();
+                let gap = started.elapsed();
                 assert!(gap < Duration::from_millis(10_900), "a second call after {gap:?}");
                 second.send((200, list(other.0, false, other.1))).unwrap();
                 let (watch, open_watch) = proxy.discovery.next_call();
@@ -196,8 +196,8 @@
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
             let (first, answer) = proxy.discovery.next_call();
-            let begun = Instant::now();
-            let kept = match &fault {
+            let started = Instant::now();
+            let open_call = match &fault {
                 Fault::Refuse => answer.send((503, String::new())).map(|()| None),
                 Fault::Reset => {
                     drop(answer);
@@ -206,9 +206,9 @@
                 Fault::Stall(text) => answer.send((0, text.to_string())).map(|()| Some(answer)),
                 Fault::SendBody(text) => answer.send((200, text.clone())).map(|()| None),
             };
-            let _kept = kept.unwrap();
+            let _open_call = open_call.unwrap();
             let (again, _silent) = proxy.discovery.next_call();
-            let took = begun.elapsed();
+            let took = started.elapsed();
             assert!(took < Duration::from_millis(2_500), "{took:?} after {first} until {again}: {fault:?}");
             let logged = proxy.wait_for_log(line);
             assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the current list is lost: {logged}");
@@ -230,10 +230,10 @@
         let whole = list(9, true, &lines);
         assert!(whole.len() > 9_000_000, "{}", whole.len());
         let proxy = Proxy::with_settings(&[], 1024, &polling_settings());
-        let begun = Instant::now();
+        let started = Instant::now();
         proxy.discovery.next_call().1.send((200, whole)).unwrap();
         let (watch, changes) = proxy.discovery.next_call();
-        println!("{count} lines: next call after {:?}", begun.elapsed());
+        println!("{count} lines: next call after {:?}", started.elapsed());
         assert!(watch.contains("after=9&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DELETED")).collect();
@@ -306,9 +306,9 @@
         }
         drop(watch);
         for _ in 0..REFUSED_CALLS {
-            let begun = Instant::now();
+            let started = Instant::now();
             proxy.discovery.next_call().1.send((503, String::new())).unwrap();
-            let took = begun.elapsed();
+            let took = started.elapsed();
             assert!(took < Duration::from_millis(2_200), "{took:?} until the next call");
         }
         let (_, answer) = proxy.discovery.next_call();
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -164,10 +164,10 @@
 fn a_request_to_a_silent_backend_is_answered_before_the_client_gives_up() {
     let backend = BackendServer::start(|_| Reply::Silence);
     let proxy = proxy_for(&backend);
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let status = proxy.ask(&pay(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
-    assert!(begun.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
+    assert!(started.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
     backend.wait_for_close(); // the attempt was cancelled with the request
     assert_eq!(proxy.ask(&read(0.3)).status(), 503, "503 as a safe request may be repeated");
 }
@@ -298,10 +298,14 @@
 
 #[test]
 fn a_missing_or_malformed_configuration_ends_the_program_with_a_plain_message() {
-    let sound = r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"zz","settings":{}}"#;
-    for (config, expected) in
-        [(None, "--config <CONFIG>"), (Some("{"), "line 1"), (Some("{}"), "name"), (Some(sound), "settings")]
-    {
+    let empty_settings =
+        r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"zz","settings":{}}"#;
+    for (config, expected) in [
+        (None, "--config <CONFIG>"),
+        (Some("{"), "line 1"),
+        (Some("{}"), "name"),
+        (Some(empty_settings), "settings"),
+    ] {
         let out = serve_command(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{config:?}");
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -67,13 +67,13 @@
     let (operator, folder) = write_operator_file("here", 600);
     save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
     let file = folder.join("n0.state");
-    let sound = std::fs::read(&file).unwrap();
-    let mut foreign: SavedEndpoints = decode(&sound).unwrap();
+    let valid = std::fs::read(&file).unwrap();
+    let mut foreign: SavedEndpoints = decode(&valid).unwrap();
     foreign.site = "elsewhere".into();
-    let mut other: SavedEndpoints = decode(&sound).unwrap();
+    let mut other: SavedEndpoints = decode(&valid).unwrap();
     other.proxy = "n7".into();
     let cases = [
-        (sound[..sound.len() - 3].to_vec(), "truncated"),
+        (valid[..valid.len() - 3].to_vec(), "truncated"),
         (encode(&foreign), "kept for site"),
         (encode(&other), "kept by proxy"),
         (b"garbage".to_vec(), "not a state file"),
@@ -137,7 +137,7 @@
 
 /// When the disk takes no more, the failed write is logged and the older file stays whole.
 #[test]
-fn a_full_disk_leaves_the_last_kept_state_whole() {
+fn a_full_disk_leaves_the_last_saved_state_whole() {
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = write_operator_file("full", 600);
     save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
@@ -147,8 +147,8 @@
     let many: Vec<String> = (0..20).map(|i| entry(&format!("b{i}"), backend.address, "SERVING")).collect();
     answer.send((200, list(15, true, &many))).unwrap();
     proxy.wait_for_log("state write failed");
-    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
-    assert_eq!(kept.index, 9);
+    let saved: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    assert_eq!(saved.index, 9);
 }
 
 /// The program is killed twenty times while lists of up to 400 KB arrive as fast as it takes them and are written
@@ -183,10 +183,10 @@
         }
         drop(proxy); // SIGKILL
         unfinished += usize::from(folder.join("n0.state.new").exists());
-        let kept: SavedEndpoints =
+        let saved: SavedEndpoints =
             decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
-        assert!(kept.index >= last, "seed {seed}: {} after {last}", kept.index);
-        last = kept.index;
+        assert!(saved.index >= last, "seed {seed}: {} after {last}", saved.index);
+        last = saved.index;
     }
     assert!(last > 20, "seed {seed}: the last saved version is only {last}");
     println!(
@@ -209,8 +209,8 @@
         while !proxy.wait_for_log("state written").contains("n0.learned") {}
     }
     let file = folder.join("n0.learned");
-    let sound = std::fs::read(&file).unwrap();
-    let learned: Estimates = decode(&sound).unwrap();
+    let valid = std::fs::read(&file).unwrap();
+    let learned: Estimates = decode(&valid).unwrap();
     assert!(learned.overall_latency.samples >= 1.0 && learned.overall_latency.value > 0.0, "{learned:?}");
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
     let restart = || {
@@ -224,7 +224,7 @@
     old.written_ms -= 3 * 3_600_000;
     let list_in_its_place = std::fs::read(folder.join("n0.state")).unwrap();
     let cases = [
-        (sound[..sound.len() / 2].to_vec(), "truncated"),
+        (valid[..valid.len() / 2].to_vec(), "truncated"),
         (list_in_its_place, "the first bytes are not LDLEARN"),
         (encode(&old), "too old"),
     ];
@@ -237,7 +237,7 @@
 
 /// In an upgrade the second process writes the state once the first has ended.
 #[test]
-fn a_second_process_keeps_the_state_once_the_first_has_ended() {
+fn a_second_process_writes_the_state_once_the_first_has_ended() {
     let backend = BackendServer::start(|_| ok("b"));
     let (operator, folder) = write_operator_file("handed", 600);
     let known = [entry("b0", backend.address, "SERVING")];
@@ -250,6 +250,6 @@
     let (_, answer) = second.discovery.next_call();
     answer.send((200, list(21, true, &known))).unwrap();
     assert!(second.wait_for_log("state written").contains("index=21"));
-    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
-    assert_eq!(kept.index, 21);
+    let saved: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    assert_eq!(saved.index, 21);
 }
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -26,14 +26,14 @@
     let mut proxy = Proxy::with_inherited_listener(&known, &listener);
     let mut late = Vec::new();
     for restart in 0..RESTARTS {
-        let begun = Instant::now();
+        let started = Instant::now();
         proxy.child.kill().unwrap();
         proxy.child.wait().unwrap();
         proxy = proxy.successor(&known, &listener);
         let mut client = proxy.client();
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
         assert_eq!(client.ask(&read(3.0)).status(), 200);
-        let took = begun.elapsed();
+        let took = started.elapsed();
         println!("restart {restart}: ready after {took:?}");
         late.extend((took > READY_WITHIN).then_some(took));
     }
--- a/crates/lotusdeck/tests/rig/backend.rs
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -142,9 +142,9 @@
                 false
             }
             Reply::Paused(first, gate, rest) => {
-                let begun = out.write_all(first.as_bytes()).is_ok();
+                let first_sent = out.write_all(first.as_bytes()).is_ok();
                 gate.wait();
-                begun && out.write_all(rest.as_bytes()).is_ok()
+                first_sent && out.write_all(rest.as_bytes()).is_ok()
             }
             Reply::Reset => false,
             Reply::Silence => true,
--- a/crates/lotusdeck/tests/rig/sockets.rs
+++ b/crates/lotusdeck/tests/rig/sockets.rs
@@ -60,7 +60,7 @@
 pub(crate) fn disconnect(client: Client, how: Disconnect) -> Option<Client> {
     let tcp = client.0.get_ref();
     let (own, proxy) = (tcp.local_addr().unwrap(), tcp.peer_addr().unwrap());
-    let kept = match how {
+    let open_client = match how {
         Disconnect::Close => {
             drop(client);
             None
@@ -80,7 +80,7 @@
     wait_until("the proxy's socket has left ESTABLISHED", || {
         !kernel_sockets(1, proxy).iter().any(is_established)
     });
-    kept
+    open_client
 }
 
 pub(crate) const DISCONNECTS: [Disconnect; 3] =
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -69,21 +69,21 @@
     assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "missed changes are requested at once");
     answer.send((200, list(10, false, &[entry("b1", new.address, "SERVING")]))).unwrap();
     // Each answer has no changes until the whole list is polled; the first such poll fails.
-    let (mut asked, mut whole) = (0, 0);
-    while whole < 2 {
+    let (mut change_polls, mut whole_polls) = (0, 0);
+    while whole_polls < 2 {
         let (target, answer) = elsewhere.next_call();
         if target == "GET /api/targets HTTP/1.1" {
-            whole += 1;
+            whole_polls += 1;
             let whole_list = list(3, true, &[entry("b1", new.address, "SERVING")]);
-            answer.send(if whole == 1 { (503, String::new()) } else { (200, whole_list) }).unwrap();
+            answer.send(if whole_polls == 1 { (503, String::new()) } else { (200, whole_list) }).unwrap();
         } else {
             assert!(target.contains("after=10&"), "{target}");
-            asked += 1;
+            change_polls += 1;
             std::thread::sleep(std::time::Duration::from_millis(50)); // as a watch without changes
             answer.send((200, list(10, false, &[]))).unwrap();
         }
     }
-    assert!(asked > 1, "changes are requested meanwhile");
+    assert!(change_polls > 1, "changes are requested meanwhile");
     let (target, _open_watch) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the whole list leaves out is removed");
@@ -507,9 +507,9 @@
             client
         })
         .collect();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let status = proxy.ask(&read(3.0)).status();
-    let took = begun.elapsed();
+    let took = started.elapsed();
     println!("answered {status} after {took:?}");
     assert!(took < std::time::Duration::from_millis(3_500), "answered {status} after {took:?}");
     drop(half_heads);
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -194,7 +194,7 @@
 /// serve while discovery is still down, without them they do not; every rule holds both ways, and no cold backend is
 /// overloaded.
 #[test]
-fn a_fleet_that_loses_power_serves_at_once_from_kept_lists() {
+fn a_fleet_that_loses_power_serves_at_once_from_saved_lists() {
     let _lock = lock_runs();
     let restart_s = fleet::last_restart(Script::PowerLoss, 4);
     let worth = |way: Way| {
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_its_socket() {
+fn a_backend_receives_no_more_time_than_is_left_of_a_request_that_waited_in_its_socket() {
     let backend = BackendServer::start(|_| ok("x"));
     run_recording_polls(async {
         let mut client = kept_client(start(&[&backend]).await).await;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_the_listeners_queue() {
+fn a_backend_receives_no_more_time_than_is_left_of_a_request_that_waited_in_the_listeners_queue() {
     let backend = BackendServer::start(|_| ok("x"));
     run_recording_polls(async {
         let address = start(&[&backend]).await;
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_further_attempt_is_told_no_more_than_is_left() {
+fn a_further_attempt_receives_no_more_time_than_is_left() {
     let switched = Arc::new(AtomicBool::new(false));
     let switch = switched.clone();
     let reply = move |_| if switch.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
@@ -164,8 +164,8 @@
         let mut client = kept_client(start(&[&backends[0], &backends[1]]).await).await;
         // Requests earn the retry budget; this many earn one further attempt.
         for _ in 0..WARM_UP {
-            let asked = move || (client.ask(&read(TIME_LEFT_S)).status(), client);
-            let (status, back) = spawn_blocking(asked).await.unwrap();
+            let ask = move || (client.ask(&read(TIME_LEFT_S)).status(), client);
+            let (status, back) = spawn_blocking(ask).await.unwrap();
             assert_eq!(status, 200);
             client = back;
         }
@@ -191,7 +191,7 @@
 
 /// The time for which a connection was idle does not count against the request that ends it.
 #[test]
-fn a_request_on_a_connection_that_rested_keeps_its_time() {
+fn a_request_on_a_connection_that_was_idle_keeps_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
     run_recording_polls(async {
         let mut client = kept_client(start(&[&backend]).await).await;
