--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -1,5 +1,6 @@
-//! Clients that leave before an attempt of theirs begins, wherever it waits: nothing is sent for them any more. Each
-//! leaves behind further bytes, so that a reader which stops behind the request does not see its end.
+//! Clients that disconnect before an attempt for them begins, wherever it waits: nothing is sent for them. A whole
+//! request is followed by further bytes, so that a reader that stops after the request does not see the end of the
+//! connection.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,142 +15,153 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// More than is kept whole, so that the body flows to the backend.
-const BODY: usize = 300_000;
-/// So much of it comes before the client leaves: the attempt begins with it, and the rest never comes.
-const PART: usize = 100_000;
-/// What a client sends behind its request.
-const FURTHER: &str = "GET /";
+/// More than the proxy buffers, so that the body is streamed to the backend.
+const BODY_BYTES: usize = 300_000;
+/// The part of the body that arrives before the client leaves: the attempt begins with it, and the rest never
+/// follows.
+const SENT_BYTES: usize = 100_000;
+/// The bytes that a client sends after its request.
+const FURTHER_BYTES: &str = "GET /";
 
-/// Connections are given all the time that a test takes.
-fn patient() -> String {
+/// Returns settings whose connect timeout is longer than a test.
+fn long_connect_timeout() -> String {
     SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000")
 }
 
-/// The head and the first part of a body that flows.
-fn upload() -> String {
+/// Returns the head and the first part of a body that is streamed.
+fn partial_upload() -> String {
     let head = pay(3.0).replace("Content-Length: 4\r\n\r\ncash", "");
-    format!("{head}Content-Length: {BODY}\r\n\r\n{}", "x".repeat(PART))
+    format!("{head}Content-Length: {BODY_BYTES}\r\n\r\n{}", "x".repeat(SENT_BYTES))
 }
 
-/// Waits until that many requests are with the module.
-fn until_open(proxy: &Proxy, count: u32) {
-    let told = format!("\"open_requests\":{count},");
+/// Waits until `count` requests are open.
+fn wait_for_open_requests(proxy: &Proxy, count: u32) {
+    let open_requests = format!("\"open_requests\":{count},");
     let status = || Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n").body;
-    until("the request is taken in", || {
-        String::from_utf8(status()).unwrap().replace(' ', "").contains(&told)
+    wait_until("the request is open", || {
+        String::from_utf8(status()).unwrap().replace(' ', "").contains(&open_requests)
     });
 }
 
-/// Sends more behind a request that is with the module, and waits until the program has read it: from then on a reader
-/// that stops behind a request sees no end.
-fn say_more(client: &mut Client) {
-    client.send(FURTHER);
+/// Sends further bytes after an open request and waits until the program has read them: from then on a reader that
+/// stops after the request does not see the end of the connection.
+fn send_further_bytes(client: &mut Client) {
+    client.send(FURTHER_BYTES);
     let tcp = client.0.get_ref();
     let port = format!(":{:04X}", tcp.local_addr().unwrap().port());
     let proxy = tcp.peer_addr().unwrap();
     let unread = |fields: &Vec<String>| fields[2].ends_with(&port) && !fields[4].ends_with(":00000000");
-    until("what came is read", || !kernel_sockets(1, proxy).iter().any(unread));
+    wait_until("the further bytes are read", || !kernel_sockets(1, proxy).iter().any(unread));
 }
 
-/// Another client's request is the first that this backend gets.
-fn only_the_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
+/// Sends another client's request and asserts that it is the first that the backend gets.
+fn assert_only_next_is_sent(proxy: &Proxy, backend: &BackendServer, what: &str) {
     let marker = read(3.0);
     assert_eq!(proxy.ask(&marker).status(), 200, "{what}");
-    let first = backend.request();
-    let id = first.header("x-correlation-id").expect("an id");
-    assert!(marker.contains(id), "{what}: sent for nobody: {}", first.first);
+    let first = backend.next_request();
+    let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+    assert!(marker.contains(id), "{what}: sent for a client that left: {}", first.start_line);
     assert_eq!(backend.count(), 1, "{what}");
 }
 
-/// The client of a body that flows leaves in its middle while the connection to the backend comes up.
+/// The client of a streamed body leaves in its middle while the connection to the backend is being established.
 #[test]
-fn a_client_that_left_in_its_body_has_no_attempt_begun() {
+fn no_attempt_begins_for_a_client_that_left_in_its_body() {
     std::thread::scope(|scope| {
-        for how in WAYS {
+        for how in DISCONNECTS {
             scope.spawn(move || {
-                let backend = Unreached::new();
-                let proxy = Proxy::with(&[entry("b0", backend.address(), "SERVING")], 1024, &patient());
+                let backend = FullListener::new();
+                let proxy = Proxy::with_settings(
+                    &[entry("b0", backend.address(), "SERVING")],
+                    1024,
+                    &long_connect_timeout(),
+                );
                 let mut client = proxy.client();
-                client.send(&upload());
-                backend.called();
-                let _held = leave(client, how);
+                client.send(&partial_upload());
+                backend.wait_for_connect();
+                let _held = disconnect(client, how);
                 let marker = read(3.0);
                 let mut later = proxy.client();
                 later.send(&marker);
                 let first = backend.first_request();
-                let id = first.header("x-correlation-id").expect("an id");
-                assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.first);
+                let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+                assert!(marker.contains(id), "{how:?}: sent for a client that left: {}", first.start_line);
             });
         }
     });
 }
 
-/// The module holds the request, as there is no backend yet, and its client leaves; then discovery names one.
+/// The module holds the request, as there is no backend yet, and its client leaves; then discovery lists one.
 #[test]
-fn a_client_that_left_while_its_request_was_held_has_no_attempt_begun() {
-    for how in WAYS {
-        for (request, whole) in [(read(3.0), true), (pay(3.0), true), (upload(), false)] {
+fn no_attempt_begins_for_a_client_that_left_while_its_request_was_held() {
+    for how in DISCONNECTS {
+        for (request, whole) in [(read(3.0), true), (pay(3.0), true), (partial_upload(), false)] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
-            let (_, answer) = proxy.discovery.call();
+            let (_, answer) = proxy.discovery.next_call();
             let mut client = proxy.client();
             client.send(&request);
-            until_open(&proxy, 1);
+            wait_for_open_requests(&proxy, 1);
             if whole {
-                say_more(&mut client);
+                send_further_bytes(&mut client);
             }
-            let _held = leave(client, how);
+            let _held = disconnect(client, how);
             answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-            let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
-            only_the_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
+            let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
+            assert_only_next_is_sent(&proxy, &backend, &format!("{how:?}, {}", &request[..4]));
         }
     }
 }
 
-/// Requests that are answered first: extra attempts are a part of what was asked.
-const BEFORE: u32 = 12;
+/// Requests that are answered first: they earn the retry budget, which is a part of the requests.
+const WARM_UP: u32 = 12;
 
-/// An attempt is out and its client leaves; then it ends in a way that allows another one. A client that stays gets it.
+/// The client leaves during an attempt that then ends in a way that allows another one: none is made. A client that
+/// stays gets it.
 #[test]
-fn a_client_that_left_has_no_attempt_repeated() {
+fn no_attempt_is_repeated_for_a_client_that_left() {
     std::thread::scope(|scope| {
-        for how in [None, Some(Leaves::Closes), Some(Leaves::EndsSending), Some(Leaves::Resets)] {
+        for how in [None, Some(Disconnect::Close), Some(Disconnect::ShutdownWrite), Some(Disconnect::Reset)] {
             for (request, resets) in [(read(3.0), false), (pay(3.0), false), (read(3.0), true)] {
-                scope.spawn(move || repeated(how, &request, resets));
+                scope.spawn(move || check_repetition(how, &request, resets));
             }
         }
     });
 }
 
-fn repeated(how: Option<Leaves>, request: &str, resets: bool) {
+fn check_repetition(how: Option<Disconnect>, request: &str, resets: bool) {
     let refused = "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let first = BackendServer::start(move |number| match resets {
-        _ if number < BEFORE => ok("x"),
+        _ if number < WARM_UP => ok("x"),
         true => Reply::GateReset(wait.clone()),
         false => Reply::Paused(String::new(), wait.clone(), refused.into()),
     });
     let second = BackendServer::start(|_| ok("y"));
     let proxy = Proxy::start(&[entry("b0", first.address, "SERVING")]);
-    proxy.discovery.call().1.send((200, list(9, true, &[entry("b0", first.address, "SERVING")]))).unwrap();
-    let (_, answer) = proxy.discovery.call();
-    (0..BEFORE).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
+    proxy
+        .discovery
+        .next_call()
+        .1
+        .send((200, list(9, true, &[entry("b0", first.address, "SERVING")])))
+        .unwrap();
+    let (_, answer) = proxy.discovery.next_call();
+    (0..WARM_UP).for_each(|_| assert_eq!(proxy.ask(&read(3.0)).status(), 200));
     let mut client = proxy.client();
     client.send(request);
-    until("the first attempt is out", || first.count() == BEFORE + 1);
+    wait_until("the first attempt is in flight", || first.count() == WARM_UP + 1);
     let both = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(10, false, &both))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+    let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
     let Some(how) = how else {
         gate.open();
         assert_eq!(client.answer().expect("an answer").body, b"y", "{request}, reset: {resets}");
         return;
     };
-    say_more(&mut client);
-    let _held = leave(client, how);
+    send_further_bytes(&mut client);
+    let _held = disconnect(client, how);
     gate.open();
-    until("the first attempt ends", || first.answered.load(Ordering::SeqCst) == BEFORE + 1);
-    only_the_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
+    wait_until("the first attempt has ended", || first.answered.load(Ordering::SeqCst) == WARM_UP + 1);
+    assert_only_next_is_sent(&proxy, &second, &format!("{how:?}, reset: {resets}"));
 }
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -1,6 +1,7 @@
-//! Requests that come in the very turn in which their connection would be closed (docs/crossings.md). Client, kernel and
-//! loop are real, time stands still but where the test moves it, and client and server share one thread: between the
-//! moment at which a timer is due and the turn of whoever waits for it, nothing but the test runs.
+//! Requests that arrive in the very turn of the event loop in which their connection would be closed
+//! (docs/crossings.md). Client, kernel and loop are real, time advances only where the test moves it, and client and
+//! server share one thread: between the moment at which a timer is due and the turn of the task that waits for it,
+//! only the test runs.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -27,29 +28,29 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinHandle, LocalSet};
 
-/// Connections of each kind.
-const MANY: usize = 20;
-/// A silent connection is closed after this time (`IDLE_PATIENCE` of proxy/client.rs).
-const PATIENCE_OF_THE_PROXY: Duration = Duration::from_millis(2100);
-/// After SIGTERM idle connections stay for so long (`LINGER` of proxy/server.rs).
+/// Number of connections of each kind.
+const CLIENTS_PER_KIND: usize = 20;
+/// A silent connection is closed after this time (`IDLE_TIMEOUT` of proxy/src/client.rs).
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// How long idle connections stay open after SIGTERM (`ACCEPT_LINGER` of proxy/src/server.rs).
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A timer is due for certain once its time is over by this: the runtime counts whole milliseconds.
-const TURN: Duration = Duration::from_millis(1);
+/// Added to a timer's time so that it is certainly due: the runtime counts whole milliseconds.
+const TIMER_TOLERANCE: Duration = Duration::from_millis(1);
 
-/// Keeps time from going on by itself while everybody waits for a socket, which the runtime would else take for
-/// idleness: it never does while a blocking task runs.
-struct Still(#[allow(dead_code)] mpsc::Sender<()>);
+/// Keeps the runtime from advancing its paused time while all tasks wait for sockets, which it would take for
+/// idleness: it never does so while a blocking task runs.
+struct PausedClock(#[allow(dead_code)] mpsc::Sender<()>);
 
-impl Still {
-    fn stand() -> Still {
+impl PausedClock {
+    fn hold() -> PausedClock {
         let (held, wait) = mpsc::channel();
         spawn_blocking(move || wait.recv());
-        Still(held)
+        PausedClock(held)
     }
 }
 
-/// A server before one backend, on a port that the kernel picks, and what stops it.
+/// A server for one backend, on a port that the kernel picks, and the sender that stops it.
 struct Running {
     server: Rc<Server>,
     address: SocketAddr,
@@ -59,21 +60,21 @@
 
 impl Running {
     fn start(backend: SocketAddr) -> Running {
-        let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
+        let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("valid settings");
         let pool = Rc::new(ConnectionPool::new(
             &settings.network,
             BodyBudget::new(1 << 20),
             SharedStallTimeouts::default(),
         ));
-        let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
-        let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-        let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+        let balancer = Balancer::new(settings.config.clone(), 1).expect("a valid configuration");
+        let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
+        let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
         let host = Host::new(
             balancer,
             settings,
             Clock::new(),
-            lines,
-            Cordon::load(&none),
+            pools,
+            Cordon::load(&no_file),
             OptionalServices::default(),
         );
         let listed: EndpointList =
@@ -88,17 +89,17 @@
         Running { server, address, stop, ended }
     }
 
-    /// Runs the loop until it has done what is awaited; no timer is due meanwhile.
-    async fn until(&self, done: impl Fn(&Server) -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Runs the loop until `done` returns true; no timer is due meanwhile.
+    async fn wait_until(&self, done: impl Fn(&Server) -> bool) {
+        let end = Instant::now() + TEST_TIMEOUT;
         while !done(&self.server) {
-            assert!(Instant::now() < end, "it never comes");
+            assert!(Instant::now() < end, "the server never reached the expected state");
             yield_now().await;
         }
     }
 
-    /// Clients that were answered on the connections that they keep.
-    async fn kept(&self) -> Vec<Client> {
+    /// Returns clients that have had an answer and keep their connections.
+    async fn kept_clients(&self) -> Vec<Client> {
         let address = self.address;
         let ask = move || {
             let mut client = Client::connect(address);
@@ -106,55 +107,55 @@
             client
         };
         let mut clients = Vec::new();
-        for _ in 0..MANY {
+        for _ in 0..CLIENTS_PER_KIND {
             clients.push(spawn_blocking(ask).await.unwrap());
         }
         clients
     }
 }
 
-/// Every one is served; the clients, with the connections that they were served on.
-async fn all_served(clients: Vec<Client>) -> Vec<Client> {
+/// Asserts that each client is served; returns the clients with the connections that they were served on.
+async fn assert_all_served(clients: Vec<Client>) -> Vec<Client> {
     let mut served = Vec::new();
     for (n, mut client) in clients.into_iter().enumerate() {
         let answered = spawn_blocking(move || (client.answer().map(|a| a.status()), client)).await;
         let (status, client) = answered.unwrap();
-        assert_eq!(status, Some(200), "connection {n} was closed on its request");
+        assert_eq!(status, Some(200), "connection {n} was closed instead of its request being answered");
         served.push(client);
     }
     served
 }
 
-/// Lets a scenario happen to a server before a backend and the clients that it has answered, while time stands still.
+/// Runs a scenario with a server for one backend and the clients that it has answered, while time stands still.
 async fn with_kept_clients(scenario: impl AsyncFnOnce(Running, Vec<Client>)) {
     let backend = BackendServer::start(|_| ok("x"));
     LocalSet::new()
         .run_until(async {
-            let _still = Still::stand();
+            let _paused = PausedClock::hold();
             let running = Running::start(backend.address);
-            let clients = running.kept().await;
+            let clients = running.kept_clients().await;
             scenario(running, clients).await;
         })
         .await;
 }
 
-/// The time of a silent connection runs out, kept or new, and a request comes before the loop has closed it: it is
-/// answered.
+/// The idle timeout of a connection, kept or new, expires, and a request arrives before the loop has closed the
+/// connection: it is answered.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_meets_the_end_of_its_connections_patience_is_answered() {
+async fn a_request_that_meets_the_idle_timeout_of_its_connection_is_answered() {
     with_kept_clients(async |running, mut clients| {
-        clients.extend((0..MANY).map(|_| Client::connect(running.address)));
-        running.until(|server| server.client_count() == 2 * MANY).await;
-        tokio::time::advance(PATIENCE_OF_THE_PROXY + TURN).await;
-        // The timers have gone off, and none of the connections has had its turn.
+        clients.extend((0..CLIENTS_PER_KIND).map(|_| Client::connect(running.address)));
+        running.wait_until(|server| server.client_count() == 2 * CLIENTS_PER_KIND).await;
+        tokio::time::advance(IDLE_TIMEOUT + TIMER_TOLERANCE).await;
+        // The timers have expired, and the task of no connection has had its turn.
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
-        all_served(clients).await;
+        assert_all_served(clients).await;
     })
     .await;
 }
 
-/// After SIGTERM and its linger all that is idle is closed. A request that comes before the loop has come round to that
-/// is answered, and its connection ended then.
+/// After SIGTERM and the linger time, idle connections are closed. A request that arrives before the loop does that
+/// is answered, and its connection is closed then.
 #[tokio::test(start_paused = true)]
 async fn requests_that_meet_the_end_of_the_linger_are_answered() {
     with_kept_clients(async |running, mut clients| {
@@ -163,9 +164,9 @@
         while server.is_accepting() {
             yield_now().await;
         }
-        tokio::time::advance(LINGER + TURN).await;
+        tokio::time::advance(LINGER + TIMER_TOLERANCE).await;
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
-        for mut client in all_served(clients).await {
+        for mut client in assert_all_served(clients).await {
             assert!(spawn_blocking(move || client.ended()).await.unwrap());
         }
         ended.await.unwrap();
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Outer names and stored data, held against fixtures that version 0.2.0 wrote before its internal names changed: the
-//! command line, the platform's settings, the status document, and the files that outlive a process.
+//! Public names and stored data, compared with fixtures that version 0.2.0 wrote before its internal names changed:
+//! the command line, the platform's settings, the status document, and the files that outlive a process.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,7 +16,7 @@
     Tenant, ZoneId,
 };
 use lotusdeck_state::{decode, encode, Estimates, SavedEndpoints};
-use rig::sockets::until;
+use rig::sockets::wait_until;
 use rig::{entry, ok, pay, read, BackendServer, Proxy};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     without_defaults.args(arguments).output().unwrap()
 }
 
-/// An empty folder of this test process.
+/// Creates an empty folder for this test process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("lotusdeck-compatibility-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -155,7 +155,7 @@
     }
 }
 
-/// Each path of keys in a document, with the type that stands there.
+/// Collects each path of keys in a document, with the type of its value.
 fn shape(document: &Value, path: &str, found: &mut BTreeMap<String, &'static str>) {
     let kind = match document {
         Value::Null => "null",
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_status_document_with_ledger_and_fleet_has_the_keys_of_before() {
+fn the_status_document_with_ledger_and_fleet_has_the_keys_of_version_0_2_0() {
     let folder = empty_folder("status");
     let operator_file = folder.join("operator.toml");
     let text = format!(
@@ -188,10 +188,10 @@
     std::fs::write(&operator_file, text).unwrap();
     let backend = BackendServer::start(|_| ok("served"));
     let endpoints = [entry("b0", backend.address, "SERVING"), entry("b1", backend.address, "DRAINING")];
-    let proxy = Proxy::operated(&endpoints, &operator_file);
-    // A member of a fleet that has just started has nothing to admit requests with yet.
-    until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
-    until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
+    let proxy = Proxy::with_operator_file(&endpoints, &operator_file);
+    // A fleet member that has just started has no share to admit requests with yet.
+    wait_until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
+    wait_until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
     let output = run_command(&["admin", "--addr", &proxy.admin.to_string(), "status", "--format", "json"]);
     let now: Value = serde_json::from_slice(&output.stdout).unwrap();
     let before: Value = serde_json::from_str(&fixture_text("status.json")).unwrap();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_ledger_of_before_is_exported_and_queried_word_for_word() {
+fn a_ledger_of_version_0_2_0_is_exported_and_queried_word_for_word() {
     let folder = fixture("ledger");
     let folder = folder.to_str().unwrap();
     for (arguments, expected) in [
@@ -221,39 +221,39 @@
 }
 
 #[test]
-fn kept_endpoints_of_before_are_read_and_written_byte_for_byte() {
+fn endpoints_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.state")).unwrap();
-    let kept: SavedEndpoints = decode(&bytes).unwrap();
-    assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
-    assert_eq!((kept.written_ms, kept.index), (1_796_282_781_872, 9));
-    let list: Value = serde_json::from_slice(&kept.list).unwrap();
+    let saved: SavedEndpoints = decode(&bytes).unwrap();
+    assert_eq!((saved.site.as_str(), saved.proxy.as_str()), ("fixture", "n0"));
+    assert_eq!((saved.written_ms, saved.index), (1_796_282_781_872, 9));
+    let list: Value = serde_json::from_slice(&saved.list).unwrap();
     assert_eq!(list["endpoints"][1]["name"], "b1");
-    assert_eq!(encode(&kept), bytes);
+    assert_eq!(encode(&saved), bytes);
 }
 
 #[test]
-fn kept_estimates_of_before_are_read_and_written_byte_for_byte() {
+fn estimates_saved_by_version_0_2_0_are_read_and_written_byte_for_byte() {
     let bytes = std::fs::read(fixture("state/n0.learned")).unwrap();
-    let kept: Estimates = decode(&bytes).unwrap();
-    assert_eq!((kept.site.as_str(), kept.proxy.as_str()), ("fixture", "n0"));
-    assert_eq!(kept.written_ms, 1_796_282_785_615);
-    assert_eq!(kept.overall_latency.value, 0.001_725_777_777_777_778_1);
-    assert_eq!(kept.overall_latency.samples, 9.0);
-    assert_eq!((kept.class_latency.len(), kept.kinds.len()), (2, 1));
-    assert!(kept.ejected.is_empty() && kept.warmup_spend.is_empty());
-    assert_eq!(encode(&kept), bytes);
+    let saved: Estimates = decode(&bytes).unwrap();
+    assert_eq!((saved.site.as_str(), saved.proxy.as_str()), ("fixture", "n0"));
+    assert_eq!(saved.written_ms, 1_796_282_785_615);
+    assert_eq!(saved.overall_latency.value, 0.001_725_777_777_777_778_1);
+    assert_eq!(saved.overall_latency.samples, 9.0);
+    assert_eq!((saved.class_latency.len(), saved.kinds.len()), (2, 1));
+    assert!(saved.ejected.is_empty() && saved.warmup_spend.is_empty());
+    assert_eq!(encode(&saved), bytes);
 }
 
 #[test]
 fn a_state_file_of_another_format_version_gets_a_clear_error() {
     let mut bytes = std::fs::read(fixture("state/n0.state")).unwrap();
-    bytes[8] = 2; // the version, behind the magic of eight bytes
+    bytes[8] = 2; // the version, after eight bytes of magic
     let error = decode::<SavedEndpoints>(&bytes).unwrap_err();
     assert_eq!(error.to_string(), "format version 2, this program reads 1");
 }
 
 #[test]
-fn a_cordon_file_of_before_bans_the_same_backend() {
+fn a_cordon_file_of_version_0_2_0_cordons_the_same_backend() {
     let folder = empty_folder("cordon");
     std::fs::copy(fixture("n0.cordon"), folder.join("n0.cordon")).unwrap();
     let cordon = Cordon::load(&folder.join("n0"));
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A proxy that follows a source of configuration: the test is the source, and answers each question by hand.
+//! A proxy that follows a source of configuration: the test is the source and answers each poll itself.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,7 +9,7 @@
 mod rig;
 
 use lotusdeck_configuration::history::HistoryBounds;
-use lotusdeck_configuration::{encode, Message as Told, Source, Version};
+use lotusdeck_configuration::{encode, Message as SourceMessage, Source, Version};
 use rig::*;
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -18,51 +18,51 @@
 
 const EPOCH: u64 = 7;
 
-/// The source's side of the wire, and its versions.
-struct Published {
+/// A source of configuration, with its server and its versions.
+struct TestSource {
     server: DiscoveryServer,
-    source: Source,
+    versions: Source,
 }
 
-type Question = (String, mpsc::Sender<(u16, String)>);
+type Poll = (String, mpsc::Sender<(u16, String)>);
 
-impl Published {
-    fn start() -> Published {
-        Published { server: DiscoveryServer::start(), source: begin(EPOCH) }
+impl TestSource {
+    fn start() -> TestSource {
+        TestSource { server: DiscoveryServer::start(), versions: new_source(EPOCH) }
     }
 
-    /// Publishes settings that only differ in their classes, unsound ones too.
+    /// Publishes settings with other classes, which are not validated.
     fn publish(&mut self, profiles: &Value) -> Version {
         let mut settings = settings();
         settings["profiles"] = profiles.clone();
-        self.source.publish(&settings, |_| Ok(())).unwrap().version
+        self.versions.publish(&settings, |_| Ok(())).unwrap().version
     }
 
-    /// What the proxy asks next.
-    fn question(&self) -> Question {
-        self.server.call()
+    /// Waits for the next poll of the proxy.
+    fn next_poll(&self) -> Poll {
+        self.server.next_call()
     }
 
-    /// The next question is this one, and gets the whole document.
-    fn give_whole(&self, question: &str) {
-        let (asked, answer) = self.question();
-        assert_eq!(asked, format!("GET /configuration?wait_ms=10000{question} HTTP/1.1"));
-        answer.send((200, encode(&Told::FullDocument(self.source.full_document())))).unwrap();
+    /// Asserts that the next poll has these parameters, and answers it with the full document.
+    fn answer_full_document(&self, parameters: &str) {
+        let (poll, answer) = self.next_poll();
+        assert_eq!(poll, format!("GET /configuration?wait_ms=10000{parameters} HTTP/1.1"));
+        answer.send((200, encode(&SourceMessage::FullDocument(self.versions.full_document())))).unwrap();
     }
 
-    /// The next question is after this version, and gets all that came since.
-    fn give_delta(&self, after: Version) {
-        let (asked, answer) = self.question();
-        assert!(asked.contains(&format!("&after={after}")), "{asked}");
+    /// Asserts that the next poll is for changes after this version, and answers it with all of them.
+    fn answer_delta(&self, after: Version) {
+        let (poll, answer) = self.next_poll();
+        assert!(poll.contains(&format!("&after={after}")), "{poll}");
         answer.send((200, self.delta(after))).unwrap();
     }
 
     fn delta(&self, after: Version) -> String {
-        encode(&Told::Delta(self.source.delta(after).unwrap()))
+        encode(&SourceMessage::Delta(self.versions.delta(after).unwrap()))
     }
 }
 
-fn begin(epoch: u64) -> Source {
+fn new_source(epoch: u64) -> Source {
     Source::new(epoch, &settings(), HistoryBounds::default(), |_| Ok(())).unwrap()
 }
 
@@ -70,33 +70,33 @@
     serde_json::from_str(SETTINGS).unwrap()
 }
 
-/// The classes of the settings, one of them under another name.
+/// Returns the classes of the settings, with one renamed.
 fn renamed(from: &str, to: &str) -> Value {
     let text = SETTINGS.replace(&format!(r#""name":"{from}""#), &format!(r#""name":"{to}""#));
     serde_json::from_str::<Value>(&text).unwrap()["profiles"].clone()
 }
 
-/// What an operator file says that names the source.
-fn follows(published: &Published) -> String {
-    format!("[configuration]\nsource = \"{}\"\n", published.server.address)
+/// Returns the text of an operator file that names the source.
+fn operator_text(source: &TestSource) -> String {
+    format!("[configuration]\nsource = \"{}\"\n", source.server.address)
 }
 
-/// An operator file that names the source.
-fn operator(name: &str, published: &Published) -> PathBuf {
+/// Writes an operator file that names the source, and returns its path.
+fn operator_file(name: &str, source: &TestSource) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-{name}-{}.toml", std::process::id()));
-    std::fs::write(&path, follows(published)).unwrap();
+    std::fs::write(&path, operator_text(source)).unwrap();
     path
 }
 
-static NUMBER: AtomicU32 = AtomicU32::new(0);
+static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
-/// A request of its own id.
+/// Returns a request with an id of its own.
 fn get(class: &str) -> String {
-    let id = NUMBER.fetch_add(1, Ordering::SeqCst);
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!("GET /{class}/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: r{id}\r\nX-Time-Left: 3.0\r\n\r\n")
 }
 
-/// What operators are told of the configuration.
+/// Returns the configuration section of the status document.
 fn status(proxy: &Proxy) -> Value {
     let answer = Client::connect(proxy.admin).ask("GET /admin/status HTTP/1.1\r\nHost: o\r\n\r\n");
     serde_json::from_slice::<Value>(&answer.body).unwrap()["configuration"].clone()
@@ -108,123 +108,130 @@
     (server, known)
 }
 
-/// It takes the whole document and then a delta; a request that is open ends under the settings with which it came.
+/// The proxy applies the full document and then a delta; an open request ends under the settings that it arrived
+/// with.
 #[test]
-fn a_delta_is_taken_and_open_requests_keep_their_class() {
-    let mut published = Published::start();
+fn a_delta_is_applied_and_open_requests_keep_their_class() {
+    let mut source = TestSource::start();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let server = BackendServer::start(move |n| if n == 0 { Reply::Gate(held.clone()) } else { ok("x") });
-    let operator = operator("configuration-delta", &published);
-    let proxy = Proxy::operated(&[entry("b0", server.address, "SERVING")], &operator);
-    published.give_whole("");
-    assert!(proxy.logged("configuration applied").contains("version=7-1"));
+    let operator = operator_file("configuration-delta", &source);
+    let proxy = Proxy::with_operator_file(&[entry("b0", server.address, "SERVING")], &operator);
+    source.answer_full_document("");
+    assert!(proxy.wait_for_log("configuration applied").contains("version=7-1"));
     let mut open = proxy.client();
     open.send(&get("read"));
-    server.request();
+    server.next_request();
     assert_eq!(proxy.ask(&get("draw")).status(), 404);
-    let version = published.publish(&renamed("read", "draw"));
-    published.give_delta(Version::first(EPOCH));
-    let line = proxy.logged("configuration applied");
-    for told in ["version=7-2", "with class draw", "without class read"] {
-        assert!(line.contains(told), "{line}");
+    let version = source.publish(&renamed("read", "draw"));
+    source.answer_delta(Version::first(EPOCH));
+    let line = proxy.wait_for_log("configuration applied");
+    for field in ["version=7-2", "with class draw", "without class read"] {
+        assert!(line.contains(field), "{line}");
     }
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
     assert_eq!(proxy.ask(&get("read")).status(), 404);
     gate.open();
-    assert_eq!(open.answer().unwrap().status(), 200, "its class was there when it came");
-    let (asked, answer) = published.question();
-    assert!(asked.contains(&format!("&after={version}")), "{asked}");
-    answer.send((200, encode(&Told::Unchanged(version)))).unwrap();
-    let _held = published.question(); // were it let go, its connection would end
+    assert_eq!(open.answer().unwrap().status(), 200, "its class existed when it arrived");
+    let (poll, answer) = source.next_poll();
+    assert!(poll.contains(&format!("&after={version}")), "{poll}");
+    answer.send((200, encode(&SourceMessage::Unchanged(version)))).unwrap();
+    let _held = source.next_poll(); // dropping it would close its connection
     let status = status(&proxy);
     assert_eq!((&status["version"], &status["standing"]), (&json!("7-2"), &json!("current")), "{status}");
     assert!(status["age_ms"].is_u64(), "{status}");
 }
 
-/// Unsound settings, a delta that does not sum up and a torn message leave the last sound version in force, each with a
-/// line that says why; the next sound version is taken.
+/// Invalid settings, a delta with a wrong checksum and a truncated message leave the last valid version in force, and
+/// each is logged with the reason; the next valid version is applied.
 #[test]
-fn what_is_unsound_is_refused_and_tells_why() {
-    let mut published = Published::start();
+fn invalid_versions_are_rejected_with_the_reason() {
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let proxy = Proxy::operated(&known, &operator("configuration-unsound", &published));
-    published.give_whole("");
-    proxy.logged("configuration applied");
+    let proxy = Proxy::with_operator_file(&known, &operator_file("configuration-unsound", &source));
+    source.answer_full_document("");
+    proxy.wait_for_log("configuration applied");
     let mut profiles = renamed("read", "draw");
     profiles[1]["aim_us"] = json!(9_000_000);
-    let unsound = published.publish(&profiles);
-    published.give_delta(Version::first(EPOCH));
-    let line = proxy.logged("configuration version rejected");
-    for told in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
-        assert!(line.contains(told), "{told} is not in {line}");
+    let invalid = source.publish(&profiles);
+    source.answer_delta(Version::first(EPOCH));
+    let line = proxy.wait_for_log("configuration version rejected");
+    for field in ["7-2", "profiles[", "aim_us", "no more than deadline_us", "in_force=\"7-1\""] {
+        assert!(line.contains(field), "{field} is not in {line}");
     }
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
-    let (asked, answer) = published.question();
-    assert!(asked.contains(&format!("&after=7-1&past={unsound}")), "{asked}");
+    let (poll, answer) = source.next_poll();
+    assert!(poll.contains(&format!("&after=7-1&past={invalid}")), "{poll}");
     assert_eq!(status(&proxy)["refused"], json!("7-2"));
-    published.publish(&renamed("read", "draw"));
-    let delta = published.delta(Version::first(EPOCH));
+    source.publish(&renamed("read", "draw"));
+    let delta = source.delta(Version::first(EPOCH));
     answer.send((200, delta.replace("\"gain\":1.0", "\"gain\":2.0"))).unwrap();
-    assert!(proxy.logged("configuration version rejected").contains("checksum of the document"));
-    let (asked, answer) = published.question();
-    assert!(!asked.contains("after"), "{asked}");
-    answer.send((200, encode(&Told::FullDocument(published.source.full_document()))[..500].into())).unwrap();
-    assert!(proxy.logged("configuration poll failed").contains("answer not understood"));
+    assert!(proxy.wait_for_log("configuration version rejected").contains("checksum of the document"));
+    let (poll, answer) = source.next_poll();
+    assert!(!poll.contains("after"), "{poll}");
+    answer
+        .send((200, encode(&SourceMessage::FullDocument(source.versions.full_document()))[..500].into()))
+        .unwrap();
+    assert!(proxy.wait_for_log("configuration poll failed").contains("answer not understood"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (200, 404));
-    published.give_whole("&past=7-2");
-    assert!(proxy.logged("configuration applied").contains("version=7-3"));
+    source.answer_full_document("&past=7-2");
+    assert!(proxy.wait_for_log("configuration applied").contains("version=7-3"));
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
 
-/// The source ends, and another begins a new epoch: in between the last version stays in force and its standing is told.
+/// The source ends, and another begins a new epoch: meanwhile the last version stays in force, and the status says
+/// that the proxy is cut off from the source.
 #[test]
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let proxy = Proxy::operated(&known, &operator("configuration-end", &published));
-    published.publish(&renamed("read", "draw"));
-    published.give_whole("");
-    proxy.logged("configuration applied");
+    let proxy = Proxy::with_operator_file(&known, &operator_file("configuration-end", &source));
+    source.publish(&renamed("read", "draw"));
+    source.answer_full_document("");
+    proxy.wait_for_log("configuration applied");
     for _ in 0..4 {
-        drop(published.question());
+        drop(source.next_poll());
     }
-    assert!(proxy.logged("configuration poll failed").contains("in_force=\"7-2\""));
+    assert!(proxy.wait_for_log("configuration poll failed").contains("in_force=\"7-2\""));
     assert_eq!(proxy.ask(&get("draw")).status(), 200);
-    let (_, answer) = published.question();
-    let told = status(&proxy);
-    assert_eq!((&told["version"], &told["standing"]), (&json!("7-2"), &json!("cut off")), "{told}");
+    let (_, answer) = source.next_poll();
+    let status = status(&proxy);
+    assert_eq!((&status["version"], &status["standing"]), (&json!("7-2"), &json!("cut off")), "{status}");
     answer.send((503, "busy".into())).unwrap();
-    published.source = begin(EPOCH + 1);
-    published.give_whole("&after=7-2");
-    assert!(proxy.logged("configuration applied").contains("version=8-1"));
+    source.versions = new_source(EPOCH + 1);
+    source.answer_full_document("&after=7-2");
+    assert!(proxy.wait_for_log("configuration applied").contains("version=8-1"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
 }
 
-/// While a source is followed SIGHUP does not bring the file's settings back; where none is named any more it does.
+/// While a source is followed, SIGHUP does not restore the settings of the file; once none is named, it does.
 #[test]
 fn the_operator_file_says_which_settings_prevail() {
-    let mut published = Published::start();
+    let mut source = TestSource::start();
     let (_server, known) = backend();
-    let operator = operator("configuration-prevails", &published);
-    let proxy = Proxy::operated(&known, &operator);
-    published.publish(&renamed("read", "draw"));
-    published.give_whole("");
-    proxy.logged("configuration applied");
-    let later = published.question();
+    let operator = operator_file("configuration-prevails", &source);
+    let proxy = Proxy::with_operator_file(&known, &operator);
+    source.publish(&renamed("read", "draw"));
+    source.answer_full_document("");
+    proxy.wait_for_log("configuration applied");
+    let later = source.next_poll();
     proxy.reconfigure(&proxy.config.1.replace(r#""group_size":1"#, r#""group_size":2"#));
-    assert!(proxy.logged("configuration applied").contains("a source is followed"));
-    assert!(proxy.logged("configuration applied").contains("version=7-2"), "read anew under its own keys");
+    assert!(proxy.wait_for_log("configuration applied").contains("a source is followed"));
+    assert!(
+        proxy.wait_for_log("configuration applied").contains("version=7-2"),
+        "the document is applied again with the new keys of the file"
+    );
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (200, 404));
     drop(later);
-    let _after = published.question();
+    let _after = source.next_poll();
     std::fs::write(&operator, "").unwrap();
     proxy.signal("HUP");
-    assert!(proxy.logged("configuration applied").contains("with class read"));
+    assert!(proxy.wait_for_log("configuration applied").contains("with class read"));
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
     assert_eq!(status(&proxy), Value::Null);
-    std::fs::write(&operator, follows(&published)).unwrap();
+    std::fs::write(&operator, operator_text(&source)).unwrap();
     proxy.signal("HUP");
-    published.give_whole("");
-    assert!(proxy.logged("version=7-2").contains("with class draw"));
+    source.answer_full_document("");
+    assert!(proxy.wait_for_log("version=7-2").contains("with class draw"));
 }
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that can cross (docs/crossings.md), each in the order that does harm: stand-ins hold back, write
-//! and close on command, and the program is stopped where both have to lie before it when it wakes.
+//! Pairs of events that can cross (docs/crossings.md), each in the harmful order: stand-ins hold back, write and
+//! close on command, and the program is stopped where both events must have arrived before it resumes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,24 +14,26 @@
 use std::io::{BufRead, Write};
 use std::time::{Duration, Instant};
 
-/// What may be sent to a backend once discovery has written that it leaves (`rules.stop_sending_within_us` is 500 ms
-/// at the operators' site).
-const TOLD: Duration = Duration::from_secs(2);
+/// How long requests may still be sent to a backend after discovery has written that it leaves
+/// (`rules.stop_sending_within_us` is 500 ms at the operators' site).
+const NOTIFIED_AFTER: Duration = Duration::from_secs(2);
 
-fn asked() -> String {
+fn polling_settings() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
-/// The time of the wait that a call names.
-fn wait_of(target: &str) -> Duration {
-    let wait = target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait");
+/// Returns the wait that a call asks for.
+fn requested_wait(target: &str) -> Duration {
+    let wait =
+        target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait_ms parameter");
     Duration::from_millis(wait.parse().unwrap())
 }
 
-/// A watch that has fallen silent is opened anew, and its answer heeded, before what it missed counts as told: 2 s
-/// after its wait is over. Silent from its first byte, behind its head, in the middle of its body; pushed and asked.
+/// A silent watch is opened again, and the new answer applied, before a change that it missed counts as notified: 2 s
+/// after its wait is over. The watch is silent from its first byte, after its head, or in the middle of its body,
+/// with pushed and with polled lists.
 #[test]
-fn a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_reopened_before_a_missed_change_counts_as_notified() {
     let cuts = [
         "",
         "HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n",
@@ -39,22 +41,25 @@
     ];
     std::thread::scope(|scope| {
         for cut in cuts {
-            for settings in [SETTINGS.to_string(), asked()] {
+            for settings in [SETTINGS.to_string(), polling_settings()] {
                 scope.spawn(move || {
                     let backend = BackendServer::start(|_| ok("x"));
                     let serving = [entry("b0", backend.address, "SERVING")];
-                    let proxy = Proxy::with(&serving, 1024, &settings);
-                    proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-                    let (target, silent) = proxy.discovery.call();
-                    let begun = Instant::now();
+                    let proxy = Proxy::with_settings(&serving, 1024, &settings);
+                    proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+                    let (target, silent) = proxy.discovery.next_call();
+                    let started = Instant::now();
                     silent.send((0, cut.into())).unwrap();
-                    let (again, answer) = proxy.discovery.call();
+                    let (again, answer) = proxy.discovery.next_call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-                    let (next, _waits) = proxy.discovery.call(); // by now the list is taken in
+                    let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
                     assert!(next.contains("after=10&"), "{next}");
-                    let took = begun.elapsed();
-                    assert!(took < wait_of(&target) + TOLD, "{took:?} after {target}, cut behind {cut:?}");
+                    let took = started.elapsed();
+                    assert!(
+                        took < requested_wait(&target) + NOTIFIED_AFTER,
+                        "{took:?} after {target}, cut behind {cut:?}"
+                    );
                     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
                 });
             }
@@ -62,47 +67,49 @@
     });
 }
 
-/// Waits until nothing is sent to the backend any more; a word of discovery that was lost never comes to that.
-fn until_out(proxy: &Proxy) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until requests are refused because the backend drains; panics if that change was lost.
+fn wait_until_draining(proxy: &Proxy) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while proxy.ask(&read(3.0)).status() != 503 {
-        assert!(Instant::now() < end, "the word that it drains was lost");
+        assert!(Instant::now() < end, "the change that the backend drains was lost");
     }
 }
 
-/// Discovery moves while the answer of the old place is half there: its other half counts as told all the same,
-/// whether the new place has told nothing yet or an older version.
+/// Discovery moves while half of an answer from the old address has arrived. The other half still counts, whether the
+/// new address has sent nothing yet or an older version.
 #[test]
-fn what_the_old_discovery_tells_is_heard_though_discovery_moved() {
-    for (settings, answered) in [(SETTINGS.to_string(), false), (asked(), false), (asked(), true)] {
+fn changes_from_the_old_discovery_are_applied_after_discovery_moved() {
+    for (settings, answered) in
+        [(SETTINGS.to_string(), false), (polling_settings(), false), (polling_settings(), true)]
+    {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::with(&serving, 1024, &settings);
-        proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-        let (_, old) = proxy.discovery.call();
+        let proxy = Proxy::with_settings(&serving, 1024, &settings);
+        proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+        let (_, old) = proxy.discovery.next_call();
         let text = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
         let (first, rest) = text.split_at(text.len() / 2);
         old.send((0, format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{first}", text.len()))).unwrap();
         let elsewhere = DiscoveryServer::start();
         proxy.move_discovery(elsewhere.address);
         proxy.signal("HUP");
-        let (_, new) = elsewhere.call(); // the old call is behind it
-        let mut waits = None;
+        let (_, new) = elsewhere.next_call(); // the proxy follows the new address now
+        let mut open_watch = None;
         if answered {
             new.send((200, list(9, false, &[]))).unwrap();
-            waits = Some(elsewhere.call());
+            open_watch = Some(elsewhere.next_call());
         }
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "nothing is told yet");
+        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the change has not arrived yet");
         old.send((0, rest.into())).unwrap();
-        until_out(&proxy);
-        drop(waits);
+        wait_until_draining(&proxy);
+        drop(open_watch);
     }
 }
 
-/// A line that is not understood whole costs a line of the log. A word in it that the backend leaves is heeded, and
-/// what was sound of a backend that it names stays in force otherwise.
+/// An entry that is not valid as a whole is logged. Its status is applied if it says that the backend leaves;
+/// otherwise the last valid entry of that backend stays in force.
 #[test]
-fn a_bad_line_loses_no_word_that_a_backend_leaves_and_nothing_sound() {
+fn an_invalid_entry_loses_no_departure_and_nothing_valid() {
     let backend = BackendServer::start(|_| ok("x"));
     let at = backend.address;
     let serving = entry("b0", at, "SERVING");
@@ -116,56 +123,57 @@
     ];
     let twice = [format!("{serving},{draining}"), format!("{draining},{serving}")];
     let cases = leaving.iter().flat_map(|line| [(line.clone(), false, 503), (line.clone(), true, 503)]);
-    let sound = [serving.replace(&at.to_string(), "nowhere"), entry("b0", at, "RESTING")];
-    let sound = sound.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
-    for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(sound) {
+    let not_leaving = [serving.replace(&at.to_string(), "nowhere"), entry("b0", at, "RESTING")];
+    let not_leaving =
+        not_leaving.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
+    for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(not_leaving) {
         let proxy = Proxy::start(std::slice::from_ref(&serving));
-        proxy.discovery.call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
-        proxy.discovery.call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
-        let (next, _waits) = proxy.discovery.call(); // by now the list is taken in
+        proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
+        proxy.discovery.next_call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
+        let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {whole}, {line}");
     }
 }
 
-/// Changes to a list that is not the one held call for the whole list. Who leaves by their word gets nothing new while
-/// that call is out, and what they say besides is not believed.
+/// Changes that do not continue the current list make the proxy poll the whole list. While that call is open,
+/// backends that leave according to these changes get no new requests, and the rest of the changes is ignored.
 #[test]
-fn changes_across_a_gap_are_heeded_where_they_say_who_leaves() {
+fn changes_across_a_gap_are_applied_only_to_backends_that_leave() {
     let (backend, other) = (BackendServer::start(|_| ok("x")), BackendServer::start(|_| ok("y")));
     let serving = entry("b0", backend.address, "SERVING");
     let proxy = Proxy::start(std::slice::from_ref(&serving));
-    proxy.discovery.call().1.send((200, list(9, true, &[serving]))).unwrap();
-    let news = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
-    proxy.discovery.call().1.send((200, list(3, false, &news))).unwrap();
-    let (whole, answer) = proxy.discovery.call(); // by now the answer is read
+    proxy.discovery.next_call().1.send((200, list(9, true, &[serving]))).unwrap();
+    let change = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
+    proxy.discovery.next_call().1.send((200, list(3, false, &change))).unwrap();
+    let (whole, answer) = proxy.discovery.next_call(); // the changes have been processed by now
     assert_eq!(whole, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
     answer.send((200, list(3, true, &[entry("b1", other.address, "SERVING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.call();
+    let (_, _open_watch) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&pay(3.0)).body, b"y");
 }
 
-/// A request whose client has left lies whole in the queue of the listener, or on a kept connection, when the program
-/// comes to it: it is not sent on, whatever its class and whatever lies behind it.
+/// A whole request is in the listener's queue, or on a kept connection, and its client has left before the program
+/// reads it: it is not forwarded, whatever its class and whatever bytes follow it.
 #[test]
-fn a_request_that_its_client_left_before_it_was_read_is_not_sent_on() {
+fn a_request_that_its_client_left_before_it_was_read_is_not_forwarded() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut clients = Vec::new();
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (request, old) in [(read(3.0), false), (read(3.0), true), (pay(3.0), false), (pay(3.0), true)] {
             for behind in ["", "GET /"] {
-                let client = if old { kept(&proxy) } else { proxy.client() };
+                let client = if old { kept_client(&proxy) } else { proxy.client() };
                 clients.push((client, how, request.clone() + behind));
             }
         }
     }
-    hold(&proxy);
-    let later = proxy.client(); // in the queue before the program wakes, behind all of them
+    stop_process(&proxy);
+    let later = proxy.client(); // queued behind all of them before the program resumes
     let gone = clients.into_iter().map(|(mut client, how, request)| {
         client.send(&request);
-        leave(client, how)
+        disconnect(client, how)
     });
     let _held: Vec<Option<Client>> = gone.collect();
     proxy.signal("CONT");
@@ -173,124 +181,130 @@
     for _ in 0..5 {
         assert_eq!(later.ask(&read(3.0)).status(), 200);
     }
-    assert_eq!(backend.count(), 5, "what nobody waits for was sent on");
+    assert_eq!(backend.count(), 5, "a request whose client had left was forwarded");
 }
 
-/// A connection to discovery that does not come up is given up for another before the call that it was meant for would
-/// count as silent.
+/// A connection to discovery that is not established is abandoned for another before its call would count as silent.
 #[test]
-fn a_connection_to_discovery_that_does_not_come_up_is_given_up() {
-    for settings in [SETTINGS.to_string(), asked()] {
-        let proxy = Proxy::with(&[], 1024, &settings);
-        let _first = proxy.discovery.call();
-        let unreached = Unreached::new();
+fn a_connection_to_discovery_that_is_not_established_is_abandoned() {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
+        let proxy = Proxy::with_settings(&[], 1024, &settings);
+        let _first = proxy.discovery.next_call();
+        let unreached = FullListener::new();
         proxy.move_discovery(unreached.address());
         proxy.signal("HUP");
-        let line = proxy.logged("discovery failed");
+        let line = proxy.wait_for_log("discovery failed");
         assert!(line.contains("no connection"), "{line}");
-        let call = unreached.first_request().first;
+        let call = unreached.first_request().start_line;
         assert!(call.starts_with("GET /api/targets"), "{call}");
     }
 }
 
-/// The client sends more and leaves while a connection to the backend comes up. What came behind the request hides its
-/// end from a reader that stops there; the first byte asks for it all the same.
+/// The client sends further bytes and leaves while the connection to the backend is being established. A reader that
+/// stops after the request does not see the end of the connection behind these bytes, but the proxy checks for it
+/// before it sends the first byte to the backend.
 #[test]
-fn a_client_that_left_behind_further_bytes_has_nothing_sent_for_it() {
+fn nothing_is_sent_for_a_client_that_left_after_further_bytes() {
     std::thread::scope(|scope| {
-        for how in WAYS {
+        for how in DISCONNECTS {
             for request in [read(3.0), pay(3.0)] {
                 scope.spawn(move || {
-                    let backend = Unreached::new();
+                    let backend = FullListener::new();
                     let settings =
                         SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
-                    let proxy = Proxy::with(&[entry("b0", backend.address(), "SERVING")], 1024, &settings);
+                    let proxy =
+                        Proxy::with_settings(&[entry("b0", backend.address(), "SERVING")], 1024, &settings);
                     let mut client = proxy.client();
                     client.send(&request);
-                    backend.called();
+                    backend.wait_for_connect();
                     client.send("GET /");
-                    let _held = leave(client, how);
+                    let _held = disconnect(client, how);
                     let marker = read(3.0);
                     let mut later = proxy.client();
                     later.send(&marker);
                     let first = backend.first_request();
-                    let id = first.header("x-correlation-id").expect("an id");
-                    assert!(marker.contains(id), "{how:?}: sent for nobody: {}", first.first);
+                    let id = first.header("x-correlation-id").expect("an X-Correlation-Id header");
+                    assert!(
+                        marker.contains(id),
+                        "{how:?}: sent for a client that left: {}",
+                        first.start_line
+                    );
                 });
             }
         }
     });
 }
 
-/// While a connection comes up the backend begins to drain, leaves the list, or is said to be at another address, where
-/// another may be by now: not a byte goes out on it, and requests go where the list says.
+/// While a connection is being established the backend begins to drain, leaves the list, or is listed at another
+/// address, so that the old one may be another's: no byte is sent on the connection, and requests go where the list
+/// says.
 #[test]
-fn news_that_comes_while_a_connection_comes_up_stops_the_send() {
+fn a_list_change_while_a_connection_is_established_stops_the_send() {
     std::thread::scope(|scope| {
-        for news in ["DRAINING", "DELETED", "elsewhere"] {
+        for change in ["DRAINING", "DELETED", "elsewhere"] {
             scope.spawn(move || {
-                let (old, other) = (Unreached::new(), BackendServer::start(|_| ok("other")));
+                let (old, other) = (FullListener::new(), BackendServer::start(|_| ok("other")));
                 let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
                 let serving = [entry("b0", old.address(), "SERVING")];
-                let proxy = Proxy::with(&serving, 1024, &settings);
-                proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-                let (_, answer) = proxy.discovery.call();
+                let proxy = Proxy::with_settings(&serving, 1024, &settings);
+                proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+                let (_, answer) = proxy.discovery.next_call();
                 let mut client = proxy.client();
                 client.send(&pay(3.0));
-                old.called();
-                let told = match news {
+                old.wait_for_connect();
+                let entries = match change {
                     "elsewhere" => vec![entry("b0", other.address, "SERVING")],
                     state => {
                         vec![entry("b0", old.address(), state), entry("b1", other.address, "SERVING")]
                     }
                 };
-                answer.send((200, list(10, false, &told))).unwrap();
-                let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
-                let mut peer = old.reached();
+                answer.send((200, list(10, false, &entries))).unwrap();
+                let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
+                let mut peer = old.accept_other();
                 let status = client.answer().expect("an answer").status();
-                assert!(matches!(status, 200 | 503), "{news}: it never ran, and got {status}");
-                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{news}");
+                assert!(matches!(status, 200 | 503), "{change}: the request never ran, and got {status}");
+                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "{change}");
                 drop(proxy);
                 let sent = peer.fill_buf().unwrap_or_default();
-                assert!(sent.is_empty(), "{news}: {}", String::from_utf8_lossy(sent));
+                assert!(sent.is_empty(), "{change}: {}", String::from_utf8_lossy(sent));
             });
         }
     });
 }
 
-/// SIGTERM while half a head is there, before discovery has ever answered, and a second SIGTERM while an answer is
-/// owed: all that was taken is answered, and the program ends well.
+/// SIGTERM arrives after half a head, before discovery has ever answered, and a second SIGTERM while answers are
+/// outstanding: every accepted request is answered, and the program exits with success.
 #[test]
-fn a_second_sigterm_ends_nothing_that_is_owed() {
-    for settings in [SETTINGS.to_string(), asked()] {
+fn a_second_sigterm_loses_no_accepted_request() {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let gate = std::sync::Arc::new(Gate::default());
         let wait = gate.clone();
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-        let mut proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-        let _unanswered = proxy.discovery.call();
+        let mut proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+        let _unanswered = proxy.discovery.next_call();
         let (mut whole, mut half) = (proxy.client(), proxy.client());
         whole.send(&pay(3.0));
-        backend.request();
+        backend.next_request();
         let request = read(3.0);
         let (first, rest) = request.split_at(30);
         half.send(first);
         proxy.signal("TERM");
-        proxy.logged("stopping");
+        proxy.wait_for_log("stopping");
         half.send(rest);
-        backend.request();
+        backend.next_request();
         proxy.signal("TERM");
         gate.open();
         for client in [&mut whole, &mut half] {
-            assert_eq!(client.answer().expect("what was owed").body, b"gated");
+            assert_eq!(client.answer().expect("an answer to an accepted request").body, b"gated");
         }
         assert!(proxy.child.wait().unwrap().success());
     }
 }
 
-/// A second answer that comes some milliseconds behind the first would be taken for the answer to the next request: no
-/// connection is used again within that time.
+/// Guards against a second answer, some milliseconds after the first, that is taken for the answer to the next
+/// request: no connection is reused within that time.
 #[test]
-fn no_request_goes_where_a_second_answer_may_still_come() {
+fn no_connection_is_reused_while_a_second_answer_may_still_arrive() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -314,6 +328,6 @@
     let mut client = proxy.client();
     for n in 0..60 {
         assert_eq!(client.ask(&pay(3.0)).body, b"fresh", "request {n}");
-        std::thread::sleep(Duration::from_millis(3)); // as a client that goes on asking
+        std::thread::sleep(Duration::from_millis(3)); // as a client that makes further requests
     }
 }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! A discovery that refuses, resets, stalls, crowds, sends too much or nothing that can be read: what it has to tell is
-//! held in the time that counts, and nothing sound is lost.
+//! A discovery that refuses, resets or stalls calls, is crowded, or sends answers that are too long or malformed: the
+//! proxy applies its changes in time and loses nothing valid.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,26 +14,26 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached, whatever failed before.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change counts as notified this long after discovery had it and could be reached, whatever failed before.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-/// An answer to a call, as `DiscoveryServer` takes it.
+/// The sender for the answer to a call of [`DiscoveryServer`].
 type Answer = mpsc::Sender<(u16, String)>;
 
-/// Lists are asked for.
-fn asked() -> String {
+/// Returns settings under which the proxy polls discovery for lists.
+fn polling_settings() -> String {
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
-/// A proxy that holds version 9, in which `b0` serves.
-fn holding(backend: SocketAddr, settings: &str) -> Proxy {
+/// Starts a proxy that holds version 9 of the list, in which `b0` serves.
+fn start_with_list(backend: SocketAddr, settings: &str) -> Proxy {
     let serving = [entry("b0", backend, "SERVING")];
-    let proxy = Proxy::with(&serving, 1024, settings);
-    proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
+    let proxy = Proxy::with_settings(&serving, 1024, settings);
+    proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
     proxy
 }
 
-/// Answers after a time, as a crowded discovery does that handles calls in turn.
+/// Answers after `time`, as a crowded discovery does that handles calls one after the other.
 fn answer_after(time: Duration, answer: Answer, text: String) {
     std::thread::spawn(move || {
         std::thread::sleep(time);
@@ -41,82 +41,82 @@
     });
 }
 
-/// 503 for three seconds, then a call that gets no answer, and from then on discovery can be reached: it refuses one more
-/// call, and answers each of the others 2.5 s after it came. The proxy holds the change within the time that counts, and
-/// has called neither seldom nor without measure before.
+/// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
+/// one more call and answers each other one 2.5 s after its arrival. The proxy has the change within
+/// [`NOTIFIED_AFTER`], and its calls before that were neither too rare nor too frequent.
 #[test]
-fn a_change_is_held_in_time_after_refusals_silence_and_a_crowd() {
+fn a_change_is_applied_in_time_after_refusals_silence_and_a_crowd() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // the watch ends with its connection
+    let proxy = start_with_list(backend.address, &polling_settings());
+    drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     let mut refused = 0;
     while down.elapsed() < Duration::from_secs(3) {
-        proxy.discovery.call().1.send((503, String::new())).unwrap();
+        proxy.discovery.next_call().1.send((503, String::new())).unwrap();
         refused += 1;
     }
-    let (_, _silent) = proxy.discovery.call();
+    let (_, _silent) = proxy.discovery.next_call();
     let reachable = Instant::now();
-    proxy.discovery.call().1.send((503, String::new())).unwrap();
+    proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
     let held = loop {
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * TOLD, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after discovery could be reached, {refused} calls refused before");
-    assert!(held < TOLD, "held {held:?} after discovery could be reached");
-    // Pauses that double: shorter ones of a whole fleet keep a crowded discovery from ever answering.
+    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
+    // The pauses double: with shorter ones, a whole fleet would keep a crowded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together outlast the time that counts, where the refusal comes
-/// first: after the longest pause between calls one is refused, the next gets no answer, and each other one its answer
-/// 2.5 s after it came.
+/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the
+/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each other
+/// one is answered 2.5 s after its arrival.
 #[test]
-fn a_change_is_held_in_time_after_a_refusal_and_a_silence() {
+fn a_change_is_applied_in_time_after_a_refusal_and_a_silence() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = holding(backend.address, &asked());
-    drop(proxy.discovery.call()); // the watch ends with its connection
+    let proxy = start_with_list(backend.address, &polling_settings());
+    drop(proxy.discovery.next_call()); // closes the watch's connection
     let down = Instant::now();
     while down.elapsed() < Duration::from_secs(3) {
-        proxy.discovery.call().1.send((503, String::new())).unwrap();
+        proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     }
     let reachable = Instant::now();
-    let (_, _silent) = proxy.discovery.call();
+    let (_, _silent) = proxy.discovery.next_call();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
     let held = loop {
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
         }
-        assert!(reachable.elapsed() < 2 * TOLD, "it never comes to hold the change");
+        assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
     println!("held {held:?} after the last refusal");
-    assert!(held < TOLD, "held {held:?} after discovery could be reached");
+    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// A discovery that says nothing is called again after each silence and a pause: one call at a time, as it may be crowded,
-/// and never so seldom that the bound would not hold.
+/// A silent discovery is called again after the silence timeout and a pause: one call at a time, as it may be
+/// crowded, and often enough for the bound to hold.
 #[test]
 fn a_silent_discovery_has_one_call_at_a_time_and_is_called_again_in_time() {
     let (silence, longest_pause) = (Duration::from_secs(2), Duration::from_millis(1_900));
     std::thread::scope(|scope| {
-        for settings in [SETTINGS.to_string(), asked()] {
+        for settings in [SETTINGS.to_string(), polling_settings()] {
             scope.spawn(move || {
-                let proxy = Proxy::with(&[], 1024, &settings);
-                let mut before = (proxy.discovery.call(), Instant::now());
+                let proxy = Proxy::with_settings(&[], 1024, &settings);
+                let mut before = (proxy.discovery.next_call(), Instant::now());
                 let mut out = Vec::new();
                 for _ in 0..4 {
-                    let next = (proxy.discovery.call(), Instant::now());
+                    let next = (proxy.discovery.next_call(), Instant::now());
                     let gap = next.1 - before.1;
-                    let slack = Duration::from_millis(300); // of a busy machine
+                    let slack = Duration::from_millis(300); // for a busy machine
                     let bounds = silence - slack..silence + longest_pause + slack;
                     assert!(bounds.contains(&gap), "{gap:?}, {settings}");
                     out.push(std::mem::replace(&mut before, next));
@@ -126,10 +126,10 @@
     });
 }
 
-/// A watch that is overdue is kept while another call is opened beside it, and both are answered: the older one's newer
-/// change is heeded though the list was taken from the other, and its older word undoes nothing.
+/// An overdue watch stays open while another call is opened beside it, and both are answered. A newer change from the
+/// older call is applied although the list came from the other; an older one undoes nothing.
 #[test]
-fn an_overdue_watch_is_kept_and_heard_beside_the_next_call() {
+fn an_overdue_watch_is_kept_and_its_answer_applied_beside_the_next_call() {
     std::thread::scope(|scope| {
         for drains_late in [true, false] {
             scope.spawn(move || {
@@ -140,86 +140,86 @@
                     true => ((10, &serving), (11, &draining)),
                     false => ((11, &draining), (10, &serving)),
                 };
-                let proxy = Proxy::with(&serving, 1024, &asked());
-                proxy.discovery.call().1.send((200, list(9, false, &[]))).unwrap();
-                let (_, first) = proxy.discovery.call();
-                let begun = Instant::now();
-                let (_, second) = proxy.discovery.call();
-                let gap = begun.elapsed();
+                let proxy = Proxy::with_settings(&serving, 1024, &polling_settings());
+                proxy.discovery.next_call().1.send((200, list(9, false, &[]))).unwrap();
+                let (_, first) = proxy.discovery.next_call();
+                let started = Instant::now();
+                let (_, second) = proxy.discovery.next_call();
+                let gap = started.elapsed();
                 assert!(gap < Duration::from_millis(10_900), "a second call after {gap:?}");
                 second.send((200, list(other.0, false, other.1))).unwrap();
-                let (watch, waits) = proxy.discovery.call();
+                let (watch, open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains(&format!("after={}&", other.0)), "{watch}");
-                first.send((200, list(late.0, false, late.1))).expect("the first call is out still");
-                let end = Instant::now() + TOLD;
+                first.send((200, list(late.0, false, late.1))).expect("the first call is still open");
+                let end = Instant::now() + NOTIFIED_AFTER;
                 while proxy.ask(&read(3.0)).status() != 503 {
-                    assert!(Instant::now() < end, "what the first call told was lost: {late:?}");
+                    assert!(Instant::now() < end, "the answer to the first call was lost: {late:?}");
                 }
-                waits.send((200, list(11, false, &[]))).unwrap();
-                let (watch, _waits) = proxy.discovery.call();
+                open_watch.send((200, list(11, false, &[]))).unwrap();
+                let (watch, _open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
-                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "older news undid newer");
+                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list undid a newer one");
             });
         }
     });
 }
 
-/// What a discovery may do to a call.
+/// A fault of discovery in the answer to a call.
 #[derive(Debug)]
 enum Fault {
-    Refuses,
-    Resets,
-    /// These bytes, and silence.
-    Stalls(&'static str),
-    /// These bytes as a whole answer.
-    Babbles(String),
+    Refuse,
+    Reset,
+    /// Sends these bytes and no more.
+    Stall(&'static str),
+    /// Sends this body as a whole answer.
+    SendBody(String),
 }
 
-/// Whatever a call gets, the next comes in time, the log says what was wrong, and the list held stays in force.
+/// After each fault the next call is made in time, the log names the fault, and the current list stays in force.
 #[test]
-fn a_faulty_answer_costs_a_line_of_the_log_and_a_short_time() {
+fn a_faulty_answer_is_logged_and_the_next_call_made_in_time() {
     let long = "x".repeat(17 << 20);
     let endless = vec!["{}".to_string(); 40_000];
     let faults = [
-        (Fault::Refuses, "answered 503"),
-        (Fault::Resets, "call broken"),
-        (Fault::Stalls(""), "silent"),
-        (Fault::Stalls("HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n{\"index\":10,"), "does not answer"),
-        (Fault::Stalls("HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n"), "longer than 16777216 bytes"),
-        (Fault::Babbles("{\"index\":10,\"snapshot\":true}".into()), "answer not understood"),
-        (Fault::Babbles("[".into()), "answer not understood"),
-        (Fault::Babbles(list(10, true, &endless)), "expected an array of 32768 entries at most"),
-        (Fault::Babbles(long), "longer than 16777216 bytes"),
+        (Fault::Refuse, "answered 503"),
+        (Fault::Reset, "call broken"),
+        (Fault::Stall(""), "silent"),
+        (Fault::Stall("HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n{\"index\":10,"), "does not answer"),
+        (Fault::Stall("HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n"), "longer than 16777216 bytes"),
+        (Fault::SendBody("{\"index\":10,\"snapshot\":true}".into()), "answer not understood"),
+        (Fault::SendBody("[".into()), "answer not understood"),
+        (Fault::SendBody(list(10, true, &endless)), "expected an array of 32768 entries at most"),
+        (Fault::SendBody(long), "longer than 16777216 bytes"),
     ];
     for (fault, line) in faults {
-        for settings in [SETTINGS.to_string(), asked()] {
+        for settings in [SETTINGS.to_string(), polling_settings()] {
             let backend = BackendServer::start(|_| ok("x"));
-            let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-            let (first, answer) = proxy.discovery.call();
-            let begun = Instant::now();
-            let kept = match &fault {
-                Fault::Refuses => answer.send((503, String::new())).map(|()| None),
-                Fault::Resets => {
+            let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+            let (first, answer) = proxy.discovery.next_call();
+            let started = Instant::now();
+            let open_call = match &fault {
+                Fault::Refuse => answer.send((503, String::new())).map(|()| None),
+                Fault::Reset => {
                     drop(answer);
                     Ok(None)
                 }
-                Fault::Stalls(text) => answer.send((0, text.to_string())).map(|()| Some(answer)),
-                Fault::Babbles(text) => answer.send((200, text.clone())).map(|()| None),
+                Fault::Stall(text) => answer.send((0, text.to_string())).map(|()| Some(answer)),
+                Fault::SendBody(text) => answer.send((200, text.clone())).map(|()| None),
             };
-            let _kept = kept.unwrap();
-            let (again, _silent) = proxy.discovery.call();
-            let took = begun.elapsed();
+            let _open_call = open_call.unwrap();
+            let (again, _silent) = proxy.discovery.next_call();
+            let took = started.elapsed();
             assert!(took < Duration::from_millis(2_500), "{took:?} after {first} until {again}: {fault:?}");
-            let told = proxy.logged(line);
-            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the list held is lost: {told}");
+            let logged = proxy.wait_for_log(line);
+            assert_eq!(proxy.ask(&read(3.0)).status(), 200, "the current list is lost: {logged}");
         }
     }
 }
 
-/// Lists of 10 MB, of as many lines as are planned for, indented, come whole; so do changes as long as the list, and an
-/// operator can still name each backend that has left.
+/// Indented lists of 10 MB, with up to the planned number of entries, are applied whole, and so are changes as long
+/// as the list. An operator can still name a backend that has left.
 #[test]
-fn long_lists_and_changes_are_taken_whole() {
+fn long_lists_and_changes_are_applied_whole() {
     let backend = BackendServer::start(|_| ok("x"));
     for count in [1_500, 11_000] {
         let indent = " ".repeat(10_000_000 / count - 150);
@@ -229,64 +229,68 @@
         lines.push(entry("b0", backend.address, "SERVING"));
         let whole = list(9, true, &lines);
         assert!(whole.len() > 9_000_000, "{}", whole.len());
-        let proxy = Proxy::with(&[], 1024, &asked());
-        let begun = Instant::now();
-        proxy.discovery.call().1.send((200, whole)).unwrap();
-        let (watch, changes) = proxy.discovery.call();
-        println!("{count} lines: next call after {:?}", begun.elapsed());
+        let proxy = Proxy::with_settings(&[], 1024, &polling_settings());
+        let started = Instant::now();
+        proxy.discovery.next_call().1.send((200, whole)).unwrap();
+        let (watch, changes) = proxy.discovery.next_call();
+        println!("{count} lines: next call after {:?}", started.elapsed());
         assert!(watch.contains("after=9&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DELETED")).collect();
         lines.push(entry("b0", backend.address, "DRAINING"));
         changes.send((200, list(10, false, &lines))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 503);
-        assert_eq!(proxy.call("PUT", "/admin/cordon", "s-0"), 200, "one that has left is forgotten");
+        assert_eq!(
+            proxy.operator_call("PUT", "/admin/cordon", "s-0"),
+            200,
+            "a backend that has left is unknown"
+        );
     }
 }
 
-/// Draining backends that a whole list leaves out, or that the proxy was started with, get nothing; changes that name them
-/// again change nothing in that.
+/// A draining backend that a whole list leaves out, or with which the proxy was started, gets no requests, not even
+/// after changes that name it again.
 #[test]
 fn draining_backends_that_a_list_leaves_out_get_nothing() {
     let (leaving, other) = (BackendServer::start(|_| ok("leaving")), BackendServer::start(|_| ok("other")));
     let stays = entry("b1", other.address, "SERVING");
     let draining = entry("b0", leaving.address, "DRAINING");
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let serving = entry("b0", leaving.address, "SERVING");
         for known in [serving, draining.clone()] {
-            let proxy = Proxy::with(&[known.clone(), stays.clone()], 1024, &settings);
+            let proxy = Proxy::with_settings(&[known.clone(), stays.clone()], 1024, &settings);
             if known == draining {
-                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "drained by the list it began with");
+                assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the list of the configuration");
             }
-            proxy.discovery.call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
-            let (_, changes) = proxy.discovery.call();
+            proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
+            let (_, changes) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the whole list");
             changes.send((200, list(10, false, std::slice::from_ref(&draining)))).unwrap();
-            let (_, gone) = proxy.discovery.call();
-            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining by the changes after it");
+            let (_, gone) = proxy.discovery.next_call();
+            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the changes after it");
             gone.send((200, list(11, false, &[draining.replace("DRAINING", "DELETED")]))).unwrap();
-            let (watch, _waits) = proxy.discovery.call();
+            let (watch, _open_watch) = proxy.discovery.next_call();
             assert!(watch.contains("after=11&"), "{watch}");
             assert_eq!((proxy.ask(&pay(3.0)).body, leaving.count()), (b"other".to_vec(), 0));
         }
     }
 }
 
-/// Calls that are refused while clients take every descriptor that comes free.
-const REFUSED: usize = 8;
+/// Calls that discovery refuses while clients take every descriptor that becomes free.
+const REFUSED_CALLS: usize = 8;
 
-/// Clients whose requests are half there fill the descriptors, of which there are fewer than the proxy is told of, and
-/// stand in the queue for each that comes free: calls after a broken watch are made all the same, in time.
+/// Clients with half a request use up the descriptors, of which there are fewer than configured, and queue for each
+/// that becomes free. Calls to discovery after a broken watch are still made in time.
 #[test]
-fn a_descriptor_for_discovery_is_left_where_clients_fill_them() {
-    for settings in [SETTINGS.to_string(), asked()] {
+fn a_descriptor_is_left_for_discovery_when_clients_use_them_up() {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let backend = BackendServer::start(|_| ok("x"));
         let serving = [entry("b0", backend.address, "SERVING")];
-        let proxy = Proxy::launched(&serving, 1024, &settings, 64);
-        proxy.discovery.call().1.send((200, list(9, true, &serving))).unwrap();
-        let (_, watch) = proxy.discovery.call();
+        let proxy = Proxy::with_descriptor_limit(&serving, 1024, &settings, 64);
+        proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
+        let (_, watch) = proxy.discovery.next_call();
         let half = pay(9.0);
         let half = &half[..half.len() - 2];
         let clients: Vec<Client> = (0..300).map(|_| proxy.client()).collect();
@@ -296,46 +300,46 @@
         });
         let clients: Vec<Client> = clients.collect();
         let descriptors = format!("/proc/{}/fd", proxy.child.id());
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while std::fs::read_dir(&descriptors).unwrap().count() < 64 {
             assert!(Instant::now() < end, "the descriptors are never used up");
         }
         drop(watch);
-        for _ in 0..REFUSED {
-            let begun = Instant::now();
-            proxy.discovery.call().1.send((503, String::new())).unwrap();
-            let took = begun.elapsed();
+        for _ in 0..REFUSED_CALLS {
+            let started = Instant::now();
+            proxy.discovery.next_call().1.send((503, String::new())).unwrap();
+            let took = started.elapsed();
             assert!(took < Duration::from_millis(2_200), "{took:?} until the next call");
         }
-        let (_, answer) = proxy.discovery.call();
+        let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
         drop(clients);
     }
 }
 
-/// Guards against a discovery at a new address that lags behind the old one and undoes a drain that was already notified:
-/// the backend has not been started again since.
+/// Guards against a discovery at a new address that lags behind the old one and undoes a drain that was already
+/// notified, although the backend has not been restarted since.
 #[test]
 fn a_drain_outlasts_a_move_to_a_discovery_that_lags_behind() {
-    for settings in [SETTINGS.to_string(), asked()] {
+    for settings in [SETTINGS.to_string(), polling_settings()] {
         let backend = BackendServer::start(|_| ok("x"));
         let listed = |state| vec![entry("b0", backend.address, state)];
-        let proxy = holding(backend.address, &settings);
-        proxy.discovery.call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
-        let (watch, _waits) = proxy.discovery.call();
+        let proxy = start_with_list(backend.address, &settings);
+        proxy.discovery.next_call().1.send((200, list(10, false, &listed("DRAINING")))).unwrap();
+        let (watch, _open_watch) = proxy.discovery.next_call();
         assert!(watch.contains("after=10&"), "{watch}");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "it drains");
+        assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "the backend drains");
         let lagging = DiscoveryServer::start();
         proxy.move_discovery(lagging.address);
         proxy.signal("HUP");
-        lagging.call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
-        let (watch, waits) = lagging.call(); // by now the list is taken in
+        lagging.next_call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
+        let (watch, open_watch) = lagging.next_call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
-        // Once it has caught up its word counts again.
-        waits.send((200, list(11, false, &listed("SERVING")))).unwrap();
-        let (watch, _waits) = lagging.call();
+        // Once it has caught up, its lists count again.
+        open_watch.send((200, list(11, false, &listed("SERVING")))).unwrap();
+        let (watch, _open_watch) = lagging.next_call();
         assert!(watch.contains("after=11&"), "{watch}");
         assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
     }
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Limits that hold for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, with the
-//! lab's links between them, which lose, delay, double and cut.
+//! Limits for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, connected by the
+//! testbed's links, which lose, delay, duplicate and cut.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,7 +21,7 @@
 const SIZE: usize = 4;
 const TERM: Duration = Duration::from_millis(500);
 
-/// Proxies of one fleet behind links, and the limit that they share.
+/// Proxies of one fleet behind links, with the limit that they share.
 struct Fleet {
     links: Links,
     proxies: Vec<Proxy>,
@@ -42,7 +42,7 @@
                 "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nmembers = \"{}\"\nsite = \"{name}\"\n\
                  term_ms = {}\n[[limit]]\nname = \"all\"\n{limit}\n",
                 links.addresses[n],
-                members[..2].join(" "), // the rest is learned from these
+                members[..2].join(" "), // the others are learned from these
                 TERM.as_millis()
             );
             std::fs::write(&path, text).unwrap();
@@ -60,17 +60,17 @@
         let settings = SETTINGS
             .replace("\"position\":0", &format!("\"position\":{n}"))
             .replace("\"group_size\":1", &format!("\"group_size\":{SIZE}"));
-        // Sixteen names of one: the module would hold four requests at once on a single backend.
+        // Sixteen names for one backend: on a single one the module keeps no more than four attempts in flight.
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
-        let proxy = Proxy::operated_by(&known, &self.operators[n], &settings);
-        let line = proxy.logged("fleet listening");
+        let proxy = Proxy::with_operator_file_and_settings(&known, &self.operators[n], &settings);
+        let line = proxy.wait_for_log("fleet listening");
         let at = line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap();
         self.links.set_member_address(n, at.parse().unwrap());
         proxy
     }
 
-    /// Killed, and started again in its place.
+    /// Kills a proxy and starts it again.
     fn restart(&mut self, n: usize) {
         let _ = self.proxies[n].child.kill();
         let _ = self.proxies[n].child.wait();
@@ -83,13 +83,13 @@
         serde_json::from_slice::<serde_json::Value>(&answer.body).unwrap()["fleet"].clone()
     }
 
-    /// Waits until a proxy sees so many others.
-    fn sees(&self, n: usize, members: u64) {
-        until(&format!("proxy {n} sees {members}"), || self.status(n)["members"] == members);
+    /// Waits until a proxy sees `members` other proxies.
+    fn wait_for_members(&self, n: usize, members: u64) {
+        wait_until(&format!("proxy {n} sees {members} others"), || self.status(n)["members"] == members);
     }
 
-    /// Cuts a proxy off from all others, both ways, or heals its links.
-    fn cut(&self, n: usize, link: Link) {
+    /// Sets the links between a proxy and all others, in both directions.
+    fn set_links(&self, n: usize, link: Link) {
         for other in (0..SIZE).filter(|o| *o != n) {
             self.links.set(n, other, link);
             self.links.set(other, n, link);
@@ -97,35 +97,35 @@
     }
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < end, "not before the test's patience ended: {what}");
+fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !done() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// What clients saw: when, at which proxy, which status.
-type Seen = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
+/// The answers that clients received, each with its time, proxy and status.
+type Answers = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
 
-/// Clients of one proxy that ask so often a second, for as long as the load lives; each counts its answers.
+/// One client for each proxy, which makes requests at a rate of its own until the load ends and records the answers.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
-    seen: Seen,
-    /// Answered with nothing, as when the proxy is killed.
+    answers: Answers,
+    /// Requests without an answer, as when the proxy is killed.
     unanswered: Arc<AtomicU64>,
     addresses: Vec<Arc<Mutex<SocketAddr>>>,
 }
 
 impl Load {
     fn start(fleet: &Fleet, per_s: [f64; SIZE], request: fn() -> String) -> Load {
-        let (stop, seen, unanswered) =
-            (Arc::<AtomicBool>::default(), Seen::default(), Arc::<AtomicU64>::default());
+        let (stop, answers, unanswered) =
+            (Arc::<AtomicBool>::default(), Answers::default(), Arc::<AtomicU64>::default());
         let addresses: Vec<_> = fleet.proxies.iter().map(|p| Arc::new(Mutex::new(p.address))).collect();
         let thread = |(n, address): (usize, &Arc<Mutex<SocketAddr>>)| {
-            let (stop, seen, unanswered, address) =
-                (stop.clone(), seen.clone(), unanswered.clone(), address.clone());
+            let (stop, answers, unanswered, address) =
+                (stop.clone(), answers.clone(), unanswered.clone(), address.clone());
             let gap = Duration::from_secs_f64(1.0 / per_s[n]);
             std::thread::spawn(move || {
                 let mut due = Instant::now();
@@ -134,7 +134,7 @@
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let at = *address.lock().unwrap();
                     let answer = std::net::TcpStream::connect(at).ok().and_then(|tcp| {
-                        tcp.set_read_timeout(Some(PATIENCE)).ok()?;
+                        tcp.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
                         let mut client = Client(std::io::BufReader::new(tcp));
                         std::io::Write::write_all(client.0.get_mut(), request().as_bytes()).ok()?;
                         client.answer()
@@ -142,7 +142,7 @@
                     match answer {
                         Some(m) => {
                             assert!(m.status() != 503 || m.header("retry-after").is_some(), "{m:?}");
-                            seen.lock().unwrap().push((Instant::now(), n, m.status()));
+                            answers.lock().unwrap().push((Instant::now(), n, m.status()));
                         }
                         None => drop(unanswered.fetch_add(1, Ordering::SeqCst)),
                     }
@@ -150,91 +150,95 @@
             })
         };
         let threads = addresses.iter().enumerate().map(thread).collect();
-        Load { threads, stop, seen, unanswered, addresses }
+        Load { threads, stop, answers, unanswered, addresses }
     }
 
-    /// Served a second by one proxy in the last span.
+    /// Returns how many requests a second one proxy served in the last `span`.
     fn served(&self, n: usize, span: Duration) -> f64 {
         let from = Instant::now() - span;
-        let seen = self.seen.lock().unwrap();
-        seen.iter().filter(|s| s.0 >= from && s.1 == n && s.2 == 200).count() as f64 / span.as_secs_f64()
+        let answers = self.answers.lock().unwrap();
+        answers.iter().filter(|s| s.0 >= from && s.1 == n && s.2 == 200).count() as f64 / span.as_secs_f64()
     }
 
-    fn moved(&self, n: usize, to: SocketAddr) {
+    fn set_address(&self, n: usize, to: SocketAddr) {
         *self.addresses[n].lock().unwrap() = to;
     }
 
-    /// Ends it; what was seen.
+    /// Ends the load and returns the answers; panics if one is neither 200 nor 503.
     fn end(self) -> Vec<(Instant, usize, u16)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
-        let seen = self.seen.lock().unwrap().clone();
-        assert!(seen.iter().all(|s| matches!(s.2, 200 | 503)), "served or refused, nothing else");
-        seen
+        let answers = self.answers.lock().unwrap().clone();
+        assert!(answers.iter().all(|s| matches!(s.2, 200 | 503)), "served or refused, nothing else");
+        answers
     }
 }
 
-/// The bound of docs/fleet-limits.md: in no span more than the rate for it, a burst, and one request a proxy.
-fn holds_the_bound(seen: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
-    let Some(first) = seen.first().map(|s| s.0) else { panic!("nothing was seen") };
+/// Asserts the bound of docs/fleet-limits.md: in any span no more requests than the rate allows for it, a burst, and
+/// one for each proxy.
+fn assert_bound(answers: &[(Instant, usize, u16)], rate: f64, burst_s: f64) {
+    let Some(first) = answers.first().map(|s| s.0) else { panic!("no answer was received") };
     let mut served: Vec<f64> =
-        seen.iter().filter(|s| s.2 == 200).map(|s| (s.0 - first).as_secs_f64()).collect();
+        answers.iter().filter(|s| s.2 == 200).map(|s| (s.0 - first).as_secs_f64()).collect();
     served.sort_by(f64::total_cmp);
     let (mut least, mut worst) = (f64::INFINITY, 0.0f64);
     for (k, at) in served.iter().enumerate() {
-        let line = k as f64 - rate * at;
-        least = least.min(line);
-        worst = worst.max(line - least + 1.0);
+        let excess = k as f64 - rate * at;
+        least = least.min(excess);
+        worst = worst.max(excess - least + 1.0);
     }
-    // Seen at the clients: answers that waited come closer together than their requests were admitted.
+    // These are times at the clients: answers that were delayed come closer together than their requests were
+    // admitted.
     let (allowed, late) = (rate * burst_s + SIZE as f64, rate * 0.25);
     println!("{} served; {worst:.1} over the rate at most, {allowed:.1} allowed", served.len());
     assert!(worst <= allowed + late, "{worst:.1} over, {allowed:.1} allowed and {late:.1} for late answers");
 }
 
-/// One proxy gets most of the traffic: the others lend it what they do not use. Cut off, it falls back to its own
-/// within a term; healed, it is lent again. At no time is the fleet over its limit.
+/// One proxy gets most of the traffic and borrows what the others do not use. Cut off, it falls back to its own share
+/// within a term; reconnected, it borrows again. At no time does the fleet exceed its limit.
 #[test]
 fn a_hot_proxy_borrows_falls_back_when_cut_off_and_borrows_again() {
     let fleet = Fleet::start("hot", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
-    (0..SIZE).for_each(|n| fleet.sees(n, SIZE as u64 - 1));
+    (0..SIZE).for_each(|n| fleet.wait_for_members(n, SIZE as u64 - 1));
     let load = Load::start(&fleet, [60.0, 4.0, 4.0, 4.0], || read(3.0));
     let second = Duration::from_secs(1);
     let own = 80.0 / SIZE as f64;
-    until("it is lent twice its own", || load.served(0, second) > 2.0 * own);
-    fleet.cut(0, CUT);
+    wait_until("it serves twice its own share", || load.served(0, second) > 2.0 * own);
+    fleet.set_links(0, CUT);
     let cut = Instant::now();
-    until("it falls back to its own", || cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own);
-    assert!(load.served(0, second) > 0.5 * own, "its own stays: {}", load.served(0, second));
-    fleet.cut(0, Link::default());
+    wait_until("it falls back to its own share", || {
+        cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own
+    });
+    assert!(load.served(0, second) > 0.5 * own, "its own share stays: {}", load.served(0, second));
+    fleet.set_links(0, Link::default());
     let healed = Instant::now();
-    until("it is lent again", || load.served(0, second) > 2.0 * own);
+    wait_until("it borrows again", || load.served(0, second) > 2.0 * own);
     println!("lent again {:.1} s after the heal", healed.elapsed().as_secs_f64());
     let shares = fleet.status(0)["shares"][0].clone();
     assert!(shares["borrowed_rate"].as_f64().unwrap() > 0.0, "{shares}");
-    assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "one answer each");
-    holds_the_bound(&load.end(), 80.0, 0.2);
+    assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "every request is answered");
+    assert_bound(&load.end(), 80.0, 0.2);
 }
 
-/// Links that lose a fifth, double a tenth and delay past half a term, one-way cuts, and a hot proxy that is killed and
-/// started again each second: the bound holds, and what must not run twice does not.
+/// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
+/// is killed and restarted about every second: the bound holds, and no request that must not run twice does.
 #[test]
 fn the_bound_holds_through_bad_links_and_restarts() {
     let mut fleet = Fleet::start("bad", "rate_per_s = 60.0", BackendServer::start(|_| ok("b")));
     fleet.links.set_all(Link { loss: 0.2, doubled: 0.1, delay_ms: 5.0, jitter_ms: 300.0 });
     let load = Load::start(&fleet, [60.0, 25.0, 5.0, 5.0], || pay(3.0));
     for round in 0..5 {
-        fleet.links.set(1, round % SIZE, CUT); // it hears, and is not heard
+        fleet.links.set(1, round % SIZE, CUT); // proxy 1 still receives, but is not heard
         std::thread::sleep(Duration::from_millis(700));
         fleet.restart(0);
-        load.moved(0, fleet.proxies[0].address);
+        load.set_address(0, fleet.proxies[0].address);
     }
     std::thread::sleep(Duration::from_millis(500));
-    let seen = load.end();
-    holds_the_bound(&seen, 60.0, 0.2);
+    let answers = load.end();
+    assert_bound(&answers, 60.0, 0.2);
     let mut ids = HashSet::new();
-    while let Ok(seen) = fleet.backend.seen.try_recv() {
-        if let rig::Seen::Request(m) = seen {
+    while let Ok(event) = fleet.backend.events.try_recv() {
+        if let rig::BackendEvent::Request(m) = event {
             let id = m.header("x-correlation-id").unwrap().to_string();
             assert!(ids.insert(id.clone()), "{id} ran twice");
         }
@@ -242,10 +246,10 @@
     assert!(ids.len() > 50, "{} ran", ids.len());
 }
 
-/// Requests at once: the backend never holds more than the limit, all proxies together, though one of them gets most of
-/// the traffic and its links are cut while its requests are out.
+/// The backend never has more requests in flight than the limit for all proxies together, although one of them gets
+/// most of the traffic and its links are cut while its requests are in flight.
 #[test]
-fn requests_at_once_stay_within_the_limit_of_the_fleet() {
+fn requests_in_flight_stay_within_the_limit_of_the_fleet() {
     let (now, most) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
     let (held, peak) = (now.clone(), most.clone());
     let backend = BackendServer::start(move |_| {
@@ -255,16 +259,16 @@
         ok("b")
     });
     let fleet = Fleet::start("slots", "in_flight = 16", backend);
-    (0..SIZE).for_each(|n| fleet.sees(n, SIZE as u64 - 1));
-    // A client waits for its answer, so many of them are needed to hold many at once.
+    (0..SIZE).for_each(|n| fleet.wait_for_members(n, SIZE as u64 - 1));
+    // Each client waits for its answer, so it takes several to keep many requests in flight.
     let loads: Vec<Load> = (0..8).map(|_| Load::start(&fleet, [20.0, 1.0, 1.0, 1.0], || read(3.0))).collect();
     let served = |span| loads.iter().map(|l| l.served(0, span)).sum::<f64>();
-    // Its own four slots of 150 ms each serve 27 a second.
-    until("more than its own slots serve", || served(Duration::from_secs(1)) > 33.0);
+    // Its own four slots, at 150 ms a request, serve 27 requests a second.
+    wait_until("it serves more than its own slots allow", || served(Duration::from_secs(1)) > 33.0);
     for _ in 0..4 {
-        fleet.cut(0, CUT);
+        fleet.set_links(0, CUT);
         std::thread::sleep(Duration::from_millis(600));
-        fleet.cut(0, Link::default());
+        fleet.set_links(0, Link::default());
         std::thread::sleep(Duration::from_millis(300));
     }
     loads.into_iter().for_each(|load| drop(load.end()));
@@ -272,39 +276,39 @@
     assert!((5..=16).contains(&most.load(Ordering::SeqCst)), "{}", most.load(Ordering::SeqCst));
 }
 
-/// Another site's proxy, or one with other limits, is not understood: each keeps to its own share.
+/// Datagrams of a proxy of another site, or with other limits, are rejected, and each proxy keeps to its own share.
 #[test]
 fn proxies_with_other_limits_do_not_share() {
     let fleet = Fleet::start("apart", "rate_per_s = 80.0", BackendServer::start(|_| ok("b")));
-    fleet.sees(0, 3);
+    fleet.wait_for_members(0, 3);
     let text = std::fs::read_to_string(&fleet.operators[3]).unwrap().replace("80.0", "90.0");
     let other = fleet.operators[3].with_extension("other.toml");
     std::fs::write(&other, text).unwrap();
     let settings =
         SETTINGS.replace("\"position\":0", "\"position\":3").replace("\"group_size\":1", "\"group_size\":4");
-    let stranger = Proxy::operated_by(&[], &other, &settings);
-    let line = stranger.logged("fleet listening");
+    let other_proxy = Proxy::with_operator_file_and_settings(&[], &other, &settings);
+    let line = other_proxy.wait_for_log("fleet listening");
     let at: SocketAddr =
         line.split("address=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap();
     fleet.links.set_member_address(3, at);
-    until("its datagrams are not understood", || fleet.status(0)["unread"].as_u64() > Some(0));
+    wait_until("its datagrams are rejected", || fleet.status(0)["unread"].as_u64() > Some(0));
     assert!(fleet.proxies[0]
-        .logged("fleet datagram rejected")
+        .wait_for_log("fleet datagram rejected")
         .contains("another site, fleet or set of limits"));
 }
 
-/// A limit of a class that the settings do not have is refused at the start, by name.
+/// A limit for a class that the settings do not have is refused at the start, with its name.
 #[test]
-fn a_limit_for_nothing_is_refused_at_the_start() {
+fn a_limit_for_an_unknown_class_is_refused_at_the_start() {
     let path = std::env::temp_dir().join(format!("lotusdeck-limit-{}.toml", std::process::id()));
     std::fs::write(&path, "[[limit]]\nname = \"x\"\nclass = \"raed\"\nrate_per_s = 5\n").unwrap();
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{{"sockets":1024}},"settings":{SETTINGS}}}"#
     );
-    let out = launch(Some(&config)).env("NODE_OPERATOR", &path).output().unwrap();
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
+    let out = serve_command(Some(&config)).env("NODE_OPERATOR", &path).output().unwrap();
+    let printed = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        !out.status.success() && told.contains("limit \"x\": the settings have no class \"raed\""),
-        "{told}"
+        !out.status.success() && printed.contains("limit \"x\": the settings have no class \"raed\""),
+        "{printed}"
     );
 }
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL front in the program: switched on by the operator file, spoken to by a real driver.
+//! The PostgreSQL front in the program: enabled by the operator file and used by a real driver.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
-fn operator(name: &str, servers: &str) -> PathBuf {
+fn operator_file(name: &str, servers: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-postgres-{}-{name}.toml", std::process::id()));
     let verifier = Verifier::of_password(b"do re mi", b"salt", 4096).stored();
     let text = format!(
@@ -27,20 +27,20 @@
     path
 }
 
-/// Where the front listens, as the log tells.
+/// Returns the port on which the front listens, from the log.
 fn port(proxy: &Proxy) -> u16 {
-    let line = proxy.logged("postgres listening");
+    let line = proxy.wait_for_log("postgres listening");
     let at = line.split("address=127.0.0.1:").nth(1).unwrap();
     at.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
 
-/// Beside the HTTP front of the same process; a stop tells the sessions that are idle.
+/// The front runs beside the HTTP front of the same process; a shutdown notifies idle sessions.
 #[tokio::test]
 async fn the_program_serves_a_driver_and_says_when_it_stops() {
     let test = async {
         let (at, seen) = stand_in::stand_in().await;
-        let path = operator("serves", &format!("{{ name = \"pg-1\", address = \"{at}\" }}"));
-        let mut proxy = Proxy::operated(&[], &path);
+        let path = operator_file("serves", &format!("{{ name = \"pg-1\", address = \"{at}\" }}"));
+        let mut proxy = Proxy::with_operator_file(&[], &path);
         let mut config = tokio_postgres::Config::new();
         config.host("127.0.0.1").port(port(&proxy)).user("ann").password("do re mi").dbname("scores");
         let (client, connection) = config.connect(tokio_postgres::NoTls).await.unwrap();
@@ -50,26 +50,26 @@
         assert_eq!(rows[0].get::<_, String>(0), "select 1");
         assert_eq!(*seen.logins.borrow(), 1);
         proxy.signal("TERM");
-        let farewell = connection.await.unwrap().unwrap_err();
-        assert_eq!(farewell.code().map(|c| c.code()), Some("57P01"), "{farewell}");
+        let shutdown_error = connection.await.unwrap().unwrap_err();
+        assert_eq!(shutdown_error.code().map(|c| c.code()), Some("57P01"), "{shutdown_error}");
         proxy.child.wait().unwrap();
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A file whose front cannot be is refused with the place of the fault, before anything starts.
+/// A file with an invalid front is refused with the position of the fault, before anything starts.
 #[test]
-fn a_faulty_front_is_told_with_its_place() {
-    let path = operator("faulty", "");
+fn an_invalid_front_is_reported_with_its_position() {
+    let path = operator_file("faulty", "");
     let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let output = check.arg("check").arg(&path).output().unwrap();
-    let told = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.code() == Some(2) && told.contains("either discovery or"), "{told}");
+    let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.code() == Some(2) && text.contains("either discovery or"), "{text}");
 }
 
-/// The soak's short form: servers that die at the worst moments, and no word to a driver that is not true.
+/// A short form of the soak: servers die at the worst moments, and everything that a driver is told is true.
 #[test]
-fn no_write_is_lost_doubled_or_told_wrongly_when_servers_die() {
+fn no_write_is_lost_doubled_or_reported_wrongly_when_servers_die() {
     let args = lotusdeck_testbed::postgres::Soak {
         seconds: 6.0,
         servers: 4,
@@ -79,8 +79,8 @@
         proxy: Some(env!("CARGO_BIN_EXE_lotusdeck").into()),
         out: std::env::temp_dir().join(format!("lotusdeck-pg-soak-{}", std::process::id())),
     };
-    let soaked = lotusdeck_testbed::postgres::run(&args).unwrap();
-    assert!(soaked.wrong.is_empty(), "{:?}", soaked.wrong);
-    // How much was played depends on the machine; that it was played does not.
-    assert!(soaked.deaths > 0 && soaked.reported[0] > 0, "{soaked:?}");
+    let report = lotusdeck_testbed::postgres::run(&args).unwrap();
+    assert!(report.wrong.is_empty(), "{:?}", report.wrong);
+    // How much is played depends on the machine; that something is played does not.
+    assert!(report.deaths > 0 && report.reported[0] > 0, "{report:?}");
 }
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! What outlives a process (docs/recovery.md), on loopback: the program killed and started again with discovery
-//! silent, kept lists that are cut, foreign, too old or held by another process.
+//! State that outlives a process (docs/recovery.md), on loopback: the program killed and restarted with discovery
+//! silent, and saved lists that are truncated, foreign, too old or locked by another process.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A folder and an operator file that keeps state there.
-fn keeping(site: &str, half_life_s: u64) -> (PathBuf, PathBuf) {
+/// Writes an operator file that keeps state in a new folder; returns the paths of both.
+fn write_operator_file(site: &str, half_life_s: u64) -> (PathBuf, PathBuf) {
     let at =
         std::env::temp_dir().join(format!("lotusdeck-state-{}-{site}-{half_life_s}", std::process::id()));
     let _ = std::fs::remove_dir_all(&at);
@@ -30,72 +30,72 @@
     (operator, folder)
 }
 
-/// A proxy that has kept the list that discovery gave it, killed at once after.
-fn kept(operator: &Path, entries: &[String]) {
-    let proxy = Proxy::operated(&[], operator);
-    let (_, answer) = proxy.discovery.call();
+/// Starts a proxy, waits until it has saved the list that discovery gave it, and kills it.
+fn save_list(operator: &Path, entries: &[String]) {
+    let proxy = Proxy::with_operator_file(&[], operator);
+    let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(9, true, entries))).unwrap();
-    assert!(proxy.logged("state written").contains("index=9"));
-    // Dropped: SIGKILL, with no word to it.
+    assert!(proxy.wait_for_log("state written").contains("index=9"));
+    // Dropping the proxy kills it with SIGKILL.
 }
 
-/// Started again with no list from the platform and a discovery that never answers, it serves from what it kept;
-/// once discovery answers that the backend drains, nothing new goes there within 500 ms.
+/// Restarted with no list from the platform and a silent discovery, the proxy serves from its saved list. Once
+/// discovery answers that the backend drains, the proxy sends it nothing new after 500 ms.
 #[test]
-fn a_proxy_killed_and_started_again_serves_from_its_kept_list_and_heeds_discovery_once_back() {
+fn a_restarted_proxy_serves_from_its_saved_list_and_follows_discovery_once_back() {
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
-    let (operator, _) = keeping("power", 600);
-    kept(&operator, &[entry("b0", first.address, "SERVING")]);
-    let proxy = Proxy::operated(&[], &operator);
-    assert!(proxy.logged("endpoint list restored").contains("index=9"));
-    let (_, answer) = proxy.discovery.call();
+    let (operator, _) = write_operator_file("power", 600);
+    save_list(&operator, &[entry("b0", first.address, "SERVING")]);
+    let proxy = Proxy::with_operator_file(&[], &operator);
+    assert!(proxy.wait_for_log("endpoint list restored").contains("index=9"));
+    let (_, answer) = proxy.discovery.next_call();
     assert_eq!(proxy.ask(&read(3.0)).body, b"first", "served with discovery silent");
-    let told = Instant::now();
+    let answered_at = Instant::now();
     let drained = [entry("b0", first.address, "DRAINING"), entry("b1", second.address, "SERVING")];
     answer.send((200, list(12, true, &drained))).unwrap();
-    let (_, _waits) = proxy.discovery.call(); // by now the list is taken in
+    let (_, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
     assert_eq!(proxy.ask(&read(3.0)).body, b"second");
-    assert!(told.elapsed().as_millis() < 500, "{:?}", told.elapsed());
-    assert_eq!(first.count(), 1, "nothing new to the drained backend");
+    assert!(answered_at.elapsed().as_millis() < 500, "{:?}", answered_at.elapsed());
+    assert_eq!(first.count(), 1, "the drained backend gets no new requests");
 }
 
-/// A cut file, one of another site and one written by another proxy are told and passed over; the start is as
-/// without them, from the platform's list.
+/// A file that is truncated, of another site, written by another proxy or no state file is logged and ignored; the
+/// proxy starts from the platform's list as it does without one.
 #[test]
-fn kept_files_that_are_cut_or_foreign_are_passed_over_with_a_line_each() {
+fn truncated_or_foreign_state_files_are_logged_and_ignored() {
     let backend = BackendServer::start(|_| ok("known"));
-    let (operator, folder) = keeping("here", 600);
-    kept(&operator, &[entry("b0", backend.address, "SERVING")]);
+    let (operator, folder) = write_operator_file("here", 600);
+    save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
     let file = folder.join("n0.state");
-    let sound = std::fs::read(&file).unwrap();
-    let mut foreign: SavedEndpoints = decode(&sound).unwrap();
+    let valid = std::fs::read(&file).unwrap();
+    let mut foreign: SavedEndpoints = decode(&valid).unwrap();
     foreign.site = "elsewhere".into();
-    let mut other: SavedEndpoints = decode(&sound).unwrap();
+    let mut other: SavedEndpoints = decode(&valid).unwrap();
     other.proxy = "n7".into();
     let cases = [
-        (sound[..sound.len() - 3].to_vec(), "truncated"),
+        (valid[..valid.len() - 3].to_vec(), "truncated"),
         (encode(&foreign), "kept for site"),
         (encode(&other), "kept by proxy"),
         (b"garbage".to_vec(), "not a state file"),
     ];
-    for (bytes, told) in cases {
+    for (bytes, expected) in cases {
         std::fs::write(&file, bytes).unwrap();
-        let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-        assert!(proxy.logged("endpoint list not restored").contains(told), "{told}");
+        let proxy = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+        assert!(proxy.wait_for_log("endpoint list not restored").contains(expected), "{expected}");
         assert_eq!(proxy.ask(&read(3.0)).body, b"known");
     }
 }
 
-/// A list hours old is not believed; with a half-life that allows it, its removed backend and the cold start of
-/// the other cost a few refusals, each answered at once with a time to come back.
+/// A saved list that is hours old is not restored. With a half-life that allows it, a removed backend and the slow
+/// start of the other cost a few refusals, each at once and with `Retry-After`.
 #[test]
-fn a_list_hours_old_is_weighed_by_its_age() {
-    let (gone, backend) = (Refusing::new(), BackendServer::start(|_| ok("here")));
+fn a_list_hours_old_is_restored_only_if_the_half_life_allows_it() {
+    let (gone, backend) = (RefusingPort::new(), BackendServer::start(|_| ok("here")));
     let entries = [entry("b0", gone.address(), "SERVING"), entry("b1", backend.address, "SERVING")];
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let three_hours = 3 * 3_600_000;
     for (half_life_s, taken) in [(600, false), (86_400, true)] {
-        let (operator, folder) = keeping("old", half_life_s);
+        let (operator, folder) = write_operator_file("old", half_life_s);
         std::fs::create_dir_all(&folder).unwrap();
         let body = list(9, true, &entries).into_bytes();
         let saved = SavedEndpoints {
@@ -106,62 +106,63 @@
             list: body,
         };
         std::fs::write(folder.join("n0.state"), encode(&saved)).unwrap();
-        let proxy = Proxy::operated(&[], &operator);
+        let proxy = Proxy::with_operator_file(&[], &operator);
         if taken {
-            proxy.logged("endpoint list restored");
-            let told: Vec<(u16, bool)> = (0..8)
+            proxy.wait_for_log("endpoint list restored");
+            let answers: Vec<(u16, bool)> = (0..8)
                 .map(|_| proxy.ask(&read(3.0)))
                 .map(|m| (m.status(), m.header("retry-after").is_some()))
                 .collect();
-            // Refused at once and told when to come back, while the budget for further attempts fills and the
-            // backends, taken as started now, are ramped from cold.
-            assert!(told.iter().all(|t| *t == (200, false) || *t == (503, true)), "{told:?}");
-            assert!(told.iter().filter(|t| t.0 == 200).count() >= 4, "{told:?}");
+            // Requests may be refused, at once and with `Retry-After`, while the retry budget fills and the backends,
+            // which count as just started, are in slow start.
+            assert!(answers.iter().all(|t| *t == (200, false) || *t == (503, true)), "{answers:?}");
+            assert!(answers.iter().filter(|t| t.0 == 200).count() >= 4, "{answers:?}");
         } else {
-            assert!(proxy.logged("endpoint list not restored").contains("too old"));
+            assert!(proxy.wait_for_log("endpoint list not restored").contains("too old"));
         }
     }
 }
 
-/// Two processes of one proxy with one folder: the second reads, and leaves the writing to the first.
+/// Of two processes of one proxy with one folder, the second only reads and leaves the writing to the first.
 #[test]
 fn a_second_process_with_the_same_folder_only_reads() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, _) = keeping("two", 600);
-    let first = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    first.logged("no saved endpoint list");
-    let second = Proxy::operated(&[entry("b0", backend.address, "SERVING")], &operator);
-    second.logged("state is locked by another process");
+    let (operator, _) = write_operator_file("two", 600);
+    let first = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+    first.wait_for_log("no saved endpoint list");
+    let second = Proxy::with_operator_file(&[entry("b0", backend.address, "SERVING")], &operator);
+    second.wait_for_log("state is locked by another process");
     assert_eq!(second.ask(&read(3.0)).body, b"b");
 }
 
-/// Where the disk takes no more, the line says so and the file in place stays whole, only older.
+/// When the disk takes no more, the failed write is logged and the older file stays whole.
 #[test]
-fn a_full_disk_leaves_the_last_kept_state_whole() {
+fn a_full_disk_leaves_the_last_saved_state_whole() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("full", 600);
-    kept(&operator, &[entry("b0", backend.address, "SERVING")]);
-    let proxy = Proxy::operated_within(&[], &operator, Some(1));
-    proxy.logged("endpoint list restored");
-    let (_, answer) = proxy.discovery.call();
+    let (operator, folder) = write_operator_file("full", 600);
+    save_list(&operator, &[entry("b0", backend.address, "SERVING")]);
+    let proxy = Proxy::with_file_limit(&[], &operator, Some(1));
+    proxy.wait_for_log("endpoint list restored");
+    let (_, answer) = proxy.discovery.next_call();
     let many: Vec<String> = (0..20).map(|i| entry(&format!("b{i}"), backend.address, "SERVING")).collect();
     answer.send((200, list(15, true, &many))).unwrap();
-    proxy.logged("state write failed");
-    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
-    assert_eq!(kept.index, 9);
+    proxy.wait_for_log("state write failed");
+    let saved: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    assert_eq!(saved.index, 9);
 }
 
-/// Killed twenty times while lists of up to 400 KB come as fast as it takes them and are written every 100 ms: the
-/// file in place is always whole, and the kept version never goes back. The first kill waits for the first file.
+/// The program is killed twenty times while lists of up to 400 KB arrive as fast as it takes them and are written
+/// every 100 ms: the file is always whole, and the saved version never goes back. The first kill waits for the first
+/// file.
 #[test]
 fn a_kill_at_any_moment_of_a_write_leaves_a_whole_file() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("torn", 600);
+    let (operator, folder) = write_operator_file("torn", 600);
     let file = folder.join("n0.state");
     let seed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64 | 1;
     println!("seed {seed}");
     let mut rng = seed;
-    let mut roll = |n: u64| {
+    let mut random_below = |n: u64| {
         rng ^= rng << 13;
         rng ^= rng >> 7;
         rng ^= rng << 17;
@@ -169,86 +170,86 @@
     };
     let entries: Vec<String> =
         (0..4000).map(|i| entry(&format!("backend-{i:05}"), backend.address, "SERVING")).collect();
-    let (mut index, mut last, mut torn) = (10, 0, 0);
+    let (mut index, mut last, mut unfinished) = (10, 0, 0);
     for _ in 0..20 {
-        let proxy = Proxy::operated(&[], &operator);
-        let until = Instant::now() + std::time::Duration::from_millis(120 + roll(200));
-        let end = Instant::now() + PATIENCE;
+        let proxy = Proxy::with_operator_file(&[], &operator);
+        let until = Instant::now() + std::time::Duration::from_millis(120 + random_below(200));
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until || !file.exists() {
-            assert!(Instant::now() < end, "seed {seed}: no list was ever kept");
-            let (_, answer) = proxy.discovery.call();
+            assert!(Instant::now() < end, "seed {seed}: no list was ever saved");
+            let (_, answer) = proxy.discovery.next_call();
             index += 1;
-            answer.send((200, list(index, true, &entries[..2000 + roll(2000) as usize]))).unwrap();
+            answer.send((200, list(index, true, &entries[..2000 + random_below(2000) as usize]))).unwrap();
         }
         drop(proxy); // SIGKILL
-        torn += usize::from(folder.join("n0.state.new").exists());
-        let kept: SavedEndpoints =
+        unfinished += usize::from(folder.join("n0.state.new").exists());
+        let saved: SavedEndpoints =
             decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
-        assert!(kept.index >= last, "seed {seed}: {} after {last}", kept.index);
-        last = kept.index;
+        assert!(saved.index >= last, "seed {seed}: {} after {last}", saved.index);
+        last = saved.index;
     }
-    assert!(last > 20, "seed {seed}: lists were written as they came, the last kept is {last}");
+    assert!(last > 20, "seed {seed}: the last saved version is only {last}");
     println!(
-        "seed {seed}: {torn} of 20 kills left a new file unfinished beside the whole one; kept up to {last}"
+        "seed {seed}: {unfinished} of 20 kills left an unfinished new file beside the whole one; last saved version {last}"
     );
 }
 
-/// What was learned is kept beside the list, taken at the next start, and passed over with a line where it is cut,
-/// another file or older than the half-life allows; the list is taken all the same.
+/// Estimates are saved beside the list and restored at the next start. If their file is truncated, of another format
+/// or older than the half-life allows, that is logged, and the list is restored all the same.
 #[test]
-fn what_was_learned_is_taken_back_or_passed_over_with_a_line() {
+fn estimates_are_restored_or_logged_and_ignored() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("learned", 600);
+    let (operator, folder) = write_operator_file("learned", 600);
     {
-        let proxy = Proxy::operated(&[], &operator);
-        let (_, answer) = proxy.discovery.call();
+        let proxy = Proxy::with_operator_file(&[], &operator);
+        let (_, answer) = proxy.discovery.next_call();
         answer.send((200, list(9, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-        let (_, _waits) = proxy.discovery.call();
+        let (_, _open_watch) = proxy.discovery.next_call();
         (0..20).for_each(|_| drop(proxy.ask(&read(3.0))));
-        while !proxy.logged("state written").contains("n0.learned") {}
+        while !proxy.wait_for_log("state written").contains("n0.learned") {}
     }
     let file = folder.join("n0.learned");
-    let sound = std::fs::read(&file).unwrap();
-    let learned: Estimates = decode(&sound).unwrap();
+    let valid = std::fs::read(&file).unwrap();
+    let learned: Estimates = decode(&valid).unwrap();
     assert!(learned.overall_latency.samples >= 1.0 && learned.overall_latency.value > 0.0, "{learned:?}");
     assert_eq!((learned.proxy.as_str(), learned.site.as_str()), ("n0", "learned"));
-    let again = || {
-        let proxy = Proxy::operated(&[], &operator);
-        let told = proxy.logged("estimates");
+    let restart = || {
+        let proxy = Proxy::with_operator_file(&[], &operator);
+        let line = proxy.wait_for_log("estimates");
         assert_eq!(proxy.ask(&read(3.0)).body, b"b");
-        told
+        line
     };
-    assert!(again().contains("estimates restored"));
+    assert!(restart().contains("estimates restored"));
     let mut old = learned.clone();
     old.written_ms -= 3 * 3_600_000;
     let list_in_its_place = std::fs::read(folder.join("n0.state")).unwrap();
     let cases = [
-        (sound[..sound.len() / 2].to_vec(), "truncated"),
+        (valid[..valid.len() / 2].to_vec(), "truncated"),
         (list_in_its_place, "the first bytes are not LDLEARN"),
         (encode(&old), "too old"),
     ];
-    for (bytes, told) in cases {
+    for (bytes, expected) in cases {
         std::fs::write(&file, bytes).unwrap();
-        let line = again();
-        assert!(line.contains("not restored") && line.contains(told), "{told}: {line}");
+        let line = restart();
+        assert!(line.contains("not restored") && line.contains(expected), "{expected}: {line}");
     }
 }
 
-/// The second process of an upgrade keeps the state once the first has ended.
+/// In an upgrade the second process writes the state once the first has ended.
 #[test]
-fn a_second_process_keeps_the_state_once_the_first_has_ended() {
+fn a_second_process_writes_the_state_once_the_first_has_ended() {
     let backend = BackendServer::start(|_| ok("b"));
-    let (operator, folder) = keeping("handed", 600);
+    let (operator, folder) = write_operator_file("handed", 600);
     let known = [entry("b0", backend.address, "SERVING")];
-    let first = Proxy::operated(&known, &operator);
-    first.logged("no saved endpoint list");
-    let second = Proxy::operated(&known, &operator);
-    second.logged("state is locked by another process");
+    let first = Proxy::with_operator_file(&known, &operator);
+    first.wait_for_log("no saved endpoint list");
+    let second = Proxy::with_operator_file(&known, &operator);
+    second.wait_for_log("state is locked by another process");
     drop(first);
-    second.logged("this one writes the state now");
-    let (_, answer) = second.discovery.call();
+    second.wait_for_log("this one writes the state now");
+    let (_, answer) = second.discovery.next_call();
     answer.send((200, list(21, true, &known))).unwrap();
-    assert!(second.logged("state written").contains("index=21"));
-    let kept: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
-    assert_eq!(kept.index, 21);
+    assert!(second.wait_for_log("state written").contains("index=21"));
+    let saved: SavedEndpoints = decode(&std::fs::read(folder.join("n0.state")).unwrap()).unwrap();
+    assert_eq!(saved.index, 21);
 }
--- a/crates/lotusdeck/tests/rig/backend.rs
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -1,32 +1,32 @@
-//! Backends: what they do with requests, and what a test sees of it.
+//! Backends with prepared replies, which report connections and requests to the test.
 
 use super::message::Message;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{mpsc, Arc, Condvar, Mutex};
 
-/// What a backend does with a request.
+/// How a backend replies to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
-    /// A status, a header line or none, a body.
+    /// Answers with a status, a header line (or none, if empty) and a body.
     Answer(u16, &'static str, String),
-    /// The same, and the connection is closed without a word of it.
+    /// Answers with a status and a body, and closes the connection without having announced it.
     AnswerAndClose(u16, String),
-    /// These bytes, each piece in a segment of its own, and the connection stays open.
+    /// Writes these texts, each in a segment of its own, and leaves the connection open.
     Pieces(Vec<String>),
-    /// The same, and the connection is closed behind them.
+    /// Writes these texts, each in a segment of its own, and closes the connection.
     PiecesAndClose(Vec<String>),
-    /// The first bytes, the others when the gate opens.
+    /// Writes the first text, and the second once the gate opens.
     Paused(String, Arc<Gate>, String),
-    /// The connection ends after the whole request.
+    /// Closes the connection after the whole request, without an answer.
     Reset,
-    /// Nothing, until the proxy gives up.
+    /// Sends nothing; the connection stays open until the proxy closes it.
     Silence,
-    /// Nothing until the gate opens, then 200.
+    /// Answers 200 once the gate opens.
     Gate(Arc<Gate>),
-    /// Nothing until the gate opens, then the connection ends.
+    /// Closes the connection once the gate opens, without an answer.
     GateReset(Arc<Gate>),
 }
 
@@ -34,7 +34,7 @@
     Reply::Answer(200, "", body.into())
 }
 
-/// Opened once, for all that wait.
+/// Blocks every thread that waits for it until it is opened.
 #[derive(Debug, Default)]
 pub(crate) struct Gate(Mutex<bool>, Condvar);
 
@@ -44,24 +44,24 @@
         self.1.notify_all();
     }
     pub(crate) fn wait(&self) {
-        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open).unwrap();
+        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), TEST_TIMEOUT, |open| !*open).unwrap();
     }
 }
 
 #[derive(Debug)]
-pub(crate) enum Seen {
+pub(crate) enum BackendEvent {
     Connected,
     Request(Message),
-    /// A connection ended, from either side.
+    /// A connection was closed by either side.
     Closed,
 }
 
 pub(crate) struct BackendServer {
     pub address: SocketAddr,
-    pub seen: mpsc::Receiver<Seen>,
+    pub events: mpsc::Receiver<BackendEvent>,
     pub connections: Arc<AtomicU32>,
     pub requests: Arc<AtomicU32>,
-    /// Requests of which the whole answer is written, with all that comes behind it.
+    /// Requests whose [`Reply`] is complete.
     pub answered: Arc<AtomicU32>,
 }
 
@@ -69,7 +69,7 @@
     pub(crate) fn start(reply: impl Fn(u32) -> Reply + Send + Sync + 'static) -> BackendServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (event_sender, events) = mpsc::channel();
         let (connections, requests) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let answered = Arc::new(AtomicU32::new(0));
         let done = answered.clone();
@@ -77,20 +77,20 @@
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(Seen::Connected);
-                let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
+                let _ = event_sender.send(BackendEvent::Connected);
+                let (event_sender, count, reply) = (event_sender.clone(), count.clone(), reply.clone());
                 let done = done.clone();
-                std::thread::spawn(move || serve(tcp, &tell, [&count, &done], &*reply));
+                std::thread::spawn(move || serve_connection(tcp, &event_sender, [&count, &done], &*reply));
             }
         });
-        BackendServer { address, seen, connections, requests, answered }
+        BackendServer { address, events, connections, requests, answered }
     }
 
     /// Waits for the next request.
-    pub(crate) fn request(&self) -> Message {
+    pub(crate) fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) =
-                self.seen.recv_timeout(PATIENCE).expect("a request at the backend")
+            if let BackendEvent::Request(message) =
+                self.events.recv_timeout(TEST_TIMEOUT).expect("a request at the backend")
             {
                 return message;
             }
@@ -98,8 +98,11 @@
     }
 
     /// Waits until a connection ends.
-    pub(crate) fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+    pub(crate) fn wait_for_close(&self) {
+        while !matches!(
+            self.events.recv_timeout(TEST_TIMEOUT).expect("a closed connection"),
+            BackendEvent::Closed
+        ) {}
     }
 
     pub(crate) fn count(&self) -> u32 {
@@ -107,22 +110,22 @@
     }
 }
 
-fn serve(
-    tcp: TcpStream, tell: &mpsc::Sender<Seen>, [count, answered]: [&AtomicU32; 2],
+fn serve_connection(
+    tcp: TcpStream, event_sender: &mpsc::Sender<BackendEvent>, [count, answered]: [&AtomicU32; 2],
     reply: &dyn Fn(u32) -> Reply,
 ) {
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(Seen::Request(message));
+        let _ = event_sender.send(BackendEvent::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
             let length = body.len();
             let text = format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
             out.write_all(text.as_bytes()).is_ok()
         };
-        let go_on = match reply(number) {
+        let keep_open = match reply(number) {
             Reply::Answer(status, header, body) => send(status, header, &body),
             Reply::AnswerAndClose(status, body) => {
                 send(status, "", &body);
@@ -139,9 +142,9 @@
                 false
             }
             Reply::Paused(first, gate, rest) => {
-                let begun = out.write_all(first.as_bytes()).is_ok();
+                let first_sent = out.write_all(first.as_bytes()).is_ok();
                 gate.wait();
-                begun && out.write_all(rest.as_bytes()).is_ok()
+                first_sent && out.write_all(rest.as_bytes()).is_ok()
             }
             Reply::Reset => false,
             Reply::Silence => true,
@@ -155,22 +158,22 @@
             }
         };
         answered.fetch_add(1, Ordering::SeqCst);
-        if !go_on {
+        if !keep_open {
             break;
         }
     }
-    let _ = tell.send(Seen::Closed);
+    let _ = event_sender.send(BackendEvent::Closed);
 }
 
-/// A port on which nobody listens: connections to it are refused for as long as it is held.
-pub(crate) struct Refusing(socket2::Socket);
+/// A bound port on which nobody listens: connections to it are refused until this is dropped.
+pub(crate) struct RefusingPort(socket2::Socket);
 
-impl Refusing {
-    pub(crate) fn new() -> Refusing {
+impl RefusingPort {
+    pub(crate) fn new() -> RefusingPort {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
-        Refusing(socket)
+        RefusingPort(socket)
     }
     pub(crate) fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
--- a/crates/lotusdeck/tests/rig/discovery.rs
+++ b/crates/lotusdeck/tests/rig/discovery.rs
@@ -1,13 +1,13 @@
-//! Discovery, answered by the test.
+//! A discovery service whose answers the test gives.
 
 use super::message::Message;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
 
-/// Discovery: hands each call's target to the test, which answers it with a status and a body. Status 0: the text goes
-/// out as it is, and what is sent next goes out behind it.
+/// A discovery service. Passes the request line of each call to the test, which sends back a status and a body. With
+/// status 0 the text is written unchanged, and the call takes further ones.
 pub(crate) struct DiscoveryServer {
     pub address: SocketAddr,
     calls: mpsc::Receiver<(String, mpsc::Sender<(u16, String)>)>,
@@ -17,22 +17,22 @@
     pub(crate) fn start() -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, calls) = mpsc::channel();
+        let (call_sender, calls) = mpsc::channel();
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
-                let tell: mpsc::Sender<_> = tell.clone();
+                let call_sender: mpsc::Sender<_> = call_sender.clone();
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
-                        let (answer, wait) = mpsc::channel::<(u16, String)>();
-                        if tell.send((message.first, answer)).is_err() {
+                        let (answer_sender, answers) = mpsc::channel::<(u16, String)>();
+                        if call_sender.send((message.start_line, answer_sender)).is_err() {
                             return;
                         }
                         let (status, body) = loop {
-                            match wait.recv() {
+                            match answers.recv() {
                                 Ok((0, raw)) if tcp.write_all(raw.as_bytes()).is_ok() => {}
                                 Ok((0, _)) | Err(_) => return,
-                                Ok(whole) => break whole,
+                                Ok(answer) => break answer,
                             }
                         };
                         let length = body.len();
@@ -47,8 +47,8 @@
         DiscoveryServer { address, calls }
     }
 
-    /// The next call, and where its answer goes.
-    pub(crate) fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+    /// Waits for the next call; returns its request line and the sender for its answer.
+    pub(crate) fn next_call(&self) -> (String, mpsc::Sender<(u16, String)>) {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
 }
--- a/crates/lotusdeck/tests/rig/mod.rs
+++ b/crates/lotusdeck/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! What stands around the program in its tests, on loopback: backends, discovery and a client, all on
-//! blocking sockets and ports that the kernel picks.
+//! Test environment of the program on loopback: backends, discovery and clients on blocking sockets, with ports that
+//! the kernel picks.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 mod backend;
@@ -10,21 +10,21 @@
 mod proxy;
 pub(crate) mod sockets;
 
-pub(crate) use backend::{ok, BackendServer, Gate, Refusing, Reply, Seen};
+pub(crate) use backend::{ok, BackendEvent, BackendServer, Gate, RefusingPort, Reply};
 pub(crate) use client::Client;
 pub(crate) use discovery::DiscoveryServer;
 pub(crate) use fixtures::{entry, list, pay, read, vote, SETTINGS};
 pub(crate) use message::Message;
-pub(crate) use proxy::{launch, Proxy};
+pub(crate) use proxy::{serve_command, Proxy};
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// No wait in these tests is meant to last as long: it only ends a test that would hang.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of each wait, which ends a test that would otherwise hang.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-fn next() -> u64 {
-    NUMBER.fetch_add(1, Ordering::SeqCst)
+fn next_number() -> u64 {
+    NEXT_NUMBER.fetch_add(1, Ordering::SeqCst)
 }
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -1,5 +1,5 @@
-//! What backends are told of the time that a client has left. Server and test share one thread: while the test holds
-//! it, what a client has written waits in the kernel, and the time of its request goes on.
+//! The time left that backends receive (`X-Time-Left`). Server and test share one thread: while the test blocks it, a
+//! request that a client has written waits in the kernel, and its time passes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -29,36 +29,43 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_blocking, spawn_local, LocalSet};
 
-/// The event loop is held for so long, or a connection rests.
-const HELD: Duration = Duration::from_millis(400);
-const REST: Duration = Duration::from_secs(1);
-/// A busy machine may hold the loop for so long beyond that.
+/// How long a test blocks the event loop.
+const BLOCKED_FOR: Duration = Duration::from_millis(400);
+/// How long a connection is idle or pauses within a request.
+const IDLE_FOR: Duration = Duration::from_secs(1);
+/// How much longer a busy machine may block the loop.
 const SLACK: Duration = Duration::from_millis(700);
-/// Requests after which one may be sent again.
+/// Requests that earn the retry budget for one further attempt.
 const WARM_UP: usize = 25;
-/// What a client gives its request, in seconds.
-const TIME: f64 = 2.5;
+/// The time left that a client gives its request, in seconds.
+const TIME_LEFT_S: f64 = 2.5;
 
-/// Runs it on a thread of its own kind: one that notes its looks, as the program's does.
-fn on_the_loop(what: impl Future<Output = ()>) {
+/// Runs a future on a runtime that records its polls, as the program's does.
+fn run_recording_polls(what: impl Future<Output = ()>) {
     let runtime =
         queueing_delay::record_polls(&mut tokio::runtime::Builder::new_current_thread()).enable_all().build();
     LocalSet::new().block_on(&runtime.unwrap(), what);
 }
 
-/// A server before these backends.
+/// Starts a server for these backends and returns its address.
 async fn start(backends: &[&BackendServer]) -> SocketAddr {
-    let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("sound settings");
+    let settings = Settings::read(&serde_json::from_str(SETTINGS).unwrap()).expect("valid settings");
     let pool = Rc::new(ConnectionPool::new(
         &settings.network,
         BodyBudget::new(1 << 20),
         SharedStallTimeouts::default(),
     ));
-    let balancer = Balancer::new(settings.config.clone(), 1).expect("a sound configuration");
-    let none = std::env::temp_dir().join("lotusdeck-no-such-proxy");
-    let lines: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
-    let host =
-        Host::new(balancer, settings, Clock::new(), lines, Cordon::load(&none), OptionalServices::default());
+    let balancer = Balancer::new(settings.config.clone(), 1).expect("a valid configuration");
+    let no_file = std::env::temp_dir().join("lotusdeck-no-such-proxy");
+    let pools: Vec<Rc<dyn ConnectionPools>> = vec![pool.clone()];
+    let host = Host::new(
+        balancer,
+        settings,
+        Clock::new(),
+        pools,
+        Cordon::load(&no_file),
+        OptionalServices::default(),
+    );
     let named = |(n, b): (usize, &&BackendServer)| entry(&format!("b{n}"), b.address, "SERVING");
     let entries: Vec<String> = backends.iter().enumerate().map(named).collect();
     let listed: EndpointList = serde_json::from_str(&list(1, true, &entries)).unwrap();
@@ -74,8 +81,8 @@
     address
 }
 
-/// A connection on which the server waits for the next request.
-async fn kept(address: SocketAddr) -> Client {
+/// Returns a client whose connection is kept, so that the server waits on it for the next request.
+async fn kept_client(address: SocketAddr) -> Client {
     let ask = move || {
         let mut client = Client::connect(address);
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
@@ -84,157 +91,162 @@
     spawn_blocking(ask).await.unwrap()
 }
 
-/// The client writes while the loop stands still, for all of that time.
-fn hold(client: &mut Client, text: &str) {
+/// Sends a text and blocks the loop for all of [`BLOCKED_FOR`].
+fn send_and_block(client: &mut Client, text: &str) {
     client.send(text);
-    std::thread::sleep(HELD);
+    std::thread::sleep(BLOCKED_FOR);
 }
 
 async fn status(mut client: Client) -> u16 {
     spawn_blocking(move || client.answer().expect("a whole answer").status()).await.unwrap()
 }
 
-/// What a request told a backend, in seconds.
-fn time_of(request: &Message) -> f64 {
-    request.header("x-time-left").expect("a time").parse().expect("seconds")
+/// Returns the time left of a request that a backend received, in seconds.
+fn time_left_of(request: &Message) -> f64 {
+    request.header("x-time-left").expect("an X-Time-Left header").parse().expect("seconds")
 }
 
-fn told(backend: &BackendServer) -> f64 {
-    time_of(&backend.request())
+fn received_time_left(backend: &BackendServer) -> f64 {
+    time_left_of(&backend.next_request())
 }
 
-/// What each told that has come since the last call.
-fn all_told(backend: &BackendServer) -> Vec<f64> {
-    let requests = backend.seen.try_iter().filter_map(|seen| match seen {
-        Seen::Request(request) => Some(time_of(&request)),
+/// Returns the time left of each request that a backend received since the last call.
+fn all_received_times(backend: &BackendServer) -> Vec<f64> {
+    let requests = backend.events.try_iter().filter_map(|event| match event {
+        BackendEvent::Request(request) => Some(time_left_of(&request)),
         _ => None,
     });
     requests.collect()
 }
 
-/// No more than is left where so much of it is over, and nearly all of that.
-fn fits(told: f64, over: Duration) {
-    let most = TIME - over.as_secs_f64();
+/// Asserts that `received` is at most what is left of [`TIME_LEFT_S`] after `elapsed`, and less than [`SLACK`] below
+/// that.
+fn assert_time_left(received: f64, elapsed: Duration) {
+    let most = TIME_LEFT_S - elapsed.as_secs_f64();
     let least = most - SLACK.as_secs_f64();
-    assert!(least < told && told <= most, "told {told}, where at most {most} and at least {least} is left");
+    assert!(
+        least < received && received <= most,
+        "received {received} s, expected more than {least} s and at most {most} s"
+    );
 }
 
 #[test]
-fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_its_socket() {
+fn a_backend_receives_no_more_time_than_is_left_of_a_request_that_waited_in_its_socket() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        hold(&mut client, &read(TIME));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
 #[test]
-fn a_backend_is_told_no_more_than_is_left_of_a_request_that_waited_in_the_listeners_queue() {
+fn a_backend_receives_no_more_time_than_is_left_of_a_request_that_waited_in_the_listeners_queue() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
+    run_recording_polls(async {
         let address = start(&[&backend]).await;
-        drop(kept(address).await);
+        drop(kept_client(address).await);
         let mut client = Client::connect(address);
-        hold(&mut client, &read(TIME));
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
 #[test]
-fn a_further_attempt_is_told_no_more_than_is_left() {
-    let thrown = Arc::new(AtomicBool::new(false));
-    let switch = thrown.clone();
+fn a_further_attempt_receives_no_more_time_than_is_left() {
+    let switched = Arc::new(AtomicBool::new(false));
+    let switch = switched.clone();
     let reply = move |_| if switch.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
     let backends = [(); 2].map(|()| BackendServer::start(reply.clone()));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backends[0], &backends[1]]).await).await;
-        // The module saves up its further attempts from the requests that come: so many pay for one.
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backends[0], &backends[1]]).await).await;
+        // Requests earn the retry budget; this many earn one further attempt.
         for _ in 0..WARM_UP {
-            let asked = move || (client.ask(&read(TIME)).status(), client);
-            let (status, back) = spawn_blocking(asked).await.unwrap();
+            let ask = move || (client.ask(&read(TIME_LEFT_S)).status(), client);
+            let (status, back) = spawn_blocking(ask).await.unwrap();
             assert_eq!(status, 200);
             client = back;
         }
-        backends.iter().for_each(|backend| drop(all_told(backend)));
-        thrown.store(true, SeqCst);
-        hold(&mut client, &read(TIME));
+        backends.iter().for_each(|backend| drop(all_received_times(backend)));
+        switched.store(true, SeqCst);
+        send_and_block(&mut client, &read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        let told: Vec<f64> = backends.iter().flat_map(all_told).collect();
-        assert_eq!(told.len(), 2, "attempts");
-        told.into_iter().for_each(|told| fits(told, HELD));
+        let received: Vec<f64> = backends.iter().flat_map(all_received_times).collect();
+        assert_eq!(received.len(), 2, "attempts");
+        received.into_iter().for_each(|received| assert_time_left(received, BLOCKED_FOR));
     });
 }
 
 #[test]
 fn a_request_whose_time_is_over_when_it_is_read_reaches_no_backend() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        hold(&mut client, &pay(HELD.as_secs_f64()));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        send_and_block(&mut client, &pay(BLOCKED_FOR.as_secs_f64()));
         assert_eq!((status(client).await, backend.count()), (503, 0));
     });
 }
 
-/// The rest of a connection is not the age of what ends it.
+/// The time for which a connection was idle does not count against the request that ends it.
 #[test]
-fn a_request_on_a_connection_that_rested_keeps_its_time() {
+fn a_request_on_a_connection_that_was_idle_keeps_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        tokio::time::sleep(REST).await;
-        client.send(&read(TIME));
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        tokio::time::sleep(IDLE_FOR).await;
+        client.send(&read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), Duration::ZERO);
+        assert_time_left(received_time_left(&backend), Duration::ZERO);
     });
 }
 
-/// A task that yields all the time keeps the loop from waiting, and its looks from being told by the runtime.
+/// A task that yields all the time keeps the loop from blocking, so the runtime does not record its polls.
 #[test]
 fn a_request_keeps_its_time_beside_a_task_that_yields() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
         let busy = spawn_local(async {
             loop {
                 queueing_delay::yield_to_poll().await;
             }
         });
-        tokio::time::sleep(REST).await;
-        client.send(&read(TIME));
+        tokio::time::sleep(IDLE_FOR).await;
+        client.send(&read(TIME_LEFT_S));
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), Duration::ZERO);
+        assert_time_left(received_time_left(&backend), Duration::ZERO);
         busy.abort();
     });
 }
 
-/// The time of a request that comes in parts counts from the last of them.
+/// The time of a request that arrives in parts counts from the last of them.
 #[test]
 fn the_age_of_a_request_in_parts_is_that_of_its_last_byte() {
     let backend = BackendServer::start(|_| ok("x"));
-    on_the_loop(async {
-        let mut client = kept(start(&[&backend]).await).await;
-        let request = pay(TIME);
+    run_recording_polls(async {
+        let mut client = kept_client(start(&[&backend]).await).await;
+        let request = pay(TIME_LEFT_S);
         let (first, last) = request.split_at(request.len() - 1);
         client.send(first);
-        tokio::time::sleep(REST).await;
-        hold(&mut client, last);
+        tokio::time::sleep(IDLE_FOR).await;
+        send_and_block(&mut client, last);
         assert_eq!(status(client).await, 200);
-        fits(told(&backend), HELD);
+        assert_time_left(received_time_left(&backend), BLOCKED_FOR);
     });
 }
 
-/// A look says nothing of a socket that the loop did not know yet: its bytes may have come long before.
+/// A poll bounds the arrival of bytes only for sockets that were registered before it: on any other they may have
+/// arrived long before.
 #[test]
-fn a_look_counts_for_the_sockets_that_were_registered_before_it() {
-    on_the_loop(async {
-        let a_look = || tokio::time::sleep(Duration::from_millis(1));
-        a_look().await;
-        let long_ago = Instant::now() - REST;
+fn a_poll_counts_for_the_sockets_that_were_registered_before_it() {
+    run_recording_polls(async {
+        let wait_for_poll = || tokio::time::sleep(Duration::from_millis(1));
+        wait_for_poll().await;
+        let long_ago = Instant::now() - IDLE_FOR;
         let arrivals = QueueingDelay::new(long_ago);
-        // What the event loop does where a socket has become readable.
+        // Does what the event loop does when a socket has become readable.
         let readable = || {
             poll_fn(|cx| {
                 let _ = arrivals.poll_ready(cx, |cx| {
@@ -245,7 +257,7 @@
             })
         };
         assert_eq!(readable().await, long_ago);
-        a_look().await;
-        assert_ne!(readable().await, long_ago, "it was registered before this look");
+        wait_for_poll().await;
+        assert_ne!(readable().await, long_ago, "it was registered before this poll");
     });
 }
