--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -14,14 +14,14 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// Interval between checks of the file for changes by the other process; well below the time within which sends to a
-/// cordoned backend have to end.
+/// Interval between checks of the file for changes by the other process; well below the time within which a cordoned
+/// backend must stop receiving requests.
 pub(crate) const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for the lock. The other process holds it only while it writes a few hundred bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// An error that prevented a change from being saved. The change has been made neither in the file nor in memory.
+/// An error that prevented a change from being saved; it was made neither in the file nor in memory.
 #[derive(Debug, Error)]
 pub enum CordonError {
     /// The lock could not be acquired within the timeout.
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -16,8 +16,8 @@
     Estimate { value: mean.value, samples: mean.samples }
 }
 
-/// Converts a snapshot from ids to names, without classes and kinds that have no samples and without unknown
-/// backends. The origin and the time of writing are left for the writer of the file to fill in.
+/// Converts a snapshot from ids to names, without classes and kinds that have no samples and without unknown backends.
+/// The writer of the file fills in the origin and the time of writing.
 pub(crate) fn by_name(snapshot: &Snapshot, names: &Names, registry: &Registry) -> Estimates {
     let backend_name = |id| registry.get(id).map(|backend| backend.name.clone());
     let classes = snapshot.class_latency.iter().filter(|(_, latency)| latency.samples > 0.0);
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -28,7 +28,7 @@
 /// The current state of the fleet's limits, as seen by this proxy.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FleetLimitStatus {
-    /// Other proxies that are considered alive.
+    /// Number of other proxies that are considered alive.
     pub members: usize,
     /// Number of times that the membership has changed.
     #[serde(rename = "view")]
@@ -36,7 +36,7 @@
     /// Attempts in flight at all other proxies together, as far as they have reported.
     #[serde(rename = "others_hold")]
     pub others_in_flight: Option<f64>,
-    /// Datagrams that could not be decoded.
+    /// Number of datagrams that could not be decoded.
     #[serde(rename = "unread")]
     pub undecodable_datagrams: u64,
     /// The state of each limit.
--- a/crates/core/src/host/membership.rs
+++ b/crates/core/src/host/membership.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists, which say which backends there are, and the cordons that operators set.
+//! Applies endpoint lists and the operators' cordons to the registry and the balancer.
 
 use super::{Host, LOG_TARGET};
 use crate::cordon::{CordonError, FILE_CHECK_INTERVAL};
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -64,9 +64,9 @@
     cordon: Cordon,
     services: OptionalServices,
     timers: Timers,
-    /// Notified when the balancer wants discovery to watch for changes.
+    /// Notified when the balancer requests a watch of the endpoint list.
     watch_request: Notify,
-    /// The ids of classes and tenants used by requests that are being read.
+    /// The ids of classes and tenants that requests use from the reading of their heads on.
     id_usage: IdUsage,
 }
 
@@ -136,7 +136,7 @@
         self.handle_event(Event::FleetLoad { in_flight });
     }
 
-    /// Waits until the balancer wants discovery to watch for changes.
+    /// Waits until the balancer requests a watch of the endpoint list.
     pub async fn watch_requested(&self) {
         self.watch_request.notified().await;
     }
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -84,8 +84,8 @@
 }
 
 /// Guards against an attempt that is sent although, while its connection was being established, the endpoint list or
-/// the request changed or the idempotency window ended, and against leftovers of a request and a backend that are
-/// gone.
+/// the request changed or the idempotency window ended, and against state that remains after its request or backend was
+/// removed.
 #[tokio::test]
 async fn attempt_is_sent_only_while_list_request_and_idempotency_window_allow_it() {
     let check = async {
--- a/crates/core/src/registry.rs
+++ b/crates/core/src/registry.rs
@@ -36,7 +36,7 @@
     /// The entries that were decoded in part, applied after the complete ones. They change only the state of a known
     /// backend, and do not add an unknown one.
     pub partial: Vec<PartialEndpoint>,
-    /// Whether the list is older than the one in place when discovery moved to another address. Such a list does not
+    /// Whether the list is older than the current one was when discovery moved to another address. Such a list does not
     /// make a backend ready that was draining at that time, unless the backend has been restarted since.
     pub predates_move: bool,
 }
@@ -71,7 +71,7 @@
     /// Backends on the list, and removed ones that still have an attempt in flight or are cordoned.
     backends: HashMap<BackendId, KnownBackend>,
     ids: HashMap<String, BackendId>,
-    /// Backends that left the list, which operators may still name.
+    /// Backends that were removed from the list, which operators may still name.
     retired: RetiredBackends,
     /// The cordoned backends as of the last [`Registry::cordon_change`], sorted.
     cordoned: Vec<BackendId>,
@@ -150,7 +150,8 @@
             && known.notified.started_at == entry.notified.started_at
     }
 
-    /// Records that discovery moves to another address: an older list may report as ready what drains now.
+    /// Records that discovery moves to another address: an older list may report a backend as ready that is draining
+    /// now.
     pub(crate) fn record_move(&mut self) {
         for backend in self.backends.values_mut() {
             backend.drained_at_move |= backend.state == BackendState::Draining;
@@ -224,7 +225,7 @@
         Some(cordoned)
     }
 
-    /// Returns whether neither a backend nor an id is left.
+    /// Returns whether there are neither backends nor ids.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
         self.backends.is_empty() && self.ids.is_empty()
--- a/crates/core/src/retired.rs
+++ b/crates/core/src/retired.rs
@@ -1,4 +1,4 @@
-//! The ids of backends that have left the endpoint list.
+//! The ids of backends that were removed from the endpoint list.
 
 #[cfg(test)]
 mod tests;
@@ -9,10 +9,10 @@
 /// an id, the maximum takes about 4 MB.
 const MAX_RETIRED_IDS: usize = 16_384;
 
-/// The ids of the backends that left most recently, which operators may still name.
+/// The ids of the most recently removed backends, which operators may still name.
 #[derive(Default)]
 pub(crate) struct RetiredBackends {
-    /// The ids in the order in which they left.
+    /// The ids in the order of their removal.
     by_departure: BTreeMap<u64, String>,
     /// The key of each id in `by_departure`.
     departures: HashMap<String, u64>,
@@ -20,8 +20,8 @@
 }
 
 impl RetiredBackends {
-    /// Adds an id as the most recent one to leave, even if it had left before. Beyond the limit, removes the one
-    /// that left first.
+    /// Adds an id as the most recently removed one, even if it had been removed before. Beyond the limit, drops the one
+    /// that was removed first.
     pub(crate) fn add(&mut self, name: &str) {
         let departure = self.next_departure;
         self.next_departure += 1;
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -57,7 +57,7 @@
     pub cordoned: bool,
     /// The name of its kind of machine.
     pub kind: String,
-    /// Readiness from 0 (nothing is sent) to 1 (healthy and warmed up).
+    /// Readiness, from 0 (receives no requests) to 1 (healthy and warmed up).
     #[serde(rename = "ready")]
     pub readiness: f64,
     /// Its fraction of this proxy's traffic.
--- a/crates/policy/src/api/backend.rs
+++ b/crates/policy/src/api/backend.rs
@@ -16,20 +16,20 @@
     pub cell: CellId,
     /// Its kind.
     pub kind: KindId,
-    /// What it may be sent.
+    /// Its state in the list.
     pub state: BackendState,
     /// When its process started; `None` means long ago.
     pub started_at: Option<Time>,
 }
 
-/// What a backend may be sent.
+/// Which requests a backend may receive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// It may be sent new requests.
+    /// It may receive new requests.
     Ready,
-    /// It is sent no new requests, and completes those in flight.
+    /// It receives no new requests and completes those in flight.
     Draining,
-    /// It is sent nothing, as it has left the list.
+    /// It was removed from the list and receives no requests.
     #[default]
     Removed,
 }
@@ -39,7 +39,7 @@
 pub enum ListUpdate {
     /// The entries that changed.
     Changes,
-    /// The full list; backends that are not in it have left.
+    /// The full list; backends that are not in it are removed.
     Full,
     /// The full list from before a restart, possibly outdated.
     Cached,
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -81,7 +81,7 @@
         backends: Vec<Backend>,
     },
     /// The full set of backends that operators have cordoned. They get no new requests, whatever the endpoint
-    /// list says. A backend that has left the set may have been restarted meanwhile.
+    /// list says. A backend that is no longer in the set may have been restarted while it was cordoned.
     Cordoned {
         /// All cordoned backends.
         backends: Vec<BackendId>,
--- a/crates/policy/src/api/snapshot.rs
+++ b/crates/policy/src/api/snapshot.rs
@@ -43,6 +43,6 @@
     pub kinds: Vec<(KindId, KindEstimates)>,
     /// Backends that are ejected or on probation, with their consecutive ejections.
     pub ejected: Vec<(BackendId, u32)>,
-    /// Work sent inside the overload window to backends in slow start.
+    /// Work sent within the overload window to backends in slow start.
     pub warmup_spend: Vec<WarmupSpend>,
 }
--- a/crates/policy/src/backend_health.rs
+++ b/crates/policy/src/backend_health.rs
@@ -7,7 +7,7 @@
 /// The traffic of a backend as planned by the solver.
 #[derive(Default)]
 pub(crate) struct TrafficPlan {
-    /// From 0 (send nothing) to 1 (healthy and warmed up).
+    /// From 0 (receives no requests) to 1 (healthy and warmed up).
     pub readiness: f64,
     /// Share of this proxy's traffic.
     pub traffic_share: f64,
@@ -22,9 +22,9 @@
 #[derive(Default)]
 pub(crate) struct BackendLoad {
     pub in_flight: u32,
-    /// Number of these that wait for the rest of a request body and are not work for the backend yet.
+    /// Number of these whose request body is still arriving; they cause no work for the backend yet.
     pub uploading: u32,
-    /// Number of these that are older than the loss timeout and no longer take capacity.
+    /// Number of these that are older than the loss timeout and no longer count against the limit.
     pub lost: u32,
 }
 
@@ -33,7 +33,7 @@
 pub(crate) struct Ejection {
     /// Earliest end of the ejection; `None` while neither ejected nor on probation.
     pub until: Option<Time>,
-    /// Whether the term is over and successes have to show that the backend is healthy.
+    /// Whether the term of the ejection is over and probes decide whether the backend is healthy.
     pub on_probation: bool,
     /// Ejections since the last success outside an ejection.
     pub consecutive_ejections: i32,
@@ -51,11 +51,11 @@
     /// Attempts old enough to count as silent, without an answer to any request of the class since they were
     /// sent.
     pub silent_attempts: u32,
-    /// Until when the backend gets no requests of the class, after a rejection.
+    /// End of the pause without requests of the class that follows a rejection.
     pub full_until: Time,
     /// Rejections since the last success for the class.
     pub consecutive_rejections: u32,
-    /// Until when the backend is ejected for the class.
+    /// End of the ejection for the class.
     pub ejected_until: Time,
     /// Ejections for the class since the last success for it.
     pub consecutive_ejections: u32,
--- a/crates/policy/src/backend_table.rs
+++ b/crates/policy/src/backend_table.rs
@@ -20,7 +20,7 @@
     pub by_id: BTreeMap<BackendId, BackendHealth>,
     /// The backends in the order that all proxies share.
     pub shared_order: BTreeSet<OrderKey>,
-    /// Backends that have left the list and may still have attempts in flight.
+    /// Backends that were removed from the list and may still have attempts in flight.
     removed: BTreeSet<BackendId>,
     /// Backends with attempts that look lost.
     pub suspects: Vec<BackendId>,
@@ -55,8 +55,7 @@
         entry.started_at = entry.started_at.max(self.uncordoned_at.get(&id).copied());
         let backend = self.by_id.entry(id).or_default();
         if backend.entry.started_at != entry.started_at {
-            // Another start time means another process, which has only the address in common with the old
-            // one.
+            // A different start time means that a new process has taken over the address.
             backend.reset_for_new_process();
         }
         backend.cordoned = self.cordoned.contains(&id);
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -122,7 +122,7 @@
         self.schedule.schedule_check(request.deadline - self.config.tick);
     }
 
-    /// Gives the final answer to a request that will not be served.
+    /// Rejects a request that will not be served if its client may safely retry, and fails it otherwise.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.get(&id) else { return };
         let action = if retry::is_safe_for_client_retry(&self.config, request) {
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -94,8 +94,8 @@
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let is_request = matches!(event, Event::Request(_));
         if !is_request && !matches!(event, Event::Timer { .. }) {
-            // Requests and timers free no backend, and trying a long blocked queue on each of them would take
-            // too much time.
+            // Requests and timers free no backend, and retrying a long queue of blocked requests on each of
+            // them would take too much time.
             self.admission.queue.unblock();
         }
         self.admission.overload.record_own(now, self.in_flight());
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -1,5 +1,5 @@
-//! Timeouts of requests: when an attempt counts as lost, so that another one is sent beside it or in its
-//! place, and when a request is given up.
+//! Timeouts of requests: when an attempt counts as lost, so that another one is sent in parallel or after
+//! cancelling it, and when a request is given up.
 
 use crate::answer_loss::AnswerLoss;
 use crate::api::{BackendId, Config, Micros, SideEffects, Time};
@@ -75,8 +75,8 @@
     }
 
     /// Returns when a request without an attempt in flight has to be answered. If a late answer has no value,
-    /// the request is rejected once it cannot meet its objective, while that is still harmless, and before
-    /// half of its time is over.
+    /// the request is given up once it cannot meet its objective, and before half of its time is over, while
+    /// a rejection still does no harm.
     fn answer_due_at(
         &self, request: &PendingRequest, usual_latency: Micros, waits_for_late_answer: bool,
     ) -> Time {
@@ -88,8 +88,9 @@
         request.objective_at.min(half).min(request.deadline)
     }
 
-    /// Returns whether all attempts in flight look lost. Age counts only while answers are being lost, as
-    /// copies of heavy requests overload backends.
+    /// Returns whether all attempts in flight look lost. The age of an attempt is considered only while
+    /// answers are being lost: otherwise an old attempt is probably a heavy request, and copies of those
+    /// overload backends.
     fn is_lost(&self, request: &PendingRequest, usual_latency: Micros) -> bool {
         let loss_timeout = self.answer_loss.loss_timeout(usual_latency);
         let is_losing = self.answer_loss.is_losing();
--- a/crates/policy/src/picker/eligibility.rs
+++ b/crates/policy/src/picker/eligibility.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns whether the backend is below its limit of attempts in flight; exceeding it would slow the
-    /// backend for long. Requests of low priority may use half of the limit.
+    /// backend for a long time. Requests of low priority may use half of the limit.
     fn has_capacity(&self, backend: &BackendHealth) -> bool {
         let limit = backend.plan.in_flight_limit;
         let limit = if self.request.is_low_priority() { (limit / 2.0).ceil() } else { limit };
--- a/crates/policy/src/picker/mod.rs
+++ b/crates/policy/src/picker/mod.rs
@@ -32,8 +32,8 @@
 }
 
 impl Picker {
-    /// Picks a backend for the request. A pick that is not eligible is repeated, so that the eligible
-    /// backends are picked by their weights among themselves.
+    /// Picks a backend for the request. If the picked backend is not eligible, picks again, so that each
+    /// eligible backend is picked in proportion to its weight.
     pub(crate) fn pick_backend(
         &self, rng: &mut Rng, backends: &BTreeMap<BackendId, BackendHealth>,
         kinds: &BTreeMap<KindId, KindStats>, eligibility: &Eligibility<'_>,
--- a/crates/policy/src/requests.rs
+++ b/crates/policy/src/requests.rs
@@ -38,7 +38,7 @@
 pub(crate) struct PendingRequest {
     pub class: usize,
     pub arrived_at: Time,
-    /// When the latency objective ends.
+    /// When the latency objective is exceeded.
     pub objective_at: Time,
     /// When the client gives up.
     pub deadline: Time,
--- a/crates/policy/src/settings/endpoint_record.rs
+++ b/crates/policy/src/settings/endpoint_record.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list, with names in place of ids.
+//! Entries of the endpoint list, with names instead of ids.
 
 use crate::api::Backend;
 
@@ -9,7 +9,7 @@
 /// Number of low bits of the hash that are dropped from an order key.
 const ORDER_KEY_SHIFT: u32 = 20;
 
-/// An entry of the endpoint list, with names in place of ids, which each proxy assigns for itself.
+/// An entry of the endpoint list, with names instead of ids, which differ between proxies.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     /// The address at which the backend listens.
--- a/crates/policy/src/settings/merge.rs
+++ b/crates/policy/src/settings/merge.rs
@@ -1,9 +1,9 @@
 //! Merges settings with the previous ones: which number each name gets, and which numbers are reassigned.
 //!
-//! A name keeps its number as long as the settings declare it. Once it is left out, its number is retired:
-//! the name gets it back if it returns, and another name gets it only when no open request refers to it. So
-//! no number changes its meaning for an open request, and there are never more numbers than were current or
-//! referred to at once, plus some spare ones.
+//! A name keeps its number as long as the settings declare it. Once they omit it, its number is retired: the
+//! name gets it back if it is declared again, and another name gets it only when no open request refers to
+//! it. No number therefore changes its meaning for an open request, and there are never more numbers than
+//! were current or referred to at the same time, plus some spare ones.
 
 use super::model::Settings;
 use super::name_table::DeclaredNames;
--- a/crates/policy/src/settings/name_table.rs
+++ b/crates/policy/src/settings/name_table.rs
@@ -90,8 +90,8 @@
     texts.get(begin..end)
 }
 
-/// The names that settings declare. A name that later settings leave out keeps its number but can no longer
-/// be found.
+/// The names that settings declare. A name that later settings omit keeps its number but can no longer be
+/// found.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeclaredNames {
     table: NameTable,
@@ -112,7 +112,7 @@
         new
     }
 
-    /// Assigns the next number to a name that was left out.
+    /// Assigns the next number to a name that the settings no longer declare.
     pub(crate) fn push_retired(&mut self, name: &str) {
         self.table.push_unindexed(name);
         self.current.push(false);
--- a/crates/policy/src/settings/network.rs
+++ b/crates/policy/src/settings/network.rs
@@ -1,8 +1,8 @@
-//! Settings that a proxy on real sockets needs and the simulator does not.
+//! Settings that only a proxy on real sockets needs.
 
 use crate::api::Micros;
 
-/// The settings that only a proxy on real sockets needs.
+/// The settings of connections and of answers to clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSettings {
     /// Time after which a connection that is not established counts as failed.
--- a/crates/policy/src/settings/wire.rs
+++ b/crates/policy/src/settings/wire.rs
@@ -188,7 +188,7 @@
     }
 }
 
-/// Reads the deadline of a class. A value that is no time was already reported by [`read_class`].
+/// Reads the deadline of a class. [`read_class`] has already reported a value that is not a time.
 fn read_deadline(profile: &DocumentKey<'_>) -> Micros {
     let key = profile.get("deadline_us");
     let deadline = key.as_u64();
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -7,10 +7,11 @@
 use crate::subset::subset_position;
 use std::collections::BTreeMap;
 
-/// Used part of the warm-up budget; the rest allows for skew between proxies and for heavy requests.
+/// Fraction of the warm-up budget that is used; the rest allows for skew between proxies and for heavy
+/// requests.
 const BUDGET_MARGIN: f64 = 0.8;
 
-/// Returns the part of its capacity that a backend has at least.
+/// Returns the fraction of its full capacity that a backend has at least, according to its age.
 pub(crate) fn slow_start_factor(config: &Config, now: Time, entry: &Backend) -> f64 {
     let age = entry.started_at.map_or(f64::MAX, |started_at| {
         (now - started_at).secs() / config.slow_start.duration.secs().max(1e-6)
@@ -88,8 +89,8 @@
     kind.latency.get().map(|latency_s| kind.service_rate.min(2.0 / latency_s))
 }
 
-/// Returns the longest latency objective, in seconds: a backend that does not serve a request within it is of
-/// no use.
+/// Returns the longest latency objective, in seconds. It is the assumed service time before one was measured,
+/// as a slower backend would be of no use.
 fn longest_objective_s(config: &Config) -> f64 {
     config.classes.iter().map(|class| class.latency_objective.secs()).fold(0.0, f64::max)
 }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -8,8 +8,8 @@
 use crate::estimators::MovingAverage;
 use crate::outlier::restore_ejection;
 
-/// Maximum number of slots by which the work sent within the overload window is exported. By ticks it would
-/// be too many numbers: 80,000 per second for 200 backends at a tick of 5 ms.
+/// Maximum number of slots by which the work sent within the overload window is exported. One entry per tick
+/// would be too many numbers: 80,000 per second for 200 backends at a tick of 5 ms.
 const SLOTS: u64 = 8;
 
 fn export(average: &MovingAverage) -> Estimate {
@@ -73,8 +73,8 @@
     backend.entry.started_at.is_some_and(|at| window_start - at < config.slow_start.duration)
 }
 
-/// Exports the work sent to one backend by slots, newest first, so that each slot counts from its newest
-/// entry. Work that expired too early would allow too much.
+/// Exports the work sent to one backend, summed by slot. Entries are visited newest first, so that each slot
+/// has the time of its newest entry: work that expired too early would allow too much.
 fn export_sent_work(
     now: Time, window: Micros, id: BackendId, backend: &BackendHealth, exported: &mut Vec<WarmupSpend>,
 ) {
--- a/crates/policy/src/solver/solution.rs
+++ b/crates/policy/src/solver/solution.rs
@@ -4,8 +4,8 @@
 use crate::picker::PickTables;
 use std::collections::BTreeMap;
 
-/// Maximum share of ejected backends. Beyond it the ejected ones are used again, as so many failures are
-/// unlikely to be caused by the backends themselves.
+/// Maximum share of ejected backends. Beyond it the ejected ones are used again, as the backends themselves
+/// are unlikely to cause failures of that extent.
 pub(super) const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// The counts of the census stage.
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -14,7 +14,7 @@
 /// Minimum divisor where a sum of shares may be zero.
 const MIN_SHARE: f64 = 1e-9;
 /// Factor of a backend's readiness or traffic share that is added to its traffic share or pick weight: a
-/// backend that would get nothing else takes the overflow when all others are at their limits.
+/// backend that would otherwise get no traffic takes the overflow when all others are at their limits.
 const OVERFLOW_FACTOR: f64 = 1e-6;
 
 /// The stages of a solution, in order.
@@ -214,8 +214,8 @@
     let proxies = f64::from(config.proxy_count);
     // Half of the target of all proxies is distributed by the bias, half evenly. A fractional limit is
     // rounded up at the corresponding fraction of the proxies. Each proxy may have at least one attempt in
-    // flight, as more proxies than the target would otherwise have to take turns; the overload check keeps
-    // the target.
+    // flight, as proxies would otherwise have to take turns where there are more of them than the target
+    // allows; the overload check keeps the target.
     let rounding_slot = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
     let rounding = ((rounding_slot % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
     let even = TARGET_IN_FLIGHT_PER_BACKEND / proxies * backend.plan.readiness;
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -35,11 +35,11 @@
     pub id: BackendId,
     /// Its kind.
     pub kind: KindId,
-    /// What the backend may be sent, according to the endpoint list.
+    /// Its state in the endpoint list.
     pub state: BackendState,
     /// Whether operators have cordoned the backend.
     pub cordoned: bool,
-    /// From 0 (is sent nothing) to 1 (healthy and warmed up).
+    /// Readiness, from 0 (receives no requests) to 1 (healthy and warmed up).
     pub readiness: f64,
     /// Its share of this proxy's traffic.
     pub traffic_share: f64,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -12,8 +12,7 @@
 /// Flag of a `JOB_IN` line: the client marks the request as a retry.
 const IS_CLIENT_RETRY: u64 = 2;
 
-/// Reads the event of a line; returns `None` for a message that concerns parts which this proxy does not
-/// have.
+/// Reads the event of a line; returns `None` for messages about features that this proxy does not have.
 ///
 /// # Errors
 /// Returns an error if a value is invalid or names something unknown.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Runs the decision module behind the simulator's wire protocol: lines of JSON on standard input and output,
-//! with one [`lotusdeck_policy::Balancer`] for each simulated proxy. It only translates; every decision is
-//! made by the module.
+//! with one [`lotusdeck_policy::Balancer`] for each simulated proxy. It only translates between lines and
+//! events or actions; the module makes every decision.
 #![forbid(unsafe_code)]
 
 mod actions;
