--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -1,5 +1,5 @@
-//! Timeouts of requests: when an attempt counts as lost, so that another one is sent in parallel or after
-//! cancelling it, and when a request is given up.
+//! Timeouts of requests: when an attempt counts as lost, so that another one is sent in parallel or after it
+//! was cancelled, and when a request is given up.
 
 use crate::answer_loss::AnswerLoss;
 use crate::api::{BackendId, Config, Micros, SideEffects, Time};
--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and closes idle ones to make room where the limit is reached.
+//! Accepts client connections, and closes idle ones to make room when the limit on open connections is reached.
 
 use crate::client::Client;
 use crate::client_connection::serve;
@@ -86,7 +86,8 @@
                 queueing_delay::yield_to_poll().await;
                 continue;
             }
-            // Connections that were asked to close need time to do so: asking more of them makes no room sooner.
+            // Connections that were asked to close need time to do so: asking more of them to close makes no room
+            // sooner.
             self.wait_for_connection_end().await;
         }
         match self.queue.accept(listener).await {
@@ -95,9 +96,9 @@
         }
     }
 
-    /// Handles a failed accept, as when descriptors have run out or a client has left the queue, without ending the
-    /// program: closes a connection to free a descriptor, logs the error and pauses. There is no pause if the client
-    /// has left and another connection was closed.
+    /// Handles a failed accept, as when descriptors have run out or a client disconnected while it was queued, without
+    /// ending the program: closes a connection to free a descriptor, logs the error and pauses. There is no pause if
+    /// the client disconnected and another connection was closed.
     async fn handle_accept_error(&self, error: &std::io::Error) {
         let has_capacity = self.evict_one() == Eviction::Requested || self.pool.close_longest_idle();
         let now = self.host.clock.now();
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Accepts connections until `until`, while the front still sends new clients, then accepts all that are left
-    /// in the queue: every connection that the kernel has accepted must be answered.
+    /// Accepts connections until `until`, while new clients may still connect, then accepts all that remain in the
+    /// queue: every connection that the kernel has accepted must be answered.
     pub(crate) async fn drain(self: &Rc<Self>, listener: TcpListener, until: tokio::time::Instant) {
         let mut accept_period = pin!(tokio::time::sleep_until(until));
         loop {
@@ -144,7 +145,7 @@
     }
 
     /// Starts serving an accepted connection, which may have waited in the queue since `queued_since`, and evicts
-    /// another one where the limit is reached.
+    /// another one if the limit is reached.
     fn serve_accepted(self: &Rc<Self>, tcp: TcpStream, queued_since: std::time::Instant) {
         let clients = &self.front.clients;
         if clients.counts.total() >= self.front.max_clients.get() {
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -21,10 +21,10 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-/// The most calls in flight at a time. A further call drops the oldest one: calls end within milliseconds, so the
+/// Maximum number of calls in flight. A further call aborts the oldest one: calls end within milliseconds, so the
 /// caller of the oldest has probably stalled.
 pub const MAX_CONCURRENT_CALLS: usize = 12;
-/// How long a call may take before it is dropped.
+/// How long a call may take before it is aborted.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -68,12 +68,12 @@
     }
 }
 
-/// The state of this proxy with respect to its configuration source.
+/// The state of this proxy's configuration, compared with its source.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct ConfigurationStatus {
     /// The address of the source.
     pub source: String,
-    /// The version in force, as `EPOCH-NUMBER`.
+    /// The active version, as `EPOCH-NUMBER`.
     pub version: Option<String>,
     /// The state: `empty`, `current`, `refusing` or `cut off`.
     #[serde(rename = "standing")]
@@ -81,11 +81,11 @@
     /// A later version that this proxy has rejected.
     #[serde(rename = "refused")]
     pub rejected_version: Option<String>,
-    /// An upper bound on the time since the version in force was the source's latest, in ms.
+    /// An upper bound on the time since the active version was the source's latest, in ms.
     pub age_ms: Option<u64>,
 }
 
-/// A function that returns the current status, or `None` where no source is followed.
+/// A function that returns the current status, or `None` if there is no source.
 pub type ConfigurationStatusSource = Box<dyn Fn() -> Option<ConfigurationStatus>>;
 
 /// Answers the operators' calls.
@@ -134,7 +134,7 @@
             let mut builder = http1::Builder::new();
             builder.keep_alive(false).half_close(true).max_buf_size(MAX_HEAD_BYTES).timer(Timer);
             let call = builder.header_read_timeout(CALL_TIMEOUT).serve_connection(Stream::new(tcp), service);
-            let _ = tokio::time::timeout(CALL_TIMEOUT, call).await; // fails where the caller leaves early
+            let _ = tokio::time::timeout(CALL_TIMEOUT, call).await; // fails if the caller disconnects early
             admin.calls.borrow_mut().retain(|call| call.number != number);
         });
         let mut calls = self.calls.borrow_mut();
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -66,9 +66,9 @@
 }
 
 impl ConnectionPool {
-    /// Sends `request` to a backend and waits for the answer, or for its first bytes if it is large. `gate` is
-    /// checked right before the first byte is written: the backend may have begun to drain, or the client may have
-    /// left, while the connection was being established.
+    /// Sends `request` to a backend and waits for the answer, or for its first bytes if it is large. `gate` is checked
+    /// right before the first byte is written: the backend may have begun to drain, or the client may have
+    /// disconnected, while the connection was being established.
     pub(crate) async fn attempt(
         self: &Rc<Self>, to: Destination, request: &ForwardedRequest, deadline: Instant,
         journaled: impl Future<Output = bool>, gate: SendGate,
--- a/crates/proxy/src/body_budget.rs
+++ b/crates/proxy/src/body_budget.rs
@@ -28,7 +28,7 @@
 }
 
 impl BodyReservation {
-    /// Reserves `bytes` more; returns false if the budget has fewer left.
+    /// Reserves `bytes` more; returns false if the budget has too few left.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
         let bytes_left = self.budget.bytes_left.get();
         if bytes > bytes_left {
--- a/crates/proxy/src/cached_endpoint_list.rs
+++ b/crates/proxy/src/cached_endpoint_list.rs
@@ -1,13 +1,12 @@
-//! The full list as this proxy last received it, with later changes merged in, kept so that it can outlast the
-//! process.
+//! The full list as this proxy last received it, with later changes merged in, kept so that it survives a restart.
 
 use crate::endpoint_list::{entry_name, is_removal, EndpointList, MAX_ENTRIES};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// Most names cached: those of a full list and of changes that name as many more. Each change may name other
-/// backends, so that without a bound the cache could grow without end.
+/// Maximum number of names cached: those of a full list and of changes that name as many more. Each change may name
+/// other backends, so that the cache would otherwise grow without bound.
 const MAX_NAMES: usize = 2 * MAX_ENTRIES;
 
 /// The full list as this proxy last received it.
@@ -18,7 +17,7 @@
     entries: BTreeMap<String, Value>,
     /// Whether the list has changed since it was last returned.
     changed: bool,
-    /// Whether names were left out at the bound: what is cached is then not the full list, and is not returned.
+    /// Whether names beyond the bound were dropped: what is cached is then not the full list, and is not returned.
     truncated: bool,
 }
 
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection, and closes it when it is idle for too long or has to make room.
+//! Serves one client connection, and closes it when it is idle for too long or is evicted to make room.
 
 use crate::answer_body::AnswerBody;
 use crate::client::{Client, IDLE_TIMEOUT};
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -15,12 +15,12 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Connections that have never sent a valid request may be evicted at any age once they exceed the limit on
-/// connections divided by this number: a quarter leaves most places to clients that use them.
+/// Connections that have never sent a valid request may be evicted at any age once they exceed the limit on connections
+/// divided by this number: a quarter reserves most connections for clients that use them.
 const MAX_WITHOUT_REQUEST_DIVISOR: usize = 4;
-/// The most connections that get a new rank in one choice. Each takes a fraction of a microsecond, or twice that if
-/// the kernel is queried, and is caused by bytes that arrived since the connection got its rank. The bound keeps a
-/// burst of them from occupying the event loop for over a millisecond.
+/// Maximum number of connections that get a new rank in one choice. Each takes a fraction of a microsecond, or twice
+/// that if the kernel is queried, and is caused by bytes that arrived since the connection got its rank. The bound
+/// keeps a burst of them from occupying the event loop for over a millisecond.
 const MAX_RECLASSIFIED_PER_CHOICE: usize = 1024;
 
 /// The result of comparing a connection's rank with its state, as known to the kernel and the program.
@@ -129,7 +129,7 @@
         self.by_id.borrow().values().for_each(|client| each(client));
     }
 
-    /// Chooses the connection to close first where `max_clients` may be open.
+    /// Chooses the connection to close first if at most `max_clients` may be open.
     pub(crate) fn choose_evicted(&self, now: Instant, max_clients: usize) -> EvictionChoice {
         let is_overloaded = self.counts.without_request() > max_clients / MAX_WITHOUT_REQUEST_DIVISOR;
         for _ in 0..MAX_RECLASSIFIED_PER_CHOICE {
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Fewest descriptors that a proxy works with: a lower limit in its file is raised to this.
+/// Minimum number of descriptors that a proxy works with: a lower limit in its file is raised to this.
 const MIN_DESCRIPTORS: usize = 64;
 
 /// The configuration that the program starts with.
@@ -28,11 +28,11 @@
     pub discovery: SocketAddr,
     /// The address at which operators connect, if any.
     pub admin: Option<SocketAddr>,
-    /// The seed of the policy's random draws.
+    /// The seed of the policy's random numbers.
     pub seed: u64,
-    /// Most descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Most memory that all processes of the proxy together may hold, in bytes.
+    /// Maximum memory that all processes of the proxy together may use, in bytes.
     pub memory_bytes: usize,
     /// The endpoint list as this proxy last received it.
     pub cached_endpoints: EndpointList,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,9 +1,9 @@
-//! Why there is no usable configuration.
+//! Errors in the node configuration.
 
 use lotusdeck_policy::settings::Faults;
 use thiserror::Error;
 
-/// Why there is no usable configuration.
+/// Why a node configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum NodeConfigError {
     /// The file cannot be read.
@@ -31,7 +31,7 @@
     /// The seed is not a number.
     #[error("seed: expected a number or up to 16 hex digits")]
     Seed,
-    /// A key that the configuration in force has is missing.
+    /// A key of the active configuration is missing in the new one.
     #[error("{0}: missing, though what is in force has it")]
     Missing(String),
 }
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file: its form, and the one in force.
+//! The configuration file: its form, and the file that is active.
 
 use super::error::NodeConfigError;
 use super::keys::Keys;
@@ -54,7 +54,7 @@
     pub active: ActiveConfigFile,
 }
 
-/// Reads and checks a file. `active` is the file in force, whose keys the new one must have.
+/// Reads and checks a file. `active` is the active file, whose keys the new one must have.
 pub(super) fn read_file(path: &Path, active: Option<&ActiveConfigFile>) -> Result<ReadFile, NodeConfigError> {
     let file = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
@@ -78,7 +78,7 @@
     Ok(ReadFile { wire, settings: Settings::read(settings)?, active })
 }
 
-/// The file in force: its path, its keys, and the outline of its settings.
+/// The active file: its path, its keys, and the outline of its settings.
 #[derive(Clone)]
 pub struct ActiveConfigFile {
     path: PathBuf,
@@ -92,7 +92,7 @@
     pub discovery: SocketAddr,
     /// Everything else that may change.
     pub settings: Settings,
-    /// The file that the change was read from, which is in force once the change is applied.
+    /// The file that the change was read from, which becomes the active one when the change is applied.
     pub file: ActiveConfigFile,
 }
 
@@ -102,7 +102,7 @@
         self.outline.clone()
     }
 
-    /// Reads the file again; if anything in it is wrong, nothing of it is returned.
+    /// Reads the file again; nothing is returned if any part of it is invalid.
     ///
     /// # Errors
     /// Returns the first fault in the file.
--- a/crates/proxy/src/config/outline.rs
+++ b/crates/proxy/src/config/outline.rs
@@ -1,4 +1,4 @@
-//! The outline that is kept of settings to check later ones against.
+//! The outline of settings, against which later settings are checked.
 
 use super::error::NodeConfigError;
 use super::keys::Keys;
@@ -8,7 +8,7 @@
 /// Keys of the settings that differ for each proxy: they always come from its own file, wherever the other settings
 /// come from.
 const OWN_KEYS: [&str; 3] = ["my_zone", "position", "group_size"];
-/// Keys of the settings with named entries: entries may be added and removed, so an outline leaves them out.
+/// Keys of the settings with named entries: entries may be added and removed, so an outline omits them.
 const NAMED_KEYS: [&str; 2] = ["profiles", "customers"];
 
 /// Settings without their named entries: a few hundred bytes against which later settings are checked.
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Closes connections that were idle too long or on which the backend closed or sent something, for as long as
-    /// the program runs.
+    /// Regularly closes connections that were idle too long or on which the backend closed or sent something. Never
+    /// returns.
     pub async fn close_idle_periodically(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(CLEANUP_INTERVAL).await;
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -41,14 +41,14 @@
 /// Receives every list after it was applied.
 pub type EndpointListSink = Box<dyn Fn(EndpointList)>;
 
-/// Keeps the endpoint list up to date for as long as the program runs, starting from the version `known_version`.
-/// When discovery moves, the new address is polled at once; polls in flight at the old address run to their end in
-/// parallel, as they may already have been answered.
+/// Keeps the endpoint list up to date, starting from the version `known_version`. Never returns. When discovery moves,
+/// the new address is polled at once; polls in flight at the old address are completed in parallel, as they may already
+/// have been answered.
 ///
-/// Where lists are polled, the new address is first asked for the changes since the version in place, and later for
-/// the full list. All proxies move at the same time: when hundreds of them requested the full list at once, some
-/// received it only after 9 s, while a change counts as notified after 4 s (docs/scale.md). Every list applied is
-/// passed to `sink`, if there is one.
+/// Where lists are polled, the new address is first asked for the changes since the current version, and later for the
+/// full list. All proxies move at the same time: when hundreds of them requested the full list at once, some received
+/// it only after 9 s, while a change counts as notified after 4 s (docs/scale.md). Every list applied is passed to
+/// `sink`, if there is one.
 pub async fn watch(
     host: Rc<Host>, mut address_and_mode: Receiver<(SocketAddr, DiscoveryMode)>, known_version: u64,
     sink: Option<EndpointListSink>,
--- a/crates/proxy/src/discovery/dialer.rs
+++ b/crates/proxy/src/discovery/dialer.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A connection that a completed poll left in a reusable state.
+/// A connection of a completed poll, which can be reused.
 pub(super) struct IdleConnection {
     pub sender: http1::SendRequest<Empty<Bytes>>,
     pub driver: http1::Connection<Stream, Empty<Bytes>>,
--- a/crates/proxy/src/discovery/pacing.rs
+++ b/crates/proxy/src/discovery/pacing.rs
@@ -17,8 +17,8 @@
 /// Shortest time between opening a poll and opening another one in parallel to older polls, even if the first of the
 /// two failed at once.
 pub(super) const MIN_POLL_SPACING: Duration = Duration::from_secs(1);
-/// Most polls that one proxy has in flight: the oldest, which keeps its place in discovery's queue, and the two
-/// newest, so that each of these has twice `SILENCE_TIMEOUT` for its answer.
+/// Maximum number of polls that one proxy has in flight: the oldest, which keeps its place in discovery's queue, and
+/// the two newest, so that each of these has twice `SILENCE_TIMEOUT` for its answer.
 pub(super) const MAX_POLLS_IN_FLIGHT: usize = 3;
 /// Longest time from the beginning of an answer to its end: the largest list arrives within this time at 1 MiB/s.
 pub(super) const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
 /// decides when to poll again.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The fractional parts of its multiples are evenly spread, however many there are (Kronecker sequence).
+/// The fractional parts of its multiples are evenly spread for any number of them (Kronecker sequence).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// Returns the backoff after `failures` consecutive failed polls, where lists are pushed.
--- a/crates/proxy/src/discovery/poll.rs
+++ b/crates/proxy/src/discovery/poll.rs
@@ -52,7 +52,7 @@
 /// What a poll requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PollRequest {
-    /// The version of the list in place when the poll was opened.
+    /// The version of the current list when the poll was opened.
     pub known_version: Option<u64>,
     /// Whether the full list is requested, regardless of the known version.
     pub full: bool,
@@ -80,8 +80,8 @@
     pub answer: Result<ParsedEndpointList, PollError>,
 }
 
-/// A poll in flight. Whatever discovery has written counts as notified, whether it was read or not, so a poll is
-/// dropped before its end only to make room for another one.
+/// A poll in flight. The proxy counts as notified of whatever discovery has written, whether it was read or not, so a
+/// poll is dropped before its end only to make room for another one.
 pub(super) struct DiscoveryPoll {
     pub request: PollRequest,
     progress: Rc<Progress>,
--- a/crates/proxy/src/discovery/polls.rs
+++ b/crates/proxy/src/discovery/polls.rs
@@ -77,7 +77,7 @@
         extra_poll_at(&self.progress(), self.last_opened_at, known_version.is_some())
     }
 
-    /// Opens another poll in parallel, for the changes since `known_version`. Drops an older one where all slots are
+    /// Opens another poll in parallel, for the changes since `known_version`. Drops an older one if all slots are
     /// taken.
     fn open_extra(&mut self, known_version: Option<u64>) {
         let progress = self.progress();
@@ -102,7 +102,7 @@
                 completed = self.first_completed() => return completed,
                 () = tokio::time::sleep_until(next_check) => {}
             }
-            // Data received meanwhile may have put it off.
+            // Data received meanwhile may have postponed it.
             if self.extra_poll_at(known_version.get()).is_some_and(|due| due <= Instant::now()) {
                 self.open_extra(known_version.get());
             }
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the schedule, by itself and in simulated fleets of proxies that follow it.
+//! Tests of the schedule, alone and in simulated fleets of proxies that follow it.
 
 mod model;
 
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Polls discovery and applies its answers to the list in place.
+//! Polls discovery and applies its answers to the current list.
 
 use super::pacing::{backoff, evenly_spread, LONG_POLL_WAIT};
 use super::poll::{CompletedPoll, DiscoveryPoll, PollRequest};
@@ -13,15 +13,15 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Keeps the list in place up to date, also when discovery moves to another address.
+/// Keeps the current list up to date, also when discovery moves to another address.
 pub(super) struct EndpointWatcher {
     host: Rc<Host>,
-    /// The version in place; `None` if the full list has to be requested.
+    /// The version of the current list; `None` if the full list has to be requested.
     version: Cell<Option<u64>>,
-    /// When the list in place is compared with a full one: discovery may number its versions differently at its new
-    /// address.
+    /// When the full list is requested to replace the current one: discovery may number its versions differently at its
+    /// new address.
     full_list_due: Cell<Option<Instant>>,
-    /// The version in place when discovery moved, until its new address has reached it.
+    /// The current version when discovery moved, until its new address has reached it.
     version_at_move: Cell<Option<u64>>,
     /// How often discovery has moved.
     moves: Cell<u32>,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Records the last version received from the address that discovery has left.
+    /// Records the last version received from discovery's previous address.
     fn record_last_version(&self, version: Option<u64>) {
         self.version_at_move.set(self.version_at_move.get().max(version));
         self.host.discovery_moved();
     }
 
-    /// Polls one address of discovery without end, starting from the version in place.
+    /// Polls one address of discovery, starting from the current version. Never returns.
     pub(super) async fn follow(self: &Rc<Self>, mode: DiscoveryMode, polls: &mut DiscoveryPolls) {
         let mut idle_connection = None;
         let mut failures = 0u32;
@@ -172,7 +172,8 @@
             !received.list.snapshot && request.changes_after().is_none_or(|after| new_version < after);
         self.version.set((!is_gap).then_some(new_version));
         if is_gap {
-            // Until then the backends that leave according to the answer receive no requests: a departure is certain.
+            // Until then the backends that depart according to the answer receive no requests, as a departure is
+            // certain.
             self.host.update_endpoints(ListUpdate::Changes, received.into_departures());
             return request.changes_after().is_some();
         }
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Lets a poll run to its end in the background, and applies its answer.
+    /// Completes a poll in the background, and applies its answer.
     pub(super) fn finish_in_background(self: &Rc<Self>, poll: DiscoveryPoll) {
         let watcher = self.clone();
         let moves = self.moves.get();
@@ -212,7 +213,7 @@
     }
 
     /// Applies the answer of a poll that was in flight when another one was answered. An answer that is no newer than
-    /// the list in place is ignored; if it is newer but does not follow that list, only its departures are applied.
+    /// the current list is ignored; if it is newer but does not follow that list, only its departures are applied.
     fn apply_late_answer(&self, request: PollRequest, received: ParsedEndpointList) {
         let known_version = self.version.get();
         let new_version = received.list.version;
@@ -229,8 +230,8 @@
     }
 
     /// Applies an answer from discovery's previous address, written before the move or until that address ends the
-    /// poll. Only its departures are applied if it does not follow the list in place or if the new address has
-    /// answered since; in the latter case it is ignored unless it is newer.
+    /// poll. Only its departures are applied if it does not follow the current list or if the new address has answered
+    /// since; in the latter case it is ignored unless it is newer.
     fn apply_answer_of_old_address(&self, received: ParsedEndpointList) {
         let known_version = self.version.get();
         let new_version = received.list.version;
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -12,8 +12,8 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// Most entries of a list or of its changes: three times the 11,000 of the largest list planned for. Each takes some
-/// 1.6 KB while it is parsed, all of them 54 MB.
+/// Maximum number of entries of a list or of its changes: three times the 11,000 of the largest list planned for. Each
+/// takes some 1.6 KB while it is parsed, all of them 54 MB.
 pub const MAX_ENTRIES: usize = 32_768;
 
 /// A full list, or the changes to one. Entries are decoded one by one, so that an invalid one does not affect the
@@ -90,6 +90,7 @@
     }
 }
 
+/// Returns whether a backend in this state departs: it is draining or removed.
 fn is_departing(state: BackendState) -> bool {
     state != BackendState::Ready
 }
@@ -119,7 +120,7 @@
     Ok(Endpoint { name: wire.name, address, state, row })
 }
 
-/// Decodes an entry that is invalid in part: the name of its backend, and its state if it leaves. Nothing else in it
+/// Decodes an entry that is invalid in part: the name of its backend, and its state if it departs. Nothing else in it
 /// is trusted.
 fn parse_partial_entry(entry: &Value) -> Option<PartialEndpoint> {
     let departing = entry_status(entry).and_then(parse_state).filter(|state| is_departing(*state));
@@ -136,9 +137,10 @@
         }
     }
 
-    /// Decodes the entries. Of those that cannot be decoded completely only the first is logged, with their number,
-    /// as a list may be long; they make a backend leave all the same, and otherwise change nothing. Where a full list
-    /// names a backend twice, the entry by which it leaves takes precedence; in changes the last one does.
+    /// Decodes the entries. An entry that cannot be decoded completely can still drain or remove its backend, but
+    /// changes nothing else; only the first such entry is logged, with their number, as a list may be long. If a full
+    /// list names a backend more than once, an entry that drains or removes it takes precedence; in changes the last
+    /// entry does.
     pub fn to_update(&self) -> EndpointUpdate {
         let mut update = EndpointUpdate::default();
         let mut skipped = 0;
@@ -179,7 +181,7 @@
 }
 
 impl ParsedEndpointList {
-    /// Returns only the departures: all that can be trusted of changes to a list that is not in place.
+    /// Returns only the departures: all that can be trusted of changes to a list other than the current one.
     pub fn into_departures(self) -> EndpointUpdate {
         let departure = |endpoint: Endpoint| {
             is_departing(endpoint.state)
@@ -191,7 +193,7 @@
     }
 }
 
-/// How often a full list names a backend, and the state by which it leaves according to any of these entries.
+/// How often a full list names a backend, and the state in which it departs according to any of these entries.
 #[derive(Default)]
 struct Occurrences {
     count: usize,
--- a/crates/proxy/src/eviction_order.rs
+++ b/crates/proxy/src/eviction_order.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The age from which a connection that has sent nothing is evicted first.
+/// The age from which connections that have sent nothing are evicted before all others.
 pub(crate) const SILENT_CONNECTION_AGE: Duration = Duration::from_millis(100);
-/// The pause within a head after which a connection is evicted next.
+/// The pause within a head after which a connection may be evicted, after the silent ones.
 pub(crate) const STALLED_HEAD_AGE: Duration = Duration::from_millis(500);
 
 /// Identifies an open connection.
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Returns the first connection to evict, by what is known without asking the kernel. Connections that were
-    /// just accepted come after clients that are idle between requests, unless `is_overloaded`. A head that has not
-    /// stalled keeps its connection from being evicted.
+    /// Returns the first connection to evict, by what is known without querying the kernel. Connections that were just
+    /// accepted come after clients that are idle between requests, unless `is_overloaded`. A head that has not stalled
+    /// keeps its connection from being evicted.
     pub(crate) fn first(&self, now: Instant, is_overloaded: bool) -> Option<EvictionCandidate> {
         let is_older = |candidate: &&EvictionCandidate, min_age| {
             now.saturating_duration_since(candidate.since) >= min_age
--- a/crates/proxy/src/front_state.rs
+++ b/crates/proxy/src/front_state.rs
@@ -19,8 +19,8 @@
 }
 
 impl FrontState {
-    /// Returns whether connections close after their answers, as so many are open that clients may have none left
-    /// to send on.
+    /// Returns whether connections close after their answers, as the limit is near: those with a request exceed half of
+    /// it, or all together exceed it. Clients might otherwise have no connection left to send on.
     pub(crate) fn is_near_limit(&self) -> bool {
         let max_clients = self.max_clients.get();
         self.clients.counts.with_request() > max_clients / 2 || self.clients.counts.total() > max_clients
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -16,7 +16,7 @@
     request: ForwardedRequest,
     /// The connection to the client that sent the request.
     client: Stream,
-    /// Notified when the client is found to have left as an attempt is about to be sent.
+    /// Notified when an attempt is about to be sent and the client is found to have disconnected.
     client_left: Rc<Notify>,
     answers: RefCell<Vec<AttemptAnswer>>,
     statuses: RefCell<Vec<AttemptStatus>>,
@@ -49,9 +49,9 @@
         })
     }
 
-    /// Returns the gate that is checked right before the first byte of an attempt. hyper may not have noticed that
-    /// the client has left: it does not read past bytes that follow a request, and the client may have closed while
-    /// this process was doing something else.
+    /// Returns the gate that is checked right before the first byte of an attempt. hyper may not have noticed that the
+    /// client has disconnected: it does not read past bytes that follow a request, and the client may have closed while
+    /// this process was busy.
     fn send_gate(&self, context: AttemptContext) -> SendGate {
         let client = self.client.clone();
         let client_left = self.client_left.clone();
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Waits until the client is found to have left as an attempt is about to be sent.
+    /// Waits until an attempt is about to be sent and the client is found to have disconnected.
     pub(crate) async fn client_left(&self) {
         self.client_left.notified().await;
     }
--- a/crates/proxy/src/invalid_request.rs
+++ b/crates/proxy/src/invalid_request.rs
@@ -11,8 +11,8 @@
     CorrelationId,
     /// Another request with that id is open.
     IdInUse,
-    /// The method or the idempotency key does not fit the class, which may count as safer to repeat than the
-    /// request.
+    /// The method or the idempotency key does not fit the class, whose rules might allow retries that are
+    /// unsafe for the request.
     Method,
     /// The time left is not a single non-negative number.
     TimeLeft,
@@ -31,7 +31,7 @@
     Target,
     /// Dot segments in the path lead out of the class that it begins with.
     Path,
-    /// The client has disconnected, so nobody would get the answer.
+    /// The client has disconnected and cannot receive an answer.
     ClientLeft,
 }
 
--- a/crates/proxy/src/listener_handover.rs
+++ b/crates/proxy/src/listener_handover.rs
@@ -35,7 +35,7 @@
 /// anything else is opened.
 ///
 /// # Errors
-/// The variable is set, but its socket cannot be used.
+/// Returns an error if the variable is set but its socket cannot be used.
 pub fn inherited_listener() -> Result<Option<TcpListener>, ListenerHandoverError> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
     let descriptor = text.parse().ok().filter(|descriptor: &RawFd| *descriptor > STDERR);
--- a/crates/proxy/src/process_slot.rs
+++ b/crates/proxy/src/process_slot.rs
@@ -8,7 +8,7 @@
 
 /// The interval between checks of the other process's lock.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The most attempts to take a lock: a process that only checks it may hold it for an instant.
+/// Maximum number of attempts to take a lock, as a process that only checks it holds it briefly.
 const MAX_TRIES: u32 = 50;
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 
@@ -20,8 +20,8 @@
 }
 
 impl ProcessSlot {
-    /// Takes a free slot. A process that gets none serves all the same: without usable lock files it counts as
-    /// alone, and beside two other processes it has no slot of its own.
+    /// Takes a free slot. A process that gets none serves all the same: without usable lock files it assumes that it is
+    /// the only one, and while two others run it has no slot of its own.
     pub async fn acquire(base: &Path) -> ProcessSlot {
         let first = lock_path(base, 0);
         let second = lock_path(base, 1);
--- a/crates/proxy/src/queueing_delay.rs
+++ b/crates/proxy/src/queueing_delay.rs
@@ -65,7 +65,7 @@
     waker: RefCell<Option<PollWaker>>,
 }
 
-/// A waker that is registered with the socket in place of the task's own, and records the poll that wakes the task.
+/// A waker that is registered with the socket instead of the task's own, and records the poll that wakes the task.
 struct PollWaker {
     /// The waker of the task.
     task: Waker,
@@ -161,7 +161,7 @@
     /// Accepts the next connection and returns it with the earliest time at which it can have arrived.
     ///
     /// # Errors
-    /// The listener fails.
+    /// Returns an error if the listener fails.
     pub async fn accept(&self, listener: &TcpListener) -> io::Result<(TcpStream, Instant)> {
         let (tcp, _) = poll_fn(|cx| self.delay.poll_ready(cx, |cx| listener.poll_accept(cx))).await?;
         Ok((tcp, self.delay.earliest_arrival()))
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -25,7 +25,7 @@
     pub is_reusable: bool,
     /// Bytes of the body that were read before the relay starts.
     pub bytes_read: u64,
-    /// Longest pause that the backend may make.
+    /// Longest pause between two frames of the body from the backend.
     pub max_pause: Duration,
     /// Receives the frames, and `None` at the end.
     pub client: mpsc::Sender<Option<Bytes>>,
@@ -44,7 +44,7 @@
         });
         let is_complete = tokio::select! {
             is_complete = driven_work => is_complete,
-            () = client.closed() => false, // the client left
+            () = client.closed() => false, // the client disconnected
         };
         if !is_complete {
             debug!(backend = backend.0, "an answer broke off");
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -133,7 +133,7 @@
 /// Returns the class that the path of a request begins with.
 ///
 /// # Errors
-/// There is no such class.
+/// Returns an error if there is no such class.
 pub(crate) fn requested_class(names: &Names, path: &str) -> Result<ClassId, InvalidRequest> {
     let name = path.split('/').nth(1);
     name.and_then(|name| names.class(name)).ok_or(InvalidRequest::NoSuchClass)
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns what is left of `allowed`, which began when the client wrote the last byte that was read, and of the
-    /// time until the program ends: whatever is accepted is answered by then.
+    /// time until the program ends, by which every accepted request has to be answered.
     fn time_left(&self, allowed: Micros, client: &Client) -> Micros {
         let elapsed = client.stream.time_since_arrival().as_micros() as u64;
         let left = Micros(allowed.0.saturating_sub(elapsed));
@@ -163,14 +163,14 @@
             answer = answer.as_mut() => answer,
             () = exchange.client_left() => return Err(InvalidRequest::ClientLeft), // the guard notifies the core
             passed = deadline_passed => {
-                passed?; // the body is invalid: the guard notifies the core that nobody waits
+                passed?; // the body is invalid: the guard notifies the core that no client waits
                 self.host.deadline_expired(id);
                 answer.await
             }
         };
         if let Some(fault) = upload.as_ref().and_then(|upload| upload.fault()) {
             unanswered.mark_answered();
-            return Err(fault); // even if the attempt that it ended has a result
+            return Err(fault); // even if the attempt that the fault ended has a result
         }
         if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
             upload.discard_rest();
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -17,18 +17,18 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The time from the longest deadline after SIGTERM until the process is killed. Of that deadline, at most
-/// `MAX_ANSWER_TIME` counts.
+/// The time until the process is killed, after SIGTERM and the longest deadline. Of that deadline, at most
+/// `MAX_ANSWER_TIME` counts for the last answers.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 /// How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
 /// Time reserved before the end of the process for sending the last answers.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
-/// The most connections that the kernel queues until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1024;
-/// The most connections accepted before the event loop runs other tasks. The discovery watch and connected clients
-/// wait for no more than these: accepting takes some 20 us per connection, so 16 of them take well under a
+/// Maximum number of connections accepted before the event loop runs other tasks. The discovery watch and connected
+/// clients wait for no more than these: accepting takes some 20 us per connection, so 16 of them take well under a
 /// millisecond.
 const ACCEPTS_PER_TURN: u32 = 16;
 
@@ -44,7 +44,7 @@
 /// Listens at an address.
 ///
 /// # Errors
-/// The address cannot be used.
+/// Returns an error if the address cannot be used.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?; // lets a new process bind while old connections linger
@@ -104,8 +104,8 @@
         self.accept_until(&listener, stop).await;
         self.is_accepting.set(false);
         let stopped_at = Instant::now();
-        // No answers are due after the longest deadline. A client that holds a connection open with half a request
-        // does not keep the program running.
+        // No answers are due after the longest deadline. A client that holds a connection open with an incomplete
+        // request does not keep the program running.
         let settings = self.host.settings();
         let longest_deadline =
             to_duration(settings.network.deadlines.iter().max().copied().unwrap_or_default());
--- a/crates/proxy/src/stall_timeouts.rs
+++ b/crates/proxy/src/stall_timeouts.rs
@@ -14,7 +14,7 @@
     /// Between two bytes of a client's body: below the 3 s within which every client must get an answer, to leave
     /// time for the head.
     pub upload_stall: Duration,
-    /// Between two bytes of a request's body that a backend reads: after that the backend counts as gone.
+    /// Between two bytes of a request's body that a backend reads: after that its connection counts as broken.
     pub backend_stall: Duration,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The timeouts in force. A change is visible to all clones at once.
+/// The active timeouts. A change is visible to all clones at once.
 pub type SharedStallTimeouts = Rc<Cell<StallTimeouts>>;
 
 /// Waits until `count`, a number of bytes transferred, has not changed for `timeout`.
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The most bytes that one read returns.
+/// Maximum number of bytes that one read returns.
 const READ_BYTES: usize = 8192;
 
 /// A TCP stream whose clones are shared by hyper and the proxy.
@@ -124,8 +124,8 @@
     }
 
     /// Returns whether the peer sends no more, according to the kernel. A peer that only shut down its sending side
-    /// counts as closed as well: its answer may have no reader, and the platform's clients shut down sending only
-    /// by leaving.
+    /// counts as closed as well: its answer may have no reader, and the platform's clients shut down sending only when
+    /// they disconnect.
     pub(crate) fn is_closed_by_peer(&self) -> bool {
         socket_state::is_closed_by_peer(&self.0.tcp)
     }
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -15,9 +15,9 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a body may take in addition to the time that the least rate allows for the bytes that have arrived.
+/// How long a body may take in addition to the time that the minimum rate allows for the bytes that have arrived.
 const RATE_GRACE: Duration = Duration::from_secs(2);
-/// The least rate of a body, in bytes per second: an eighth of the slowest client's.
+/// The minimum rate of a body, in bytes per second: an eighth of the slowest client's.
 const MIN_BYTES_PER_SECOND: f64 = 8192.0;
 
 /// A client's body as it is sent to backends.
@@ -54,7 +54,7 @@
     is_consumed: Cell<bool>,
     is_complete: Cell<bool>,
     fault: Cell<Option<InvalidRequest>>,
-    /// Notified when it is complete or a fault was found.
+    /// Notified when the body is complete or a fault was found.
     ended: Notify,
     client: Stream,
     /// The longest pause of the client.
@@ -124,7 +124,7 @@
         }
     }
 
-    /// What was read before the first attempt.
+    /// Returns what was read before the first attempt.
     pub(crate) fn buffered(&self) -> Ref<'_, Bytes> {
         self.buffered.borrow()
     }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Ends it with a fault, or as complete if there is none.
+    /// Ends the upload with a fault, or as complete if there is none.
     pub(crate) fn end(&self, fault: Option<InvalidRequest>) {
         self.fault.set(fault);
         self.is_complete.set(fault.is_none());
