--- a/crates/core/src/host/state.rs
+++ b/crates/core/src/host/state.rs
@@ -35,7 +35,7 @@
     /// backends recognize a retry and drop it.
     pub(super) idempotency_window: Option<Micros>,
     /// Of the attempts that have ended and may have run: when the first was sent.
-    pub(super) first_may_have_run: Option<Time>,
+    pub(super) first_possible_run_at: Option<Time>,
     /// Sends the final answer to the front.
     pub(super) answer: oneshot::Sender<Answer>,
     /// When the client gives up.
@@ -57,7 +57,7 @@
         OpenRequest {
             exchange,
             idempotency_window,
-            first_may_have_run: None,
+            first_possible_run_at: None,
             answer,
             deadline,
             attempts: 0,
@@ -168,15 +168,15 @@
     pub(super) fn send_by(&self, request: &OpenRequest, key: AttemptKey) -> Option<Time> {
         let earlier_keys = (0..key.attempt.0).map(|number| AttemptKey { attempt: AttemptNo(number), ..key });
         let earlier = earlier_keys.filter_map(|key| self.attempts.get(&key));
-        let first_sent = earlier.map(|attempt| attempt.sent_at).chain(request.first_may_have_run).min()?;
+        let first_sent = earlier.map(|attempt| attempt.sent_at).chain(request.first_possible_run_at).min()?;
         Some(first_sent + request.idempotency_window?)
     }
 
     /// Records the end of an attempt that was sent at `sent_at` and may have run.
     pub(super) fn record_possible_run(&mut self, request: RequestId, sent_at: Time) {
         let Some(request) = self.requests.get_mut(&request) else { return };
-        let first = request.first_may_have_run.map_or(sent_at, |earlier| earlier.min(sent_at));
-        request.first_may_have_run = Some(first);
+        let first = request.first_possible_run_at.map_or(sent_at, |earlier| earlier.min(sent_at));
+        request.first_possible_run_at = Some(first);
     }
 
     /// Describes the end of an attempt to the balancer.
--- a/crates/core/src/host/tests.rs
+++ b/crates/core/src/host/tests.rs
@@ -116,7 +116,7 @@
 /// Guards against a pause after a failed poll that ends at once because the balancer requested a watch during the
 /// poll.
 #[tokio::test]
-async fn a_watch_that_was_requested_before_is_not_waited_for_again() {
+async fn watch_request_before_the_failed_poll_does_not_end_the_pause() {
     let host = host();
     host.watch_request.notify_one();
     host.discard_watch_request();
--- a/crates/policy/src/picker/eligibility.rs
+++ b/crates/policy/src/picker/eligibility.rs
@@ -35,8 +35,8 @@
     fn has_capacity(&self, backend: &BackendHealth) -> bool {
         let limit = backend.plan.in_flight_limit;
         let limit = if self.request.is_low_priority() { (limit / 2.0).ceil() } else { limit };
-        let idle = backend.load.lost + backend.load.uploading;
-        backend.plan.readiness > 0.0 && f64::from(backend.load.in_flight.saturating_sub(idle)) < limit
+        let not_counted = backend.load.lost + backend.load.uploading;
+        backend.plan.readiness > 0.0 && f64::from(backend.load.in_flight.saturating_sub(not_counted)) < limit
     }
 
     /// Returns whether the backend may serve the request, apart from its limit of attempts in flight.
--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -128,6 +128,6 @@
     if context.tables.is_empty() || backends <= SMALL_FLEET {
         return usize::MAX;
     }
-    let steps_missed = STAGES * backends as f64 * idle_s / SOLVE_INTERVAL_S;
-    MIN_STEPS_PER_EVENT.max(steps_missed as usize)
+    let steps_due = STAGES * backends as f64 * idle_s / SOLVE_INTERVAL_S;
+    MIN_STEPS_PER_EVENT.max(steps_due as usize)
 }
--- a/crates/proxy/src/cached_endpoint_list/tests.rs
+++ b/crates/proxy/src/cached_endpoint_list/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn beyond_the_bound_nothing_is_handed_out_until_a_full_list() {
+fn a_truncated_list_is_not_returned_until_a_full_list_is_received() {
     let mut cached = CachedEndpointList::default();
     let all_names: Vec<String> = (0..=MAX_NAMES).map(|i| format!("n{i}")).collect();
     let entries: Vec<(&str, &str)> = all_names.iter().map(|name| (name.as_str(), "SERVING")).collect();
--- a/crates/proxy/src/chunked_body/tests.rs
+++ b/crates/proxy/src/chunked_body/tests.rs
@@ -12,12 +12,12 @@
         b"1A \r\nabcdefghijklmnopqrstuvwxyz\r\n000\r\n\r\n",
     ];
     for body in bodies {
-        let whole = [body, b"GET / HTTP/1.1"].concat();
-        for cut in 0..whole.len() {
-            let mut chunks = ChunkedBodyScanner::default();
-            let after = chunks.count_bytes_after(&whole[..cut]);
+        let message = [body, b"GET / HTTP/1.1"].concat();
+        for cut in 0..message.len() {
+            let mut scanner = ChunkedBodyScanner::default();
+            let after = scanner.count_bytes_after(&message[..cut]);
             assert_eq!(after, cut.saturating_sub(body.len()), "{cut}");
-            assert_eq!(after + chunks.count_bytes_after(&whole[cut..]), 14, "{cut}");
+            assert_eq!(after + scanner.count_bytes_after(&message[cut..]), 14, "{cut}");
         }
     }
 }
--- a/crates/proxy/src/discovery/polls.rs
+++ b/crates/proxy/src/discovery/polls.rs
@@ -82,7 +82,7 @@
     fn open_extra(&mut self, known_version: Option<u64>) {
         let progress = self.progress();
         if let [only] = progress[..] {
-            info!(poll = %only.delay(), "discovery does not answer, another poll is opened");
+            info!(poll = %only.delay_reason(), "discovery does not answer, another poll is opened");
         }
         if let Some(index) = superseded(&progress) {
             drop(self.in_flight.remove(index));
--- a/crates/proxy/src/discovery/schedule.rs
+++ b/crates/proxy/src/discovery/schedule.rs
@@ -34,18 +34,18 @@
 
 /// Why another poll is opened in parallel to a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Delay {
+pub(super) enum DelayReason {
     /// Nothing was received on it.
     Silent,
     /// Its answer has begun but is not complete.
     Incomplete,
 }
 
-impl fmt::Display for Delay {
+impl fmt::Display for DelayReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Delay::Silent => "silent",
-            Delay::Incomplete => "incomplete",
+            DelayReason::Silent => "silent",
+            DelayReason::Incomplete => "incomplete",
         })
     }
 }
@@ -55,11 +55,11 @@
         PollProgress { opened_at, answer_delay, received: None }
     }
 
-    pub(super) fn delay(&self) -> Delay {
+    pub(super) fn delay_reason(&self) -> DelayReason {
         if self.received.is_some() {
-            Delay::Incomplete
+            DelayReason::Incomplete
         } else {
-            Delay::Silent
+            DelayReason::Silent
         }
     }
 
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -24,7 +24,7 @@
 /// Guards against bounds on silence, pause and answer whose sum exceeds the time after which a change counts as
 /// notified.
 #[test]
-fn a_change_is_received_in_time_in_whatever_order_silence_and_refusal_come() {
+fn a_change_is_received_in_time_after_silent_and_refused_polls_in_any_order() {
     use Fault::{Refused, Silent};
     let orders: [&[Fault]; 5] = [&[], &[Silent], &[Refused], &[Silent, Refused], &[Refused, Silent]];
     for faults in orders {
@@ -135,7 +135,10 @@
     assert_eq!(poll.times_out_at(), now + Duration::from_secs(10) + MAX_QUEUE_TIME);
     let second = Duration::from_secs(1);
     poll.received = Some(ReceivedSpan { first: now, last: now + second });
-    assert_eq!((poll.delay(), poll.times_out_at()), (Delay::Incomplete, now + second + STALL_TIMEOUT));
+    assert_eq!(
+        (poll.delay_reason(), poll.times_out_at()),
+        (DelayReason::Incomplete, now + second + STALL_TIMEOUT)
+    );
     poll.received = Some(ReceivedSpan { first: now, last: now + MAX_ANSWER_TIME - second });
     assert_eq!(poll.times_out_at(), now + MAX_ANSWER_TIME);
 }
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -17,7 +17,7 @@
     /// The connection to the client that sent the request.
     client: Stream,
     /// Notified when an attempt is about to be sent and the client is found to have disconnected.
-    client_left: Rc<Notify>,
+    client_disconnected: Rc<Notify>,
     answers: RefCell<Vec<AttemptAnswer>>,
     statuses: RefCell<Vec<AttemptStatus>>,
 }
@@ -43,7 +43,7 @@
             pool,
             request,
             client,
-            client_left: Rc::default(),
+            client_disconnected: Rc::default(),
             answers: RefCell::default(),
             statuses: RefCell::default(),
         })
@@ -54,19 +54,19 @@
     /// this process was busy.
     fn send_gate(&self, context: AttemptContext) -> SendGate {
         let client = self.client.clone();
-        let client_left = self.client_left.clone();
+        let client_disconnected = self.client_disconnected.clone();
         Box::new(move || {
-            let has_left = client.is_closed_by_peer();
-            if has_left {
-                client_left.notify_one();
+            let is_disconnected = client.is_closed_by_peer();
+            if is_disconnected {
+                client_disconnected.notify_one();
             }
-            !has_left && context.may_send()
+            !is_disconnected && context.may_send()
         })
     }
 
     /// Waits until an attempt is about to be sent and the client is found to have disconnected.
-    pub(crate) async fn client_left(&self) {
-        self.client_left.notified().await;
+    pub(crate) async fn client_disconnected(&self) {
+        self.client_disconnected.notified().await;
     }
 
     /// Returns the path as the client wrote it.
--- a/crates/proxy/src/invalid_request.rs
+++ b/crates/proxy/src/invalid_request.rs
@@ -32,7 +32,7 @@
     /// Dot segments in the path lead out of the class that it begins with.
     Path,
     /// The client has disconnected and cannot receive an answer.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl InvalidRequest {
@@ -58,7 +58,7 @@
             InvalidRequest::Body => (StatusCode::BAD_REQUEST, "the body is malformed\n"),
             InvalidRequest::BodyTimeout => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
             InvalidRequest::Path => (StatusCode::BAD_REQUEST, "the path leads out of its class\n"),
-            InvalidRequest::ClientLeft => (StatusCode::BAD_REQUEST, "the client left\n"),
+            InvalidRequest::ClientDisconnected => (StatusCode::BAD_REQUEST, "the client left\n"),
             InvalidRequest::Target => (StatusCode::BAD_REQUEST, "the target has no path\n"),
         }
     }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -161,7 +161,8 @@
         let answer = tokio::select! {
             biased;
             answer = answer.as_mut() => answer,
-            () = exchange.client_left() => return Err(InvalidRequest::ClientLeft), // the guard notifies the core
+            // The guard notifies the core.
+            () = exchange.client_disconnected() => return Err(InvalidRequest::ClientDisconnected),
             passed = deadline_passed => {
                 passed?; // the body is invalid: the guard notifies the core that no client waits
                 self.host.deadline_expired(id);
