--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -32,6 +32,6 @@
     #[error("seed: expected a number or up to 16 hex digits")]
     Seed,
     /// A key of the active configuration is missing in the new one.
-    #[error("{0}: missing, though what is in force has it")]
+    #[error("{0}: missing, but present in the active configuration")]
     Missing(String),
 }
