--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -1,5 +1,5 @@
-//! The backends that operators have cordoned: they are sent no requests, whatever discovery reports. The set is
-//! saved in a file, so that a cordon survives an upgrade and applies to both processes while two run.
+//! The backends that operators have cordoned: they receive no requests, regardless of discovery. The set is saved in a
+//! file, so that a cordon survives an upgrade and applies to both processes while two run.
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// The indices of the limits under which a request was admitted; passed to [`FleetLimiter::release`] when it is
-/// over.
+/// The indices of the limits under which a request was admitted; passed to [`FleetLimiter::release`] when the request
+/// ends.
 pub type Admission = Rc<[u16]>;
 
 /// Checks requests against the fleet's limits before the balancer receives them. No method blocks.
@@ -17,7 +17,7 @@
     /// # Errors
     /// If a limit is reached, returns the time after which the client may retry.
     fn admit(&self, class: ClassId, tenant: Option<TenantId>, names: &Names) -> Result<Admission, Micros>;
-    /// Releases an admitted request that is over.
+    /// Releases the admission of a request that has ended.
     fn release(&self, admission: &Admission);
     /// Sets whether a second process serves for this proxy, as during an upgrade.
     fn set_other_process(&self, is_running: bool);
--- a/crates/core/src/host/attempts.rs
+++ b/crates/core/src/host/attempts.rs
@@ -69,9 +69,9 @@
         })
     }
 
-    /// Returns whether an attempt may be sent: the backend is still usable and still at the address that the
-    /// connection goes to, where another one may listen by now, the request still waits for its answer, and a retry
-    /// is still within the idempotency window.
+    /// Returns whether an attempt may be sent: the backend is still usable, its address is still the one that the
+    /// connection was opened to, where another backend may listen by now, the request still waits for its answer, and a
+    /// retry is still within the idempotency window.
     pub(super) fn may_send(&self, condition: &SendCondition) -> bool {
         let state = self.state.borrow();
         let is_usable = |backend: &KnownBackend| {
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -41,8 +41,8 @@
 const LOG_TARGET: &str = "lotusdeck_core::host";
 /// Part of the client's time that is reserved for returning the answer, in addition to the lag of timers, µs.
 const REPLY_MARGIN: Micros = Micros(3_000);
-/// Upper limit of the reserved time, µs, however late timers fire: a busy process must not use up the shortest
-/// deadlines.
+/// Upper limit of the reserved time, µs, regardless of how late timers fire: a busy process must not use up the
+/// shortest deadlines.
 const MAX_REPLY_MARGIN: Micros = Micros(20_000);
 
 /// The services that the host uses if they are configured.
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -18,9 +18,9 @@
     pub timer_lag_us: u64,
     /// Counts since the start.
     pub counts: Counts,
-    /// The journal of non-idempotent requests, where there is one.
+    /// The journal of non-idempotent requests, if there is one.
     pub ledger: Option<LedgerStatus>,
-    /// The fleet's limits, where there are any.
+    /// The fleet's limits, if there are any.
     pub fleet: Option<FleetLimitStatus>,
     /// The estimates of each kind of machine.
     pub kinds: Vec<KindStatus>,
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -15,7 +15,7 @@
 use quota::TenantQuotas;
 
 /// Seconds without a sent attempt after which one request is sent regardless of the load: the recorded load
-/// may be outdated, and a proxy that sends nothing would not find out.
+/// may be outdated, and a proxy that sends nothing would not notice that the load has fallen.
 const PROBE_INTERVAL_S: f64 = 3.0;
 
 /// Admits requests.
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -59,7 +59,7 @@
     pub floor: f64,
     /// Maximum time after its start until a backend has its full capacity.
     pub duration: Micros,
-    /// A backend in slow start fails when it is sent more than this multiple of its current capacity over
+    /// A backend in slow start fails when it receives more than this multiple of its current capacity over
     /// [`overload_window`](SlowStartConfig::overload_window).
     pub overload_multiple: f64,
     /// The time to which `overload_multiple` applies.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -80,8 +80,8 @@
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// The full set of backends that operators have cordoned. They get no new requests, whatever the endpoint
-    /// list says. A backend that is no longer in the set may have been restarted while it was cordoned.
+    /// The full set of backends that operators have cordoned. They receive no new requests, regardless of the
+    /// endpoint list. A backend that is no longer in the set may have been restarted while it was cordoned.
     Cordoned {
         /// All cordoned backends.
         backends: Vec<BackendId>,
@@ -94,7 +94,7 @@
         /// Ids with a new meaning, to which no open request refers.
         reassigned: ReassignedIds,
     },
-    /// The load that the other proxies report, where proxies gossip.
+    /// The load that the other proxies report, if proxies gossip.
     FleetLoad {
         /// Attempts that the other proxies together have in flight.
         in_flight: f64,
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -36,7 +36,8 @@
     }
 
     /// Schedules the retry of a failed subscription with exponential backoff and jitter, so that proxies do
-    /// not retry in step. Shorter pauses of a whole fleet keep an overloaded discovery from ever answering.
+    /// not retry in step. With shorter pauses, a whole fleet would keep an overloaded discovery from ever
+    /// answering.
     pub(crate) fn record_failure(&mut self, now: Time, poll_within: Micros, rng: &mut Rng) {
         let max_backoff_s = (poll_within.secs() / 8.0).clamp(MIN_BACKOFF_S, MAX_BACKOFF_S);
         self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_backoff_s);
--- a/crates/policy/src/sent_work.rs
+++ b/crates/policy/src/sent_work.rs
@@ -16,8 +16,8 @@
 }
 
 impl SentWorkLog {
-    /// Records work sent at `now`. All work of one tick is one entry, which counts from the end of the tick,
-    /// as a busy backend gets thousands of requests in a window.
+    /// Records work sent at `now`. All work of one tick is one entry, as a busy backend gets thousands of
+    /// requests in a window; it counts from the end of the tick.
     pub(crate) fn record_sent_work(&mut self, now: Time, work: f64, tick: Micros, window: Micros) {
         while self.entries.front().is_some_and(|oldest| now - oldest.at >= window) {
             self.entries.pop_front();
--- a/crates/policy/src/settings/merge.rs
+++ b/crates/policy/src/settings/merge.rs
@@ -13,8 +13,8 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Number of unreferenced retired numbers that are kept for names that return, beyond as many as there are
-/// current ones.
+/// Number of unreferenced retired numbers that are kept for names that are declared again, in addition to as
+/// many as there are current ones.
 const SPARE_NUMBERS: usize = 1_024;
 
 /// Ids that open requests refer to or may still refer to.
--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -18,7 +18,8 @@
 /// Minimum interval between the starts of two solutions, in seconds; much shorter than the time constant of
 /// the arrival rate.
 const SOLVE_INTERVAL_S: f64 = 0.1;
-/// Minimum number of arrivals between the starts of two solutions: a rate over fewer is mostly chance.
+/// Minimum number of arrivals between the starts of two solutions: a rate estimated from fewer is mostly
+/// noise.
 const MIN_ARRIVALS_PER_SOLUTION: f64 = 5.0;
 /// Time constant of the arrival rate, in seconds; short compared with a ramp or a failure.
 const RATE_MEMORY_S: f64 = 2.0;
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -11,7 +11,7 @@
 use crate::subset::{subset_position, SubsetWindow};
 use std::collections::BTreeMap;
 
-/// Minimum divisor where a sum of shares may be zero.
+/// Minimum divisor for sums of shares that may be zero.
 const MIN_SHARE: f64 = 1e-9;
 /// Factor of a backend's readiness or traffic share that is added to its traffic share or pick weight: a
 /// backend that would otherwise get no traffic takes the overflow when all others are at their limits.
@@ -167,15 +167,16 @@
         .map_or(0.0, |kind| kind.fleet_share * backend.plan.readiness / kind.readiness.max(MIN_SHARE))
 }
 
-/// The distribution of traffic over zones where crossing zones has a cost: traffic stays in its zone as far
-/// as each backend still gets its share of all traffic. The proxies of each zone are assumed to receive equal
+/// The distribution of traffic over zones if crossing zones has a cost: traffic stays in its zone as far as
+/// each backend still gets its share of all traffic. The proxies of each zone are assumed to receive equal
 /// traffic; a zone whose backends get less than that sends its surplus to the zones whose backends get more.
 struct ZoneBalance<'a> {
     config: &'a Config,
     zones: f64,
-    /// Sum of what zones get beyond an even share, in units of an even share.
+    /// Sum over zones of the traffic that their backends get beyond an even share, which other zones have to
+    /// send; in units of an even share.
     total_deficit: f64,
-    /// Share of the traffic of all proxies that this proxy's zone gets.
+    /// Share of the traffic of all proxies that the backends of this proxy's zone get.
     own_share: f64,
 }
 
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -18,7 +18,7 @@
 
 /// The largest head of a request, in bytes: hyper limits the buffer of a connection to it.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a client may read nothing of its answer before its connection is cut.
+/// How long a client may leave its answer unread before its connection is cut.
 const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// The delay before a connection with an open request is checked again.
 const BUSY_CHECK_DELAY: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -5,7 +5,8 @@
 use super::*;
 use model::{Discovery, Fault, Fleet, Outcome, Strategy, STEP};
 
-/// Time after which a change counts as notified once discovery had it and could be reached, whatever failed before.
+/// Time after which a change counts as notified once discovery had it and could be reached, regardless of earlier
+/// failures.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// Longest delay of a proxy between reading its clock and writing.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -27,7 +27,7 @@
     moves: Cell<u32>,
     /// Whether discovery has answered at its present address.
     has_answered: Cell<bool>,
-    /// Receives every list applied, where lists are saved across restarts.
+    /// Receives every list applied, if lists are saved across restarts.
     sink: Option<EndpointListSink>,
 }
 
@@ -181,7 +181,7 @@
         true
     }
 
-    /// Applies a list, marked as older than the last move of discovery where it is, and passes it to the sink.
+    /// Applies a list, marked if it is older than the last move of discovery, and passes it to the sink.
     fn publish(&self, ParsedEndpointList { list, mut update }: ParsedEndpointList) {
         update.predates_move = self.version_at_move.get().is_some_and(|version| list.version < version);
         if !update.predates_move {
--- a/crates/proxy/src/listener_handover.rs
+++ b/crates/proxy/src/listener_handover.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform keeps it open across versions of the program.
+//! The clients' listening socket, inherited if the platform keeps it open across versions of the program.
 
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
@@ -43,8 +43,8 @@
     if !std::path::Path::new(&format!("/proc/self/fd/{descriptor}")).exists() {
         return Err(ListenerHandoverError::NotOpen(descriptor));
     }
-    // SAFETY: the descriptor is open, and by the platform's contract this process owns it: it was passed down at
-    // the start for this purpose, and nothing else in the program refers to it.
+    // SAFETY: the descriptor is open, and by the platform's contract this process owns it: it was passed to the process
+    // at its start for this purpose, and nothing else in the program refers to it.
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(descriptor) };
     let socket = socket2::Socket::from(owned);
--- a/crates/proxy/src/process_slot.rs
+++ b/crates/proxy/src/process_slot.rs
@@ -20,8 +20,8 @@
 }
 
 impl ProcessSlot {
-    /// Takes a free slot. A process that gets none serves all the same: without usable lock files it assumes that it is
-    /// the only one, and while two others run it has no slot of its own.
+    /// Takes a free slot. A process that gets none serves as well: without usable lock files it assumes that it is the
+    /// only one, and while two others run it has no slot of its own.
     pub async fn acquire(base: &Path) -> ProcessSlot {
         let first = lock_path(base, 0);
         let second = lock_path(base, 1);
@@ -64,7 +64,7 @@
     File::options().create(true).append(true).open(path)
 }
 
-/// Locks the file at `path`; returns `None` where another process holds the lock.
+/// Locks the file at `path`; returns `None` if another process holds the lock.
 fn lock(path: &Path) -> io::Result<Option<File>> {
     let file = open(path)?;
     match file.try_lock() {
--- a/crates/proxy/src/queueing_delay.rs
+++ b/crates/proxy/src/queueing_delay.rs
@@ -18,10 +18,9 @@
 //! which connections arrived faster than they were accepted, as its queue was not found empty meanwhile. It falls
 //! short of the true delay
 //! - by the time in which the runtime dispatches the events of a poll, as the poll is recorded after that;
-//! - by a turn, where more than 1,024 sockets are ready at once: a poll returns no more (the runtime's default);
+//! - by a turn, if more than 1,024 sockets are ready at once: a poll returns no more (the runtime's default);
 //! - by the time that a connection waited in an inherited listener's queue before this process had it;
-//! - completely, where the runtime does not record its polls ([`record_polls`]): the delay then counts from the
-//!   wake-up.
+//! - completely, if the runtime does not record its polls ([`record_polls`]): the delay then counts from the wake-up.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -120,7 +120,7 @@
     Ok(ValidRequest { id: id.clone(), time_left, length: encoding.is_none().then_some(length) })
 }
 
-/// Returns whether the method and the idempotency key allow the request to be repeated as its class says.
+/// Returns whether the method and the idempotency key allow the request to be repeated as its class permits.
 fn fits_class(head: &Parts, side_effects: SideEffects) -> bool {
     let key_count = head.headers.get_all(IDEMPOTENCY_KEY).iter().count();
     match side_effects {
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -47,7 +47,7 @@
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     exchange: Rc<HttpExchange>,
-    /// The upload of its body, where the body is not buffered completely.
+    /// The upload of its body, if the body is not buffered completely.
     upload: Option<Rc<Upload>>,
     time: RequestTime,
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -17,8 +17,8 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The time until the process is killed, after SIGTERM and the longest deadline. Of that deadline, at most
-/// `MAX_ANSWER_TIME` counts for the last answers.
+/// The time between the longest deadline, counted from SIGTERM, and the kill of the process. For the last answers, at
+/// most `MAX_ANSWER_TIME` of that deadline counts.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 /// How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s.
--- a/crates/proxy/src/stream/head.rs
+++ b/crates/proxy/src/stream/head.rs
@@ -57,7 +57,7 @@
     length: usize,
 }
 
-/// Whether a head gives a length and an encoding: hyper hides the length where the body is chunked.
+/// Whether a head gives a length and an encoding: hyper hides the length if the body is chunked.
 #[derive(Default)]
 pub(super) struct BodyHeaders {
     has_content_length: Cell<bool>,
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -1,4 +1,4 @@
-//! A client's body: buffered completely where it is small, relayed frame by frame where it is not.
+//! A client's body: buffered completely if it is small, and relayed frame by frame otherwise.
 
 use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::body_budget::{BodyBudget, BodyReservation};
@@ -61,8 +61,8 @@
     max_pause: Duration,
 }
 
-/// Reads the body to its end, or until it is too large to buffer. `length` is its length in bytes, where the head
-/// gives it.
+/// Reads the body to its end, or until it is too large to buffer. `length` is its length in bytes, if the head gives
+/// it.
 ///
 /// # Errors
 /// Returns why it is not the body of a valid request.
@@ -129,7 +129,7 @@
         self.buffered.borrow()
     }
 
-    /// Returns the length of the body in bytes, where the head gives it.
+    /// Returns the length of the body in bytes, if the head gives it.
     pub(crate) fn length(&self) -> Option<u64> {
         self.length
     }
