--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -19,6 +19,7 @@
 pub(crate) const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for the lock. The other process holds it only while it writes a few hundred bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An error that prevented a change from being saved; it was made neither in the file nor in memory.
--- a/crates/policy/src/admission/overload.rs
+++ b/crates/policy/src/admission/overload.rs
@@ -11,8 +11,8 @@
 const NORMAL_LIMIT: f64 = 1.5;
 /// The same multiple for requests of low priority: a load of two thirds.
 const LOW_PRIORITY_LIMIT: f64 = 0.5;
-/// Time constant of the load estimate, in seconds. Where a proxy has too few attempts in flight to estimate
-/// the load from their number alone, it covers some ten of its requests.
+/// Time constant of the load estimate, in seconds. If a proxy has too few attempts in flight to estimate the
+/// load from their number alone, it covers some ten of its requests.
 pub(crate) const LOAD_MEMORY_S: f64 = 5.0;
 /// Time constant of the estimate of this proxy's part of the fleet's load, in seconds. Shorter ones
 /// oscillate, as all proxies react to the same outdated number.
--- a/crates/policy/src/answer_loss.rs
+++ b/crates/policy/src/answer_loss.rs
@@ -3,8 +3,8 @@
 use crate::api::{Micros, Outcome, Time};
 use crate::estimators::MovingAverage;
 
-/// Age, in usual latencies, from which an attempt counts as lost and no longer counts against the backend's
-/// limit. Two such attempts without a later answer mark a backend as silent; a single one may be one lost
+/// Age, in usual latencies, from which an attempt counts as lost and is no longer included in the load of its
+/// backend. Two such attempts without a later answer mark a backend as silent; a single one may be one lost
 /// answer.
 pub(crate) const SILENT_AFTER: f64 = 8.0;
 /// The same age while most attempts that reach it are never answered.
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -3,7 +3,7 @@
 use crate::api::{DiscoveryMode, ListUpdate, Micros, Time};
 use crate::estimators::Rng;
 
-/// The first pause after a failed subscription, in seconds.
+/// The first pause after a failed subscription, before jitter, in seconds.
 const MIN_BACKOFF_S: f64 = 0.1;
 /// The longest pause before jitter, in seconds: after a silent poll and a slow answer, an update is still
 /// applied within the 6 s after which the proxy counts as notified.
--- a/crates/proxy/src/chunked_body/tests.rs
+++ b/crates/proxy/src/chunked_body/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// The end of a body is found at every position of a cut, and the bytes after it are counted.
+/// Guards against an end of a body that is missed, or bytes after it that are miscounted, if the body arrives
+/// in two pieces.
 #[test]
 fn the_end_of_a_body_is_found_at_every_cut() {
     let bodies: [&[u8]; 4] = [
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Regularly closes connections that were idle too long or on which the backend closed or sent something. Never
-    /// returns.
+    /// Closes, at regular intervals, connections that were idle too long or on which the backend closed or sent
+    /// something. Never returns.
     pub async fn close_idle_periodically(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(CLEANUP_INTERVAL).await;
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -33,7 +33,7 @@
     Instant::now() + Duration::from_secs(20)
 }
 
-/// The backend begins to drain while the connection is being established: no byte is sent on it.
+/// Guards against a request that is sent to a backend that began to drain while the connection was being established.
 #[tokio::test]
 async fn a_backend_that_drains_while_connecting_is_sent_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -52,8 +52,8 @@
     assert!(received.is_empty(), "{received:?}");
 }
 
-/// The backend closes an idle connection while the journal writes: a request that must not run twice is sent on
-/// another one.
+/// Guards against a request that must not run twice being sent on an idle connection that the backend closed while the
+/// journal was writing.
 #[tokio::test]
 async fn an_idle_connection_is_checked_when_it_is_reused() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -88,8 +88,8 @@
     backend.join().unwrap();
 }
 
-/// At the limit the failure is not attributed to the backend, and an idle connection to another backend is closed
-/// first.
+/// Guards against a failure at the connection limit that is attributed to the backend, and against one although an idle
+/// connection could be closed.
 #[tokio::test]
 async fn at_the_connection_limit_an_idle_connection_is_closed_for_a_new_one() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/proxy/src/discovery/pacing.rs
+++ b/crates/proxy/src/discovery/pacing.rs
@@ -28,16 +28,16 @@
 /// Time limit for establishing a connection. A lost segment is retransmitted only after 1 s, so a longer wait would
 /// hardly help.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first backoff after a failed poll where lists are pushed; it doubles with each consecutive failure, up to
-/// `MAX_BACKOFF`. Changes that the agent receives once discovery is back count as notified at once, so the longest
-/// backoff is well below the shortest grace period seen in settings (400 ms). Where lists are polled, the policy
-/// decides when to poll again.
+/// Half of the first backoff after a failed poll if lists are pushed; the backoff doubles with each consecutive
+/// failure, up to `MAX_BACKOFF`. Changes that the agent receives once discovery is back count as notified at once, so
+/// the longest backoff is well below the shortest grace period seen in settings (400 ms). If lists are polled, the
+/// policy decides when to poll again.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 /// The fractional parts of its multiples are evenly spread for any number of them (Kronecker sequence).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// Returns the backoff after `failures` consecutive failed polls, where lists are pushed.
+/// Returns the backoff after `failures` consecutive failed polls, if lists are pushed.
 pub(super) fn backoff(failures: u32) -> Duration {
     (INITIAL_BACKOFF * (1 << failures.min(4))).min(MAX_BACKOFF)
 }
--- a/crates/proxy/src/process_slot.rs
+++ b/crates/proxy/src/process_slot.rs
@@ -10,6 +10,7 @@
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of attempts to take a lock, as a process that only checks it holds it briefly.
 const MAX_TRIES: u32 = 50;
+/// The delay between two attempts to take a lock.
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// This process's slot, one of the two that a proxy has. The kernel frees it when the process ends.
--- a/crates/proxy/src/process_slot/tests.rs
+++ b/crates/proxy/src/process_slot/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Each of two processes detects the other while that one runs, and a third process can start.
+/// Guards against a process that does not detect another one of its proxy, or still detects one that has
+/// ended, and against a third process that cannot start.
 #[tokio::test]
 async fn two_processes_see_each_other() {
     let dir = std::env::temp_dir().join(format!("lotusdeck-peer-{}", std::process::id()));
--- a/crates/proxy/src/request_guards/tests.rs
+++ b/crates/proxy/src/request_guards/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// A duplicate is rejected, and its rejection does not free the id of the first request.
+/// Guards against a rejected duplicate that frees the id of the first request, so that the next duplicate is
+/// accepted.
 #[test]
 fn a_duplicate_id_is_refused_as_long_as_its_request_is_open() {
     let open_ids = RefCell::default();
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -17,9 +17,9 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The time between the longest deadline, counted from SIGTERM, and the kill of the process. For the last answers, at
-/// most `MAX_ANSWER_TIME` of that deadline counts.
+/// The time between the longest deadline, counted from SIGTERM, and the kill of the process.
 const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Maximum part of the longest deadline that counts for the last answers after SIGTERM.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 /// How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -18,7 +18,8 @@
     }
 }
 
-/// A request counts as written with its last byte and no earlier: only from then on may the backend run it.
+/// Guards against a request that counts as written before its last byte, from which on the backend may run
+/// it.
 #[tokio::test]
 async fn a_request_counts_as_written_with_its_last_byte() {
     let (mut stream, mut peer) = pair().await;
@@ -38,7 +39,7 @@
     assert!(stream.is_request_written());
 }
 
-/// The gate is called before the first byte and not after it: a request that was sent in part may run.
+/// Guards against a gate that is called after the first byte: a request that was sent in part may run.
 #[tokio::test]
 async fn nothing_is_sent_if_the_gate_withholds_the_request() {
     let (mut stream, mut peer) = pair().await;
@@ -63,7 +64,8 @@
     assert_eq!(received, head);
 }
 
-/// A client that disconnected is detected even if unread bytes precede the end of the connection.
+/// Guards against a disconnected client that is not detected because unread bytes precede the end of the
+/// connection.
 #[tokio::test]
 async fn a_disconnected_client_is_detected_despite_unread_bytes() {
     let (stream, mut peer) = pair().await;
@@ -93,7 +95,8 @@
     );
 }
 
-/// The kernel is queried directly: in this test the event loop has had no chance to report anything.
+/// Guards against activity that is detected only once the event loop reports it, which it has no chance to do
+/// here.
 #[tokio::test]
 async fn peer_activity_is_detected_before_the_event_loop_reports_it() {
     let (stream, mut peer) = pair().await;
