--- a/crates/core/src/cordon.rs
+++ b/crates/core/src/cordon.rs
@@ -1,5 +1,5 @@
-//! The backends that operators have cordoned: they are sent no requests, whatever discovery reports. The set is
-//! saved in a file, so that a cordon survives an upgrade and applies to both processes while two run.
+//! The backends that operators have cordoned: they receive no requests, regardless of discovery. The set is saved in a
+//! file, so that a cordon survives an upgrade and applies to both processes while two run.
 
 #[cfg(test)]
 mod tests;
@@ -14,14 +14,15 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// Interval between checks of the file for changes by the other process; well below the time within which sends to a
-/// cordoned backend have to end.
+/// Interval between checks of the file for changes by the other process; well below the time within which a cordoned
+/// backend must stop receiving requests.
 pub(crate) const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for the lock. The other process holds it only while it writes a few hundred bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// An error that prevented a change from being saved. The change has been made neither in the file nor in memory.
+/// An error that prevented a change from being saved; it was made neither in the file nor in memory.
 #[derive(Debug, Error)]
 pub enum CordonError {
     /// The lock could not be acquired within the timeout.
--- a/crates/core/src/host/mod.rs
+++ b/crates/core/src/host/mod.rs
@@ -41,8 +41,8 @@
 const LOG_TARGET: &str = "lotusdeck_core::host";
 /// Part of the client's time that is reserved for returning the answer, in addition to the lag of timers, µs.
 const REPLY_MARGIN: Micros = Micros(3_000);
-/// Upper limit of the reserved time, µs, however late timers fire: a busy process must not use up the shortest
-/// deadlines.
+/// Upper limit of the reserved time, µs, regardless of how late timers fire: a busy process must not use up the
+/// shortest deadlines.
 const MAX_REPLY_MARGIN: Micros = Micros(20_000);
 
 /// The services that the host uses if they are configured.
@@ -64,9 +64,9 @@
     cordon: Cordon,
     services: OptionalServices,
     timers: Timers,
-    /// Notified when the balancer wants discovery to watch for changes.
+    /// Notified when the balancer requests a watch of the endpoint list.
     watch_request: Notify,
-    /// The ids of classes and tenants used by requests that are being read.
+    /// The ids of classes and tenants that requests use from the reading of their heads on.
     id_usage: IdUsage,
 }
 
@@ -136,7 +136,7 @@
         self.handle_event(Event::FleetLoad { in_flight });
     }
 
-    /// Waits until the balancer wants discovery to watch for changes.
+    /// Waits until the balancer requests a watch of the endpoint list.
     pub async fn watch_requested(&self) {
         self.watch_request.notified().await;
     }
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -3,7 +3,7 @@
 use crate::api::{DiscoveryMode, ListUpdate, Micros, Time};
 use crate::estimators::Rng;
 
-/// The first pause after a failed subscription, in seconds.
+/// The first pause after a failed subscription, before jitter, in seconds.
 const MIN_BACKOFF_S: f64 = 0.1;
 /// The longest pause before jitter, in seconds: after a silent poll and a slow answer, an update is still
 /// applied within the 6 s after which the proxy counts as notified.
@@ -36,7 +36,8 @@
     }
 
     /// Schedules the retry of a failed subscription with exponential backoff and jitter, so that proxies do
-    /// not retry in step. Shorter pauses of a whole fleet keep an overloaded discovery from ever answering.
+    /// not retry in step. With shorter pauses, a whole fleet would keep an overloaded discovery from ever
+    /// answering.
     pub(crate) fn record_failure(&mut self, now: Time, poll_within: Micros, rng: &mut Rng) {
         let max_backoff_s = (poll_within.secs() / 8.0).clamp(MIN_BACKOFF_S, MAX_BACKOFF_S);
         self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_backoff_s);
--- a/crates/policy/src/solver/mod.rs
+++ b/crates/policy/src/solver/mod.rs
@@ -18,7 +18,8 @@
 /// Minimum interval between the starts of two solutions, in seconds; much shorter than the time constant of
 /// the arrival rate.
 const SOLVE_INTERVAL_S: f64 = 0.1;
-/// Minimum number of arrivals between the starts of two solutions: a rate over fewer is mostly chance.
+/// Minimum number of arrivals between the starts of two solutions: a rate estimated from fewer is mostly
+/// noise.
 const MIN_ARRIVALS_PER_SOLUTION: f64 = 5.0;
 /// Time constant of the arrival rate, in seconds; short compared with a ramp or a failure.
 const RATE_MEMORY_S: f64 = 2.0;
@@ -128,6 +129,6 @@
     if context.tables.is_empty() || backends <= SMALL_FLEET {
         return usize::MAX;
     }
-    let steps_missed = STAGES * backends as f64 * idle_s / SOLVE_INTERVAL_S;
-    MIN_STEPS_PER_EVENT.max(steps_missed as usize)
+    let steps_due = STAGES * backends as f64 * idle_s / SOLVE_INTERVAL_S;
+    MIN_STEPS_PER_EVENT.max(steps_due as usize)
 }
--- a/crates/policy/src/solver/stages.rs
+++ b/crates/policy/src/solver/stages.rs
@@ -11,10 +11,10 @@
 use crate::subset::{subset_position, SubsetWindow};
 use std::collections::BTreeMap;
 
-/// Minimum divisor where a sum of shares may be zero.
+/// Minimum divisor for sums of shares that may be zero.
 const MIN_SHARE: f64 = 1e-9;
 /// Factor of a backend's readiness or traffic share that is added to its traffic share or pick weight: a
-/// backend that would get nothing else takes the overflow when all others are at their limits.
+/// backend that would otherwise get no traffic takes the overflow when all others are at their limits.
 const OVERFLOW_FACTOR: f64 = 1e-6;
 
 /// The stages of a solution, in order.
@@ -167,15 +167,16 @@
         .map_or(0.0, |kind| kind.fleet_share * backend.plan.readiness / kind.readiness.max(MIN_SHARE))
 }
 
-/// The distribution of traffic over zones where crossing zones has a cost: traffic stays in its zone as far
-/// as each backend still gets its share of all traffic. The proxies of each zone are assumed to receive equal
+/// The distribution of traffic over zones if crossing zones has a cost: traffic stays in its zone as far as
+/// each backend still gets its share of all traffic. The proxies of each zone are assumed to receive equal
 /// traffic; a zone whose backends get less than that sends its surplus to the zones whose backends get more.
 struct ZoneBalance<'a> {
     config: &'a Config,
     zones: f64,
-    /// Sum of what zones get beyond an even share, in units of an even share.
+    /// Sum over zones of the traffic that their backends get beyond an even share, which other zones have to
+    /// send; in units of an even share.
     total_deficit: f64,
-    /// Share of the traffic of all proxies that this proxy's zone gets.
+    /// Share of the traffic of all proxies that the backends of this proxy's zone get.
     own_share: f64,
 }
 
@@ -214,8 +215,8 @@
     let proxies = f64::from(config.proxy_count);
     // Half of the target of all proxies is distributed by the bias, half evenly. A fractional limit is
     // rounded up at the corresponding fraction of the proxies. Each proxy may have at least one attempt in
-    // flight, as more proxies than the target would otherwise have to take turns; the overload check keeps
-    // the target.
+    // flight, as proxies would otherwise have to take turns where there are more of them than the target
+    // allows; the overload check keeps the target.
     let rounding_slot = backend.entry.order_key.wrapping_add(u64::from(config.proxy_index));
     let rounding = ((rounding_slot % u64::from(config.proxy_count)) as f64 + 0.5) / proxies;
     let even = TARGET_IN_FLIGHT_PER_BACKEND / proxies * backend.plan.readiness;
--- a/crates/proxy/src/discovery/pacing.rs
+++ b/crates/proxy/src/discovery/pacing.rs
@@ -17,8 +17,8 @@
 /// Shortest time between opening a poll and opening another one in parallel to older polls, even if the first of the
 /// two failed at once.
 pub(super) const MIN_POLL_SPACING: Duration = Duration::from_secs(1);
-/// Most polls that one proxy has in flight: the oldest, which keeps its place in discovery's queue, and the two
-/// newest, so that each of these has twice `SILENCE_TIMEOUT` for its answer.
+/// Maximum number of polls that one proxy has in flight: the oldest, which keeps its place in discovery's queue, and
+/// the two newest, so that each of these has twice `SILENCE_TIMEOUT` for its answer.
 pub(super) const MAX_POLLS_IN_FLIGHT: usize = 3;
 /// Longest time from the beginning of an answer to its end: the largest list arrives within this time at 1 MiB/s.
 pub(super) const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
@@ -28,16 +28,16 @@
 /// Time limit for establishing a connection. A lost segment is retransmitted only after 1 s, so a longer wait would
 /// hardly help.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first backoff after a failed poll where lists are pushed; it doubles with each consecutive failure, up to
-/// `MAX_BACKOFF`. Changes that the agent receives once discovery is back count as notified at once, so the longest
-/// backoff is well below the shortest grace period seen in settings (400 ms). Where lists are polled, the policy
-/// decides when to poll again.
+/// Half of the first backoff after a failed poll if lists are pushed; the backoff doubles with each consecutive
+/// failure, up to `MAX_BACKOFF`. Changes that the agent receives once discovery is back count as notified at once, so
+/// the longest backoff is well below the shortest grace period seen in settings (400 ms). If lists are polled, the
+/// policy decides when to poll again.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The fractional parts of its multiples are evenly spread, however many there are (Kronecker sequence).
+/// The fractional parts of its multiples are evenly spread for any number of them (Kronecker sequence).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// Returns the backoff after `failures` consecutive failed polls, where lists are pushed.
+/// Returns the backoff after `failures` consecutive failed polls, if lists are pushed.
 pub(super) fn backoff(failures: u32) -> Duration {
     (INITIAL_BACKOFF * (1 << failures.min(4))).min(MAX_BACKOFF)
 }
--- a/crates/proxy/src/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of the schedule, by itself and in simulated fleets of proxies that follow it.
+//! Tests of the schedule, alone and in simulated fleets of proxies that follow it.
 
 mod model;
 
 use super::*;
 use model::{Discovery, Fault, Fleet, Outcome, Strategy, STEP};
 
-/// Time after which a change counts as notified once discovery had it and could be reached, whatever failed before.
+/// Time after which a change counts as notified once discovery had it and could be reached, regardless of earlier
+/// failures.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// Longest delay of a proxy between reading its clock and writing.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
@@ -24,7 +25,7 @@
 /// Guards against bounds on silence, pause and answer whose sum exceeds the time after which a change counts as
 /// notified.
 #[test]
-fn a_change_is_received_in_time_in_whatever_order_silence_and_refusal_come() {
+fn a_change_is_received_in_time_after_silent_and_refused_polls_in_any_order() {
     use Fault::{Refused, Silent};
     let orders: [&[Fault]; 5] = [&[], &[Silent], &[Refused], &[Silent, Refused], &[Refused, Silent]];
     for faults in orders {
@@ -135,7 +136,10 @@
     assert_eq!(poll.times_out_at(), now + Duration::from_secs(10) + MAX_QUEUE_TIME);
     let second = Duration::from_secs(1);
     poll.received = Some(ReceivedSpan { first: now, last: now + second });
-    assert_eq!((poll.delay(), poll.times_out_at()), (Delay::Incomplete, now + second + STALL_TIMEOUT));
+    assert_eq!(
+        (poll.delay_reason(), poll.times_out_at()),
+        (DelayReason::Incomplete, now + second + STALL_TIMEOUT)
+    );
     poll.received = Some(ReceivedSpan { first: now, last: now + MAX_ANSWER_TIME - second });
     assert_eq!(poll.times_out_at(), now + MAX_ANSWER_TIME);
 }
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -16,8 +16,8 @@
     request: ForwardedRequest,
     /// The connection to the client that sent the request.
     client: Stream,
-    /// Notified when the client is found to have left as an attempt is about to be sent.
-    client_left: Rc<Notify>,
+    /// Notified when an attempt is about to be sent and the client is found to have disconnected.
+    client_disconnected: Rc<Notify>,
     answers: RefCell<Vec<AttemptAnswer>>,
     statuses: RefCell<Vec<AttemptStatus>>,
 }
@@ -43,30 +43,30 @@
             pool,
             request,
             client,
-            client_left: Rc::default(),
+            client_disconnected: Rc::default(),
             answers: RefCell::default(),
             statuses: RefCell::default(),
         })
     }
 
-    /// Returns the gate that is checked right before the first byte of an attempt. hyper may not have noticed that
-    /// the client has left: it does not read past bytes that follow a request, and the client may have closed while
-    /// this process was doing something else.
+    /// Returns the gate that is checked right before the first byte of an attempt. hyper may not have noticed that the
+    /// client has disconnected: it does not read past bytes that follow a request, and the client may have closed while
+    /// this process was busy.
     fn send_gate(&self, context: AttemptContext) -> SendGate {
         let client = self.client.clone();
-        let client_left = self.client_left.clone();
+        let client_disconnected = self.client_disconnected.clone();
         Box::new(move || {
-            let has_left = client.is_closed_by_peer();
-            if has_left {
-                client_left.notify_one();
+            let is_disconnected = client.is_closed_by_peer();
+            if is_disconnected {
+                client_disconnected.notify_one();
             }
-            !has_left && context.may_send()
+            !is_disconnected && context.may_send()
         })
     }
 
-    /// Waits until the client is found to have left as an attempt is about to be sent.
-    pub(crate) async fn client_left(&self) {
-        self.client_left.notified().await;
+    /// Waits until an attempt is about to be sent and the client is found to have disconnected.
+    pub(crate) async fn client_disconnected(&self) {
+        self.client_disconnected.notified().await;
     }
 
     /// Returns the path as the client wrote it.
--- a/crates/proxy/src/invalid_request.rs
+++ b/crates/proxy/src/invalid_request.rs
@@ -11,8 +11,8 @@
     CorrelationId,
     /// Another request with that id is open.
     IdInUse,
-    /// The method or the idempotency key does not fit the class, which may count as safer to repeat than the
-    /// request.
+    /// The method or the idempotency key does not fit the class, whose rules might allow retries that are
+    /// unsafe for the request.
     Method,
     /// The time left is not a single non-negative number.
     TimeLeft,
@@ -31,8 +31,8 @@
     Target,
     /// Dot segments in the path lead out of the class that it begins with.
     Path,
-    /// The client has disconnected, so nobody would get the answer.
-    ClientLeft,
+    /// The client has disconnected and cannot receive an answer.
+    ClientDisconnected,
 }
 
 impl InvalidRequest {
@@ -58,7 +58,7 @@
             InvalidRequest::Body => (StatusCode::BAD_REQUEST, "the body is malformed\n"),
             InvalidRequest::BodyTimeout => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
             InvalidRequest::Path => (StatusCode::BAD_REQUEST, "the path leads out of its class\n"),
-            InvalidRequest::ClientLeft => (StatusCode::BAD_REQUEST, "the client left\n"),
+            InvalidRequest::ClientDisconnected => (StatusCode::BAD_REQUEST, "the client left\n"),
             InvalidRequest::Target => (StatusCode::BAD_REQUEST, "the target has no path\n"),
         }
     }
--- a/crates/proxy/src/queueing_delay.rs
+++ b/crates/proxy/src/queueing_delay.rs
@@ -18,10 +18,9 @@
 //! which connections arrived faster than they were accepted, as its queue was not found empty meanwhile. It falls
 //! short of the true delay
 //! - by the time in which the runtime dispatches the events of a poll, as the poll is recorded after that;
-//! - by a turn, where more than 1,024 sockets are ready at once: a poll returns no more (the runtime's default);
+//! - by a turn, if more than 1,024 sockets are ready at once: a poll returns no more (the runtime's default);
 //! - by the time that a connection waited in an inherited listener's queue before this process had it;
-//! - completely, where the runtime does not record its polls ([`record_polls`]): the delay then counts from the
-//!   wake-up.
+//! - completely, if the runtime does not record its polls ([`record_polls`]): the delay then counts from the wake-up.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -65,7 +64,7 @@
     waker: RefCell<Option<PollWaker>>,
 }
 
-/// A waker that is registered with the socket in place of the task's own, and records the poll that wakes the task.
+/// A waker that is registered with the socket instead of the task's own, and records the poll that wakes the task.
 struct PollWaker {
     /// The waker of the task.
     task: Waker,
@@ -161,7 +160,7 @@
     /// Accepts the next connection and returns it with the earliest time at which it can have arrived.
     ///
     /// # Errors
-    /// The listener fails.
+    /// Returns an error if the listener fails.
     pub async fn accept(&self, listener: &TcpListener) -> io::Result<(TcpStream, Instant)> {
         let (tcp, _) = poll_fn(|cx| self.delay.poll_ready(cx, |cx| listener.poll_accept(cx))).await?;
         Ok((tcp, self.delay.earliest_arrival()))
