--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -5,7 +5,7 @@
 mod reconstruction;
 mod request;
 
-pub use request::{Attempt, Fate, Request, Verdict};
+pub use request::{Attempt, AttemptOutcome, Request, SendState};
 
 use crate::disk::Disk;
 use crate::index::{self, Index};
--- a/crates/ledger/src/history/reconstruction.rs
+++ b/crates/ledger/src/history/reconstruction.rs
@@ -1,6 +1,6 @@
 //! Reconstructs a request from its records.
 
-use super::request::{Attempt, Fate, Request};
+use super::request::{Attempt, AttemptOutcome, Request};
 use crate::record::{End, Record};
 use std::ops::Range;
 
@@ -47,7 +47,7 @@
                     backend: backend.clone(),
                     address: address.clone(),
                     sent_at: *at,
-                    fate: Fate::PossiblySent,
+                    outcome: AttemptOutcome::PossiblySent,
                 });
             }
             Record::Ended { attempt, end, .. } => self.end_attempt(*attempt, *end),
@@ -65,10 +65,10 @@
             self.mark_earlier_records_lost();
             return;
         };
-        attempt.fate = match end {
-            End::NeverSent => Fate::NeverSent,
-            End::Answered(status) => Fate::Answered(status),
-            End::Unanswered => Fate::Unanswered,
+        attempt.outcome = match end {
+            End::NeverSent => AttemptOutcome::NeverSent,
+            End::Answered(status) => AttemptOutcome::Answered(status),
+            End::Unanswered => AttemptOutcome::Unanswered,
         };
     }
 
--- a/crates/ledger/src/history/request.rs
+++ b/crates/ledger/src/history/request.rs
@@ -6,7 +6,7 @@
 /// The known outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// Certainly not processed.
     NeverSent,
     /// Sent, and answered with this status.
@@ -30,13 +30,14 @@
     #[serde(rename = "at")]
     pub sent_at: Millis,
     /// Its outcome.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub outcome: AttemptOutcome,
 }
 
 /// A summary of all attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum SendState {
     /// No attempt was sent.
     NeverSent,
     /// At least one attempt was sent, and the end of each attempt is known.
@@ -73,15 +74,16 @@
 
 impl Request {
     /// Summarizes the attempts.
-    pub fn verdict(&self) -> Verdict {
-        let has_uncertain_attempt = self.attempts.iter().any(|attempt| attempt.fate == Fate::PossiblySent);
-        let was_sent = self.attempts.iter().any(|attempt| attempt.fate != Fate::NeverSent);
+    pub fn send_state(&self) -> SendState {
+        let has_uncertain_attempt =
+            self.attempts.iter().any(|attempt| attempt.outcome == AttemptOutcome::PossiblySent);
+        let was_sent = self.attempts.iter().any(|attempt| attempt.outcome != AttemptOutcome::NeverSent);
         if self.is_uncertain || has_uncertain_attempt {
-            Verdict::PossiblySent
+            SendState::PossiblySent
         } else if was_sent {
-            Verdict::Sent
+            SendState::Sent
         } else {
-            Verdict::NeverSent
+            SendState::NeverSent
         }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -25,7 +25,7 @@
 pub use durable_write::DurableWrite;
 pub use folder::Folder;
 pub use frame::{decode, encode, DecodeError, Frame, FRAME_HEADER_LEN};
-pub use history::{Attempt, Fate, History, Request, Verdict};
+pub use history::{Attempt, AttemptOutcome, History, Request, SendState};
 pub use index::Index;
 pub use ledger::Ledger;
 pub use options::{Mode, OnFailure, Options};
--- a/crates/ledger/tests/crash/main.rs
+++ b/crates/ledger/tests/crash/main.rs
@@ -6,7 +6,7 @@
 mod scenario;
 
 use lotusdeck_ledger::memory_disk::{Faults, MemoryDisk};
-use lotusdeck_ledger::{Disk, Mode, OnFailure, Options, Verdict, Writer};
+use lotusdeck_ledger::{Disk, Mode, OnFailure, Options, SendState, Writer};
 use scenario::{compare, history, id, power_losses, record, Scenario, Step, SHORT_HISTORY};
 use std::collections::BTreeMap;
 
@@ -92,5 +92,5 @@
     old.steps(&SHORT_HISTORY[5..]);
     let shown = history(&disk.after_kill());
     assert_eq!(compare(&shown, &old.truth), Ok(0));
-    assert_eq!(shown.find("request-0007")[0].verdict(), Verdict::PossiblySent);
+    assert_eq!(shown.find("request-0007")[0].send_state(), SendState::PossiblySent);
 }
--- a/crates/ledger/tests/crash/scenario.rs
+++ b/crates/ledger/tests/crash/scenario.rs
@@ -1,7 +1,9 @@
 //! Writes histories of requests to a disk, and compares what the ledger shows with what happened.
 
 use lotusdeck_ledger::memory_disk::MemoryDisk;
-use lotusdeck_ledger::{End, Fate, History, Mode, OnFailure, Options, Record, Request, Verdict, Writer};
+use lotusdeck_ledger::{
+    AttemptOutcome, End, History, Mode, OnFailure, Options, Record, Request, SendState, Writer,
+};
 use std::collections::BTreeMap;
 
 /// What happened to a request: for each attempt that may have written a byte, its end, or `None` while it is in
@@ -154,23 +156,26 @@
             uncertain += usize::from(!shown.is_complete());
             continue;
         };
-        uncertain += usize::from(request.verdict() == Verdict::PossiblySent);
-        compare_verdict(request, &sent)?;
+        uncertain += usize::from(request.send_state() == SendState::PossiblySent);
+        compare_send_state(request, &sent)?;
         compare_attempts(request, attempts)?;
     }
     Ok(uncertain)
 }
 
-fn compare_verdict(request: &Request, sent: &Attempts) -> Result<(), String> {
+fn compare_send_state(request: &Request, sent: &Attempts) -> Result<(), String> {
     let id = &request.id;
-    let verdict = request.verdict();
-    if verdict == Verdict::NeverSent && !sent.is_empty() {
+    let state = request.send_state();
+    if state == SendState::NeverSent && !sent.is_empty() {
         return Err(format!("{id}: shown as never sent, but attempts were sent: {sent:?}"));
     }
     let is_listed = |number: &u32| {
-        request.attempts.iter().any(|shown| shown.number == *number && shown.fate != Fate::NeverSent)
+        request
+            .attempts
+            .iter()
+            .any(|shown| shown.number == *number && shown.outcome != AttemptOutcome::NeverSent)
     };
-    if verdict == Verdict::Sent {
+    if state == SendState::Sent {
         if let Some(number) = sent.keys().find(|number| !is_listed(number)) {
             return Err(format!("{id}: attempt {number} was sent but is not shown"));
         }
@@ -181,15 +186,15 @@
 fn compare_attempts(request: &Request, attempts: &Attempts) -> Result<(), String> {
     for shown in &request.attempts {
         let end = attempts.get(&shown.number).copied().flatten();
-        let is_true = match shown.fate {
-            Fate::PossiblySent => true,
-            Fate::NeverSent => end == Some(End::NeverSent) || !attempts.contains_key(&shown.number),
-            Fate::Answered(status) => end == Some(End::Answered(status)),
-            Fate::Unanswered => end == Some(End::Unanswered),
+        let is_true = match shown.outcome {
+            AttemptOutcome::PossiblySent => true,
+            AttemptOutcome::NeverSent => end == Some(End::NeverSent) || !attempts.contains_key(&shown.number),
+            AttemptOutcome::Answered(status) => end == Some(End::Answered(status)),
+            AttemptOutcome::Unanswered => end == Some(End::Unanswered),
         };
         if !is_true {
-            let (id, number, fate) = (&request.id, shown.number, shown.fate);
-            return Err(format!("{id}: attempt {number} is shown as {fate:?}, but its end was {end:?}"));
+            let (id, number, outcome) = (&request.id, shown.number, shown.outcome);
+            return Err(format!("{id}: attempt {number} is shown as {outcome:?}, but its end was {end:?}"));
         }
     }
     Ok(())
--- a/crates/lotusdeck/src/ledger/format.rs
+++ b/crates/lotusdeck/src/ledger/format.rs
@@ -1,26 +1,26 @@
 //! Formats the requests of a ledger as a table, as JSON lines and as comma-separated values.
 
-use lotusdeck_ledger::{Attempt, Fate, Request, Verdict};
+use lotusdeck_ledger::{Attempt, AttemptOutcome, Request, SendState};
 use std::fmt::Write;
 
 /// The header line of comma-separated values.
 pub(super) const CSV_HEADER: &str =
     "proxy,taken_ms,id,class,key,state,attempt,backend,address,sent_ms,fate\n";
 
-fn fate_name(fate: Fate) -> String {
-    match fate {
-        Fate::NeverSent => "never sent".into(),
-        Fate::Answered(status) => format!("sent, answered {status}"),
-        Fate::Unanswered => "sent, ended without an answer".into(),
-        Fate::PossiblySent => "possibly sent".into(),
+fn outcome_name(outcome: AttemptOutcome) -> String {
+    match outcome {
+        AttemptOutcome::NeverSent => "never sent".into(),
+        AttemptOutcome::Answered(status) => format!("sent, answered {status}"),
+        AttemptOutcome::Unanswered => "sent, ended without an answer".into(),
+        AttemptOutcome::PossiblySent => "possibly sent".into(),
     }
 }
 
 fn state_name(request: &Request) -> &'static str {
-    match request.verdict() {
-        Verdict::NeverSent => "never sent",
-        Verdict::Sent => "sent",
-        Verdict::PossiblySent => "possibly sent",
+    match request.send_state() {
+        SendState::NeverSent => "never sent",
+        SendState::Sent => "sent",
+        SendState::PossiblySent => "possibly sent",
     }
 }
 
@@ -44,8 +44,8 @@
     for attempt in &request.attempts {
         let Attempt { number, backend, address, .. } = attempt;
         let sent = seconds(attempt.sent_at);
-        let fate = fate_name(attempt.fate);
-        let _ = writeln!(out, "  {number}: {backend} at {address}, {sent}: {fate}");
+        let outcome = outcome_name(attempt.outcome);
+        let _ = writeln!(out, "  {number}: {backend} at {address}, {sent}: {outcome}");
     }
     if request.is_uncertain {
         out.push_str("  records that may tell of further attempts are missing\n");
@@ -89,8 +89,8 @@
     let line = |attempt: &Attempt| {
         let backend = csv_field(&attempt.backend);
         let address = csv_field(&attempt.address);
-        let fate = csv_field(&fate_name(attempt.fate));
-        format!("{request_fields},{},{backend},{address},{},{fate}\n", attempt.number, attempt.sent_at)
+        let outcome = csv_field(&outcome_name(attempt.outcome));
+        format!("{request_fields},{},{backend},{address},{},{outcome}\n", attempt.number, attempt.sent_at)
     };
     request.attempts.iter().map(line).collect()
 }
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::print;
 use clap::{Subcommand, ValueEnum};
-use lotusdeck_ledger::{Fate, Folder, History, Request, Verdict};
+use lotusdeck_ledger::{AttemptOutcome, Folder, History, Request, SendState};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -77,10 +77,10 @@
 
 impl State {
     fn of(request: &Request) -> State {
-        match request.verdict() {
-            Verdict::NeverSent => State::NeverSent,
-            Verdict::Sent => State::Sent,
-            Verdict::PossiblySent => State::PossiblySent,
+        match request.send_state() {
+            SendState::NeverSent => State::NeverSent,
+            SendState::Sent => State::Sent,
+            SendState::PossiblySent => State::PossiblySent,
         }
     }
 }
@@ -112,7 +112,10 @@
 }
 
 fn may_have_reached(request: &Request, backend: &str) -> bool {
-    request.attempts.iter().any(|attempt| attempt.backend == backend && attempt.fate != Fate::NeverSent)
+    request
+        .attempts
+        .iter()
+        .any(|attempt| attempt.backend == backend && attempt.outcome != AttemptOutcome::NeverSent)
 }
 
 /// Reads the folders and runs the command. Exit codes: 0 for success, 1 if `verify` finds damage, 2 if a folder
@@ -177,7 +180,7 @@
 
 fn verify(history: &History) -> ExitCode {
     let requests = history.requests();
-    let uncertain = requests.iter().filter(|request| request.verdict() == Verdict::PossiblySent).count();
+    let uncertain = requests.iter().filter(|request| request.send_state() == SendState::PossiblySent).count();
     let segments = history.segments_read;
     print(&format!("{segments} segments, {} requests, {uncertain} possibly sent\n", requests.len()));
     for fault in &history.faults {
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -17,7 +17,7 @@
 
 fn operator(name: &str, servers: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("lotusdeck-postgres-{}-{name}.toml", std::process::id()));
-    let verifier = Verifier::of_password(b"do re mi", b"salt", 4096).stored();
+    let verifier = Verifier::from_password(b"do re mi", b"salt", 4096).stored();
     let text = format!(
         "[[postgres]]\nlisten = \"127.0.0.1:0\"\ndatabases = [\"scores\"]\n\
          user = [{{ name = \"ann\", verifier = \"{verifier}\" }}]\n\
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -90,7 +90,7 @@
     }
 
     /// Computes the verifier of a password.
-    pub fn of_password(password: &[u8], salt: &[u8], iterations: u32) -> Verifier {
+    pub fn from_password(password: &[u8], salt: &[u8], iterations: u32) -> Verifier {
         let mut block = hmac_sha256(password, &[salt, &1u32.to_be_bytes()]);
         let mut salted = block;
         for _ in 1..iterations {
--- a/crates/postgres/src/scram/tests.rs
+++ b/crates/postgres/src/scram/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn exchange_matches_the_example_of_the_rfc() {
     let salt = BASE64_STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").unwrap();
-    let verifier = Verifier::of_password(b"pencil", &salt, 4096);
+    let verifier = Verifier::from_password(b"pencil", &salt, 4096);
     let (exchange, answer) = Exchange::begin(
         verifier.clone(),
         "n,,n=user,r=rOprNGfwEbeRWgbNEkqO",
--- a/crates/postgres/tests/rig/mod.rs
+++ b/crates/postgres/tests/rig/mod.rs
@@ -276,7 +276,7 @@
             OptionalServices::default(),
         );
         tokio::task::spawn_local(host.clone().run_timers());
-        let user = User { name: "ann".into(), verifier: Verifier::of_password(b"do re mi", b"salt", 64) };
+        let user = User { name: "ann".into(), verifier: Verifier::from_password(b"do re mi", b"salt", 64) };
         let settings =
             FrontSettings { databases: vec!["scores".into()], users: vec![user], max_clients: 100, rules };
         let front = Front::new(host.clone(), servers.clone(), settings).unwrap();
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -10,7 +10,9 @@
 use crate::world::rng::Rng;
 use hdrhistogram::Histogram;
 use indicatif::ProgressBar;
-use lotusdeck_ledger::{Disk, End, Fate, Folder, History, Mode, OnFailure, Options, Record, Verdict, Writer};
+use lotusdeck_ledger::{
+    AttemptOutcome, Disk, End, Folder, History, Mode, OnFailure, Options, Record, SendState, Writer,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -144,8 +146,8 @@
             }
             continue;
         };
-        match r.verdict() {
-            Verdict::PossiblySent => {
+        match r.send_state() {
+            SendState::PossiblySent => {
                 let why = match (ran.is_empty(), seen.served.is_empty()) {
                     (true, _) => "it had not reached a backend when the proxy was killed",
                     (false, true) => "a backend had it when the proxy was killed, and had not answered",
@@ -155,16 +157,16 @@
                 };
                 *out.uncertain.entry(why).or_default() += 1;
             }
-            Verdict::NeverSent if !ran.is_empty() => {
+            SendState::NeverSent if !ran.is_empty() => {
                 out.wrong.push(format!("{id}: never sent, and backend {} ran it", ran[0]));
             }
-            Verdict::NeverSent => out.certain += 1,
-            Verdict::Sent => {
+            SendState::NeverSent => out.certain += 1,
+            SendState::Sent => {
                 out.certain += 1;
                 let listed = |b: &usize| {
-                    r.attempts
-                        .iter()
-                        .any(|a| backend_index(&a.backend) == Some(*b) && a.fate != Fate::NeverSent)
+                    r.attempts.iter().any(|a| {
+                        backend_index(&a.backend) == Some(*b) && a.outcome != AttemptOutcome::NeverSent
+                    })
                 };
                 if let Some(b) = ran.iter().find(|b| !listed(b)) {
                     out.wrong.push(format!("{id}: backend {b} ran it and is not told of"));
@@ -174,11 +176,11 @@
         for a in &r.attempts {
             let backend = backend_index(&a.backend);
             let had = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
-            match a.fate {
-                Fate::NeverSent if had(&ran) => {
+            match a.outcome {
+                AttemptOutcome::NeverSent if had(&ran) => {
                     out.wrong.push(format!("{id}: never sent to {}, which ran it", a.backend));
                 }
-                Fate::Answered(200) if !had(&seen.served) => {
+                AttemptOutcome::Answered(200) if !had(&seen.served) => {
                     out.wrong.push(format!("{id}: answered by {}, which did not", a.backend));
                 }
                 _ => {}
