--- a/crates/configuration/tests/convergence.rs
+++ b/crates/configuration/tests/convergence.rs
@@ -1,6 +1,6 @@
 //! Under any loss, duplication and reordering of messages, a follower converges to the source's document and applies
 //! only published documents. A disconnected region keeps its document and catches up after reconnecting.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 mod common;
 
--- a/crates/configuration/tests/hard_cases.rs
+++ b/crates/configuration/tests/hard_cases.rs
@@ -1,5 +1,5 @@
 //! Tests of individual faults in the distribution of versions.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 mod common;
 
--- a/crates/configuration/tests/rollout.rs
+++ b/crates/configuration/tests/rollout.rs
@@ -1,5 +1,5 @@
 //! 1,200 followers of one source of fixed bandwidth, in virtual time.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 mod common;
 #[path = "common/rollout.rs"]
--- a/crates/configuration/tests/wire.rs
+++ b/crates/configuration/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The exact text of each kind of message, so that sources and followers of different program versions stay compatible.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test panics on unexpected results")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 use lotusdeck_configuration::history::HistoryBounds;
 use lotusdeck_configuration::{decode, encode, Entry, Key, Message, Section, Source, Version};
--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -2,7 +2,7 @@
 //! and on the requests served, and the cost of gossip by the number of proxies.
 //!
 //! `cargo run --release -p lotusdeck-fleet --example figures`
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a trial stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Checks the bound of docs/fleet-limits.md in virtual time: under any faults of links and processes, all proxies
 //! together admit no more than the limit, and what one proxy does not use is available to the others.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 mod sim;
 
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Pins the bytes of each kind of datagram, because proxies of different versions run in one fleet during an upgrade.
 //! Postcard encodes fields and variants by their order, so a reordering fails here.
-#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test stops at what it did not expect")]
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "tests panic on unexpected results")]
 
 use lotusdeck_fleet::load_gossip::LoadReport;
 use lotusdeck_fleet::wire::{decode, encode, tag, Message};
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -4,7 +4,7 @@
     clippy::unwrap_used,
     clippy::expect_used,
     clippy::too_many_lines,
-    reason = "a test stops at what it did not expect"
+    reason = "tests panic on unexpected results"
 )]
 
 mod rig;
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -5,7 +5,7 @@
     clippy::expect_used,
     clippy::too_many_lines,
     missing_docs,
-    reason = "a test stops at what it did not expect"
+    reason = "tests panic on unexpected results"
 )]
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -11,7 +11,7 @@
     clippy::too_many_lines,
     clippy::type_complexity,
     clippy::unwrap_used,
-    reason = "not revised yet"
+    reason = "not all code meets these lints yet"
 )]
 
 mod bridge;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -9,7 +9,7 @@
     clippy::too_many_lines,
     clippy::type_complexity,
     clippy::unwrap_used,
-    reason = "not revised yet"
+    reason = "not all code meets these lints yet"
 )]
 
 use clap::{Parser, Subcommand};
