--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -19,7 +19,8 @@
 const TIME_LEFT: u64 = 1_000_000;
 /// Steps between two requests to a proxy, apart from the burst.
 const STEPS_PER_REQUEST: u64 = 40;
-/// No proxy may reject this many requests over this time without an attempt between them.
+/// No proxy may reject this many requests over this time without an attempt between them. This is stricter than the
+/// target, which lets at most one proxy in ten reject everything for 4 s on end.
 const MAX_REJECTED: usize = 15;
 const MAX_SILENCE: Micros = Micros(4_000_000);
 
