--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -11,7 +11,7 @@
 use lotusdeck_testbed::experiment::Experiment;
 use lotusdeck_testbed::fleet::{self, Script, Way};
 use lotusdeck_testbed::ledger;
-use lotusdeck_testbed::oracle::Broken;
+use lotusdeck_testbed::oracle::Violation;
 use lotusdeck_testbed::report::figures::Figures;
 use lotusdeck_testbed::virtual_time;
 use lotusdeck_testbed::virtual_time::policy_choice::PolicyChoice;
@@ -69,7 +69,7 @@
 }
 
 /// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
-fn valid_figures(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Broken>), String> {
+fn valid_figures(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Violation>), String> {
     let (figures, broken) = Figures::of(plan, outcome);
     match figures.void {
         Some(why) => Err(why),
--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -1,7 +1,7 @@
 //! The experiments of a campaign: a small deployment with injuries and troubles drawn from a seed.
 
-use crate::experiment::{Experiment, ExperimentError, Trouble, What as TroubleKind};
-use crate::fault_proxy::script::{Fault, Place, Way, What};
+use crate::experiment::{Experiment, ExperimentError, Trouble, TroubleKind};
+use crate::fault_proxy::script::{Fault, FaultKind, Place, Way};
 use crate::world::rng::Rng;
 
 /// A deployment that exercises every path of a request within seconds. Connections are few, so that faults
@@ -48,26 +48,26 @@
     let bytes = 1 + rng.below(9);
     let ms = 1 + rng.below(if way == Way::Up { MAX_UP_MS as usize } else { 500 }) as u64;
     let what = match rng.below(10) {
-        0 => What::HalfClose,
-        1 => What::Cut,
-        2 => What::Reset,
-        3 => What::Hang,
-        4 => What::Blackhole,
-        5 => What::Split { bytes },
-        6 => What::Stall { ms },
+        0 => FaultKind::HalfClose,
+        1 => FaultKind::Cut,
+        2 => FaultKind::Reset,
+        3 => FaultKind::Hang,
+        4 => FaultKind::Blackhole,
+        5 => FaultKind::Split { bytes },
+        6 => FaultKind::Stall { ms },
         // A changed request is not what the proxy sent, and a changed body cannot be distinguished from a good
         // one, so that only heads of answers are changed.
-        _ if way == Way::Up => What::Stall { ms },
-        7 => What::Flip { bytes },
+        _ if way == Way::Up => FaultKind::Stall { ms },
+        7 => FaultKind::Flip { bytes },
         // Inserts bytes after an answer that belong to no request; the proxy must not take them for the answer
         // to the next one.
-        8 => What::Insert { text: TRAILING_BYTES[rng.below(TRAILING_BYTES.len())].into() },
+        8 => FaultKind::Insert { text: TRAILING_BYTES[rng.below(TRAILING_BYTES.len())].into() },
         // At most the first line: a longer repeat would shift the body while its length stays correct.
-        _ => What::Repeat { bytes },
+        _ => FaultKind::Repeat { bytes },
     };
     let fixed = match what {
-        What::Flip { .. } | What::Repeat { .. } => Some(Place::Start),
-        What::Insert { .. } => Some(Place::End),
+        FaultKind::Flip { .. } | FaultKind::Repeat { .. } => Some(Place::Start),
+        FaultKind::Insert { .. } => Some(Place::End),
         _ => None,
     };
     Fault {
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -8,10 +8,10 @@
 
 use crate::driver::run::play;
 use crate::experiment::{Effect, Experiment};
-use crate::oracle::{timeline, Broken};
+use crate::oracle::{timeline, Violation};
 use crate::record::{Observation, RequestEnd};
 use crate::report::figures::Figures;
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use crate::world::plan::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -68,7 +68,7 @@
 /// The verdict on a run.
 pub struct Verdict {
     /// The broken rules and the timeline of the first request concerned; `None` if the testbed was late.
-    pub broken: Option<(Vec<Broken>, String)>,
+    pub broken: Option<(Vec<Violation>, String)>,
     counts: Progress,
 }
 
@@ -190,7 +190,7 @@
         Ok(text) => {
             let bad = |e| SessionError::Results(file.display().to_string(), e);
             progress = serde_json::from_str(&text).map_err(bad)?;
-            say(&format!("goes on from seed {}\n", progress.next));
+            print(&format!("goes on from seed {}\n", progress.next));
         }
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
         Err(e) => return Err(fault(e)),
@@ -214,7 +214,7 @@
         jobs.into_iter().try_for_each(|job| job.join().unwrap_or(Ok(())))
     })?;
     let progress = progress.into_inner().unwrap_or_else(|e| e.into_inner());
-    say(&progress.table());
+    print(&progress.table());
     Ok(progress.broke.is_empty())
 }
 
@@ -237,9 +237,9 @@
         return Ok(());
     };
     for b in broken.iter().take(3) {
-        say(&format!("seed {seed}: {}: {}\n", b.oracle, b.text));
+        print(&format!("seed {seed}: {}: {}\n", b.oracle, b.text));
     }
-    say(course);
+    print(course);
     let smallest = if args.first { e } else { shrink(e, |e| breaks(e, proxy, &folder))? };
     let (file, name) = (out.join(format!("seed-{seed}.toml")), format!("seed-{seed}"));
     let smallest =
@@ -247,7 +247,7 @@
     let text = toml::to_string(&smallest).unwrap_or_default();
     std::fs::write(&file, text).map_err(|e| SessionError::File(file.display().to_string(), e))?;
     let (injuries, troubles) = (smallest.injury.len(), smallest.trouble.len());
-    say(&format!("seed {seed}: {} holds {injuries} injuries and {troubles} troubles\n", file.display()));
+    print(&format!("seed {seed}: {} holds {injuries} injuries and {troubles} troubles\n", file.display()));
     Ok(())
 }
 
--- a/crates/testbed/src/crowd_cost.rs
+++ b/crates/testbed/src/crowd_cost.rs
@@ -4,7 +4,7 @@
 use crate::driver::proxies::Proxy;
 use crate::driver::run::RunError;
 use crate::experiment::{Experiment, ExperimentError};
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use crate::world::plan::Plan;
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -181,6 +181,6 @@
             row.micros.push(micros);
         }
     }
-    say(&report(&rows, args));
+    print(&report(&rows, args));
     Ok(())
 }
--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -1,7 +1,7 @@
 //! Clients on sockets. They start arrivals at their planned times, however earlier ones go, make tries while they
 //! have patience, and distribute them over the proxies.
 
-use super::wire::Link;
+use super::wire::Connection;
 use super::{Clock, Log};
 use crate::experiment::Effect;
 use crate::record::{body, Observation, TryId, LISTEN_ON};
@@ -25,7 +25,7 @@
 
 struct Front {
     address: SocketAddr,
-    idle: Vec<(Time, Link, TryId)>,
+    idle: Vec<(Time, Connection, TryId)>,
     /// Time until which it gets no requests, after it could not be reached.
     shunned: Time,
 }
@@ -192,7 +192,7 @@
         self.dispatcher.borrow_mut().next(|p| fronts[p].shunned > now)
     }
 
-    async fn connect(&self, proxy: usize) -> Option<(Link, bool)> {
+    async fn connect(&self, proxy: usize) -> Option<(Connection, bool)> {
         loop {
             let kept = self.fronts.borrow_mut()[proxy].idle.pop();
             let Some((since, mut link, last)) = kept else { break };
@@ -204,6 +204,6 @@
         }
         let address = self.fronts.borrow()[proxy].address;
         let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
-        Some((Link::new(tcp), false))
+        Some((Connection::new(tcp), false))
     }
 }
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery on sockets: a listener for each proxy, which serves whole lists and watches; calls are handled one at
 //! a time.
 
-use super::wire::{listen, Link, ReadEvent};
+use super::wire::{listen, Connection, ReadEvent};
 use super::{Clock, Log};
 use crate::record::Observation;
 use crate::world::discovery::{Discovery, Line, Status};
@@ -60,7 +60,7 @@
             let service = service.clone();
             tokio::task::spawn_local(async move {
                 while let Ok((tcp, _)) = listener.accept().await {
-                    tokio::task::spawn_local(service.clone().connection(proxy, Link::new(tcp)));
+                    tokio::task::spawn_local(service.clone().connection(proxy, Connection::new(tcp)));
                 }
             });
         }
@@ -119,7 +119,7 @@
         serde_json::json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
     }
 
-    async fn connection(self: Rc<Self>, proxy: usize, mut link: Link) {
+    async fn connection(self: Rc<Self>, proxy: usize, mut link: Connection) {
         while let Ok(Some(request)) = link.request().await {
             let query = |name: &str| -> Option<u64> {
                 let (_, query) = request.target.split_once('?')?;
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet on sockets: every backend listens, reads requests, and answers each when its station has finished the
 //! work.
 
-use super::wire::{listen, Link, ReadEvent, Request, Reserved};
+use super::wire::{listen, Connection, ReadEvent, Request, Reserved};
 use super::{Clock, Log};
 use crate::experiment::Effect;
 use crate::record::{body, Observation, RequestEnd, TryId};
@@ -184,7 +184,7 @@
     async fn connection(self: Rc<Self>, b: usize, tcp: tokio::net::TcpStream) {
         let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         let resets = liveness.borrow().0;
-        let mut link = Link::new(tcp);
+        let mut link = Connection::new(tcp);
         let opened = self.ticket();
         self.settle(b, self.clock.now());
         {
@@ -207,7 +207,7 @@
         }
     }
 
-    async fn serve_connection(&self, b: usize, link: &mut Link) {
+    async fn serve_connection(&self, b: usize, link: &mut Connection) {
         let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         loop {
             let request = match link.request().await {
@@ -284,7 +284,7 @@
     }
 }
 
-async fn closed(link: &mut Link) {
+async fn closed(link: &mut Connection) {
     if link.wait_read().await == ReadEvent::Bytes {
         std::future::pending().await // a pipelined request, which is read later
     }
--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -1,7 +1,7 @@
 //! The real proxy processes: their configuration, start, signals and resource usage.
 
 use super::usage::Usage;
-use super::wire::{Link, Reserved};
+use super::wire::{Connection, Reserved};
 use super::Clock;
 use crate::experiment::Effect;
 use crate::world::plan::Plan;
@@ -148,7 +148,7 @@
 
     /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
-        let own = self.pid().and_then(Usage::of); // usage of this process only
+        let own = self.pid().and_then(Usage::read); // usage of this process only
         self.earlier_cpu += own.map(|u| u.cpu).unwrap_or_default();
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
@@ -186,14 +186,14 @@
 
     /// Returns the usage of its current process, with the processor time of earlier ones added.
     pub fn usage(&self) -> Option<Usage> {
-        let now = Usage::of(self.pid()?)?;
+        let now = Usage::read(self.pid()?)?;
         Some(Usage { cpu: now.cpu + self.earlier_cpu, ..now })
     }
 }
 
 pub(crate) async fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<u16> {
     let ask = async {
-        let mut link = Link::new(TcpStream::connect(to).await.ok()?);
+        let mut link = Connection::new(TcpStream::connect(to).await.ok()?);
         let head = format!("{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {}\r\n\r\n", body.len());
         link.write((head + body).as_bytes()).await.ok()?;
         Some(link.answer().await.ok()?.status)
--- a/crates/testbed/src/driver/usage.rs
+++ b/crates/testbed/src/driver/usage.rs
@@ -15,7 +15,7 @@
 
 impl Usage {
     /// Reads the usage of a process; `None` when there is no such process.
-    pub fn of(pid: u32) -> Option<Usage> {
+    pub fn read(pid: u32) -> Option<Usage> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         // The process name may contain any character, so fields are counted from its closing parenthesis.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_ascii_whitespace().collect();
--- a/crates/testbed/src/driver/usage/tests.rs
+++ b/crates/testbed/src/driver/usage/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn reads_the_usage_of_this_process() {
-    let used = Usage::of(std::process::id()).unwrap();
+    let used = Usage::read(std::process::id()).unwrap();
     assert!(used.memory > 100_000 && used.descriptors > 2, "{used:?}");
-    assert_eq!(Usage::of(u32::MAX), None);
+    assert_eq!(Usage::read(u32::MAX), None);
 }
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -55,7 +55,7 @@
 }
 
 /// A connection, and the bytes read from it that belong to no message yet.
-pub struct Link {
+pub struct Connection {
     pub tcp: TcpStream,
     ahead: BytesMut,
 }
@@ -91,11 +91,11 @@
     }
 }
 
-impl Link {
+impl Connection {
     /// Wraps a connection, and turns Nagle's algorithm off so that small messages are sent at once.
-    pub fn new(tcp: TcpStream) -> Link {
+    pub fn new(tcp: TcpStream) -> Connection {
         let _ = tcp.set_nodelay(true);
-        Link { tcp, ahead: BytesMut::with_capacity(2048) }
+        Connection { tcp, ahead: BytesMut::with_capacity(2048) }
     }
 
     /// Writes all bytes.
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -4,7 +4,7 @@
 use crate::report::causes::{Losses, CAUSES};
 use crate::report::compare::interval;
 use crate::report::figures::{Figures, Tally};
-use crate::session::{say, SessionError};
+use crate::session::{print, SessionError};
 use crate::virtual_time::policy_choice::PolicyChoice;
 use crate::virtual_time::{play, VirtualError};
 use crate::world::plan::Plan;
@@ -199,7 +199,7 @@
         let rows = rows(&experiment, &policies, args.seeds, &|| bar.inc(1))?;
         bar.finish_and_clear();
         let text = table(&rows);
-        say(&format!(
+        print(&format!(
             "{}: {} seeds, {} backends, {} proxies. {}\n",
             experiment.name,
             args.seeds,
@@ -207,8 +207,8 @@
             experiment.proxies,
             experiment.about
         ));
-        say(&text);
-        say(&details(&experiment, &rows, args.causes));
+        print(&text);
+        print(&details(&experiment, &rows, args.causes));
     }
     Ok(())
 }
--- a/crates/testbed/src/experiment/check.rs
+++ b/crates/testbed/src/experiment/check.rs
@@ -1,6 +1,6 @@
 //! Checks of the values of an experiment.
 
-use super::format::{Class, Experiment, Kind, Trouble, What};
+use super::format::{Class, Experiment, Kind, Trouble, TroubleKind};
 
 /// Largest size of an answer or a body, bytes: a run holds thousands of them at a time.
 const MAX_BYTES: usize = 65_536;
@@ -99,8 +99,10 @@
     let is_kind = |name: &String| experiment.kind.iter().any(|kind| kind.name == *name);
     let is_zone = |name: &String| experiment.zones.contains(name);
     let is_proxy = |number: usize| number < experiment.proxies;
-    let needs_proxy = matches!(trouble.what, What::KillProxy | What::RestartProxy | What::Reload);
-    let needs_factor = matches!(trouble.what, What::Slow | What::SharedSlow | What::DiscoveryLag);
+    let needs_proxy =
+        matches!(trouble.what, TroubleKind::KillProxy | TroubleKind::RestartProxy | TroubleKind::Reload);
+    let needs_factor =
+        matches!(trouble.what, TroubleKind::Slow | TroubleKind::SharedSlow | TroubleKind::DiscoveryLag);
     first([
         fault_if(!trouble.kind.as_ref().is_none_or(is_kind), key("kind"), "the name of a kind"),
         fault_if(!trouble.zone.as_ref().is_none_or(is_zone), key("zone"), "one of zones"),
--- a/crates/testbed/src/experiment/format.rs
+++ b/crates/testbed/src/experiment/format.rs
@@ -291,7 +291,7 @@
     /// Time of the event, s.
     pub at_s: f64,
     /// The kind of event.
-    pub what: What,
+    pub what: TroubleKind,
     /// Part of the fleet that it affects, drawn at random; or one `kind`, one `zone`, or one `proxy`.
     #[serde(default)]
     pub part: Option<f64>,
@@ -318,7 +318,7 @@
 /// A kind of event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum TroubleKind {
     /// Backends die, and return cold.
     Kill,
     /// Backends drain and leave, and return cold.
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -11,7 +11,8 @@
 
 pub use error::ExperimentError;
 pub use format::{
-    Class, Clients, DiscoverySpec, Effect, Experiment, Kind, Limits, Load, Phase, Rules, Talk, Trouble, What,
+    Class, Clients, DiscoverySpec, Effect, Experiment, Kind, Limits, Load, Phase, Rules, Talk, Trouble,
+    TroubleKind,
 };
 
 use crate::fault_proxy::script::{Framing, Route, Script, ScriptError};
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -6,8 +6,8 @@
 use crate::driver::run::{raise_descriptor_limit, thread, RunError};
 use crate::driver::usage::Usage;
 use crate::driver::wire::listen;
-use crate::overhead::{measure, median, Point, Seen};
-use crate::session::{say, SessionError};
+use crate::overhead::{measure, median, LoopMeasurement, Point};
+use crate::session::{print, SessionError};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,8 +48,8 @@
     Ok(at)
 }
 
-async fn round_trips(to: SocketAddr, span: Duration) -> Rc<Seen> {
-    let (seen, mut bytes) = (Seen::start(span), [7u8; BYTES]);
+async fn round_trips(to: SocketAddr, span: Duration) -> Rc<LoopMeasurement> {
+    let (seen, mut bytes) = (LoopMeasurement::start(span), [7u8; BYTES]);
     if let Ok(mut tcp) = TcpStream::connect(to).await {
         let _ = tcp.set_nodelay(true);
         while seen.is_running() {
@@ -110,7 +110,7 @@
             points.push(measure(None, move || round_trips(to, span)).await?);
         }
     }
-    let memory = || Usage::of(std::process::id()).map_or(0, |u| u.memory);
+    let memory = || Usage::read(std::process::id()).map_or(0, |u| u.memory);
     let (before, mut idle) = (memory(), Vec::new());
     for _ in 0..args.idle {
         idle.push(TcpStream::connect(relay).await.map_err(fault)?);
@@ -126,15 +126,18 @@
         with_idle.push(measure(None, move || round_trips(relay, span)).await?);
     }
     ways.push((format!("relay, {} idle", idle.len()), relay, with_idle));
-    say(&format!(
+    print(&format!(
         "medians of {} rounds of {} s, {BYTES} bytes there and back, one at a time\n",
         args.rounds, args.seconds
     ));
     for (name, _, points) in &ways {
         let [p50, p99] = [median(points, |p| p.p50_us), median(points, |p| p.p99_us)];
         let failed: u64 = points.iter().map(|p| p.failed).sum();
-        say(&format!("{name:<20} p50 {p50:>5.0} us  p99 {p99:>5.0} us  {failed} failed\n"));
+        print(&format!("{name:<20} p50 {p50:>5.0} us  p99 {p99:>5.0} us  {failed} failed\n"));
     }
-    say(&format!("an idle connection holds {:.1} KB of all three ends together\n", per_connection / 1024.0));
+    print(&format!(
+        "an idle connection holds {:.1} KB of all three ends together\n",
+        per_connection / 1024.0
+    ));
     Ok(())
 }
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -15,7 +15,7 @@
 pub mod script;
 
 use crate::driver::wire::listen;
-use crate::session::{say, SessionError};
+use crate::session::{print, SessionError};
 use run::Relay;
 use script::Script;
 use std::net::SocketAddr;
@@ -52,12 +52,15 @@
             for connection in 0..connections {
                 for due in plan::draw(&script, number, connection) {
                     let (index, way, when, what) = (due.index, due.way, due.when, due.what);
-                    say(&format!("{} {connection}: fault[{index}] {way:?} {when:?}: {what:?}\n", route.name));
+                    print(&format!(
+                        "{} {connection}: fault[{index}] {way:?} {when:?}: {what:?}\n",
+                        route.name
+                    ));
                 }
             }
         }
     }
-    say(&format!("seed {}, plan {:016x}\n", script.seed, plan::hash(&script, HASHED_CONNECTIONS)));
+    print(&format!("seed {}, plan {:016x}\n", script.seed, plan::hash(&script, HASHED_CONNECTIONS)));
     if args.plan.is_some() {
         return Ok(());
     }
@@ -70,11 +73,11 @@
     let names: Vec<String> = script.route.iter().map(|r| format!("{} to {}", r.name, r.to)).collect();
     let relay = Relay::start(script)?;
     for (name, address) in names.iter().zip(&relay.addresses) {
-        say(&format!("listens {address} {name}\n"));
+        print(&format!("listens {address} {name}\n"));
     }
     let control = control.map(|at| listen(Some(at))).transpose()?;
     if let Some(listener) = &control {
-        say(&format!("control {}\n", listener.local_addr()?));
+        print(&format!("control {}\n", listener.local_addr()?));
     }
     let calls = async {
         match control {
@@ -93,6 +96,6 @@
         _ = stopped => {}
     }
     let done = relay.done();
-    say(&format!("{} faults happened, done {:016x}\n", done.len(), run::hash(&done)));
+    print(&format!("{} faults happened, done {:016x}\n", done.len(), run::hash(&done)));
     Ok(())
 }
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -3,7 +3,7 @@
 
 use super::frame::{Framer, Mark};
 use super::plan::{Due, When};
-use super::script::{Framing, Way, What};
+use super::script::{FaultKind, Framing, Way};
 use crate::world::rng::Rng;
 use std::collections::VecDeque;
 
@@ -40,7 +40,7 @@
 
 /// A fault that changes bytes or sends them twice once all of them have arrived.
 struct Change {
-    what: What,
+    what: FaultKind,
     left: usize,
     kept: Vec<u8>,
 }
@@ -218,27 +218,27 @@
         }
     }
 
-    fn apply(&mut self, now: u64, what: What, seed: u64) {
+    fn apply(&mut self, now: u64, what: FaultKind, seed: u64) {
         let us = |ms: u64| ms.saturating_mul(1000);
         match what {
-            What::Stall { ms } => self.hold_until = self.hold_until.max(now.saturating_add(us(ms))),
-            What::Latency { ms, jitter_ms } => {
+            FaultKind::Stall { ms } => self.hold_until = self.hold_until.max(now.saturating_add(us(ms))),
+            FaultKind::Latency { ms, jitter_ms } => {
                 self.latency = Some((us(ms), us(jitter_ms), Rng::new(seed, "latency")))
             }
-            What::Bandwidth { bytes_per_s } => self.rate = Some(bytes_per_s),
-            What::Split { bytes } => self.split = Some(bytes),
-            What::Merge { ms } => self.merge = Some((us(ms), None)),
-            What::Unread { ms } => self.unread_until = now.saturating_add(us(ms)),
-            What::Hang => self.hung = true, // bytes queued earlier are still sent
-            What::Blackhole => self.push_last(now, Out::Blackhole),
-            What::HalfClose => self.push_last(now, Out::HalfClose),
-            What::Cut => self.push_last(now, Out::Cut),
-            What::Reset => self.push_last(now, Out::Reset),
-            What::Repeat { bytes } | What::Flip { bytes } => {
+            FaultKind::Bandwidth { bytes_per_s } => self.rate = Some(bytes_per_s),
+            FaultKind::Split { bytes } => self.split = Some(bytes),
+            FaultKind::Merge { ms } => self.merge = Some((us(ms), None)),
+            FaultKind::Unread { ms } => self.unread_until = now.saturating_add(us(ms)),
+            FaultKind::Hang => self.hung = true, // bytes queued earlier are still sent
+            FaultKind::Blackhole => self.push_last(now, Out::Blackhole),
+            FaultKind::HalfClose => self.push_last(now, Out::HalfClose),
+            FaultKind::Cut => self.push_last(now, Out::Cut),
+            FaultKind::Reset => self.push_last(now, Out::Reset),
+            FaultKind::Repeat { bytes } | FaultKind::Flip { bytes } => {
                 self.change = Some(Change { what, left: bytes, kept: Vec::new() })
             }
-            What::Insert { text } => self.emit(now, text.into_bytes()),
-            What::Replace { ref text } => {
+            FaultKind::Insert { text } => self.emit(now, text.into_bytes()),
+            FaultKind::Replace { ref text } => {
                 self.change = Some(Change { left: text.len(), what, kept: Vec::new() });
             }
         }
@@ -262,9 +262,9 @@
                 return;
             }
             let changed = match change.what {
-                What::Repeat { .. } => [change.kept.as_slice(), &change.kept].concat(),
-                What::Flip { .. } => change.kept.iter().map(|b| !b).collect(),
-                What::Replace { text } => text.into_bytes(),
+                FaultKind::Repeat { .. } => [change.kept.as_slice(), &change.kept].concat(),
+                FaultKind::Flip { .. } => change.kept.iter().map(|b| !b).collect(),
+                FaultKind::Replace { text } => text.into_bytes(),
                 _ => change.kept,
             };
             self.emit(now, changed);
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::fault_proxy::script::Place;
 
-fn due(when: When, what: What) -> Due {
+fn due(when: When, what: FaultKind) -> Due {
     Due { index: 0, way: Way::Down, when, gives: None, what, seed: 1 }
 }
 
@@ -17,7 +17,7 @@
     (String::from_utf8_lossy(&text).into_owned(), rest)
 }
 
-fn play(when: When, what: What, pieces: &[&str]) -> (String, Vec<Out>) {
+fn play(when: When, what: FaultKind, pieces: &[&str]) -> (String, Vec<Out>) {
     let mut pipe = Pipe::new(Framing::Http, Way::Down, &[due(when, what)]);
     pieces.iter().for_each(|piece| pipe.take(0, piece.as_bytes()));
     let got = out(&mut pipe, 0);
@@ -29,13 +29,13 @@
 fn bytes_before_the_place_pass_unchanged() {
     for pieces in [&["abcdef"][..], &["ab", "c", "def"], &["abc", "def"]] {
         let all = |what| play(When::Byte(3), what, pieces);
-        assert_eq!(all(What::Hang), ("abc".into(), vec![]));
-        assert_eq!(all(What::HalfClose), ("abc".into(), vec![Out::HalfClose]));
-        assert_eq!(all(What::Reset).1, [Out::Reset]);
-        assert_eq!(all(What::Repeat { bytes: 2 }).0, "abcdedef");
-        assert_eq!(all(What::Replace { text: "XY".into() }).0, "abcXYf");
-        assert_eq!(all(What::Insert { text: "XY".into() }).0, "abcXYdef");
-        assert_eq!(all(What::Flip { bytes: 9 }).0, "abc", "held until all bytes have arrived");
+        assert_eq!(all(FaultKind::Hang), ("abc".into(), vec![]));
+        assert_eq!(all(FaultKind::HalfClose), ("abc".into(), vec![Out::HalfClose]));
+        assert_eq!(all(FaultKind::Reset).1, [Out::Reset]);
+        assert_eq!(all(FaultKind::Repeat { bytes: 2 }).0, "abcdedef");
+        assert_eq!(all(FaultKind::Replace { text: "XY".into() }).0, "abcXYf");
+        assert_eq!(all(FaultKind::Insert { text: "XY".into() }).0, "abcXYdef");
+        assert_eq!(all(FaultKind::Flip { bytes: 9 }).0, "abc", "held until all bytes have arrived");
     }
 }
 
@@ -43,11 +43,11 @@
 fn faults_happen_at_places_in_messages() {
     let second = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
     let both = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd{second}");
-    let got = play(When::Message(2, Place::Chunk), What::Replace { text: "z".into() }, &[&both]);
+    let got = play(When::Message(2, Place::Chunk), FaultKind::Replace { text: "z".into() }, &[&both]);
     assert_eq!(got.0, both.replace("5\r\nhello", "z\r\nhello"), "the size of the second answer's chunk");
-    let got = play(When::Message(1, Place::Middle), What::HalfClose, &[&both[..20], &both[20..]]);
+    let got = play(When::Message(1, Place::Middle), FaultKind::HalfClose, &[&both[..20], &both[20..]]);
     assert!(got.0.ends_with("\r\n\r\nab") && got.1 == [Out::HalfClose], "{got:?}");
-    let got = play(When::Message(2, Place::Start), What::Cut, &[&both]);
+    let got = play(When::Message(2, Place::Start), FaultKind::Cut, &[&both]);
     assert!(got.0.ends_with("abcd") && got.1.first() == Some(&Out::Cut), "{got:?}");
 }
 
@@ -57,9 +57,9 @@
         Framing::None,
         Way::Down,
         &[
-            due(When::Byte(2), What::Stall { ms: 5 }),
-            due(When::After(9_000), What::Bandwidth { bytes_per_s: 1_000 }),
-            due(When::Word("now".into()), What::Reset),
+            due(When::Byte(2), FaultKind::Stall { ms: 5 }),
+            due(When::After(9_000), FaultKind::Bandwidth { bytes_per_s: 1_000 }),
+            due(When::Word("now".into()), FaultKind::Reset),
         ],
     );
     pipe.take(0, b"abcd");
@@ -77,15 +77,15 @@
     assert_eq!(pipe.awaited_words().collect::<Vec<_>>(), ["now"]);
     pipe.give_word(31_000, "now");
     assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
-    let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Stall { ms: 1 })]);
+    let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Stall { ms: 1 })]);
     full.take(0, &vec![b'x'; MAX_HELD]);
     assert!(!full.can_read(0), "reading stops at the limit of held bytes");
     assert!(out(&mut full, 1_000).0.len() == MAX_HELD && full.can_read(1_000));
-    let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Merge { ms: 2 })]);
+    let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Merge { ms: 2 })]);
     [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
     assert_eq!(merged.pop(1_999), None);
     assert_eq!(merged.pop(2_000), Some(Out::Bytes(b"ababab".to_vec())), "as one piece");
-    let mut split = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), What::Split { bytes: 1 })]);
+    let mut split = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Split { bytes: 1 })]);
     split.take(0, b"ab");
     split.end(0);
     let pieces = [split.pop(0), split.pop(0), split.pop(0), split.pop(0)];
--- a/crates/testbed/src/fault_proxy/plan.rs
+++ b/crates/testbed/src/fault_proxy/plan.rs
@@ -2,7 +2,7 @@
 //! not depend on the order in which connections of different routes arrive, so that the same seed always gives
 //! the same plan.
 
-use super::script::{Fault, Place, Script, Way, What};
+use super::script::{Fault, FaultKind, Place, Script, Way};
 use crate::world::rng::Rng;
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
@@ -32,7 +32,7 @@
     /// The word that it gives when it happens.
     pub gives: Option<String>,
     /// Its effect.
-    pub what: What,
+    pub what: FaultKind,
     /// Seed of random draws during its effect.
     pub seed: u64,
 }
--- a/crates/testbed/src/fault_proxy/script.rs
+++ b/crates/testbed/src/fault_proxy/script.rs
@@ -124,13 +124,13 @@
     pub gives: Option<String>,
     /// The effect.
     #[serde(rename = "do")]
-    pub what: What,
+    pub what: FaultKind,
 }
 
 /// The effect of a fault.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Holds back everything after the place once, for this time.
     Stall { ms: u64 },
     /// Delays each piece from then on by `ms`, and by a random time up to `jitter_ms` more.
@@ -226,9 +226,11 @@
                 let placed = fault.place.is_none() || fault.message.is_some();
                 expect(placed, &key("place"), "message beside it")?;
                 let size = match &fault.what {
-                    What::Split { bytes } | What::Repeat { bytes } | What::Flip { bytes } => *bytes,
-                    What::Replace { text } | What::Insert { text } => text.len(),
-                    What::Bandwidth { bytes_per_s } => usize::from(*bytes_per_s > 0),
+                    FaultKind::Split { bytes } | FaultKind::Repeat { bytes } | FaultKind::Flip { bytes } => {
+                        *bytes
+                    }
+                    FaultKind::Replace { text } | FaultKind::Insert { text } => text.len(),
+                    FaultKind::Bandwidth { bytes_per_s } => usize::from(*bytes_per_s > 0),
                     _ => 1,
                 };
                 expect((1..=MAX_CHANGED_BYTES).contains(&size), &key("do"), "1 to 1,048,576 bytes")?;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -285,10 +285,13 @@
                 if result.is_some() {
                     break;
                 }
-                session::say(&format!("{} seed {seed}: the machine was too busy; again\n", experiment.name));
+                session::print(&format!(
+                    "{} seed {seed}: the machine was too busy; again\n",
+                    experiment.name
+                ));
             }
             let Some(result) = result else { continue };
-            session::say(&format!("{:<6} {}\n", way.as_str(), format_row(&result)));
+            session::print(&format!("{:<6} {}\n", way.as_str(), format_row(&result)));
             all.entry(way.as_str()).or_default().push(result);
         }
     }
@@ -303,12 +306,12 @@
             let _ = writeln!(text, "{:<6} {}", way.as_str(), format_row(&median(plays)));
         }
     }
-    session::say(&text);
+    session::print(&text);
     let path = args.out.join(format!("{}-{processes}.json", args.script.as_str()));
     let json = serde_json::to_string_pretty(&all)
         .map_err(|e| SessionError::Results(path.display().to_string(), e))?;
     std::fs::write(&path, json).map_err(|e| SessionError::File(path.display().to_string(), e))?;
-    session::say(&format!("figures: {}\n", path.display()));
+    session::print(&format!("figures: {}\n", path.display()));
     let played = all.values().map(Vec::len).sum::<usize>();
     Ok(played == 2 * args.seeds.len() && all.values().flatten().all(|r| r.broken == 0))
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,11 +1,11 @@
 //! Checks the ledger after kills under load against what the stand-ins recorded, and measures its cost alone.
 
 use crate::driver::run::{self, Outcome};
-use crate::experiment::{Effect, Experiment, Trouble, What as TroubleKind};
+use crate::experiment::{Effect, Experiment, Trouble, TroubleKind};
 use crate::oracle::{judge, timeline};
 use crate::record::{seconds, Observation, RequestEnd, TryId};
 use crate::report::figures::Spread;
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use crate::world::plan::Plan;
 use crate::world::rng::Rng;
 use hdrhistogram::Histogram;
@@ -221,7 +221,7 @@
     let (outcome, compared, history) = play(&plan, &proxy_program, &folder, &progress)?;
     bar.finish_and_clear();
     let broken = judge(&plan, &outcome.records);
-    say(&format!(
+    print(&format!(
         "{} kills in {}, mode {}: {} non-repeatable requests, {} wrong answers\n",
         args.kills,
         seconds(plan.end()),
@@ -231,7 +231,7 @@
     ));
     let percent = |n: usize| n as f64 * 100.0 / compared.requests.max(1) as f64;
     let uncertain: usize = compared.uncertain.values().sum();
-    say(&format!(
+    print(&format!(
         "certain {} ({:.2} %), never taken {} ({:.2} %), possibly sent {uncertain} ({:.2} %):\n",
         compared.certain,
         percent(compared.certain),
@@ -239,12 +239,12 @@
         percent(compared.absent),
         percent(uncertain)
     ));
-    compared.uncertain.iter().for_each(|(why, n)| say(&format!("  {n:>6}  {why}\n")));
-    compared.wrong.iter().take(20).for_each(|w| say(&format!("WRONG: {w}\n")));
-    history.faults.iter().take(20).for_each(|f| say(&format!("fault: {f}\n")));
+    compared.uncertain.iter().for_each(|(why, n)| print(&format!("  {n:>6}  {why}\n")));
+    compared.wrong.iter().take(20).for_each(|w| print(&format!("WRONG: {w}\n")));
+    history.faults.iter().take(20).for_each(|f| print(&format!("fault: {f}\n")));
     for b in broken.iter().take(10) {
         let timeline = b.id.map(|id| timeline(&plan, &outcome.records, id)).unwrap_or_default();
-        say(&format!("oracle \"{}\": {}\n{timeline}", b.oracle, b.text));
+        print(&format!("oracle \"{}\": {}\n{timeline}", b.oracle, b.text));
     }
     Ok(compared.wrong.is_empty() && broken.is_empty())
 }
@@ -317,7 +317,7 @@
         disk.write(&mut file, n as u64 * 256, &bytes)?;
         disk.sync(&mut file)
     })?;
-    say(&format!(
+    print(&format!(
         "floor, 256 bytes: write {}; write and fdatasync {}\n",
         format_spread(&write_times),
         format_spread(&sync_times)
@@ -333,7 +333,7 @@
             let intent = &records_of(n as u64)[1..2];
             writer.append(n as u64, intent).map_err(write_error)
         })?;
-        say(&format!("{name}, one record a write: {}\n", format_spread(&times)));
+        print(&format!("{name}, one record a write: {}\n", format_spread(&times)));
     }
     let mut options = Options::new("bench", Mode::Process, OnFailure::RejectRequests);
     options.keep_bytes = u64::MAX;
@@ -355,7 +355,7 @@
     let took = began.elapsed().as_secs_f64();
     let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
-    say(&format!(
+    print(&format!(
         "{} records in writes of {}: {:.0} a second; {:.0} bytes for each request\n",
         args.records,
         args.batch,
@@ -369,7 +369,7 @@
     let id = format!("{:016x}", args.records / 9);
     single.add("many", &folder, Some(&id))?;
     let found = single.find(&id).len();
-    say(&format!(
+    print(&format!(
         "one id: {:.1} ms, {} segments read and {} spared by their index, {found} found\n",
         began.elapsed().as_secs_f64() * 1e3,
         single.segments_read,
@@ -381,8 +381,8 @@
     let read = began.elapsed().as_secs_f64();
     let count = history.requests().len();
     let concluded = began.elapsed().as_secs_f64();
-    let memory = crate::driver::usage::Usage::of(std::process::id()).map_or(0, |u| u.memory);
-    say(&format!(
+    let memory = crate::driver::usage::Usage::read(std::process::id()).map_or(0, |u| u.memory);
+    print(&format!(
         "all read back in {read:.2} s, {count} requests concluded in {concluded:.2} s, {} MB in memory\n",
         memory >> 20
     ));
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -132,7 +132,7 @@
         Command::Demo { options } => session::play(&session::demo()?, &options),
         Command::Run { experiment, options } => session::play(&Experiment::load(&experiment)?, &options),
         Command::Plan { experiment, seed } => {
-            session::say(&session::outline(&Experiment::load(&experiment)?, seed));
+            session::print(&session::outline(&Experiment::load(&experiment)?, seed));
             Ok(true)
         }
         Command::Overhead(args) => overhead::main(&args).map(|()| true),
@@ -161,10 +161,10 @@
         Command::Compare { a, b } => {
             let read = |folder: &Path| -> Result<Vec<Figures>, SessionError> { session::figures(folder) };
             let (a, b) = (read(&a)?, read(&b)?);
-            session::say(&compare::compare(&a, &b));
+            session::print(&compare::compare(&a, &b));
             let void_runs = a.iter().chain(&b).filter(|f| f.void.is_some()).count();
             if void_runs > 0 {
-                session::say(&format!("{void_runs} void runs are left out\n"));
+                session::print(&format!("{void_runs} void runs are left out\n"));
             }
             Ok(true)
         }
--- a/crates/testbed/src/oracle/answers.rs
+++ b/crates/testbed/src/oracle/answers.rs
@@ -1,6 +1,6 @@
 //! Each request gets one final answer, in time.
 
-use super::{Broken, Observations, Sent};
+use super::{Observations, Sent, Violation};
 use crate::record::{seconds, Observation, TryId};
 use lotusdeck_policy::{Micros, Time};
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
     left: Option<Time>,
 }
 
-pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let mut ends: HashMap<TryId, TryEnd> = HashMap::new();
     for r in observations.records {
         let Some(id) = r.id() else { continue };
@@ -64,7 +64,7 @@
             }
             format!("proxy {proxy} never answered")
         };
-        out.push(Broken { oracle: NAME, id: Some(*id), text });
+        out.push(Violation { oracle: NAME, id: Some(*id), text });
     }
     out
 }
--- a/crates/testbed/src/oracle/drains.rs
+++ b/crates/testbed/src/oracle/drains.rs
@@ -1,6 +1,6 @@
 //! A backend that drains, was removed from the list or is cordoned gets no new requests after the grace time.
 
-use super::{Broken, Observations};
+use super::{Observations, Violation};
 use crate::record::{seconds, Observation};
 use crate::world::discovery::Status;
 use lotusdeck_policy::{Micros, Time};
@@ -10,7 +10,7 @@
 /// Time allowed from the first byte that the proxy sends to the last one that the backend reads.
 const TRANSIT_TIME: Micros = Micros(50_000);
 
-pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let grace = Micros((observations.plan.experiment.rules.drain_grace_ms * 1e3) as u64 + TRANSIT_TIME.0);
     // Since when the list (`false`) or the operators (`true`) forbid new requests, by proxy and backend.
     let mut forbidden_since: HashMap<(usize, usize, bool), Time> = HashMap::new();
@@ -31,7 +31,7 @@
                         let who = if by_operators { "operators" } else { "the list" };
                         let late = seconds(Time((r.at - *since).0));
                         let text = format!("sent to backend {backend} {late} after {who} had barred it");
-                        out.push(Broken { oracle: NAME, id: Some(id), text });
+                        out.push(Violation { oracle: NAME, id: Some(id), text });
                     }
                 }
                 continue;
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -13,7 +13,7 @@
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// The name of the oracle.
     pub oracle: &'static str,
     /// The try concerned, if it is about one.
@@ -89,7 +89,7 @@
 }
 
 /// Returns all violations, grouped by oracle.
-pub fn judge(plan: &Plan, records: &[Record]) -> Vec<Broken> {
+pub fn judge(plan: &Plan, records: &[Record]) -> Vec<Violation> {
     let observations = Observations::new(plan, records);
     let oracles = [answers::check, repeats::check, drains::check, cold::check, unaltered::check];
     oracles.iter().flat_map(|check| check(&observations)).collect()
--- a/crates/testbed/src/oracle/unaltered.rs
+++ b/crates/testbed/src/oracle/unaltered.rs
@@ -1,11 +1,11 @@
 //! Backends receive exactly the requests that clients sent, and clients exactly the answers that backends gave.
 
-use super::{Broken, Observations};
+use super::{Observations, Violation};
 use crate::record::Observation;
 
 const NAME: &str = "nothing altered";
 
-pub(super) fn check(observations: &Observations) -> Vec<Broken> {
+pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let altered = observations.records.iter().filter_map(|r| {
         let text = match &r.what {
             Observation::Foreign { backend, text } => format!("backend {backend} was sent {text}"),
@@ -15,7 +15,7 @@
             }
             _ => return None,
         };
-        Some(Broken { oracle: NAME, id: r.id(), text })
+        Some(Violation { oracle: NAME, id: r.id(), text })
     });
     altered.collect()
 }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -4,10 +4,10 @@
 use crate::driver::proxies::Proxy;
 use crate::driver::run::{thread, RunError};
 use crate::driver::usage::Usage;
-use crate::driver::wire::{listen, Link};
+use crate::driver::wire::{listen, Connection};
 use crate::driver::{Clock, Log};
 use crate::experiment::{Experiment, ExperimentError};
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
 use indicatif::ProgressBar;
@@ -113,7 +113,7 @@
             while let Ok((tcp, _)) = listener.accept().await {
                 let answer = answer.clone();
                 tokio::task::spawn_local(async move {
-                    let mut link = Link::new(tcp);
+                    let mut link = Connection::new(tcp);
                     while let Ok(Some(_)) = link.request().await {
                         if link.write(&answer).await.is_err() {
                             return;
@@ -127,12 +127,12 @@
 }
 
 /// Runs a closed loop on `connections` connections for `span`; `post` sends requests that must never run twice.
-async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<Seen> {
-    let (seen, number, mut tasks) = (Seen::start(span), Rc::new(Cell::new(0u64)), Vec::new());
+async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<LoopMeasurement> {
+    let (seen, number, mut tasks) = (LoopMeasurement::start(span), Rc::new(Cell::new(0u64)), Vec::new());
     for n in 0..connections {
         let (seen, number, at) = (seen.clone(), number.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
-            let mut link: Option<Link> = None;
+            let mut link: Option<Connection> = None;
             while seen.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
@@ -147,11 +147,11 @@
     seen
 }
 
-async fn send_request(idle: &mut Option<Link>, to: SocketAddr, number: u64, post: bool) -> bool {
+async fn send_request(idle: &mut Option<Connection>, to: SocketAddr, number: u64, post: bool) -> bool {
     let mut link = match idle.take() {
         Some(link) => link,
         None => match tokio::net::TcpStream::connect(to).await {
-            Ok(tcp) => Link::new(tcp),
+            Ok(tcp) => Connection::new(tcp),
             Err(_) => return false,
         },
     };
@@ -197,18 +197,23 @@
 }
 
 /// The latencies and failures of a closed loop.
-pub(crate) struct Seen {
+pub(crate) struct LoopMeasurement {
     latency: RefCell<Histogram<u64>>,
     failed: Cell<u64>,
     began: Instant,
     span: Duration,
 }
 
-impl Seen {
+impl LoopMeasurement {
     /// Starts the clock of a loop that runs for `span`.
-    pub(crate) fn start(span: Duration) -> Rc<Seen> {
+    pub(crate) fn start(span: Duration) -> Rc<LoopMeasurement> {
         let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
-        Rc::new(Seen { latency: latency.into(), failed: Cell::new(0), began: Instant::now(), span })
+        Rc::new(LoopMeasurement {
+            latency: latency.into(),
+            failed: Cell::new(0),
+            began: Instant::now(),
+            span,
+        })
     }
 
     pub(crate) fn is_running(&self) -> bool {
@@ -229,9 +234,9 @@
     pid: Option<u32>, load: impl FnOnce() -> F + Send + 'static,
 ) -> Result<Point, RunError>
 where
-    F: Future<Output = Rc<Seen>>,
+    F: Future<Output = Rc<LoopMeasurement>>,
 {
-    let cpu = || pid.and_then(Usage::of).map(|u| u.cpu).unwrap_or_default();
+    let cpu = || pid.and_then(Usage::read).map(|u| u.cpu).unwrap_or_default();
     let before = cpu();
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     let done = thread("load", move || async move {
@@ -261,7 +266,7 @@
 where
     Traffic: Copy + Send + 'static,
     Load: Fn(Vec<SocketAddr>, usize, Duration, Traffic) -> F + Copy + Send + 'static,
-    F: Future<Output = Rc<Seen>>,
+    F: Future<Output = Rc<LoopMeasurement>>,
 {
     ways.iter().filter_map(|way| way.pid).for_each(|pid| pin(Some(pid), 0..1));
     let bar = ProgressBar::new((rounds.count * ways.len() * 2) as u64);
@@ -352,7 +357,7 @@
     let io_error = |e| SessionError::File("overhead".into(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
     let text = runtime.block_on(measure_all(args, &proxy_program))?;
-    say(&text);
+    print(&text);
     Ok(())
 }
 
--- a/crates/testbed/src/paper.rs
+++ b/crates/testbed/src/paper.rs
@@ -3,7 +3,7 @@
 //! Optimal Load-Balancing for Heterogeneous Clusters, figure 1.)
 
 use crate::report::plot::{self, Field, Line};
-use crate::session::{say, SessionError};
+use crate::session::{print, SessionError};
 use crate::world::rng::Rng;
 use crate::world::station::{Build, Station};
 use lotusdeck_policy::{halb_shares, Micros, Time};
@@ -180,9 +180,9 @@
         out.push('\n');
     }
     let _ = writeln!(out, "{inside} of {count} simulated points hold the formula inside their 95 % interval");
-    say(&out);
+    print(&out);
     plot::write(&[field(&all)], &args.out)?;
-    say(&format!("plot: {}\n", args.out.display()));
+    print(&format!("plot: {}\n", args.out.display()));
     Ok(())
 }
 
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -4,8 +4,8 @@
 use super::server::{Committed, DeathChances, Server};
 use super::{front, Front, PASSWORD};
 use crate::driver::run::{thread, RunError};
-use crate::overhead::{interleave, median, start_relay, Rounds, Seen, Way};
-use crate::session::{program, say, SessionError};
+use crate::overhead::{interleave, median, start_relay, LoopMeasurement, Rounds, Way};
+use crate::session::{print, program, SessionError};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -50,8 +50,8 @@
 
 /// Runs a closed loop on `drivers` drivers for `span`. With `prepared` each repeats a prepared statement, otherwise a
 /// simple query.
-async fn load(to: Vec<SocketAddr>, drivers: usize, span: Duration, prepared: bool) -> Rc<Seen> {
-    let (seen, mut tasks) = (Seen::start(span), Vec::new());
+async fn load(to: Vec<SocketAddr>, drivers: usize, span: Duration, prepared: bool) -> Rc<LoopMeasurement> {
+    let (seen, mut tasks) = (LoopMeasurement::start(span), Vec::new());
     for n in 0..drivers {
         let (seen, at) = (seen.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
@@ -158,6 +158,6 @@
     let proxy_program = program(args.proxy.as_deref())?;
     let io_error = |e| SessionError::File(args.out.display().to_string(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io_error)?;
-    say(&tokio::task::LocalSet::new().block_on(&runtime, measure_all(args, &proxy_program))?);
+    print(&tokio::task::LocalSet::new().block_on(&runtime, measure_all(args, &proxy_program))?);
     Ok(())
 }
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -12,7 +12,7 @@
 use crate::driver::wire::Reserved;
 use crate::driver::{Clock, Log};
 use crate::experiment::Experiment;
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use crate::world::plan::Plan;
 use indicatif::ProgressBar;
 use server::{Committed, DeathChances, Server};
@@ -311,7 +311,7 @@
         let _ = writeln!(out, "  {count:>6}  {code}");
     }
     s.wrong.iter().take(20).for_each(|w| out.push_str(&format!("WRONG: {w}\n")));
-    say(&out);
+    print(&out);
     Ok(s.wrong.is_empty())
 }
 
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of a run, from the stand-ins' records.
 
 use crate::driver::run::{Outcome, Sample};
-use crate::oracle::{judge, lost_with_proxies, Broken};
+use crate::oracle::{judge, lost_with_proxies, Violation};
 use crate::record::{Observation, RequestEnd};
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
@@ -152,7 +152,7 @@
 
 impl Figures {
     /// Computes the figures and the violations of a run.
-    pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Broken>) {
+    pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Violation>) {
         let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let (mut sent, mut reached) = (0u64, 0u64);
         for r in &outcome.records {
--- a/crates/testbed/src/scale/backends.rs
+++ b/crates/testbed/src/scale/backends.rs
@@ -27,7 +27,7 @@
     for repeat in 0..rig.experiment.repeats {
         floors.add(rig).await?;
         for step in &axis.steps {
-            rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
+            rig.print(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
             let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
             measure(rig, *step, &mut note).await?;
         }
--- a/crates/testbed/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -4,7 +4,7 @@
 use super::rows::{Laws, Row};
 use super::target::Target;
 use super::ScaleRunError;
-use crate::session::say;
+use crate::session::print;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -36,7 +36,7 @@
     let new = with_block(&old, &block(&args.records)?)?;
     let agrees = old == new;
     if args.check {
-        say(if agrees {
+        print(if agrees {
             "page and records agree\n"
         } else {
             "page and records differ: run `lotusdeck-testbed capacity`\n"
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -3,7 +3,7 @@
 
 use super::document;
 use super::experiment::Capacity;
-use crate::driver::wire::{listen, Link, ReadEvent};
+use crate::driver::wire::{listen, Connection, ReadEvent};
 use crate::world::discovery::Status;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -180,7 +180,7 @@
         let directory = self.clone();
         tokio::task::spawn_local(async move {
             while let Ok((tcp, _)) = listener.accept().await {
-                tokio::task::spawn_local(directory.clone().serve(follower, Link::new(tcp)));
+                tokio::task::spawn_local(directory.clone().serve(follower, Connection::new(tcp)));
             }
         });
         Ok(address)
@@ -224,7 +224,7 @@
         self.listed.get()
     }
 
-    async fn serve(self: Rc<Self>, follower: Follower, mut link: Link) {
+    async fn serve(self: Rc<Self>, follower: Follower, mut link: Connection) {
         // A follower has a whole version in force before it asks for newer changes.
         let mut held = None;
         while let Ok(Some(request)) = link.request().await {
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -2,7 +2,7 @@
 //! so that a pause of the proxy shows in every request that was due during it.
 
 use super::document;
-use crate::driver::wire::Link;
+use crate::driver::wire::Connection;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -100,12 +100,12 @@
     }
 
     /// Sends one request, and returns whether it was served.
-    async fn send_request(&self, kept: &mut Option<Link>, number: u64) -> bool {
+    async fn send_request(&self, kept: &mut Option<Connection>, number: u64) -> bool {
         let Requests { to, route, tenant, .. } = self.requests;
         let mut link = match kept.take() {
             Some(link) => link,
             None => match TcpStream::connect(to).await {
-                Ok(tcp) => Link::new(tcp),
+                Ok(tcp) => Connection::new(tcp),
                 Err(_) => return false,
             },
         };
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -21,7 +21,7 @@
 pub mod target;
 
 use crate::report::plot;
-use crate::session::{program, say, SessionError};
+use crate::session::{print, program, SessionError};
 use experiment::{AxisKind, ScaleError, ScaleExperiment};
 use process::ProcessError;
 use record::{Measurements, Record};
@@ -106,8 +106,8 @@
 }
 
 impl Rig<'_> {
-    fn say(&self, text: &str) {
-        say(text);
+    fn print(&self, text: &str) {
+        print(text);
     }
 }
 
@@ -134,7 +134,7 @@
         experiment,
         series,
     };
-    say(&record.table());
+    print(&record.table());
     write(&record, &args.out)?;
     Ok(())
 }
@@ -182,7 +182,7 @@
     let text = serde_json::to_string_pretty(record)
         .map_err(|error| ScaleRunError::Record(path.display().to_string(), error))?;
     std::fs::write(&path, text + "\n")?;
-    say(&format!("record: {}\n", path.display()));
+    print(&format!("record: {}\n", path.display()));
     let fields = record.fields();
     if !fields.is_empty() {
         let plot_path = folder.join(format!("{name}.svg"));
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -103,7 +103,7 @@
 
     /// Returns its resident memory, bytes.
     pub fn memory(&self) -> u64 {
-        self.child.id().and_then(Usage::of).map_or(0, |usage| usage.memory)
+        self.child.id().and_then(Usage::read).map_or(0, |usage| usage.memory)
     }
 
     /// Returns the processor time of all its threads since its start, exact to the nanosecond where the kernel
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -35,7 +35,7 @@
     for repeat in 0..rig.experiment.repeats {
         floors.push(floor(rig, &stand_ins).await?);
         for step in &axis.steps {
-            rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
+            rig.print(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
             let size = size(rig, axis.of, *step);
             let mut note = |metric, value| measurements.add(axis.of, metric, *step, value);
             measure_in_process(size, &mut note)?;
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -32,7 +32,7 @@
 pub fn walk(rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements) {
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
-            rig.say(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
+            rig.print(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
             let seed = rig.experiment.seed + repeat as u64;
             let membership_only = Gossip::new(*step, seed, false).measure();
             let with_reports = Gossip::new(*step, seed, true).measure();
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -103,7 +103,7 @@
 }
 
 /// Writes to standard output. Errors are ignored: the reader may have closed its end of the pipe.
-pub fn say(text: &str) {
+pub fn print(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
@@ -132,7 +132,7 @@
             with_path(&run_folder, std::fs::remove_dir_all(&run_folder))?;
         }
         with_path(&run_folder, std::fs::create_dir_all(&run_folder))?;
-        say(&format!(
+        print(&format!(
             "{}: seed {}, plan {:016x}: {} arrivals in {} s, {} backends, {} proxies\n",
             experiment.name,
             plan.seed,
@@ -157,7 +157,7 @@
         };
         bar.finish_and_clear();
         let (figures, broken) = Figures::of(&plan, &outcome);
-        say(&table::table(&figures, &stretches(&plan)));
+        print(&table::table(&figures, &stretches(&plan)));
         let violations: Vec<String> = broken
             .iter()
             .take(MAX_LISTED)
@@ -166,7 +166,7 @@
                 format!("{}: {}\n{timeline}", b.oracle, b.text)
             })
             .collect();
-        violations.iter().for_each(|s| say(s));
+        violations.iter().for_each(|s| print(s));
         let events = run_folder.join("events.jsonl");
         let mut writer = std::io::BufWriter::new(with_path(&events, std::fs::File::create(&events))?);
         for record in &outcome.records {
@@ -177,7 +177,7 @@
         with_path(&events, writer.flush())?;
         let html = run_folder.join("page.html");
         with_path(&html, std::fs::write(&html, page::page(&plan, &figures, &outcome.samples, &violations)))?;
-        say(&format!("page: {}\n", html.display()));
+        print(&format!("page: {}\n", html.display()));
         all_passed &= figures.broken.is_empty() && figures.void.is_none();
         all_figures.push(figures);
         if outcome.cut.is_some() {
@@ -188,7 +188,7 @@
     let text = serde_json::to_string_pretty(&all_figures);
     let text = text.map_err(|e| SessionError::Results(summary.display().to_string(), e))?;
     with_path(&summary, std::fs::write(&summary, text))?;
-    say(&format!("figures: {}\n", summary.display()));
+    print(&format!("figures: {}\n", summary.display()));
     Ok(all_passed)
 }
 
--- a/crates/testbed/src/swings.rs
+++ b/crates/testbed/src/swings.rs
@@ -5,7 +5,7 @@
 use crate::report::compare::interval;
 use crate::report::plot::{self, Field, Line};
 use crate::report::swing::{swings, Swing, BIN};
-use crate::session::{say, SessionError};
+use crate::session::{print, SessionError};
 use crate::virtual_time::play;
 use crate::virtual_time::policy_choice::PolicyChoice;
 use crate::world::plan::Plan;
@@ -99,10 +99,10 @@
         });
     }
     bar.finish_and_clear();
-    say(&out);
+    print(&out);
     if let Some(path) = &args.out {
         plot::write(&fields, path)?;
-        say(&format!("plot: {}\n", path.display()));
+        print(&format!("plot: {}\n", path.display()));
     }
     Ok(())
 }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -4,7 +4,7 @@
 use super::backend::{FallRule, Spec};
 use super::rng::{Rng, Zipf};
 use super::station::Build;
-use crate::experiment::{Experiment, Trouble, What};
+use crate::experiment::{Experiment, Trouble, TroubleKind};
 use lotusdeck_policy::{Micros, Time};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -180,13 +180,13 @@
             out.extend(end.map(|end| (end, over)));
         };
         match t.what {
-            What::Slow => both(Act::Slow(targets.clone(), factor), Act::Slow(targets, 1.0)),
-            What::SharedSlow => both(Act::SharedSlow(factor), Act::SharedSlow(1.0)),
-            What::Hang => both(Act::Hang(targets.clone(), true), Act::Hang(targets, false)),
-            What::Cordon => both(Act::Cordon(targets.clone(), true), Act::Cordon(targets, false)),
-            What::DiscoveryDown => both(Act::DiscoveryDown(true), Act::DiscoveryDown(false)),
-            What::DiscoveryLag => both(Act::DiscoveryLag(factor), Act::DiscoveryLag(1.0)),
-            What::Kill => {
+            TroubleKind::Slow => both(Act::Slow(targets.clone(), factor), Act::Slow(targets, 1.0)),
+            TroubleKind::SharedSlow => both(Act::SharedSlow(factor), Act::SharedSlow(1.0)),
+            TroubleKind::Hang => both(Act::Hang(targets.clone(), true), Act::Hang(targets, false)),
+            TroubleKind::Cordon => both(Act::Cordon(targets.clone(), true), Act::Cordon(targets, false)),
+            TroubleKind::DiscoveryDown => both(Act::DiscoveryDown(true), Act::DiscoveryDown(false)),
+            TroubleKind::DiscoveryLag => both(Act::DiscoveryLag(factor), Act::DiscoveryLag(1.0)),
+            TroubleKind::Kill => {
                 let noticed = experiment.discovery.detect_ms / 1e3;
                 if t.for_s.is_none_or(|span| span > noticed) {
                     out.push((after(noticed), Act::Remove(targets.clone())));
@@ -194,18 +194,21 @@
                 out.push((at, Act::Kill(targets.clone())));
                 out.extend(end.map(|end| (end, Act::Start(targets))));
             }
-            What::Drain => {
+            TroubleKind::Drain => {
                 out.push((at, Act::Drain(targets.clone())));
                 out.push((after(DRAIN_S), Act::Remove(targets.clone())));
                 out.extend(t.for_s.map(|span| (after(span.max(DRAIN_S)), Act::Start(targets))));
             }
-            What::KillProxy | What::RestartProxy => {
-                let stop =
-                    if t.what == What::KillProxy { Act::KillProxy(proxy) } else { Act::StopProxy(proxy) };
+            TroubleKind::KillProxy | TroubleKind::RestartProxy => {
+                let stop = if t.what == TroubleKind::KillProxy {
+                    Act::KillProxy(proxy)
+                } else {
+                    Act::StopProxy(proxy)
+                };
                 out.push((at, stop));
                 out.push((after(t.for_s.unwrap_or(PROXY_RESTART_S)), Act::StartProxy(proxy)));
             }
-            What::Reload => out.push((at, Act::Reload(proxy))),
+            TroubleKind::Reload => out.push((at, Act::Reload(proxy))),
         }
     }
     out
