--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -3,7 +3,7 @@
     clippy::unwrap_used,
     clippy::expect_used,
     clippy::too_many_lines,
-    reason = "a test stops at what it did not expect"
+    reason = "tests panic on unexpected results"
 )]
 
 mod common;
@@ -19,7 +19,8 @@
 const TIME_LEFT: u64 = 1_000_000;
 /// Steps between two requests to a proxy, apart from the burst.
 const STEPS_PER_REQUEST: u64 = 40;
-/// No proxy may reject this many requests over this time without an attempt between them.
+/// No proxy may reject this many requests over this time without an attempt between them. This is stricter than the
+/// target, which lets at most one proxy in ten reject everything for 4 s on end.
 const MAX_REJECTED: usize = 15;
 const MAX_SILENCE: Micros = Micros(4_000_000);
 
