--- a/crates/configuration/src/backoff.rs
+++ b/crates/configuration/src/backoff.rs
@@ -16,7 +16,8 @@
     draws: u64,
 }
 
-/// Prevents an overflow of the shift; with the default settings the maximum delay is reached after five doublings.
+/// Maximum number of doublings, which prevents an overflow of the shift. With the default settings the maximum delay is
+/// reached after five.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -23,12 +23,18 @@
 pub use settings::FollowerSettings;
 pub use step::{Failure, FollowerStatus, NextStep, Rejection, SyncState};
 
+/// What the follower is doing.
 #[derive(Debug)]
 enum Phase {
+    /// No poll is open; the next one is sent at `until`.
     Idle { until: Duration },
+    /// A poll has been open since `since`.
     Polling { since: Duration },
+    /// The entries and the checksum of a received version are being verified.
     Verifying(StagedUpdate),
+    /// The driver checks the settings of a verified version.
     Validating(StagedUpdate),
+    /// A version with valid settings is being moved into the document in force.
     Committing(StagedUpdate),
 }
 
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -66,9 +66,9 @@
     cached_answers: BTreeMap<Option<Version>, Arc<str>>,
 }
 
-/// Most followers have the same version; the others have one of a few earlier versions.
+/// Maximum number of cached answers. Most followers have the same version, and the others one of a few earlier versions.
 const MAX_CACHED_ANSWERS: usize = 16;
-/// The source verifies and commits its own changes in a single slice.
+/// Slice size with which the source verifies and commits its own changes at once.
 const ALL_ENTRIES: usize = usize::MAX;
 
 impl Source {
--- a/crates/fleet/src/node/config.rs
+++ b/crates/fleet/src/node/config.rs
@@ -6,7 +6,7 @@
 use std::num::NonZeroU32;
 use std::time::Duration;
 
-/// A limit that holds for the whole fleet.
+/// A limit that applies to the whole fleet.
 ///
 /// Its `Debug` text is part of the tag of all datagrams: proxies accept each other's datagrams only if their programs
 /// have the same names and order of these fields.
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -4,8 +4,8 @@
 //! 3, 1994): each of `N` proxies owns an `N`th of the limit and admits requests under it without asking another
 //! proxy. What it does not use it lends for a limited time (leases, Gray and Cheriton, SOSP 1989). The lender stops
 //! using the amount before the borrower begins. The borrower counts the lease from its request and the lender from
-//! its answer, so it ends at the borrower first. Therefore the quotas in use never add up to more than the limit,
-//! whichever links fail, and a disconnected proxy falls back to what it owns and has not lent.
+//! its answer, so it ends at the borrower first. Therefore the amounts in use never add up to more than the limit,
+//! whichever links fail, and a disconnected proxy falls back to the part that it owns and has not lent.
 //!
 //! A process that has just started does not know what the previous process lent, so it reserves everything that may be
 //! lent until such leases have expired. Slots (concurrent requests) stay with a borrower until its requests end: the
--- a/crates/fleet/src/quota/borrowed.rs
+++ b/crates/fleet/src/quota/borrowed.rs
@@ -28,7 +28,7 @@
     pub lender: u32,
     /// Number of the request; the answer repeats it.
     pub seq: u64,
-    /// Requested part of the limit, in place of what this lender granted before.
+    /// Requested part of the limit; replaces what this lender granted before.
     pub requested: Amount,
 }
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the need beyond what is borrowed, divided by the number of members asked in one round.
+/// Returns the amount that is needed beyond what is borrowed, divided by the number of members asked in one round.
 fn per_lender_shortage(needed: Amount, borrowed: Amount) -> Amount {
     let rate = needed.rate - borrowed.rate;
     let slots = needed.slots.saturating_sub(borrowed.slots);
--- a/crates/fleet/src/quota/granted.rs
+++ b/crates/fleet/src/quota/granted.rs
@@ -54,13 +54,13 @@
             lease.last_seq = seq;
             lease.amount = lease.amount.min(requested);
         }
-        // Borrowers that have given back everything are removed, so that requests with ever new generations cannot fill
-        // the memory.
+        // Borrowers that have given back everything are removed, so that a sender that uses a new generation in each
+        // request cannot fill the memory.
         self.leases.retain(|_, lease| !lease.amount.is_zero());
         true
     }
 
-    /// Stores a lease in place of the borrower's previous one.
+    /// Stores a lease, which replaces the borrower's previous one.
     pub(super) fn insert(&mut self, borrower: Borrower, seq: u64, amount: Amount, expires_at: Duration) {
         self.leases.insert(borrower, GrantedLease { last_seq: seq, amount, expires_at });
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -30,7 +30,7 @@
     Swim(Vec<u8>),
     /// Load reports of the sender and of other members.
     LoadReports(Vec<LoadReport>),
-    /// Requests a lease of a limit, in place of what the recipient granted of it before.
+    /// Requests a lease of a limit, which replaces what the recipient granted of it before.
     LeaseRequest {
         /// Index of the borrower.
         from: u32,
--- a/crates/ledger/src/durable_write.rs
+++ b/crates/ledger/src/durable_write.rs
@@ -5,6 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 
+/// The result, and the waker of the task that waits for it.
 #[derive(Default)]
 struct Slot {
     is_durable: Option<bool>,
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -15,7 +15,7 @@
 
 /// The length of a frame's header, bytes.
 pub const FRAME_HEADER_LEN: usize = 16;
-/// The greatest length of an encoded record, bytes.
+/// The maximum length of an encoded record, bytes.
 pub(crate) const MAX_RECORD_LEN: usize = 4096;
 
 const CHECKSUM_OFFSET: usize = 4;
--- a/crates/ledger/src/history.rs
+++ b/crates/ledger/src/history.rs
@@ -1,5 +1,5 @@
-//! Reconstructs requests from the segments of one or more folders. The result is certain where the records exist and
-//! uncertain where records may be missing, but never wrong.
+//! Reconstructs requests from the segments of one or more folders. Where records may be missing, the result is marked
+//! as uncertain; what it reports as certain is correct.
 
 mod generation;
 mod reconstruction;
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub struct History {
     generations: BTreeMap<u64, Generation>,
-    /// Messages for operators about content that cannot be read or is missing, and with it perhaps requests.
+    /// Messages for operators about content that is missing or cannot be read, and that may have contained requests.
     pub faults: Vec<String>,
     /// The number of segments that were read.
     pub segments_read: usize,
--- a/crates/ledger/src/history/request.rs
+++ b/crates/ledger/src/history/request.rs
@@ -53,7 +53,7 @@
     pub id: String,
     /// Its class; empty if the record of its arrival is lost.
     pub class: String,
-    /// What it concerns, as named by the client.
+    /// The name of the object that it concerns, as given by the client.
     pub key: String,
     /// The time of its arrival by the proxy's clock; `None` if the record of its arrival is lost.
     #[serde(rename = "taken")]
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -93,12 +93,12 @@
         self.gauges.status()
     }
 
-    /// Returns the names of the segments deleted for their age or the total size since the last call.
+    /// Returns the names of the segments deleted since the last call.
     pub fn take_deleted(&self) -> Vec<String> {
         self.gauges.take_deleted()
     }
 
-    /// Truncates a text to the greatest length that a record may contain.
+    /// Truncates a text to the maximum length of a text in a record.
     pub fn truncate_text(text: &str) -> String {
         text::truncate(text)
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,5 +1,6 @@
 //! A journal of non-idempotent requests. After any crash it shows whether each request was never sent, sent to named
-//! backends (and how each attempt ended), or possibly sent. It may be uncertain, but it is never wrong.
+//! backends (and how each attempt ended), or possibly sent. Where records may be missing it reports "possibly sent"
+//! instead of guessing.
 //!
 //! [`Writer`] appends records to segments on a [`Disk`]; [`History`] reads folders and reconstructs the requests.
 //! Neither starts a thread nor reads a clock. [`Ledger`] runs a writer on its own thread.
--- a/crates/ledger/src/memory_disk.rs
+++ b/crates/ledger/src/memory_disk.rs
@@ -62,9 +62,9 @@
 /// A summary of the unsynced writes of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnsyncedWrites {
-    /// The greatest number of them in one file.
+    /// The maximum number of unsynced writes in one file.
     pub max_per_file: usize,
-    /// The length of the longest, bytes.
+    /// The length of the longest unsynced write, bytes.
     pub max_length: usize,
 }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -31,7 +31,7 @@
         id: String,
         /// Its class.
         class: String,
-        /// What it concerns, as named by the client.
+        /// The name of the object that it concerns, as given by the client.
         key: String,
     },
     /// An attempt may be sent from now on.
--- a/crates/ledger/src/retention.rs
+++ b/crates/ledger/src/retention.rs
@@ -1,4 +1,4 @@
-//! Deletes sealed segments for their age or the total size.
+//! Deletes sealed segments that are too old or exceed the total size.
 
 use crate::disk::Disk;
 use crate::index;
@@ -137,7 +137,7 @@
         }
         self.inherited = Some(inherited);
         for segment in surplus {
-            // Errors are ignored: the next process finds a file that could not be deleted.
+            // Errors are ignored: the next process finds a segment that could not be deleted, and tries again.
             let _ = disk.remove(&segment.name);
             let _ = disk.remove(&index::file_name(&segment.name));
             self.deleted.push(segment.name);
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -7,7 +7,7 @@
 /// The current state of a ledger, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LedgerStatus {
-    /// Records that are queued and not yet taken by the writer.
+    /// Records that are queued and that the writer has not taken yet.
     #[serde(rename = "depth")]
     pub queued_records: u64,
     /// Records written.
--- a/crates/ledger/src/text.rs
+++ b/crates/ledger/src/text.rs
@@ -2,7 +2,8 @@
 
 use crate::frame::MAX_RECORD_LEN;
 
-/// The greatest length of a text, bytes. A record with the longest texts is still shorter than `MAX_RECORD_LEN`.
+/// The maximum length of a text, bytes. A record whose texts all have this length is still shorter than
+/// `MAX_RECORD_LEN`.
 const MAX_TEXT_LEN: usize = MAX_RECORD_LEN / 8;
 
 /// Truncates a text at a character boundary, so that no record is too long.
--- a/crates/ledger/src/worker.rs
+++ b/crates/ledger/src/worker.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The greatest number of records in one write.
+/// The maximum number of records in one write.
 const MAX_BATCH: usize = 512;
 /// The interval between checks of the disk while no record is queued.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/lotusdeck/src/admin/mod.rs
+++ b/crates/lotusdeck/src/admin/mod.rs
@@ -12,7 +12,7 @@
 
 /// Timeout of connecting, and of each read and write.
 const IO_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest part of a response that is read.
+/// The maximum length of a response; the rest is not read.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// The arguments of `lotusdeck admin`.
--- a/crates/lotusdeck/src/check/mod.rs
+++ b/crates/lotusdeck/src/check/mod.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Checks a file, and returns which kind of file it is if it has no fault.
+/// Checks a file, and returns its kind in words if it has no fault.
 fn check(file: &Path) -> Result<&'static str, Vec<Finding>> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         let message = format!("cannot be read: {error}");
--- a/crates/lotusdeck/src/configuration/mod.rs
+++ b/crates/lotusdeck/src/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! Follows a source of configuration (docs/configuration-distribution.md) on a separate thread: polling, decoding,
 //! verifying and reading megabytes never block the event loop, which receives settings that have been read and checked.
 //!
-//! `worker` runs the thread, `poll` is one poll of the source, and `status` is what operators see.
+//! `worker` runs the thread, `poll` defines the URI and the outcomes of a poll, and `status` holds what operators see.
 
 mod poll;
 mod status;
@@ -28,7 +28,7 @@
 
 /// The settings of a version, read and checked.
 pub(crate) struct VersionSettings {
-    /// The target under which they were read. They are not applied if another one has replaced it.
+    /// The target for which they were read. They are not applied if another target has replaced it.
     pub target: FollowTarget,
     /// The version.
     pub version: Version,
@@ -36,7 +36,7 @@
     pub settings: Settings,
 }
 
-/// The event loop's handle of the thread, which is started by the first target that names a source.
+/// The event loop's handle to the thread, which is started by the first target that names a source.
 pub(crate) struct ConfigurationSource {
     targets: watch::Sender<FollowTarget>,
     version_sender: mpsc::Sender<VersionSettings>,
@@ -70,7 +70,8 @@
         Ok(source)
     }
 
-    /// Starts the thread. Its three descriptors (an event queue, its waker, a connection) are part of the reserve.
+    /// Starts the thread. Its three descriptors (an event queue, its waker, a connection) are among the reserved ones of
+    /// `serve::descriptors`.
     fn start_thread(&mut self) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let targets = self.targets.subscribe();
--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -36,7 +36,7 @@
     outline: SettingsOutline,
 }
 
-/// `Break` ends the thread.
+/// Whether the thread continues; `Break` ends it.
 type Flow = ControlFlow<()>;
 
 /// Returns `Break` if a channel to the event loop is closed, which means that the program is ending.
@@ -61,7 +61,7 @@
     /// The candidate's settings, until they are applied.
     candidate: Option<CheckedSettings>,
     connection: Option<IdleConnection>,
-    /// The last problem that was logged; one that persists is logged once.
+    /// The last problem that was logged. A problem that persists is logged only once.
     logged_problem: Option<String>,
 }
 
--- a/crates/lotusdeck/src/fleet/admissions.rs
+++ b/crates/lotusdeck/src/fleet/admissions.rs
@@ -6,17 +6,17 @@
 use lotusdeck_policy::{ClassId, TenantId};
 use std::collections::HashMap;
 
-/// The most pairs that are cached. The pairs come from requests, and there may be many.
+/// The maximum number of cached pairs of class and tenant. Requests determine the pairs, so there may be many.
 const MAX_PAIRS: usize = 4_096;
 
-/// The class and the tenant of a request.
+/// The class and the tenant of a request, by which limits are cached.
 type Pair = (ClassId, Option<TenantId>);
 
-/// The limits by class and tenant.
+/// The limits that apply to each class and tenant.
 pub(super) struct AdmissionCache {
     limits: Vec<LimitSection>,
     by_pair: HashMap<Pair, Admission>,
-    /// The generation of the names under which the pairs were cached.
+    /// The generation of the names when the pairs were cached.
     names_generation: u64,
 }
 
--- a/crates/lotusdeck/src/fleet/error.rs
+++ b/crates/lotusdeck/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why the limits and members of the operator file do not fit the node configuration.
+//! The reasons why the limits and members of the operator file do not fit the node configuration.
 
 use thiserror::Error;
 
--- a/crates/lotusdeck/src/fleet/gossip.rs
+++ b/crates/lotusdeck/src/fleet/gossip.rs
@@ -13,12 +13,11 @@
 /// The interval between attempts to bind an address that another process of this proxy still holds, as during an
 /// upgrade, and the pause after a failed receive.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// The most datagrams that are read before other tasks run.
+/// The maximum number of datagrams that are read before other tasks run.
 const MAX_DATAGRAMS_AT_ONCE: usize = 64;
-/// How often the balancer gets the load of the other proxies, which is as often as they report it.
+/// The interval at which the balancer receives the load of the other proxies; they report it at the same interval.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Of the datagrams that cannot be decoded the first is logged, and then one in this many, so that a foreign sender
-/// cannot flood the log.
+/// The first rejected datagram is logged, and then one in this many, so that a foreign sender cannot flood the log.
 const UNDECODABLE_LOG_INTERVAL: u64 = 1_000;
 
 impl Fleet {
@@ -50,11 +49,11 @@
         }
     }
 
-    /// Reports this proxy's load to the others, and theirs to the balancer.
+    /// Passes this proxy's load to the node, which reports it to the others, and their load to the balancer.
     fn exchange_load(&self, now: Duration, host: &Rc<Host>) {
         let own = host.attempts_in_flight();
         self.node.borrow_mut().set_in_flight(u32::try_from(own).unwrap_or(u32::MAX));
-        // Without any report the other proxies are assumed to have this proxy's load, as without an exchange.
+        // Without any report, each other proxy is assumed to have the same load as this one, as without an exchange.
         let estimated = own as f64 * f64::from(self.other_proxies);
         let others = self.node.borrow().others_in_flight(now).unwrap_or(estimated);
         host.set_fleet_load(others);
@@ -98,7 +97,7 @@
                 }
                 Err(_) => {}
             }
-            // Quotas are maintained meanwhile, and datagrams to be sent are dropped.
+            // Until then quotas are maintained, and datagrams to be sent are dropped.
             self.node.borrow_mut().tick(self.now());
             self.send_queued(None);
             sleep(RETRY_INTERVAL).await;
--- a/crates/lotusdeck/src/fleet/mod.rs
+++ b/crates/lotusdeck/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long after its deadline a request may still be in flight, until its answer is aborted.
+/// The maximum time after its deadline that a request is in flight until its answer is aborted.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(500);
 
 /// The fleet-wide limits at one proxy, and its membership in the fleet.
@@ -34,7 +34,8 @@
 }
 
 impl Fleet {
-    /// Creates the limits; returns `None` if the operator file sets neither a limit nor an exchange with other proxies.
+    /// Creates the limits and the membership; returns `None` if the operator file sets neither a limit nor an address
+    /// for datagrams.
     ///
     /// # Errors
     /// A limit names an unknown class or tenant, or a member's position is not below the size of the fleet.
--- a/crates/lotusdeck/src/ledger/format.rs
+++ b/crates/lotusdeck/src/ledger/format.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns the state's name for programs, with hyphens in place of spaces.
+/// Returns the state's name in JSON and comma-separated values, with hyphens instead of spaces.
 fn state_slug(request: &Request) -> String {
     state_name(request).replace(' ', "-")
 }
--- a/crates/lotusdeck/src/ledger/mod.rs
+++ b/crates/lotusdeck/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! `lotusdeck ledger`: reads the ledger folders of one or more proxies, running or crashed, and shows what was sent
-//! where.
+//! `lotusdeck ledger`: reads the ledger folders of one or more proxies, running or crashed, and shows which requests
+//! were sent to which backends.
 
 mod format;
 
--- a/crates/lotusdeck/src/ledger_journal.rs
+++ b/crates/lotusdeck/src/ledger_journal.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// `Retry-After` for clients while the ledger cannot write: it tries twice a second to create a new segment.
+/// `Retry-After` for clients while the ledger cannot write. The ledger tries twice a second to create a new segment.
 const RETRY_AFTER: Micros = Micros(1_000_000);
-/// The longest that shutdown waits for the last record.
+/// The maximum time that shutdown waits for the last record.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Low bits of a generation number that come from the seed.
@@ -32,6 +32,7 @@
     min_free_bytes: u64,
     /// The correlation ids of the requests that have not finished.
     request_ids: RefCell<HashMap<RequestId, String>>,
+    /// Whether the last report found the ledger failing or short of free space.
     was_short: Cell<bool>,
 }
 
@@ -75,8 +76,8 @@
         Ok(Some(Rc::new(journal)))
     }
 
-    /// Logs the segments dropped since the last call, the start or end of a shortage of space, and the counts. Called
-    /// every few seconds.
+    /// Logs the segments deleted since the last call, the start or end of a failure or a shortage of space, and the
+    /// counts. Called every few seconds.
     pub(crate) fn report(&self) {
         for segment in self.ledger.take_deleted() {
             info!(segment, "ledger segment dropped");
@@ -106,7 +107,8 @@
 
     /// Closes the generation; gives up after `CLOSE_TIMEOUT`.
     pub(crate) async fn close(&self) {
-        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await; // after a timeout, readers see a crash
+        // After a timeout the process appears to have crashed, to readers of the ledger.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.ledger.close()).await;
     }
 }
 
--- a/crates/lotusdeck/src/logging.rs
+++ b/crates/lotusdeck/src/logging.rs
@@ -3,7 +3,7 @@
 use clap::ValueEnum;
 use tracing::Level;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Format {
     /// For people.
--- a/crates/lotusdeck/src/operator/faults.rs
+++ b/crates/lotusdeck/src/operator/faults.rs
@@ -4,8 +4,8 @@
 use thiserror::Error;
 use toml::de::DeValue;
 
-/// The least similarity (normalized Damerau-Levenshtein, 0 to 1) at which a known name is suggested for an unknown one.
-/// It allows for a typing error in a short name and for a missing unit at the end.
+/// The minimum similarity (normalized Damerau-Levenshtein, 0 to 1) at which a known name is suggested for an unknown
+/// one. It allows for a typing error in a short name and for a missing unit at the end.
 const MIN_SIMILARITY: f64 = 0.6;
 
 /// A fault in an operator file.
--- a/crates/lotusdeck/src/operator/keys.rs
+++ b/crates/lotusdeck/src/operator/keys.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the value if the key is absent, as it would be written in the file.
+    /// Returns the default as it would be written in the file.
     pub(crate) fn default(&self) -> String {
         match self {
             ValueType::Number { default, .. } => default.to_string(),
--- a/crates/lotusdeck/src/operator/ledger.rs
+++ b/crates/lotusdeck/src/operator/ledger.rs
@@ -12,7 +12,7 @@
     pub survives_power_loss: bool,
     /// Whether requests are sent while nothing can be written.
     pub sends_without_record: bool,
-    /// The longest that an attempt waits for its record.
+    /// The maximum time that an attempt waits for its record.
     pub record_timeout: Duration,
     /// Size of a segment, MiB.
     pub segment_mb: u64,
--- a/crates/lotusdeck/src/operator/limit.rs
+++ b/crates/lotusdeck/src/operator/limit.rs
@@ -5,12 +5,12 @@
 use serde::Deserialize;
 use std::collections::HashSet;
 
-/// The most limits. Each has a quota and a row in the status, and ten times per lease duration the event loop goes
-/// through all of them, which takes 0.4 ms at this number.
+/// The maximum number of limits. Each has a quota and a row in the status, and ten times per lease duration the event
+/// loop iterates over all of them, which takes 0.4 ms at this number.
 pub(super) const MAX_LIMITS: usize = 4_096;
-/// The highest rate, in requests per second over the whole fleet.
+/// The maximum rate, in requests per second over the whole fleet.
 const MAX_RATE_PER_S: f64 = 1e9;
-/// The largest burst, in ms of the rate.
+/// The maximum burst, in ms of the rate.
 const MAX_BURST_MS: u64 = 60_000;
 
 /// A section `[[limit]]`.
--- a/crates/lotusdeck/src/operator/postgres.rs
+++ b/crates/lotusdeck/src/operator/postgres.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The longest deadline, a day, ms.
+/// The maximum deadline, a day, ms.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// The most clients of a front, and the most connections to its servers.
+/// The maximum number of clients of a front, and of connections to its servers.
 const MAX_CONNECTIONS: usize = 100_000;
 
 /// A section `[[postgres]]`: one front.
--- a/crates/lotusdeck/src/operator/state.rs
+++ b/crates/lotusdeck/src/operator/state.rs
@@ -12,7 +12,7 @@
     pub site: String,
     /// The age at which the confidence in saved state is half.
     pub half_life: Duration,
-    /// The shortest interval between two writes.
+    /// The minimum interval between two writes.
     pub write_interval: Duration,
 }
 
--- a/crates/lotusdeck/src/postgres.rs
+++ b/crates/lotusdeck/src/postgres.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tracing::{info, info_span};
 
-/// The value of an answer after its latency objective, as a share of the value of one in time.
+/// The value of an answer after its latency objective, as a fraction of the value of one within it.
 const LATE_VALUE_FACTOR: f64 = 0.5;
 /// The priority weight of a class that sets none, in hundredths.
 const DEFAULT_WEIGHT_PERCENT: u32 = 100;
@@ -80,7 +80,7 @@
 /// Starts the front of a section. The path of the node's cordon file begins with `state_path_prefix`.
 ///
 /// # Errors
-/// The front cannot start; none of its tasks has been spawned then.
+/// The front cannot start; in that case none of its tasks has been spawned.
 pub(crate) fn start(
     section: &PostgresSection, node: &Settings, seed: u64, clock: Clock, state_path_prefix: &Path,
 ) -> Result<RunningFront, PostgresError> {
@@ -209,7 +209,7 @@
     settings
 }
 
-/// Returns the balancer's form of a class; `None` is the class of statements that match no rule.
+/// Converts a class to the balancer's type; `None` is the class of statements that match no rule.
 fn balancer_class(section: &PostgresSection, class: Option<&ClassSection>) -> Class {
     let objective_ms = class.and_then(|class| class.objective_ms).unwrap_or(section.objective_ms);
     let is_idempotent = class.is_some_and(|class| class.is_idempotent);
--- a/crates/lotusdeck/src/serve/descriptors.rs
+++ b/crates/lotusdeck/src/serve/descriptors.rs
@@ -30,7 +30,7 @@
     left.ok_or(ServeError::Descriptors { postgres, limit, required })
 }
 
-/// Divides the descriptors of the process between clients and upstream connections.
+/// The limits on client and upstream connections, derived from the descriptors of the process.
 pub(super) struct DescriptorLimits {
     /// Descriptors for HTTP, of all processes of this proxy together.
     pub descriptors: usize,
--- a/crates/lotusdeck/src/serve/mod.rs
+++ b/crates/lotusdeck/src/serve/mod.rs
@@ -37,7 +37,7 @@
 use tokio::task::spawn_local;
 use tracing::info;
 
-/// How often counts are logged.
+/// The interval at which counts are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The arguments of `lotusdeck serve`.
@@ -104,8 +104,8 @@
     let server = start_server(parts, listeners.operators, source_status);
 
     let stop_requested = shutdown::requested(stop, fronts);
-    // The event loop polls these two futures before each batch of other tasks, and changes of the endpoint list before
-    // new clients.
+    // The event loop polls these two futures before each batch of other tasks. Discovery is polled first, so that
+    // changes of the endpoint list are applied before new clients are accepted.
     tokio::select! {
         biased;
         () = discovery => {}
@@ -158,7 +158,8 @@
     Ok(status)
 }
 
-/// Creates the server, and starts all tasks that accompany it. The caller runs the server.
+/// Creates the server, and starts the tasks for descriptor limits, operators, the cordon file and reports. The caller
+/// runs the server.
 fn start_server(
     parts: Parts, operators: Option<TcpListener>, source_status: Arc<SourceStatus>,
 ) -> Rc<Server> {
--- a/crates/lotusdeck/src/serve/reload.rs
+++ b/crates/lotusdeck/src/serve/reload.rs
@@ -69,7 +69,7 @@
     tokio::task::spawn_blocking(work).await.map_err(ServeError::Interrupted)
 }
 
-/// Applies what SIGHUP and versions of a configuration source may change.
+/// Applies changed files on SIGHUP, and new versions of the configuration source.
 pub(super) struct Reloader {
     /// The host that applies settings.
     pub host: Rc<Host>,
@@ -77,7 +77,7 @@
     pub node_file: ActiveConfigFile,
     /// The operator file, if there is one.
     pub operator_path: Option<PathBuf>,
-    /// Sections that may not change while the program runs.
+    /// The sections that must not change while the program runs.
     pub startup_sections: Arc<StartupSections>,
     /// The timeouts of `[http]` in force.
     pub stall_timeouts: SharedStallTimeouts,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Applies both files completely, or nothing of either, and returns a description of what changed.
+    /// Applies both files completely or neither, and returns a description of what changed.
     async fn try_reload_files(&mut self) -> Result<String, ServeError> {
         let Files { operator, node } = self.read_files().await?;
         let target =
--- a/crates/lotusdeck/src/serve/shutdown.rs
+++ b/crates/lotusdeck/src/serve/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: what ends when the process is asked to stop, and in which order.
+//! Graceful shutdown: the steps after the process is asked to stop, in their order.
 
 use super::signals::StopSignals;
 use crate::ledger_journal::LedgerJournal;
--- a/crates/lotusdeck/src/serve/signals.rs
+++ b/crates/lotusdeck/src/serve/signals.rs
@@ -10,7 +10,8 @@
 pub(super) struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
-    /// Prevents the default action of SIGXFSZ: a write beyond the file-size limit fails, and the process goes on.
+    /// Prevents the default action of SIGXFSZ: a write beyond the file-size limit fails, and the process
+    /// continues.
     _file_size: Signal,
 }
 
--- a/crates/lotusdeck/src/serve/startup.rs
+++ b/crates/lotusdeck/src/serve/startup.rs
@@ -1,5 +1,5 @@
-//! Start-up: creates everything that exists before the first client is served. A part that cannot be created ends the
-//! start before the next one is begun.
+//! Start-up: creates everything that must exist before the first client is served. Start-up fails at the first part that
+//! cannot be created.
 
 use super::descriptors::left_for_http;
 use super::error::ServeError;
@@ -23,10 +23,11 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// Buffered bodies may use the memory limit divided by this, in each of up to two processes at a time.
+/// The divisor of the memory limit that yields the memory for buffered bodies of one process. Up to two processes of a
+/// proxy run at a time.
 const BODY_MEMORY_DIVISOR: usize = 8;
 
-/// The part of the node configuration that is needed besides its settings.
+/// What the running proxy needs of the node configuration besides its settings.
 pub(super) struct NodeIdentity {
     /// The proxy's name.
     pub name: String,
@@ -38,7 +39,7 @@
     pub discovery: SocketAddr,
     /// How discovery is queried.
     pub discovery_mode: DiscoveryMode,
-    /// Makes this proxy's random choices differ from those of others.
+    /// The seed of this proxy's random choices, which differs between proxies.
     pub seed: u64,
     /// The node configuration file in force.
     pub file: ActiveConfigFile,
@@ -122,7 +123,7 @@
     /// Creates the parts.
     ///
     /// # Errors
-    /// A part cannot be created; the process does not serve then.
+    /// A part cannot be created.
     pub(super) async fn new(operator: &OperatorFile, mut node: NodeConfig) -> Result<Parts, ServeError> {
         let OpenedState { initial, writer } = open_state(&operator.state, &mut node)?;
         let cordon = load_cordon(&node);
--- a/crates/lotusdeck/src/state/restore.rs
+++ b/crates/lotusdeck/src/state/restore.rs
@@ -19,7 +19,7 @@
     pub estimates: Option<Estimates>,
 }
 
-/// Reads the state files. `window` is the time over which overload is measured.
+/// Reads the state files. `window` is the window in which work sent to a backend that warms up counts.
 pub(crate) fn restore(
     section: &StateSection, location: &StateLocation, platform_list: EndpointList, window: Duration,
 ) -> InitialState {
@@ -63,8 +63,8 @@
     Some(estimates)
 }
 
-/// Returns the name of an entry of the list, and when its backend started in ms since the Unix epoch; 0, which is long
-/// ago, if the list does not say.
+/// Returns the name of an entry of the list, and when its backend started in ms since the Unix epoch; 0, a time long
+/// ago, if the list does not contain it.
 fn backend_start(entry: &serde_json::Value) -> Option<(&str, u64)> {
     let name = entry.get("name")?.as_str()?;
     let started_ms = entry.get("since_ms").and_then(serde_json::Value::as_f64).unwrap_or(0.0);
--- a/crates/lotusdeck/src/state/writer.rs
+++ b/crates/lotusdeck/src/state/writer.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// The event loop's handle of the thread, which writes changes at most once per interval. The event loop only merges
+/// The event loop's handle to the thread, which writes changes at most once per interval. The event loop only merges
 /// updates and passes estimates on; the thread copies the complete list and writes the files.
 #[derive(Clone)]
 pub(crate) struct StateWriter {
@@ -72,7 +72,7 @@
     /// as the old one does during an upgrade, this process writes nothing and waits until the other one ends.
     ///
     /// # Errors
-    /// The folder or the lock file cannot be created, the lock cannot be tried, or the thread cannot be started.
+    /// The folder or the lock file cannot be created, locking fails, or the thread cannot be started.
     pub(crate) fn start(
         location: StateLocation, interval: Duration, initial: &EndpointList,
     ) -> std::io::Result<StateWriter> {
@@ -181,7 +181,7 @@
                 self.is_failing = false;
                 self.has_written = true;
             }
-            // The previous file remains in place: complete, but older.
+            // The previous file remains: complete, but older.
             Err(error) if !self.is_failing => {
                 warn!(%error, %path, "state write failed; the last one stays");
                 self.is_failing = true;
--- a/crates/lotusdeck/src/tests.rs
+++ b/crates/lotusdeck/src/tests.rs
@@ -1,4 +1,4 @@
-//! Checks the definition of the command line.
+//! Tests of the definition of the command line.
 
 use super::Cli;
 use clap::CommandFactory;
--- a/crates/postgres/src/bridge.rs
+++ b/crates/postgres/src/bridge.rs
@@ -41,8 +41,8 @@
     pub sent: Cell<bool>,
     /// Whether that server was lost.
     pub server_lost: Cell<bool>,
-    /// The only message of the transaction, if it may be sent again: as long as the client has received no part of the
-    /// answer.
+    /// The only message of the transaction, if it may be sent again while no part of its answer has been forwarded to
+    /// the client.
     pub replay: RefCell<Option<Bytes>>,
     /// Whether the client has sent Terminate while replies are pending.
     has_terminated: Cell<bool>,
@@ -194,7 +194,7 @@
                 std::future::pending::<()>().await;
             }
             if let Some(reason) = reason {
-                // A Terminate that follows unanswered statements takes effect once they are answered.
+                // A Terminate after unanswered statements takes effect once they are answered.
                 self.has_terminated
                     .set(reason == SessionEnd::ClientLeft && self.tracker.get().pending_ready() > 0);
                 if !self.has_terminated.get() {
--- a/crates/postgres/src/classes.rs
+++ b/crates/postgres/src/classes.rs
@@ -26,7 +26,7 @@
     pub application: Option<String>,
     /// The text of the first comment in front of the statement, without surrounding spaces.
     pub comment: Option<String>,
-    /// The beginning of the statement after its leading comments, regardless of ASCII case.
+    /// The beginning of the statement after its leading comments, ignoring ASCII case.
     pub prefix: Option<String>,
 }
 
@@ -90,8 +90,8 @@
 const NOT_REPEATABLE: [&str; 11] =
     ["", "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "prepare", "copy", "set"];
 
-/// Returns whether a message is a Query with a single statement that can be sent again by itself. Returns false in
-/// doubt: a semicolon inside a literal counts as the end of a statement.
+/// Returns whether a message is a Query with a single statement that can be sent again by itself. Returns false
+/// if in doubt: a semicolon inside a literal counts as the end of a statement.
 pub fn is_repeatable(kind: u8, body: &[u8]) -> bool {
     let Some(text) = statement_text(kind, body).filter(|_| kind == b'Q') else { return false };
     let text = strip_comments(text).text.trim_end().trim_end_matches(';');
--- a/crates/postgres/src/error.rs
+++ b/crates/postgres/src/error.rs
@@ -7,7 +7,7 @@
 /// An error sent to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ClientError {
-    /// Whether it ends the session.
+    /// Whether the error ends the session.
     pub fatal: bool,
     /// The SQLSTATE.
     pub code: &'static str,
@@ -27,7 +27,8 @@
     }
 
     /// Creates the error for a transaction that no server has capacity for: `too_many_connections`, as a full server
-    /// reports it. A transaction that may be repeated may nevertheless have been sent.
+    /// reports it. `sent` is whether the transaction may have run on a server, which is possible only if it may be
+    /// repeated.
     pub(crate) fn no_capacity(retry_after: Micros, sent: bool) -> ClientError {
         let effect = if sent { "It may have run, and may be repeated." } else { "Nothing was done." };
         let detail = Some(format!("Come again in {:.3} s. {effect}", retry_after.secs()));
--- a/crates/postgres/src/front.rs
+++ b/crates/postgres/src/front.rs
@@ -45,7 +45,7 @@
     pub users: Vec<User>,
     /// Maximum number of concurrent clients.
     pub max_clients: usize,
-    /// The rules that give the class of a transaction; it has the last class of the settings if none matches.
+    /// The rules that determine the class of a transaction. If none matches, it has the last class of the settings.
     pub rules: Vec<Rule>,
 }
 
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -59,7 +59,7 @@
     put(out, b'Z', b"I");
 }
 
-/// Why a session does not begin.
+/// Why a login failed.
 pub(crate) enum LoginError {
     /// The client has disconnected, or has not logged in within the time limit.
     Disconnected,
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -197,7 +197,7 @@
             tracker.pending_ready() > 0 || tracker.needs_sync() || !self.client.sent.get();
         if error.fatal || !is_client_waiting {
             ClientError { fatal: true, ..error }.put(&mut self.client.output.borrow_mut());
-            // A client that waits for no reply learns only from the end of its session that its transaction was lost.
+            // To a client that waits for no reply, a lost transaction can be reported only by ending its session.
             return false;
         }
         error.put(&mut self.client.output.borrow_mut());
--- a/crates/postgres/src/statements/session_end.rs
+++ b/crates/postgres/src/statements/session_end.rs
@@ -1,4 +1,4 @@
-//! Why a session ends.
+//! The reasons why a session ends.
 
 use crate::wire::WireError;
 
--- a/crates/postgres/src/upstream.rs
+++ b/crates/postgres/src/upstream.rs
@@ -39,7 +39,7 @@
     freed: Notify,
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts one open connection until the slot is dropped, which wakes a task that waits for a connection.
 struct Slot(Rc<OpenConnections>);
 
 impl Drop for Slot {
@@ -62,7 +62,7 @@
     pub cancel_key: CancelKey,
     /// The texts that are prepared on this connection.
     pub prepared: RefCell<PreparedKeys>,
-    /// When it became idle, or was established.
+    /// When the connection became idle, or was established.
     idle_since: Instant,
     _slot: Slot,
 }
@@ -82,7 +82,9 @@
 
 /// Why a login to a server failed.
 enum LoginFailure {
+    /// The connection cannot be established, or breaks.
     Io,
+    /// A message of the server is invalid.
     Protocol(WireError),
     /// The SQLSTATE of the server's error.
     ServerError(String),
@@ -126,8 +128,8 @@
     }
 
     /// Takes an idle connection to a backend, or establishes one. If the maximum number is open and none is idle, waits
-    /// until one becomes idle or is closed; those that wait are woken in order of arrival. The core cancels attempts
-    /// whose deadline passes meanwhile.
+    /// until one becomes idle or is closed; waiting tasks are woken in the order of their arrival. The core cancels
+    /// attempts whose deadline passes in the meantime.
     pub(crate) async fn acquire(&self, id: BackendId, address: SocketAddr) -> Result<Upstream, Outcome> {
         loop {
             if let Some(upstream) = self.take_idle(id, address) {
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -1,5 +1,5 @@
 //! Framing: the boundaries of messages, and the packets that open a connection ("Message Formats"). Messages are
-//! forwarded without being held in memory as a whole.
+//! forwarded piece by piece, without being buffered completely.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
--- a/crates/state/src/confidence.rs
+++ b/crates/state/src/confidence.rs
@@ -19,7 +19,7 @@
     Future(u64),
 }
 
-/// Maximum difference in ms between two readings of one machine's clock that is not taken for a step.
+/// Maximum difference in ms between two readings of one machine's clock that is not considered a step of the clock.
 const CLOCK_TOLERANCE_MS: u64 = 1_000;
 /// Minimum confidence at which a list or estimates are used; reached after two half-lives.
 const MIN_CONFIDENCE: f64 = 0.25;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether a list or estimates of this confidence are used.
+    /// Returns whether the confidence is high enough to use a list or estimates.
     pub fn is_sufficient(self) -> bool {
         self.0 >= MIN_CONFIDENCE
     }
--- a/crates/state/src/frame.rs
+++ b/crates/state/src/frame.rs
@@ -86,7 +86,7 @@
         /// Checksum computed from the body.
         computed: u32,
     },
-    /// There are bytes after the body, as after two mixed writes.
+    /// There are bytes after the body, as if two writes were mixed.
     #[error("{0} bytes after the body")]
     Trailing(usize),
     /// The checksum is right, but the body cannot be decoded as this type: another program wrote it.
