--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -270,8 +270,8 @@
     }
 
     /// Records whether the candidate's settings are valid; does nothing if there is no candidate.
-    pub fn candidate_validated(&mut self, now: Duration, verdict: Result<(), InvalidSettings>) {
-        match (std::mem::replace(&mut self.phase, Phase::Idle { until: now }), verdict) {
+    pub fn candidate_validated(&mut self, now: Duration, result: Result<(), InvalidSettings>) {
+        match (std::mem::replace(&mut self.phase, Phase::Idle { until: now }), result) {
             (Phase::Validating(staged), Ok(())) => self.phase = Phase::Committing(staged),
             (Phase::Validating(staged), Err(error)) => {
                 let version = staged.target();
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -83,7 +83,7 @@
     next_segment: u32,
     /// The sequence number of the last record, written or lost.
     sequence: u64,
-    open: Option<OpenSegment<D::File>>,
+    open_segment: Option<OpenSegment<D::File>>,
     /// The time before which a failed segment is not replaced by a new one.
     retry_at: Millis,
     lost: Option<LostRecords>,
@@ -105,7 +105,7 @@
             generation: Generation { id: generation, started_at: now },
             next_segment: 0,
             sequence: 0,
-            open: None,
+            open_segment: None,
             retry_at: 0,
             lost: None,
             open_requests: HashMap::new(),
@@ -144,7 +144,7 @@
         }
         self.has_segment = true;
         let length = SEGMENT_HEADER_LEN as u64;
-        self.open = Some(OpenSegment { file, name, number, length, id_hashes: BTreeSet::new() });
+        self.open_segment = Some(OpenSegment { file, name, number, length, id_hashes: BTreeSet::new() });
         Ok(())
     }
 
@@ -170,7 +170,7 @@
     }
 
     fn try_append(&mut self, now: Millis, records: &[Record]) -> Result<(), WriteError> {
-        if self.open.is_none() {
+        if self.open_segment.is_none() {
             if now < self.retry_at {
                 return Err(WriteError::Disk(io::Error::other(
                     "no segment is open, and the next attempt to create one is not due yet",
@@ -189,7 +189,7 @@
             self.seal_segment(now);
             self.begin_segment(now)?;
         }
-        let Some(open) = self.open.as_mut() else { return Ok(()) };
+        let Some(open) = self.open_segment.as_mut() else { return Ok(()) };
         self.disk.write(&mut open.file, open.length, &bytes)?;
         if self.options.mode == Mode::Power {
             self.disk.sync(&mut open.file)?;
@@ -205,13 +205,13 @@
 
     /// Returns whether the open segment contains frames and has no space for another `bytes` bytes.
     fn is_full_for(&self, bytes: u64) -> bool {
-        let Some(open) = &self.open else { return false };
+        let Some(open) = &self.open_segment else { return false };
         open.length > SEGMENT_HEADER_LEN as u64 && open.length + bytes > self.options.segment_bytes
     }
 
     /// Updates the index and the open requests with a record that was written.
     fn track_written(&mut self, record: &Record) {
-        let Some(open) = self.open.as_mut() else { return };
+        let Some(open) = self.open_segment.as_mut() else { return };
         if let Some(id) = record.id() {
             open.id_hashes.insert(index::hash(id));
         }
@@ -236,7 +236,7 @@
 
     /// Closes the open segment, writes its index and deletes surplus segments.
     fn seal_segment(&mut self, now: Millis) {
-        let Some(open) = self.open.take() else { return };
+        let Some(open) = self.open_segment.take() else { return };
         let bytes = index::encode(&open.id_hashes, self.sequence);
         // Errors are ignored: a segment without an index is read in full.
         let index = self.disk.create(&index::file_name(&open.name), 0);
@@ -247,7 +247,7 @@
 
     /// Closes the open segment after a failure, without an index.
     fn abandon_segment(&mut self, now: Millis) {
-        if let Some(open) = self.open.take() {
+        if let Some(open) = self.open_segment.take() {
             self.retain_segment(open, now);
         }
         self.retry_at = now + RETRY_INTERVAL;
@@ -283,7 +283,7 @@
 
     /// Returns whether no segment is open or records were lost since the last successful write.
     pub fn is_failing(&self) -> bool {
-        self.open.is_none() || self.lost.is_some()
+        self.open_segment.is_none() || self.lost.is_some()
     }
 
     /// Returns whether the generation has a segment on the disk, whose header shows readers whether requests may have
--- a/crates/lotusdeck/src/check/location.rs
+++ b/crates/lotusdeck/src/check/location.rs
@@ -73,8 +73,9 @@
     /// moving, if there is none.
     fn enter(&mut self, step: &Step) -> bool {
         let start = self.offset;
-        let fits = matches!((self.peek(), step), (b'{', Step::Key(_)) | (b'[', Step::Index(_)));
-        if !fits {
+        let is_container_of_step =
+            matches!((self.peek(), step), (b'{', Step::Key(_)) | (b'[', Step::Index(_)));
+        if !is_container_of_step {
             return false;
         }
         self.offset += 1;
--- a/crates/lotusdeck/src/check/tests.rs
+++ b/crates/lotusdeck/src/check/tests.rs
@@ -3,7 +3,7 @@
 use super::location::{locate, position, Position};
 
 #[test]
-fn values_are_found_and_absent_ones_point_to_what_would_hold_them() {
+fn values_are_located_and_absent_ones_yield_their_innermost_existing_parent() {
     let text = "{\n  \"a\": {\"x\": \"}\\\"]\", \"b\": [1, {\"c\": -2.5e3}, null]},\n  \"d\": true\n}";
     let at = |path| &text[locate(text, path)..];
     assert!(at("a.b[1].c").starts_with("-2.5e3"));
--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -194,10 +194,9 @@
         let Some(candidate) = self.follower.candidate() else { return };
         let object = candidate.to_settings().map_err(RejectedSettings::from);
         let read = object.and_then(|object| self.read_settings(object));
-        let verdict =
-            read.as_ref().map(|_| ()).map_err(|rejected| InvalidSettings::new(rejected.to_string()));
+        let result = read.as_ref().map(|_| ()).map_err(|rejected| InvalidSettings::new(rejected.to_string()));
         self.candidate = read.ok();
-        self.follower.candidate_validated(self.now(), verdict);
+        self.follower.candidate_validated(self.now(), result);
     }
 
     fn read_settings(&self, object: Value) -> Result<CheckedSettings, RejectedSettings> {
--- a/crates/lotusdeck/src/fleet/gossip.rs
+++ b/crates/lotusdeck/src/fleet/gossip.rs
@@ -18,7 +18,7 @@
 /// The interval at which the balancer receives the load of the other proxies; they report it at the same interval.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// The first rejected datagram is logged, and then one in this many, so that a foreign sender cannot flood the log.
-const UNDECODABLE_LOG_INTERVAL: u64 = 1_000;
+const REJECTED_LOG_INTERVAL: u64 = 1_000;
 
 impl Fleet {
     /// Exchanges datagrams with the other proxies for as long as the program runs. Without an address it maintains only
@@ -111,7 +111,7 @@
             if let Err(error) = received {
                 let before = self.undecodable_datagrams.get();
                 self.undecodable_datagrams.set(before + 1);
-                if before.is_multiple_of(UNDECODABLE_LOG_INTERVAL) {
+                if before.is_multiple_of(REJECTED_LOG_INTERVAL) {
                     warn!(%from, %error, rejected = before + 1, "fleet datagram rejected");
                 }
             }
--- a/crates/lotusdeck/src/operator/tests.rs
+++ b/crates/lotusdeck/src/operator/tests.rs
@@ -7,7 +7,7 @@
 use super::{limit, postgres, FleetMember, OperatorFile};
 
 #[test]
-fn every_key_is_read_and_its_default_is_what_holds_without_it() {
+fn every_key_is_read_and_its_default_applies_if_it_is_absent() {
     for key in &KEYS {
         let (table, name) = key.path.split_once('.').unwrap();
         let with = |value: &str| OperatorFile::parse(&format!("[{table}]\n{name} = {value}\n"));
@@ -66,7 +66,7 @@
 
 /// Checks that deploy/operator.toml names every key with its default, and reads as the defaults.
 #[test]
-fn the_deployed_file_holds_the_defaults() {
+fn the_deployed_file_contains_the_defaults() {
     let text = include_str!("../../../../deploy/operator.toml");
     assert_eq!(OperatorFile::parse(text), Ok(OperatorFile::default()));
     for key in &KEYS {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn limits_are_read_and_faults_have_a_place() {
+fn limits_are_read_and_faults_have_an_offset() {
     let text = "[[limit]]\nname = \"all\"\nrate_per_s = 100\n\n[[limit]]\nname = \"b\"\nin_flight = 5\nclass = \"page\"\n";
     let limits = limit::parse(text).unwrap();
     assert!(limits.len() == 2 && limits[0].rate_per_s == Some(100.0) && limits[1].in_flight == Some(5));
@@ -120,7 +120,7 @@
 "#;
 
 #[test]
-fn postgres_fronts_are_read_and_faults_have_a_place() {
+fn postgres_fronts_are_read_and_faults_have_an_offset() {
     let sections = postgres::parse(POSTGRES).unwrap();
     assert!(sections.len() == 1 && sections[0].connections == 40 && sections[0].deadline_ms == 30_000);
     assert_eq!(postgres::parse("[http]\n"), Ok(Vec::new()));
--- a/crates/lotusdeck/src/state/tests.rs
+++ b/crates/lotusdeck/src/state/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn names_that_a_path_must_not_hold_are_replaced() {
+fn characters_that_are_unsafe_in_a_path_are_replaced() {
     assert_eq!(file_name("../n/0 x"), "_n_0_x");
     assert_eq!(file_name("n-1.a_b"), "n-1.a_b");
 }
--- a/crates/lotusdeck/src/tests.rs
+++ b/crates/lotusdeck/src/tests.rs
@@ -4,6 +4,6 @@
 use clap::CommandFactory;
 
 #[test]
-fn the_command_line_is_sound() {
+fn the_command_line_definition_is_valid() {
     Cli::command().debug_assert();
 }
--- a/crates/postgres/src/classes/tests.rs
+++ b/crates/postgres/src/classes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn first_rule_that_matches_gives_the_class() {
+fn first_matching_rule_determines_the_class() {
     let text = |text: &str| Some(text.to_string());
     let rules = [
         Rule { class: ClassId(0), comment: text("safe"), ..Rule::default() },
