--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -202,7 +202,7 @@
         return Err(DocumentError::NameLength { section: key.section.label() });
     }
     if key.section == Section::Base && named_section(&key.name).is_some() {
-        let expected = "a key that is no section of its own";
+        let expected = "a key that is not the name of a section";
         return Err(DocumentError::InvalidValue { key: key.clone(), expected });
     }
     Ok(())
