--- a/crates/lotusdeck/src/configuration/worker.rs
+++ b/crates/lotusdeck/src/configuration/worker.rs
@@ -36,7 +36,7 @@
     outline: SettingsOutline,
 }
 
-/// `Break` ends the thread.
+/// Whether the thread continues; `Break` ends it.
 type Flow = ControlFlow<()>;
 
 /// Returns `Break` if a channel to the event loop is closed, which means that the program is ending.
@@ -61,7 +61,7 @@
     /// The candidate's settings, until they are applied.
     candidate: Option<CheckedSettings>,
     connection: Option<IdleConnection>,
-    /// The last problem that was logged; one that persists is logged once.
+    /// The last problem that was logged. A problem that persists is logged only once.
     logged_problem: Option<String>,
 }
 
@@ -194,10 +194,9 @@
         let Some(candidate) = self.follower.candidate() else { return };
         let object = candidate.to_settings().map_err(RejectedSettings::from);
         let read = object.and_then(|object| self.read_settings(object));
-        let verdict =
-            read.as_ref().map(|_| ()).map_err(|rejected| InvalidSettings::new(rejected.to_string()));
+        let result = read.as_ref().map(|_| ()).map_err(|rejected| InvalidSettings::new(rejected.to_string()));
         self.candidate = read.ok();
-        self.follower.candidate_validated(self.now(), verdict);
+        self.follower.candidate_validated(self.now(), result);
     }
 
     fn read_settings(&self, object: Value) -> Result<CheckedSettings, RejectedSettings> {
