--- a/crates/lotusdeck/tests/scale.rs
+++ b/crates/lotusdeck/tests/scale.rs
@@ -8,7 +8,7 @@
 
 use lotusdeck_testbed::scale::experiment::{AxisKind, ScaleExperiment};
 use lotusdeck_testbed::scale::record::{Metric, Series};
-use lotusdeck_testbed::scale::{walk, Rig};
+use lotusdeck_testbed::scale::{measure_axes, Rig};
 use std::path::Path;
 
 const SMALL: &str = r#"
@@ -48,7 +48,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_lotusdeck"));
     let rig = Rig { experiment: &experiment, program, folder: folder.clone() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let series = runtime.block_on(walk(&rig)).unwrap();
+    let series = runtime.block_on(measure_axes(&rig)).unwrap();
     let settings = [Metric::ReadSeconds, Metric::ReloadSeconds, Metric::QuietP99Seconds, Metric::MemoryBytes];
     let backends = [Metric::MemoryBytes, Metric::RealInForceP99Seconds, Metric::HollowInForceP99Seconds];
     let all = settings.map(|metric| (AxisKind::Tenants, metric));
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -9,7 +9,7 @@
 use lotusdeck_testbed::campaign;
 use lotusdeck_testbed::driver::run::{play, Outcome};
 use lotusdeck_testbed::experiment::Experiment;
-use lotusdeck_testbed::fleet::{self, Script, Way};
+use lotusdeck_testbed::fleet::{self, Script, StateMode};
 use lotusdeck_testbed::ledger;
 use lotusdeck_testbed::oracle::Violation;
 use lotusdeck_testbed::report::figures::Figures;
@@ -70,7 +70,7 @@
 
 /// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
 fn valid_figures(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Violation>), String> {
-    let (figures, broken) = Figures::of(plan, outcome);
+    let (figures, broken) = Figures::compute(plan, outcome);
     match figures.void {
         Some(why) => Err(why),
         None => Ok((figures, broken)),
@@ -108,7 +108,7 @@
     let verdict = |e: &Experiment| {
         let folder =
             std::env::temp_dir().join(format!("lotusdeck-campaign-{}-{}", std::process::id(), e.seed));
-        (0..3).find_map(|_| campaign::judge(e, program, &folder).unwrap().broken)
+        (0..3).find_map(|_| campaign::run_and_check(e, program, &folder).unwrap().broken)
     };
     let verdicts: Vec<_> = std::thread::scope(|scope| {
         let plays: Vec<_> = all.iter().map(|e| scope.spawn(move || verdict(e))).collect();
@@ -147,14 +147,14 @@
     let experiment = Experiment::parse("short", text).unwrap();
     let (seed, (real, played)) = first_verdict(&experiment, 31..34, "near", |plan, outcome| {
         let (real, _) = valid_figures(plan, outcome)?;
-        Ok((real, Figures::of(plan, &virtual_time::play(plan, PolicyChoice::Halb).unwrap()).0))
+        Ok((real, Figures::compute(plan, &virtual_time::play(plan, PolicyChoice::Halb).unwrap()).0))
     });
-    let apart = (real.whole.part() - played.whole.part()).abs();
+    let apart = (real.whole.earned_part() - played.whole.earned_part()).abs();
     assert!(
         apart <= 0.05,
         "seed {seed}: {} on sockets, {} in virtual time",
-        real.whole.part(),
-        played.whole.part()
+        real.whole.earned_part(),
+        played.whole.earned_part()
     );
     assert!((real.attempts - played.attempts).abs() <= 0.05, "{} and {}", real.attempts, played.attempts);
 }
@@ -197,15 +197,15 @@
 fn a_fleet_that_loses_power_serves_at_once_from_saved_lists() {
     let _lock = lock_runs();
     let restart_s = fleet::last_restart(Script::PowerLoss, 4);
-    let worth = |way: Way| {
-        let experiment = fleet::experiment(Script::PowerLoss, way, 4, 5.0).unwrap();
-        let (seed, back) = first_verdict(&experiment, 7..10, &format!("power-{way:?}"), |plan, outcome| {
+    let worth = |mode: StateMode| {
+        let experiment = fleet::experiment(Script::PowerLoss, mode, 4, 5.0).unwrap();
+        let (seed, back) = first_verdict(&experiment, 7..10, &format!("power-{mode:?}"), |plan, outcome| {
             fleet::evaluate(plan, outcome, restart_s).ok_or_else(|| "the testbed was late".to_string())
         });
-        println!("{way:?} seed {seed}: {back:?}");
-        assert_eq!((back.broken, back.cold_over), (0, 0), "{way:?} seed {seed}");
+        println!("{mode:?} seed {seed}: {back:?}");
+        assert_eq!((back.broken, back.cold_over), (0, 0), "{mode:?} seed {seed}");
         back.worth[1]
     };
-    let (kept, blank) = (worth(Way::Kept), worth(Way::Blank));
+    let (kept, blank) = (worth(StateMode::Kept), worth(StateMode::Blank));
     assert!(kept > 0.3 && blank < 0.15, "seconds 1 to 5 after the restart: kept {kept:.3}, blank {blank:.3}");
 }
--- a/crates/testbed/src/campaign/draw.rs
+++ b/crates/testbed/src/campaign/draw.rs
@@ -1,7 +1,7 @@
 //! The experiments of a campaign: a small deployment with injuries and troubles drawn from a seed.
 
 use crate::experiment::{Experiment, ExperimentError, Trouble, TroubleKind};
-use crate::fault_proxy::script::{Fault, FaultKind, Place, Way};
+use crate::fault_proxy::script::{Direction, Fault, FaultKind, Place};
 use crate::world::rng::Rng;
 
 /// A deployment that exercises every path of a request within seconds. Connections are few, so that faults
@@ -43,10 +43,10 @@
 }
 
 fn injury(rng: &mut Rng) -> Fault {
-    let way = if rng.unit() < 0.65 { Way::Down } else { Way::Up };
+    let direction = if rng.unit() < 0.65 { Direction::Down } else { Direction::Up };
     let place = [Place::Start, Place::Body, Place::Middle, Place::End][rng.below(4)];
     let bytes = 1 + rng.below(9);
-    let ms = 1 + rng.below(if way == Way::Up { MAX_UP_MS as usize } else { 500 }) as u64;
+    let ms = 1 + rng.below(if direction == Direction::Up { MAX_UP_MS as usize } else { 500 }) as u64;
     let what = match rng.below(10) {
         0 => FaultKind::HalfClose,
         1 => FaultKind::Cut,
@@ -57,7 +57,7 @@
         6 => FaultKind::Stall { ms },
         // A changed request is not what the proxy sent, and a changed body cannot be distinguished from a good
         // one, so that only heads of answers are changed.
-        _ if way == Way::Up => FaultKind::Stall { ms },
+        _ if direction == Direction::Up => FaultKind::Stall { ms },
         7 => FaultKind::Flip { bytes },
         // Inserts bytes after an answer that belong to no request; the proxy must not take them for the answer
         // to the next one.
@@ -73,7 +73,7 @@
     Fault {
         connections: None,
         part: 0.02 + 0.3 * rng.unit(),
-        way,
+        way: direction,
         after_bytes: None,
         until_bytes: None,
         message: Some(1 + rng.below(4) as u64),
--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -76,12 +76,12 @@
 ///
 /// # Errors
 /// Fails if the experiment cannot be run.
-pub fn judge(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
+pub fn run_and_check(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
     let plan = Arc::new(Plan::draw(e, e.seed));
     let fault = |e| SessionError::File(folder.display().to_string(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     let outcome = runtime.block_on(play(plan.clone(), proxy, folder, &|_| {}))?;
-    let (figures, broken) = Figures::of(&plan, &outcome);
+    let (figures, broken) = Figures::compute(&plan, &outcome);
     let mut counts = Progress::default();
     let count = |of: &mut BTreeMap<String, u64>, what: String| *of.entry(what).or_default() += 1;
     for r in &outcome.records {
@@ -122,7 +122,7 @@
 /// Returns whether the experiment breaks a rule in any of a few runs.
 fn breaks(e: &Experiment, proxy: &Path, folder: &Path) -> Result<bool, SessionError> {
     for _ in 0..SHRINK_RUNS {
-        if judge(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
+        if run_and_check(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
             return Ok(true);
         }
     }
@@ -223,7 +223,7 @@
     let out = &args.out;
     let folder = out.join(format!("seed-{seed}"));
     let e = experiment(seed)?;
-    let verdict = judge(&e, proxy, &folder)?;
+    let verdict = run_and_check(&e, proxy, &folder)?;
     let found = verdict.broken.as_ref().filter(|(broken, _)| !broken.is_empty());
     {
         let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -78,9 +78,9 @@
     }
 
     /// Returns the whole list as JSON.
-    pub fn whole(&self) -> String {
+    pub fn full_list(&self) -> String {
         let model = self.model.borrow();
-        self.json(model.version(), true, model.whole())
+        self.json(model.version(), true, model.full_list())
     }
 
     async fn apply_changes_when_due(self: Rc<Self>) {
@@ -163,7 +163,7 @@
             let lines = {
                 let model = self.model.borrow();
                 let changes = after.filter(|after| *after <= model.version());
-                changes.map_or_else(|| model.whole().count(), |after| model.since(after).count())
+                changes.map_or_else(|| model.full_list().count(), |after| model.since(after).count())
             };
             let spec = &self.plan.experiment.discovery;
             let took = spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64;
@@ -178,11 +178,11 @@
             let reported = model.since(after).map(|l| (l.backend, l.status)).collect();
             return Some((200, self.json(model.version(), false, model.since(after)), reported));
         }
-        let mut reported: Vec<_> = model.whole().map(|l| (l.backend, l.status)).collect();
+        let mut reported: Vec<_> = model.full_list().map(|l| (l.backend, l.status)).collect();
         let known = self.last_sent.borrow();
         let gone = known.keys().filter(|k| k.0 == proxy && !reported.iter().any(|t| t.0 == k.1));
         let gone: Vec<_> = gone.map(|k| (k.1, Status::Deleted)).collect();
         reported.extend(gone);
-        Some((200, self.json(model.version(), true, model.whole()), reported))
+        Some((200, self.json(model.version(), true, model.full_list()), reported))
     }
 }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -148,7 +148,7 @@
             return Vec::new();
         }
     };
-    let _ = ready.send(Ok(StandIns { discovery, known: service.whole() }));
+    let _ = ready.send(Ok(StandIns { discovery, known: service.full_list() }));
     while let Some(Command::Act(act)) = commands.recv().await {
         if let Err(e) = carry_out(&plan, &clock, &fleet, &service, &act) {
             log.add(Observation::Act { text: format!("not done: {act:?}: {e}") });
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -63,7 +63,7 @@
         .map(|(which, plan)| {
             let outcome = play(plan, *which)?;
             done();
-            Ok((Figures::of(plan, &outcome).0, Losses::of(plan, &outcome)))
+            Ok((Figures::compute(plan, &outcome).0, Losses::compute(plan, &outcome)))
         })
         .collect::<Result<_, VirtualError>>()?;
     let mut played = played.into_iter();
@@ -98,12 +98,12 @@
     for row in rows {
         let of = |f: &dyn Fn(&Figures) -> f64| -> Vec<f64> { row.runs.iter().map(f).collect() };
         let mean = |f: &dyn Fn(&Figures) -> f64| interval(&of(f)).0;
-        let worth = of(&|f| f.whole.part());
+        let worth = of(&|f| f.whole.earned_part());
         let differences: Vec<f64> =
-            rows[0].runs.iter().zip(&worth).map(|(a, b)| b - a.whole.part()).collect();
+            rows[0].runs.iter().zip(&worth).map(|(a, b)| b - a.whole.earned_part()).collect();
         let (difference, half_width) = interval(&differences);
         let against = half_width.map_or("one seed".into(), |h| format!("{difference:+.4} ± {h:.4}"));
-        let weakest = |f: &Figures| f.classes.iter().map(|c| c.part()).fold(1.0, f64::min);
+        let weakest = |f: &Figures| f.classes.iter().map(|c| c.earned_part()).fold(1.0, f64::min);
         let broken: usize = row.runs.iter().flat_map(|f| &f.broken).map(|b| b.1).sum();
         let _ = writeln!(
             out,
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -43,14 +43,14 @@
     /// Fails if a file cannot be read or is malformed, if a chain is longer than eight files, or with the first
     /// invalid value.
     pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
-        Experiment::of_table(&path.display().to_string(), Experiment::table(path, MAX_EXTENDED)?)
+        Experiment::from_table(&path.display().to_string(), Experiment::table(path, MAX_EXTENDED)?)
     }
 
     /// Reads and checks a table of keys; errors name `name` as its source.
     ///
     /// # Errors
     /// Fails if the table is malformed, or with the first invalid value.
-    pub fn of_table(name: &str, whole: toml::Table) -> Result<Experiment, ExperimentError> {
+    pub fn from_table(name: &str, whole: toml::Table) -> Result<Experiment, ExperimentError> {
         let experiment =
             Experiment::deserialize(whole).map_err(|e| ExperimentError::Malformed(name.into(), e))?;
         experiment.checked(name)
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -102,10 +102,10 @@
     .map_err(fault)?;
     let relay = relay.await.map_err(|_| RunError::Thread)?.map_err(fault)?;
     let span = Duration::from_secs_f64(args.seconds);
-    let mut ways: Vec<(String, SocketAddr, Vec<Point>)> =
+    let mut paths: Vec<(String, SocketAddr, Vec<Point>)> =
         vec![("direct".into(), server, Vec::new()), ("relay".into(), relay, Vec::new())];
     for _ in 0..args.rounds {
-        for (_, to, points) in &mut ways {
+        for (_, to, points) in &mut paths {
             let to = *to;
             points.push(measure(None, move || round_trips(to, span)).await?);
         }
@@ -125,12 +125,12 @@
     for _ in 0..args.rounds {
         with_idle.push(measure(None, move || round_trips(relay, span)).await?);
     }
-    ways.push((format!("relay, {} idle", idle.len()), relay, with_idle));
+    paths.push((format!("relay, {} idle", idle.len()), relay, with_idle));
     print(&format!(
         "medians of {} rounds of {} s, {BYTES} bytes there and back, one at a time\n",
         args.rounds, args.seconds
     ));
-    for (name, _, points) in &ways {
+    for (name, _, points) in &paths {
         let [p50, p99] = [median(points, |p| p.p50_us), median(points, |p| p.p99_us)];
         let failed: u64 = points.iter().map(|p| p.failed).sum();
         print(&format!("{name:<20} p50 {p50:>5.0} us  p99 {p99:>5.0} us  {failed} failed\n"));
--- a/crates/testbed/src/fault_proxy/frame.rs
+++ b/crates/testbed/src/fault_proxy/frame.rs
@@ -2,7 +2,7 @@
 //! split: each place is reported at the latest when the bytes before it have arrived. After bytes that it
 //! cannot parse, it reports no more places.
 
-use super::script::{Framing, Place, Way};
+use super::script::{Direction, Framing, Place};
 
 /// Longest head, bytes; a longer one is not parsed.
 const MAX_HEAD: usize = 64 * 1024;
@@ -43,7 +43,7 @@
 /// Parses one direction.
 pub struct Framer {
     framing: Framing,
-    way: Way,
+    direction: Direction,
     state: State,
     at: u64,
     message: u64,
@@ -63,10 +63,10 @@
 
 impl Framer {
     /// Creates a framer that starts at the first byte of a connection.
-    pub fn new(framing: Framing, way: Way) -> Framer {
+    pub fn new(framing: Framing, direction: Direction) -> Framer {
         Framer {
             framing,
-            way,
+            direction,
             state: if framing == Framing::None { State::Unframed } else { State::Ready },
             at: 0,
             message: 0,
@@ -176,7 +176,7 @@
         if self.status.is_none() {
             let code =
                 text.strip_prefix("HTTP/1.").and_then(|rest| rest.split_whitespace().nth(1)?.parse().ok());
-            let matches_direction = code.is_some() == (self.way == Way::Down);
+            let matches_direction = code.is_some() == (self.direction == Direction::Down);
             (self.status, self.state) =
                 (Some(code.unwrap_or(0)), if matches_direction { State::Head } else { State::Unframed });
         } else if let Some((name, value)) = text.split_once(':') {
@@ -194,7 +194,8 @@
             self.state = State::Head; // empty lines before a message are skipped (RFC 9112, 2.2)
             return;
         };
-        let no_body = matches!(status, 100..=199 | 204 | 304) || self.way == Way::Up && !self.chunked;
+        let no_body =
+            matches!(status, 100..=199 | 204 | 304) || self.direction == Direction::Up && !self.chunked;
         if matches!(status, 100..=199) {
             self.message -= 1;
             self.state = State::Ready;
@@ -214,7 +215,7 @@
     fn length(&mut self, bytes: &[u8], marks: &mut Vec<Mark>) -> usize {
         // A server answers a request for encryption with a single byte.
         let first = self.buffer.first().copied().unwrap_or(bytes[0]);
-        if self.untyped && self.way == Way::Down {
+        if self.untyped && self.direction == Direction::Down {
             if matches!(first, b'N' | b'S') {
                 self.at += 1;
                 self.end(marks);
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -3,7 +3,7 @@
 
 use super::frame::{Framer, Mark};
 use super::plan::{Due, When};
-use super::script::{FaultKind, Framing, Way};
+use super::script::{Direction, FaultKind, Framing};
 use crate::world::rng::Rng;
 use std::collections::VecDeque;
 
@@ -77,12 +77,12 @@
 
 impl Pipe {
     /// Creates the pipe of one direction of a new connection, with the faults of this direction.
-    pub fn new(framing: Framing, way: Way, dues: &[Due]) -> Pipe {
-        let waiting: Vec<Due> = dues.iter().filter(|d| d.way == way).cloned().collect();
+    pub fn new(framing: Framing, direction: Direction, dues: &[Due]) -> Pipe {
+        let waiting: Vec<Due> = dues.iter().filter(|d| d.way == direction).cloned().collect();
         let framed = waiting.iter().any(|d| matches!(d.when, When::Message(..)));
         Pipe {
             waiting,
-            framer: framed.then(|| Framer::new(framing, way)),
+            framer: framed.then(|| Framer::new(framing, direction)),
             marks: Vec::new(),
             received: 0,
             queue: VecDeque::new(),
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -2,7 +2,7 @@
 use crate::fault_proxy::script::Place;
 
 fn due(when: When, what: FaultKind) -> Due {
-    Due { index: 0, way: Way::Down, when, gives: None, what, seed: 1 }
+    Due { index: 0, way: Direction::Down, when, gives: None, what, seed: 1 }
 }
 
 /// Returns all that is sent by a time: the bytes joined, and the other actions.
@@ -18,7 +18,7 @@
 }
 
 fn play(when: When, what: FaultKind, pieces: &[&str]) -> (String, Vec<Out>) {
-    let mut pipe = Pipe::new(Framing::Http, Way::Down, &[due(when, what)]);
+    let mut pipe = Pipe::new(Framing::Http, Direction::Down, &[due(when, what)]);
     pieces.iter().for_each(|piece| pipe.take(0, piece.as_bytes()));
     let got = out(&mut pipe, 0);
     assert_eq!(pipe.held, 0, "sent bytes are no longer held");
@@ -55,7 +55,7 @@
 fn delays_keep_the_order() {
     let mut pipe = Pipe::new(
         Framing::None,
-        Way::Down,
+        Direction::Down,
         &[
             due(When::Byte(2), FaultKind::Stall { ms: 5 }),
             due(When::After(9_000), FaultKind::Bandwidth { bytes_per_s: 1_000 }),
@@ -77,15 +77,18 @@
     assert_eq!(pipe.awaited_words().collect::<Vec<_>>(), ["now"]);
     pipe.give_word(31_000, "now");
     assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
-    let mut full = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Stall { ms: 1 })]);
+    let mut full =
+        Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Stall { ms: 1 })]);
     full.take(0, &vec![b'x'; MAX_HELD]);
     assert!(!full.can_read(0), "reading stops at the limit of held bytes");
     assert!(out(&mut full, 1_000).0.len() == MAX_HELD && full.can_read(1_000));
-    let mut merged = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Merge { ms: 2 })]);
+    let mut merged =
+        Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Merge { ms: 2 })]);
     [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
     assert_eq!(merged.pop(1_999), None);
     assert_eq!(merged.pop(2_000), Some(Out::Bytes(b"ababab".to_vec())), "as one piece");
-    let mut split = Pipe::new(Framing::None, Way::Down, &[due(When::Byte(0), FaultKind::Split { bytes: 1 })]);
+    let mut split =
+        Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Split { bytes: 1 })]);
     split.take(0, b"ab");
     split.end(0);
     let pieces = [split.pop(0), split.pop(0), split.pop(0), split.pop(0)];
--- a/crates/testbed/src/fault_proxy/plan.rs
+++ b/crates/testbed/src/fault_proxy/plan.rs
@@ -2,7 +2,7 @@
 //! not depend on the order in which connections of different routes arrive, so that the same seed always gives
 //! the same plan.
 
-use super::script::{Fault, FaultKind, Place, Script, Way};
+use super::script::{Direction, Fault, FaultKind, Place, Script};
 use crate::world::rng::Rng;
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
@@ -26,7 +26,7 @@
     /// The index of the fault in the route's list.
     pub index: usize,
     /// Its direction.
-    pub way: Way,
+    pub way: Direction,
     /// Its trigger.
     pub when: When,
     /// The word that it gives when it happens.
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -2,7 +2,7 @@
 
 use super::pipe::{Out, Pipe};
 use super::plan::{draw, Due};
-use super::script::{Route, Script, Way};
+use super::script::{Direction, Route, Script};
 use crate::driver::wire::listen;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -174,7 +174,8 @@
         let Some(route) = script.route.get(number) else { return };
         let (planned, to, connection) = (draw(&script, number, count), route.to, count);
         count += 1;
-        let pipes = [Way::Up, Way::Down].map(|way| Pipe::new(route.frame, way, &planned));
+        let pipes =
+            [Direction::Up, Direction::Down].map(|direction| Pipe::new(route.frame, direction, &planned));
         let (shared, script) = (shared.clone(), script.clone());
         tokio::task::spawn_local(async move {
             shared.open.set(shared.open.get() + 1);
--- a/crates/testbed/src/fault_proxy/script.rs
+++ b/crates/testbed/src/fault_proxy/script.rs
@@ -65,7 +65,7 @@
 /// The direction that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Direction {
     /// From the end that connected.
     Up,
     /// To the end that connected.
@@ -100,7 +100,7 @@
     #[serde(default = "all")]
     pub part: f64,
     /// The direction.
-    pub way: Way,
+    pub way: Direction,
     /// Happens after this number of bytes of the direction ...
     #[serde(default)]
     pub after_bytes: Option<u64>,
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -45,7 +45,7 @@
 /// Whether proxies keep their state across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum StateMode {
     /// No state is kept.
     Blank,
     /// State is kept on disk by `[state]` in the operator file, written every 200 ms.
@@ -78,7 +78,7 @@
 /// # Errors
 /// The experiment does not parse or fails a check; neither happens with the scripts here.
 pub fn experiment(
-    script: Script, way: Way, processes: usize, after_s: f64,
+    script: Script, mode: StateMode, processes: usize, after_s: f64,
 ) -> Result<Experiment, ExperimentError> {
     let mut troubles = String::new();
     let mut kill = |proxy: usize, at_s: f64, for_s: f64| {
@@ -117,13 +117,13 @@
             "{{ at_s = {LOSS_S}, what = \"discovery-down\", for_s = {discovery_down_s} }},"
         );
     }
-    let operator = match way {
-        Way::Blank => String::new(),
-        Way::Kept => {
+    let operator = match mode {
+        StateMode::Blank => String::new(),
+        StateMode::Kept => {
             "operator = \"\"\"\n[state]\nfolder = \"{folder}/state\"\nevery_ms = 200\n\"\"\"\n".into()
         }
     };
-    let name = format!("fleet-{}-{}", script.as_str(), way.as_str());
+    let name = format!("fleet-{}-{}", script.as_str(), mode.as_str());
     let text = format!(
         "name = \"{name}\"\nduration_s = {}\nproxies = {processes}\ndiscovery = {{ handed = false }}\n{operator}\
          trouble = [\n{troubles}]\ninjury = [\n\
@@ -134,7 +134,7 @@
     let mut table: toml::Table =
         BASE_EXPERIMENT.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
     table.extend(text.parse::<toml::Table>().map_err(|e| ExperimentError::Malformed(name.clone(), e))?);
-    Experiment::of_table(&name, table)
+    Experiment::from_table(&name, table)
 }
 
 /// Returns when the last proxy is back, s.
@@ -158,11 +158,11 @@
     }
 }
 
-impl Way {
+impl StateMode {
     fn as_str(self) -> &'static str {
         match self {
-            Way::Blank => "blank",
-            Way::Kept => "kept",
+            StateMode::Blank => "blank",
+            StateMode::Kept => "kept",
         }
     }
 }
@@ -195,7 +195,7 @@
 
 /// Computes the figures of a play; `None` if it is void.
 pub fn evaluate(plan: &Plan, outcome: &Outcome, restart_s: f64) -> Option<PlayResult> {
-    let (figures, broken) = Figures::of(plan, outcome);
+    let (figures, broken) = Figures::compute(plan, outcome);
     if figures.void.is_some() {
         return None;
     }
@@ -274,8 +274,8 @@
     let restart_s = last_restart(args.script, processes);
     let mut all: HashMap<&'static str, Vec<PlayResult>> = HashMap::new();
     for &seed in &args.seeds {
-        for way in [Way::Blank, Way::Kept] {
-            let experiment = experiment(args.script, way, processes, AFTER_S)?;
+        for mode in [StateMode::Blank, StateMode::Kept] {
+            let experiment = experiment(args.script, mode, processes, AFTER_S)?;
             let plan = Arc::new(Plan::draw(&experiment, seed));
             let mut result = None;
             for attempt in 0..MAX_PLAYS {
@@ -291,8 +291,8 @@
                 ));
             }
             let Some(result) = result else { continue };
-            session::print(&format!("{:<6} {}\n", way.as_str(), format_row(&result)));
-            all.entry(way.as_str()).or_default().push(result);
+            session::print(&format!("{:<6} {}\n", mode.as_str(), format_row(&result)));
+            all.entry(mode.as_str()).or_default().push(result);
         }
     }
     let mut text = format!(
@@ -301,9 +301,9 @@
         args.seeds,
         HEADER
     );
-    for way in [Way::Blank, Way::Kept] {
-        if let Some(plays) = all.get(way.as_str()) {
-            let _ = writeln!(text, "{:<6} {}", way.as_str(), format_row(&median(plays)));
+    for mode in [StateMode::Blank, StateMode::Kept] {
+        if let Some(plays) = all.get(mode.as_str()) {
+            let _ = writeln!(text, "{:<6} {}", mode.as_str(), format_row(&median(plays)));
         }
     }
     session::print(&text);
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, TroubleKind};
-use crate::oracle::{judge, timeline};
+use crate::oracle::{find_violations, timeline};
 use crate::record::{seconds, Observation, RequestEnd, TryId};
 use crate::report::figures::Spread;
 use crate::session::{print, program, SessionError};
@@ -220,7 +220,7 @@
     let progress = |at: lotusdeck_policy::Time| bar.set_position(at.0 / 1000);
     let (outcome, compared, history) = play(&plan, &proxy_program, &folder, &progress)?;
     bar.finish_and_clear();
-    let broken = judge(&plan, &outcome.records);
+    let broken = find_violations(&plan, &outcome.records);
     print(&format!(
         "{} kills in {}, mode {}: {} non-repeatable requests, {} wrong answers\n",
         args.kills,
@@ -281,7 +281,7 @@
 }
 
 fn format_spread(times: &Histogram<u64>) -> String {
-    let s = Spread::of(times);
+    let s = Spread::from_histogram(times);
     format!("p50 {:.1} us, p99 {:.1} us, worst {:.0} us", s.p50 * 1e3, s.p99 * 1e3, s.max * 1e3)
 }
 
--- a/crates/testbed/src/oracle/mod.rs
+++ b/crates/testbed/src/oracle/mod.rs
@@ -89,7 +89,7 @@
 }
 
 /// Returns all violations, grouped by oracle.
-pub fn judge(plan: &Plan, records: &[Record]) -> Vec<Violation> {
+pub fn find_violations(plan: &Plan, records: &[Record]) -> Vec<Violation> {
     let observations = Observations::new(plan, records);
     let oracles = [answers::check, repeats::check, drains::check, cold::check, unaltered::check];
     oracles.iter().flat_map(|check| check(&observations)).collect()
--- a/crates/testbed/src/oracle/tests.rs
+++ b/crates/testbed/src/oracle/tests.rs
@@ -41,7 +41,7 @@
 }
 
 pub fn broken(records: &[Record]) -> Vec<(&'static str, String)> {
-    judge(&plan(), records).into_iter().map(|b| (b.oracle, b.text)).collect()
+    find_violations(&plan(), records).into_iter().map(|b| (b.oracle, b.text)).collect()
 }
 
 #[test]
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -68,7 +68,7 @@
 }
 
 /// A way for the load to reach the backends, with its measurements. `Traffic` selects what is sent.
-pub(crate) struct Way<Traffic> {
+pub(crate) struct LoadPath<Traffic> {
     pub name: &'static str,
     pub to: Vec<SocketAddr>,
     /// The process whose processor time is measured.
@@ -80,12 +80,12 @@
     pub alone: Vec<Point>,
 }
 
-impl<Traffic> Way<Traffic> {
+impl<Traffic> LoadPath<Traffic> {
     /// Creates a way without measurements.
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
-    ) -> Way<Traffic> {
-        Way { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
+    ) -> LoadPath<Traffic> {
+        LoadPath { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
     }
 }
 
@@ -261,25 +261,25 @@
 /// Measures every way in every round, in turn: at saturation, and with one connection. The measured processes share
 /// the first processor.
 pub(crate) async fn interleave<Traffic, Load, F>(
-    ways: &mut [Way<Traffic>], rounds: &Rounds, load: Load,
+    paths: &mut [LoadPath<Traffic>], rounds: &Rounds, load: Load,
 ) -> Result<(), RunError>
 where
     Traffic: Copy + Send + 'static,
     Load: Fn(Vec<SocketAddr>, usize, Duration, Traffic) -> F + Copy + Send + 'static,
     F: Future<Output = Rc<LoopMeasurement>>,
 {
-    ways.iter().filter_map(|way| way.pid).for_each(|pid| pin(Some(pid), 0..1));
-    let bar = ProgressBar::new((rounds.count * ways.len() * 2) as u64);
+    paths.iter().filter_map(|path| path.pid).for_each(|pid| pin(Some(pid), 0..1));
+    let bar = ProgressBar::new((rounds.count * paths.len() * 2) as u64);
     for _ in 0..rounds.count {
-        for way in ways.iter_mut() {
-            let measure_way = |connections, span| {
-                let (to, traffic) = (way.to.clone(), way.traffic);
-                measure(way.pid, move || load(to, connections, span, traffic))
+        for path in paths.iter_mut() {
+            let measure_path = |connections, span| {
+                let (to, traffic) = (path.to.clone(), path.traffic);
+                measure(path.pid, move || load(to, connections, span, traffic))
             };
-            let saturated = measure_way(rounds.connections, rounds.span).await?;
-            let alone = measure_way(1, rounds.span / 2).await?;
-            way.saturated.push(saturated);
-            way.alone.push(alone);
+            let saturated = measure_path(rounds.connections, rounds.span).await?;
+            let alone = measure_path(1, rounds.span / 2).await?;
+            path.saturated.push(saturated);
+            path.alone.push(alone);
             bar.inc(2);
         }
     }
@@ -294,7 +294,7 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn report(ways: &[Way<bool>], args: &Args) -> String {
+fn report(paths: &[LoadPath<bool>], args: &Args) -> String {
     let mut out = format!(
         "medians of {} rounds of {} s; {} backends, {}-byte answers, {} connections at saturation, proxy on one core\n",
         args.rounds, args.seconds, args.backends, args.bytes, args.connections
@@ -304,7 +304,7 @@
         "{:<16} {:>10} {:>8} {:>9} {:>9} | alone: {:>8} {:>8} | {:>7}",
         "way", "req/s", "cpu us", "p50 us", "p99 us", "p50 us", "p99 us", "failed"
     );
-    for w in ways {
+    for w in paths {
         let failed: u64 = w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum();
         let _ = writeln!(
             out,
@@ -319,9 +319,9 @@
             failed
         );
     }
-    let way_named = |name: &str| ways.iter().find(|w| w.name == name);
-    if let (Some(direct), Some(relay)) = (way_named("direct"), way_named("relay")) {
-        for w in ways.iter().filter(|w| w.name != "direct" && w.name != "relay") {
+    let path_named = |name: &str| paths.iter().find(|w| w.name == name);
+    if let (Some(direct), Some(relay)) = (path_named("direct"), path_named("relay")) {
+        for w in paths.iter().filter(|w| w.name != "direct" && w.name != "relay") {
             let ratio = |a: f64, b: f64| a / b.max(1e-9);
             let _ = writeln!(
                 out,
@@ -373,7 +373,7 @@
         let log = Log::new(clock.clone());
         let backends = started.and_then(|to| {
             let (service, at) = Service::start(service_plan, clock, log, to.clone())?;
-            Ok((to, at, service.whole()))
+            Ok((to, at, service.full_list()))
         });
         let _ = ready.send(backends);
         let _ = stopped.await;
@@ -381,7 +381,7 @@
     .map_err(RunError::Io)?;
     let (to, discovery, known) = started.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
     let (relay, relay_at) = start_relay(&to).map_err(RunError::Io)?;
-    let mut ways = Vec::new();
+    let mut paths = Vec::new();
     let beside = args.beside.as_deref().map(|program| ("beside", program, None));
     let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", proxy_program, None)];
     if args.ledger {
@@ -391,9 +391,9 @@
             ("power", proxy_program, Some("power")),
         ];
     } else {
-        ways.extend([
-            Way::new("direct", to, None, false),
-            Way::new("relay", vec![relay_at], relay.id(), false),
+        paths.extend([
+            LoadPath::new("direct", to, None, false),
+            LoadPath::new("relay", vec![relay_at], relay.id(), false),
         ]);
         played.extend(beside);
     }
@@ -406,23 +406,23 @@
         let prepared = Proxy::prepare(0, &plan, program, &folder, discovery[0], &known);
         let mut proxy = prepared.map_err(RunError::Proxy)?;
         proxy.start().await.map_err(RunError::Proxy)?;
-        ways.push(Way::new(name, vec![proxy.address], proxy.pid(), args.ledger));
+        paths.push(LoadPath::new(name, vec![proxy.address], proxy.pid(), args.ledger));
         if args.ledger {
             let reads = ["off, reads", "process, reads", "power, reads"][proxies.len()];
-            ways.push(Way::new(reads, vec![proxy.address], proxy.pid(), false));
+            paths.push(LoadPath::new(reads, vec![proxy.address], proxy.pid(), false));
         }
         proxies.push(proxy);
     }
     let span = Duration::from_secs_f64(args.seconds);
     let rounds = Rounds { count: args.rounds, span, connections: args.connections };
-    interleave(&mut ways, &rounds, load).await?;
+    interleave(&mut paths, &rounds, load).await?;
     for mut proxy in proxies {
         proxy.kill().await;
     }
     drop(relay);
     let _ = stop.send(());
     let _ = served.await;
-    Ok(report(&ways, args))
+    Ok(report(&paths, args))
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -4,7 +4,7 @@
 use super::server::{Committed, DeathChances, Server};
 use super::{front, Front, PASSWORD};
 use crate::driver::run::{thread, RunError};
-use crate::overhead::{interleave, median, start_relay, LoopMeasurement, Rounds, Way};
+use crate::overhead::{interleave, median, start_relay, LoadPath, LoopMeasurement, Rounds};
 use crate::session::{print, program, SessionError};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -99,19 +99,19 @@
     let connections = args.connections.max(1);
     let Front { mut proxy, at, .. } =
         front(&to, connections, args.idle + 2 * connections, 60_000, proxy_program, &args.out, 1).await?;
-    let mut ways = Vec::new();
+    let mut paths = Vec::new();
     for (prepared, names) in [
         (false, ["direct", "relay", "lotusdeck"]),
         (true, ["direct, prep.", "relay, prep.", "lotusdeck, prep."]),
     ] {
         let targets = [(to.clone(), None), (vec![relay_at], relay.id()), (vec![at], proxy.pid())];
         for (name, (to, pid)) in names.into_iter().zip(targets) {
-            ways.push(Way::new(name, to, pid, prepared));
+            paths.push(LoadPath::new(name, to, pid, prepared));
         }
     }
     let span = Duration::from_secs_f64(args.seconds);
     let rounds = Rounds { count: args.rounds, span, connections: args.connections };
-    interleave(&mut ways, &rounds, load).await?;
+    interleave(&mut paths, &rounds, load).await?;
     let memory = || proxy.usage().map_or(0, |u| u.memory);
     let (before, mut idle) = (memory(), Vec::new());
     for _ in 0..args.idle {
@@ -123,7 +123,7 @@
         "medians of {} rounds of {} s; {} servers, {} drivers and as many connections at saturation, proxy on one core\n",
         args.rounds, args.seconds, args.servers, args.connections
     );
-    for w in &ways {
+    for w in &paths {
         let _ = writeln!(
             out,
             "{:<16} {:>8.0} /s {:>6.1} cpu us, p50 {:>6.0} us, p99 {:>6.0} us | alone p50 {:>5.0} us, p99 {:>5.0} us | {} failed",
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -223,7 +223,7 @@
     let log = Log::new(clock.clone());
     let service = Service::start(plan.clone(), clock, log, vec![unused.address()]);
     let (discovery, addresses) = service.map_err(io)?;
-    let prepared = Proxy::prepare(0, &plan, proxy_program, out, addresses[0], &discovery.whole());
+    let prepared = Proxy::prepare(0, &plan, proxy_program, out, addresses[0], &discovery.full_list());
     let mut proxy = prepared.map_err(RunError::Proxy)?;
     proxy.start().await.map_err(RunError::Proxy)?;
     Ok(Front { proxy, at, _held: held, _discovery: discovery })
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -83,7 +83,7 @@
 
 impl Losses {
     /// Computes the losses of a run.
-    pub fn of(plan: &Plan, outcome: &Outcome) -> Losses {
+    pub fn compute(plan: &Plan, outcome: &Outcome) -> Losses {
         let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let serving = plan.fleet.iter().map(|b| b.build.cores).sum();
         let mut cores = Cores { health: vec![Health::Up; plan.fleet.len()], serving };
@@ -128,7 +128,7 @@
         for (arrival, result) in plan.arrivals.iter().zip(&results) {
             let class = &plan.experiment.class[arrival.class];
             asked += class.worth;
-            let Some((cause, lost)) = judge(class, arrival.at, result) else { continue };
+            let Some((cause, lost)) = classify_loss(class, arrival.at, result) else { continue };
             let at = CAUSES.iter().position(|c| c.0 == cause).unwrap_or(0);
             out.by_cause[at] += lost;
         }
@@ -139,7 +139,9 @@
 }
 
 /// Returns why an arrival earned less than its worth, and the worth lost; `None` when it was served in time.
-fn judge(class: &crate::experiment::Class, due: Time, result: &ArrivalResult) -> Option<(Cause, f64)> {
+fn classify_loss(
+    class: &crate::experiment::Class, due: Time, result: &ArrivalResult,
+) -> Option<(Cause, f64)> {
     if let Some(at) = result.served {
         if (at - due).0 as f64 <= class.aim_ms * 1e3 {
             return None;
--- a/crates/testbed/src/report/causes/tests.rs
+++ b/crates/testbed/src/report/causes/tests.rs
@@ -13,7 +13,7 @@
     let cause = |records: Vec<Record>| {
         let late = Histogram::new(2).unwrap();
         let outcome = Outcome { records, samples: Vec::new(), late, cut: None };
-        let losses = Losses::of(&plan, &outcome);
+        let losses = Losses::compute(&plan, &outcome);
         let some = CAUSES.iter().zip(losses.by_cause).filter(|(_, l)| *l > 0.0);
         some.map(|((c, _), _)| *c).collect::<Vec<_>>()
     };
--- a/crates/testbed/src/report/compare.rs
+++ b/crates/testbed/src/report/compare.rs
@@ -26,7 +26,7 @@
 
 fn measures() -> Vec<Measure> {
     vec![
-        ("worth".into(), |f| f.whole.part()),
+        ("worth".into(), |f| f.whole.earned_part()),
         ("p50 ms".into(), |f| f.whole.latency_ms.p50),
         ("p99 ms".into(), |f| f.whole.latency_ms.p99),
         ("attempts".into(), |f| f.attempts),
@@ -55,7 +55,7 @@
     measures().iter().for_each(|(name, of)| line(name, of));
     let classes = pairs.first().map_or(0, |p| p.0.classes.len().min(p.1.classes.len()));
     for c in 0..classes {
-        line(&format!("worth {}", pairs[0].0.classes[c].name), &|f| f.classes[c].part());
+        line(&format!("worth {}", pairs[0].0.classes[c].name), &|f| f.classes[c].earned_part());
     }
     let _ = writeln!(out, "{} pairs of the same plan; {} and {} runs in all", pairs.len(), a.len(), b.len());
     out
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of a run, from the stand-ins' records.
 
 use crate::driver::run::{Outcome, Sample};
-use crate::oracle::{judge, lost_with_proxies, Violation};
+use crate::oracle::{find_violations, lost_with_proxies, Violation};
 use crate::record::{Observation, RequestEnd};
 use crate::world::plan::Plan;
 use hdrhistogram::Histogram;
@@ -26,7 +26,7 @@
 
 impl Spread {
     /// Reads the percentiles of a histogram in microseconds.
-    pub fn of(histogram: &Histogram<u64>) -> Spread {
+    pub fn from_histogram(histogram: &Histogram<u64>) -> Spread {
         let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
         if histogram.is_empty() {
             return Spread::default();
@@ -60,7 +60,7 @@
 
 impl Tally {
     /// Returns worth earned divided by worth asked for; 1 where none was asked for.
-    pub fn part(&self) -> f64 {
+    pub fn earned_part(&self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
         } else {
@@ -145,14 +145,14 @@
     }
 
     fn finish(mut self) -> Tally {
-        self.tally.latency_ms = Spread::of(&self.latency);
+        self.tally.latency_ms = Spread::from_histogram(&self.latency);
         self.tally
     }
 }
 
 impl Figures {
     /// Computes the figures and the violations of a run.
-    pub fn of(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Violation>) {
+    pub fn compute(plan: &Plan, outcome: &Outcome) -> (Figures, Vec<Violation>) {
         let mut results = vec![ArrivalResult::default(); plan.arrivals.len()];
         let (mut sent, mut reached) = (0u64, 0u64);
         for r in &outcome.records {
@@ -184,7 +184,7 @@
                 builder.add(class, arrival.at, *result);
             }
         }
-        let broken = judge(plan, &outcome.records);
+        let broken = find_violations(plan, &outcome.records);
         let mut by_oracle: Vec<(String, usize)> = Vec::new();
         for b in &broken {
             match by_oracle.iter_mut().find(|o| o.0 == b.oracle) {
@@ -192,7 +192,7 @@
                 None => by_oracle.push((b.oracle.into(), 1)),
             }
         }
-        let late = Spread::of(&outcome.late);
+        let late = Spread::from_histogram(&outcome.late);
         let void = (late.p99 > MAX_LATE_MS).then(|| {
             format!("the lab was too slow for its own schedule: first tries {:.0} ms late at the 99th percentile, {:.0} ms at most", late.p99, late.max)
         });
--- a/crates/testbed/src/report/figures/tests.rs
+++ b/crates/testbed/src/report/figures/tests.rs
@@ -10,7 +10,7 @@
     let records = [served(READ, 0), served(ORDER, 200)].concat();
     let late = Histogram::new(2).unwrap();
     let outcome = Outcome { records, samples: Vec::new(), late, cut: None };
-    let (f, broken) = Figures::of(&plan, &outcome);
+    let (f, broken) = Figures::compute(&plan, &outcome);
     assert!(broken.is_empty() && f.void.is_none());
     assert_eq!((f.whole.arrivals, f.whole.in_time, f.whole.late, f.whole.failed), (3, 1, 1, 1));
     assert!((f.whole.earned - 1.25).abs() < 1e-9 && f.attempts == 1.0, "{f:?}");
@@ -22,6 +22,6 @@
     let mut late = Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap();
     (0..100).for_each(|_| late.record(80_000).unwrap());
     let outcome = Outcome { records: Vec::new(), samples: Vec::new(), late, cut: None };
-    let void = Figures::of(&plan(), &outcome).0.void.unwrap();
+    let void = Figures::compute(&plan(), &outcome).0.void.unwrap();
     assert!(void.contains("80 ms late"), "{void}");
 }
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -77,7 +77,7 @@
             "worth answered in time, part of what was asked, by second",
             end,
             &marks,
-            &[line(0, "worth", of(&Tally::part))],
+            &[line(0, "worth", of(&Tally::earned_part))],
         ),
         plot(
             "requests by second",
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -13,7 +13,7 @@
         t.late,
         t.refused,
         t.failed,
-        t.part(),
+        t.earned_part(),
         l.p50,
         l.p90,
         l.p99
--- a/crates/testbed/src/scale/backends.rs
+++ b/crates/testbed/src/scale/backends.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// Fails if a process or socket cannot be opened, or if a follower is too late.
-pub async fn walk(
+pub async fn measure_axis(
     rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
 ) -> Result<(), ScaleRunError> {
     let mut floors = Floors::default();
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -19,7 +19,7 @@
 impl Fit {
     /// Fits a law to the points whose coordinates are above 0; the others have no logarithm and are left out.
     /// Returns `None` if fewer than three remain or all have the same `x`.
-    pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
+    pub fn from_points(points: &[(f64, f64)]) -> Option<Fit> {
         let logs: Vec<(f64, f64)> =
             points.iter().filter(|(x, y)| *x > 0.0 && *y > 0.0).map(|(x, y)| (x.ln(), y.ln())).collect();
         if logs.len() < MIN_POINTS {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -144,7 +144,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
-        series = walk(rig) => series,
+        series = measure_axes(rig) => series,
         _ = terminate.recv() => Err(ScaleRunError::Interrupted),
         _ = interrupt.recv() => Err(ScaleRunError::Interrupted),
     }
@@ -154,14 +154,16 @@
 ///
 /// # Errors
 /// Fails if a process, thread or socket cannot be started, or if followers are too late.
-pub async fn walk(rig: &Rig<'_>) -> Result<Vec<record::Series>, ScaleRunError> {
+pub async fn measure_axes(rig: &Rig<'_>) -> Result<Vec<record::Series>, ScaleRunError> {
     let mut measurements = Measurements::default();
     for axis in &rig.experiment.axis {
         match axis.of {
-            AxisKind::Tenants | AxisKind::Routes => settings::walk(rig, axis, &mut measurements).await?,
-            AxisKind::Backends => backends::walk(rig, axis, &mut measurements).await?,
-            AxisKind::Proxies => proxies::walk(rig, axis, &mut measurements).await?,
-            AxisKind::Members => talk::walk(rig, axis, &mut measurements),
+            AxisKind::Tenants | AxisKind::Routes => {
+                settings::measure_axis(rig, axis, &mut measurements).await?
+            }
+            AxisKind::Backends => backends::measure_axis(rig, axis, &mut measurements).await?,
+            AxisKind::Proxies => proxies::measure_axis(rig, axis, &mut measurements).await?,
+            AxisKind::Members => talk::measure_axis(rig, axis, &mut measurements),
         }
     }
     Ok(measurements.finish())
--- a/crates/testbed/src/scale/proxies.rs
+++ b/crates/testbed/src/scale/proxies.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// Fails if a socket or thread cannot be opened or started, or if followers are too late.
-pub async fn walk(
+pub async fn measure_axis(
     rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
 ) -> Result<(), ScaleRunError> {
     let max_proxies = axis.steps.iter().copied().max().unwrap_or(0);
--- a/crates/testbed/src/scale/record.rs
+++ b/crates/testbed/src/scale/record.rs
@@ -273,7 +273,7 @@
             series.points.sort_by(|a, b| a.x.total_cmp(&b.x));
             let medians: Vec<(f64, f64)> =
                 series.points.iter().map(|point| (point.x, point.median() - series.floor)).collect();
-            series.fit = Fit::of(&medians);
+            series.fit = Fit::from_points(&medians);
         }
         self.0.sort_by_key(|series| (series.axis, series.metric));
         self.0
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Fails if a process or socket cannot be opened, or if generated settings are not accepted.
-pub async fn walk(
+pub async fn measure_axis(
     rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements,
 ) -> Result<(), ScaleRunError> {
     let base = &rig.experiment.base;
--- a/crates/testbed/src/scale/talk.rs
+++ b/crates/testbed/src/scale/talk.rs
@@ -29,7 +29,7 @@
 const IN_FLIGHT_PER_SECOND: f64 = 100.0;
 
 /// Measures all steps of the axis in interleaved repetitions.
-pub fn walk(rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements) {
+pub fn measure_axis(rig: &Rig<'_>, axis: &AxisPlan, measurements: &mut Measurements) {
     for repeat in 0..rig.experiment.repeats {
         for step in &axis.steps {
             rig.print(&format!("{} {step}, repetition {}\n", axis.of.name(), repeat + 1));
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/session.rs
@@ -156,7 +156,7 @@
             false => runtime.block_on(run::play(plan.clone(), &program, &run_folder, &progress))?,
         };
         bar.finish_and_clear();
-        let (figures, broken) = Figures::of(&plan, &outcome);
+        let (figures, broken) = Figures::compute(&plan, &outcome);
         print(&table::table(&figures, &stretches(&plan)));
         let violations: Vec<String> = broken
             .iter()
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -24,7 +24,7 @@
             ListUpdate::Changes => {
                 self.discovery.since(known).map(|line| self.listed_backend(line)).collect()
             }
-            _ => self.discovery.whole().map(|line| self.listed_backend(line)).collect(),
+            _ => self.discovery.full_list().map(|line| self.listed_backend(line)).collect(),
         };
         for ListedBackend { id, status, .. } in &listed {
             self.record(Observation::Told { proxy, backend: id.0 as usize, status: *status });
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the whole list, without deleted backends.
-    pub fn whole(&self) -> impl Iterator<Item = &Line> {
+    pub fn full_list(&self) -> impl Iterator<Item = &Line> {
         self.lines.iter().filter(|l| l.status != Status::Deleted)
     }
 
--- a/crates/testbed/src/world/discovery/tests.rs
+++ b/crates/testbed/src/world/discovery/tests.rs
@@ -8,7 +8,7 @@
     d.change(Time(1), 1, Status::Deleted, None);
     assert!(!d.due(Time(99)) && d.next() == Some(Time(100)));
     assert!(d.due(Time(100)) && d.version() == 3);
-    assert_eq!(d.whole().map(|l| l.backend).collect::<Vec<_>>(), [0, 2]);
+    assert_eq!(d.full_list().map(|l| l.backend).collect::<Vec<_>>(), [0, 2]);
     let told: Vec<_> = d.since(1).map(|l| (l.backend, l.status)).collect();
     assert_eq!(told, [(1, Status::Deleted)]);
     assert_eq!(d.since(3).count(), 0);
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -10,7 +10,7 @@
 use lotusdeck_testbed::scale::experiment::{AxisKind, ScaleExperiment};
 use lotusdeck_testbed::scale::fit::Fit;
 use lotusdeck_testbed::scale::record::{Measurements, Metric, Record};
-use lotusdeck_testbed::scale::{events_hash, walk, Rig};
+use lotusdeck_testbed::scale::{events_hash, measure_axes, Rig};
 use std::path::{Path, PathBuf};
 
 fn root() -> PathBuf {
@@ -73,16 +73,16 @@
         let xs = [10.0, 100.0, 1_000.0, 10_000.0];
         xs.iter().zip(signs).map(|(x, sign)| (*x, law(*x) * (1.0 + deviation).powf(sign))).collect()
     };
-    let exact = Fit::of(&points(0.0)).unwrap();
+    let exact = Fit::from_points(&points(0.0)).unwrap();
     assert!((exact.power - 1.5).abs() < 1e-9 && (exact.factor - 3.0).abs() < 1e-6, "{exact:?}");
     assert!(exact.residual < 1e-9 && (exact.at(100.0) - 3_000.0).abs() < 1e-3, "{exact:?}");
     // Four points, each off by ten percent, and two parameters: the logarithm of the residual ratio is
     // sqrt(4 / 2) times that of 1.1.
-    let deviating = Fit::of(&points(0.1)).unwrap();
+    let deviating = Fit::from_points(&points(0.1)).unwrap();
     assert!((deviating.residual - (1.1f64.powf(2f64.sqrt()) - 1.0)).abs() < 1e-9, "{deviating:?}");
-    assert!(Fit::of(&points(0.0)[..2]).is_none(), "two points do not determine a residual");
-    assert!(Fit::of(&[(1.0, 0.0), (2.0, -1.0), (3.0, 1.0), (4.0, 2.0)]).is_none(), "no logarithm");
-    assert!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "a single x");
+    assert!(Fit::from_points(&points(0.0)[..2]).is_none(), "two points do not determine a residual");
+    assert!(Fit::from_points(&[(1.0, 0.0), (2.0, -1.0), (3.0, 1.0), (4.0, 2.0)]).is_none(), "no logarithm");
+    assert!(Fit::from_points(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]).is_none(), "a single x");
 }
 
 /// An error names the file, the key, the value and the range.
@@ -117,7 +117,7 @@
     let folder = std::env::temp_dir().join(format!("lotusdeck-scale-{}", std::process::id()));
     let rig = Rig { experiment: &experiment, program: Path::new("no program is needed"), folder };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let series = runtime.block_on(walk(&rig)).unwrap();
+    let series = runtime.block_on(measure_axes(&rig)).unwrap();
     let of = |axis: AxisKind, metric: Metric| {
         let found = series.iter().find(|series| (series.axis, series.metric) == (axis, metric));
         found.unwrap_or_else(|| panic!("{metric:?} by {axis:?}"))
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -8,7 +8,7 @@
 
 use lotusdeck_testbed::duel::rows;
 use lotusdeck_testbed::experiment::Experiment;
-use lotusdeck_testbed::oracle::judge;
+use lotusdeck_testbed::oracle::find_violations;
 use lotusdeck_testbed::report::figures::Figures;
 use lotusdeck_testbed::report::swing::swings;
 use lotusdeck_testbed::virtual_time::play;
@@ -37,7 +37,7 @@
         e.duration_s = e.duration_s.min(14.0);
         let plan = Arc::new(Plan::draw(&e, 3));
         let outcome = play(&plan, PolicyChoice::Halb).unwrap();
-        let broken = judge(&plan, &outcome.records);
+        let broken = find_violations(&plan, &outcome.records);
         assert!(broken.is_empty(), "{}: {:?}", e.name, &broken[..broken.len().min(3)]);
     }
 }
@@ -50,7 +50,7 @@
     let (a, b) = (play(&plan, PolicyChoice::Halb).unwrap(), play(&plan, PolicyChoice::Halb).unwrap());
     assert_eq!(a.records, b.records);
     let parallel = rows(&e, &[PolicyChoice::Halb, PolicyChoice::TwoChoices], 2, &|| {}).unwrap();
-    let first = Figures::of(
+    let first = Figures::compute(
         &Plan::draw(&e, e.seed),
         &play(&Arc::new(Plan::draw(&e, e.seed)), PolicyChoice::Halb).unwrap(),
     )
