--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -123,7 +123,7 @@
         let a = &self.plan.arrivals[id.arrival as usize];
         let class = &self.plan.experiment.class[a.class];
         let proxy = self.next_proxy();
-        let (mut link, reused) = match self.connect(proxy).await {
+        let (mut connection, reused) = match self.connect(proxy).await {
             Some(got) => got,
             None => {
                 self.log.add(Observation::Unreached { id, proxy });
@@ -148,7 +148,7 @@
         )
         .into_bytes();
         request.extend_from_slice(&sent);
-        if link.write(&request).await.is_err() {
+        if connection.write(&request).await.is_err() {
             self.log.add(Observation::Unreached { id, proxy });
             return TryOutcome::Unreached;
         }
@@ -156,13 +156,13 @@
         // An impatient client leaves when its patience ends; all others listen beyond the deadline, to see late
         // answers.
         let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
-        let answer = match timeout_at(self.clock.instant(until), link.answer()).await {
+        let answer = match timeout_at(self.clock.instant(until), connection.answer()).await {
             Err(_) => {
                 self.log.add(Observation::Left { id });
                 return TryOutcome::Left;
             }
             Ok(Err(_)) => {
-                self.log.add(Observation::Broke { id, reused, begun: link.ahead() });
+                self.log.add(Observation::Broke { id, reused, begun: connection.ahead() });
                 return TryOutcome::Failed;
             }
             Ok(Ok(answer)) => answer,
@@ -174,10 +174,10 @@
             retry_after: answer.retry_after,
             own,
         });
-        if link.ahead() {
+        if connection.ahead() {
             self.log.add(Observation::Extra { id });
         } else if !answer.close {
-            self.fronts.borrow_mut()[proxy].idle.push((self.clock.now(), link, id));
+            self.fronts.borrow_mut()[proxy].idle.push((self.clock.now(), connection, id));
         }
         match answer.status {
             200 => TryOutcome::Served,
@@ -194,10 +194,10 @@
 
     async fn connect(&self, proxy: usize) -> Option<(Connection, bool)> {
         loop {
-            let kept = self.fronts.borrow_mut()[proxy].idle.pop();
-            let Some((since, mut link, last)) = kept else { break };
-            match link.poll_read() {
-                None if self.clock.now() - since < MAX_IDLE => return Some((link, true)),
+            let idle = self.fronts.borrow_mut()[proxy].idle.pop();
+            let Some((since, mut connection, last)) = idle else { break };
+            match connection.poll_read() {
+                None if self.clock.now() - since < MAX_IDLE => return Some((connection, true)),
                 Some(super::wire::ReadEvent::Bytes) => self.log.add(Observation::Extra { id: last }),
                 _ => {}
             }
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -60,7 +60,7 @@
             let service = service.clone();
             tokio::task::spawn_local(async move {
                 while let Ok((tcp, _)) = listener.accept().await {
-                    tokio::task::spawn_local(service.clone().connection(proxy, Connection::new(tcp)));
+                    tokio::task::spawn_local(service.clone().serve_connection(proxy, Connection::new(tcp)));
                 }
             });
         }
@@ -119,8 +119,8 @@
         serde_json::json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
     }
 
-    async fn connection(self: Rc<Self>, proxy: usize, mut link: Connection) {
-        while let Ok(Some(request)) = link.request().await {
+    async fn serve_connection(self: Rc<Self>, proxy: usize, mut connection: Connection) {
+        while let Ok(Some(request)) = connection.request().await {
             let query = |name: &str| -> Option<u64> {
                 let (_, query) = request.target.split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
@@ -129,14 +129,14 @@
             let wait = Duration::from_millis(query("wait_ms").unwrap_or(0)).min(MAX_WAIT);
             let answered = tokio::select! {
                 answered = self.answer(proxy, after, wait) => answered,
-                event = link.wait_read() => match event {
+                event = connection.wait_read() => match event {
                     ReadEvent::End => return,
                     ReadEvent::Bytes => None, // proxies do not pipeline calls: answered 503
                 },
             };
             let (status, body, reported) = answered.unwrap_or((503, String::new(), Vec::new()));
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
-            if link.write((head + &body).as_bytes()).await.is_err() {
+            if connection.write((head + &body).as_bytes()).await.is_err() {
                 return;
             }
             for (backend, status) in reported {
@@ -166,8 +166,8 @@
                 changes.map_or_else(|| model.full_list().count(), |after| model.since(after).count())
             };
             let spec = &self.plan.experiment.discovery;
-            let took = spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64;
-            tokio::time::sleep(Duration::from_secs_f64(took)).await;
+            let duration_s = spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64;
+            tokio::time::sleep(Duration::from_secs_f64(duration_s)).await;
         }
         let model = self.model.borrow();
         if model.down {
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -184,7 +184,7 @@
     async fn connection(self: Rc<Self>, b: usize, tcp: tokio::net::TcpStream) {
         let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         let resets = liveness.borrow().0;
-        let mut link = Connection::new(tcp);
+        let mut connection = Connection::new(tcp);
         let opened = self.ticket();
         self.settle(b, self.clock.now());
         {
@@ -194,10 +194,10 @@
         }
         let reset = liveness.wait_for(|liveness| liveness.0 != resets);
         tokio::select! {
-            _ = self.serve_connection(b, &mut link) => {}
+            _ = self.serve_connection(b, &mut connection) => {}
             _ = reset => {
                 // A process that ends resets its connections.
-                let _ = socket2::SockRef::from(&link.tcp).set_linger(Some(std::time::Duration::ZERO));
+                let _ = socket2::SockRef::from(&connection.tcp).set_linger(Some(std::time::Duration::ZERO));
                 return;
             }
         }
@@ -207,10 +207,10 @@
         }
     }
 
-    async fn serve_connection(&self, b: usize, link: &mut Connection) {
+    async fn serve_connection(&self, b: usize, connection: &mut Connection) {
         let mut liveness = self.slots.borrow()[b].liveness.subscribe();
         loop {
-            let request = match link.request().await {
+            let request = match connection.request().await {
                 Ok(Some(request)) => request,
                 Ok(None) => return,
                 Err(e) => {
@@ -226,7 +226,7 @@
             let Some((id, bytes, key, work)) = self.identify(&request) else {
                 let text = format!("{} {}", request.method, request.target);
                 self.log.add(Observation::Foreign { backend: b, text });
-                let _ = link.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
+                let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             };
             let (ticket, now) = (self.ticket(), self.clock.now());
@@ -244,9 +244,9 @@
             };
             if taken.is_err() {
                 self.log.add(Observation::Ended { id, backend: b, how: RequestEnd::TurnedAway });
-                let away =
+                let rejection =
                     "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-                if link.write(away.as_bytes()).await.is_err() {
+                if connection.write(rejection.as_bytes()).await.is_err() {
                     return;
                 }
                 continue;
@@ -254,14 +254,14 @@
             let guard = WithdrawOnDrop { fleet: self, b, ticket };
             tokio::select! {
                 served = &mut wait => if served.is_err() { return },
-                _ = closed(link) => return, // dropping `guard` withdraws the request
+                _ = closed(connection) => return, // dropping `guard` withdraws the request
             }
             drop(guard);
             let text = body(id, bytes);
             let mut answer =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len()).into_bytes();
             answer.extend_from_slice(&text);
-            if link.write(&answer).await.is_err() {
+            if connection.write(&answer).await.is_err() {
                 return;
             }
         }
@@ -284,8 +284,8 @@
     }
 }
 
-async fn closed(link: &mut Connection) {
-    if link.wait_read().await == ReadEvent::Bytes {
+async fn closed(connection: &mut Connection) {
+    if connection.wait_read().await == ReadEvent::Bytes {
         std::future::pending().await // a pipelined request, which is read later
     }
 }
--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -83,8 +83,8 @@
         let config = configuration(plan, number, address, admin, discovery, known);
         std::fs::write(folder.join("config.json"), format!("{config:#}")).map_err(io)?;
         if let Some(operator) = &plan.experiment.operator {
-            let own = std::path::absolute(&folder).map_err(io)?;
-            let text = operator.replace("{folder}", &own.display().to_string());
+            let absolute = std::path::absolute(&folder).map_err(io)?;
+            let text = operator.replace("{folder}", &absolute.display().to_string());
             std::fs::write(folder.join("operator.toml"), text).map_err(io)?;
         }
         let descriptors = plan.experiment.limits.sockets;
@@ -148,8 +148,8 @@
 
     /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
-        let own = self.pid().and_then(Usage::read); // usage of this process only
-        self.earlier_cpu += own.map(|u| u.cpu).unwrap_or_default();
+        let usage = self.pid().and_then(Usage::read); // usage of this process only
+        self.earlier_cpu += usage.map(|u| u.cpu).unwrap_or_default();
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait().await;
@@ -193,10 +193,10 @@
 
 pub(crate) async fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<u16> {
     let ask = async {
-        let mut link = Connection::new(TcpStream::connect(to).await.ok()?);
+        let mut connection = Connection::new(TcpStream::connect(to).await.ok()?);
         let head = format!("{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {}\r\n\r\n", body.len());
-        link.write((head + body).as_bytes()).await.ok()?;
-        Some(link.answer().await.ok()?.status)
+        connection.write((head + body).as_bytes()).await.ok()?;
+        Some(connection.answer().await.ok()?.status)
     };
     tokio::time::timeout(CALL_TIMEOUT, ask).await.ok()?
 }
@@ -217,7 +217,7 @@
     let profiles: Vec<Value> = e.class.iter().map(profile).collect();
     let kinds: Vec<&str> = e.kind.iter().map(|k| k.name.as_str()).collect();
     let known: Value = serde_json::from_str(known).unwrap_or_default();
-    let (told, zone) = (e.told_proxies.unwrap_or(e.proxies), &e.zones[number % e.zones.len()]);
+    let (reported_count, zone) = (e.told_proxies.unwrap_or(e.proxies), &e.zones[number % e.zones.len()]);
     let longest = e.class.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     json!({
         "name": format!("n{number}"), "listen": listen, "admin_addr": admin, "discovery": discovery,
@@ -226,7 +226,8 @@
         "known": known,
         "settings": {
             "blend": {"whole": 0.7, "worst_class": 0.1}, "costs": {"cross_zone": 0.0}, "customers": [],
-            "discovery": "automatic", "position": number % told, "group_size": told, "granularity_us": 5000,
+            "discovery": "automatic", "position": number % reported_count, "group_size": reported_count,
+            "granularity_us": 5000,
             "kinds": kinds, "my_zone": zone, "zones": e.zones, "over_share_worth": 0.1,
             "limits": {
                 "cancel": true, "max_attempts": e.limits.attempts, "parallel_tries": false,
--- a/crates/testbed/src/driver/relay.rs
+++ b/crates/testbed/src/driver/relay.rs
@@ -10,15 +10,16 @@
 /// runs.
 pub async fn run(at: SocketAddr, to: Vec<SocketAddr>) -> std::io::Result<()> {
     let listener = listen(Some(at))?;
-    let (to, turn) = (Rc::new(to), Rc::new(Cell::new(0)));
+    let (to, next_index) = (Rc::new(to), Rc::new(Cell::new(0)));
     loop {
-        let (mut here, _) = listener.accept().await?;
-        let (to, turn) = (to.clone(), turn.clone());
+        let (mut client, _) = listener.accept().await?;
+        let (to, next_index) = (to.clone(), next_index.clone());
         tokio::task::spawn_local(async move {
-            let next = to[turn.replace(turn.get() + 1) % to.len()];
-            let Ok(mut there) = TcpStream::connect(next).await else { return };
-            let _ = (here.set_nodelay(true), there.set_nodelay(true));
-            let _ = tokio::io::copy_bidirectional(&mut here, &mut there).await; // an error ends the pair like a close
+            let next = to[next_index.replace(next_index.get() + 1) % to.len()];
+            let Ok(mut server) = TcpStream::connect(next).await else { return };
+            let _ = (client.set_nodelay(true), server.set_nodelay(true));
+            // An error ends the pair like a close.
+            let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
         });
     }
 }
--- a/crates/testbed/src/driver/run.rs
+++ b/crates/testbed/src/driver/run.rs
@@ -166,23 +166,23 @@
     plan: &Plan, clock: &Clock, fleet: &Rc<Fleet>, service: &Service, act: &Act,
 ) -> std::io::Result<()> {
     let now = clock.now();
-    let tell = |b: usize, status| service.change(|d| d.change(now, b, status, fleet.booted(b)));
+    let change_status = |b: usize, status| service.change(|d| d.change(now, b, status, fleet.booted(b)));
     match act {
         Act::Kill(which) => which.iter().for_each(|b| fleet.kill(*b)),
         Act::Drain(which) => {
             fleet.change(which, |model, at| model.set_health(at, crate::world::backend::Health::Draining));
-            which.iter().for_each(|b| tell(*b, Status::Draining));
+            which.iter().for_each(|b| change_status(*b, Status::Draining));
         }
         Act::Remove(which) => {
             for b in which {
                 fleet.kill(*b);
-                tell(*b, Status::Deleted);
+                change_status(*b, Status::Deleted);
             }
         }
         Act::Start(which) => {
             for b in which {
                 fleet.restart(*b)?;
-                tell(*b, Status::Serving);
+                change_status(*b, Status::Serving);
             }
         }
         Act::Slow(which, factor) => fleet.change(which, |model, at| model.slow(at, *factor)),
@@ -265,12 +265,12 @@
                 let path = if *out { "/admin/cordon" } else { "/admin/uncordon" };
                 for (proxy, p) in self.proxies.iter().enumerate() {
                     for &backend in which {
-                        let asked = self.clock.now();
+                        let requested_at = self.clock.now();
                         if p.call("PUT", path, &self.plan.fleet[backend].name).await {
                             // A cordon counts from its answer on. After an uncordon the proxy may send requests as
                             // soon as it has read the call, before its answer arrives, so that counts from when
                             // the call was made.
-                            let at = if *out { self.clock.now() } else { asked };
+                            let at = if *out { self.clock.now() } else { requested_at };
                             self.log.add_at(at, Observation::Cordoned { proxy, backend, out: *out });
                         }
                     }
--- a/crates/testbed/src/duel.rs
+++ b/crates/testbed/src/duel.rs
@@ -125,8 +125,8 @@
 /// Returns when the first trouble or load phase begins and the last one ends, s; `None` where there is none.
 fn trouble_span(experiment: &Experiment) -> Option<(f64, f64)> {
     let troubles = experiment.trouble.iter().map(|t| (t.at_s, t.at_s + t.for_s.unwrap_or(0.0)));
-    let turns = experiment.load.phase.iter().map(|p| (p.at_s, p.at_s + p.over_s));
-    troubles.chain(turns).reduce(|a, b| (a.0.min(b.0), a.1.max(b.1)))
+    let phases = experiment.load.phase.iter().map(|p| (p.at_s, p.at_s + p.over_s));
+    troubles.chain(phases).reduce(|a, b| (a.0.min(b.0), a.1.max(b.1)))
 }
 
 /// Returns the part of the worth asked that was earned, over arrivals due in the whole seconds between two times; NaN
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -50,9 +50,9 @@
     ///
     /// # Errors
     /// Fails if the table is malformed, or with the first invalid value.
-    pub fn from_table(name: &str, whole: toml::Table) -> Result<Experiment, ExperimentError> {
+    pub fn from_table(name: &str, table: toml::Table) -> Result<Experiment, ExperimentError> {
         let experiment =
-            Experiment::deserialize(whole).map_err(|e| ExperimentError::Malformed(name.into(), e))?;
+            Experiment::deserialize(table).map_err(|e| ExperimentError::Malformed(name.into(), e))?;
         experiment.checked(name)
     }
 
@@ -60,14 +60,14 @@
     fn table(path: &Path, depth: usize) -> Result<toml::Table, ExperimentError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ExperimentError::Unreadable(name.clone(), e))?;
-        let mut own: toml::Table = text.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
-        let Some(base) = own.remove("extends") else { return Ok(own) };
+        let mut table: toml::Table = text.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
+        let Some(base) = table.remove("extends") else { return Ok(table) };
         let error = |what| ExperimentError::Value(name.clone(), "extends".into(), what);
         let base = base.as_str().ok_or_else(|| error("the name of a file beside this one"))?;
         let next = depth.checked_sub(1).ok_or_else(|| error("a chain of eight files at most"))?;
-        let mut whole = Experiment::table(&path.with_file_name(base), next)?;
-        whole.extend(own);
-        Ok(whole)
+        let mut merged = Experiment::table(&path.with_file_name(base), next)?;
+        merged.extend(table);
+        Ok(merged)
     }
 
     /// Parses and checks a text; errors name `name` as its source.
--- a/crates/testbed/src/fault_proxy/cost.rs
+++ b/crates/testbed/src/fault_proxy/cost.rs
@@ -49,19 +49,19 @@
 }
 
 async fn round_trips(to: SocketAddr, span: Duration) -> Rc<LoopMeasurement> {
-    let (seen, mut bytes) = (LoopMeasurement::start(span), [7u8; BYTES]);
+    let (results, mut bytes) = (LoopMeasurement::start(span), [7u8; BYTES]);
     if let Ok(mut tcp) = TcpStream::connect(to).await {
         let _ = tcp.set_nodelay(true);
-        while seen.is_running() {
+        while results.is_running() {
             let asked = Instant::now();
             let exchange = async {
                 tcp.write_all(&bytes).await?;
                 tcp.read_exact(&mut bytes).await
             };
-            seen.count(asked, exchange.await.is_ok());
+            results.count(asked, exchange.await.is_ok());
         }
     }
-    seen
+    results
 }
 
 /// Measures the cost and prints it.
--- a/crates/testbed/src/fault_proxy/frame.rs
+++ b/crates/testbed/src/fault_proxy/frame.rs
@@ -225,11 +225,11 @@
         }
         let typed = usize::from(!self.untyped);
         // A client that asks for encryption, as shown by the code, sends another untyped message afterwards.
-        let whole = 4 + typed;
-        let used = (whole - self.buffer.len()).min(bytes.len());
+        let header_len = 4 + typed;
+        let used = (header_len - self.buffer.len()).min(bytes.len());
         self.buffer.extend_from_slice(&bytes[..used]);
         self.at += used as u64;
-        if self.buffer.len() == whole {
+        if self.buffer.len() == header_len {
             let length = self.buffer[typed..].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
             if !(4..=1 << 30).contains(&length) {
                 self.state = State::Unframed;
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -253,9 +253,9 @@
     /// Forwards bytes, changed if a change is active.
     fn forward(&mut self, now: u64, mut bytes: &[u8]) {
         if let Some(mut change) = self.change.take() {
-            let (mine, rest) = bytes.split_at(change.left.min(bytes.len()));
-            change.kept.extend_from_slice(mine);
-            change.left -= mine.len();
+            let (covered, rest) = bytes.split_at(change.left.min(bytes.len()));
+            change.kept.extend_from_slice(covered);
+            change.left -= covered.len();
             bytes = rest;
             if change.left > 0 {
                 self.change = Some(change);
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -173,12 +173,12 @@
         }
         for a in &r.attempts {
             let backend = backend_index(&a.backend);
-            let had = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
+            let is_in = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
             match a.fate {
-                Fate::NeverSent if had(&ran) => {
+                Fate::NeverSent if is_in(&ran) => {
                     out.wrong.push(format!("{id}: never sent to {}, which ran it", a.backend));
                 }
-                Fate::Answered(200) if !had(&seen.served) => {
+                Fate::Answered(200) if !is_in(&seen.served) => {
                     out.wrong.push(format!("{id}: answered by {}, which did not", a.backend));
                 }
                 _ => {}
@@ -352,14 +352,14 @@
         }
     }
     writer.append(0, &batch).map_err(write_error)?;
-    let took = began.elapsed().as_secs_f64();
+    let elapsed_s = began.elapsed().as_secs_f64();
     let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
     print(&format!(
         "{} records in writes of {}: {:.0} a second; {:.0} bytes for each request\n",
         args.records,
         args.batch,
-        args.records as f64 / took,
+        args.records as f64 / elapsed_s,
         bytes as f64 * 4.0 / args.records as f64
     ));
     drop(writer);
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -113,9 +113,9 @@
             while let Ok((tcp, _)) = listener.accept().await {
                 let answer = answer.clone();
                 tokio::task::spawn_local(async move {
-                    let mut link = Connection::new(tcp);
-                    while let Ok(Some(_)) = link.request().await {
-                        if link.write(&answer).await.is_err() {
+                    let mut connection = Connection::new(tcp);
+                    while let Ok(Some(_)) = connection.request().await {
+                        if connection.write(&answer).await.is_err() {
                             return;
                         }
                     }
@@ -128,28 +128,28 @@
 
 /// Runs a closed loop on `connections` connections for `span`; `post` sends requests that must never run twice.
 async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<LoopMeasurement> {
-    let (seen, number, mut tasks) = (LoopMeasurement::start(span), Rc::new(Cell::new(0u64)), Vec::new());
+    let (results, number, mut tasks) = (LoopMeasurement::start(span), Rc::new(Cell::new(0u64)), Vec::new());
     for n in 0..connections {
-        let (seen, number, at) = (seen.clone(), number.clone(), to[n % to.len()]);
+        let (results, number, at) = (results.clone(), number.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
-            let mut link: Option<Connection> = None;
-            while seen.is_running() {
+            let mut connection: Option<Connection> = None;
+            while results.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
-                let served = send_request(&mut link, at, number.get(), post).await;
-                seen.count(asked, served);
+                let served = send_request(&mut connection, at, number.get(), post).await;
+                results.count(asked, served);
             }
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    seen
+    results
 }
 
 async fn send_request(idle: &mut Option<Connection>, to: SocketAddr, number: u64, post: bool) -> bool {
-    let mut link = match idle.take() {
-        Some(link) => link,
+    let mut connection = match idle.take() {
+        Some(connection) => connection,
         None => match tokio::net::TcpStream::connect(to).await {
             Ok(tcp) => Connection::new(tcp),
             Err(_) => return false,
@@ -161,13 +161,13 @@
     let request = format!(
         "{line}/k{key} HTTP/1.1\r\nHost: fleet\r\nX-Correlation-Id: {number:016x}\r\nX-Time-Left: 5.000\r\n{end}"
     );
-    if link.write(request.as_bytes()).await.is_err() {
+    if connection.write(request.as_bytes()).await.is_err() {
         return false;
     }
-    match link.answer().await {
+    match connection.answer().await {
         Ok(answer) => {
             if !answer.close {
-                *idle = Some(link);
+                *idle = Some(connection);
             }
             answer.status == 200
         }
@@ -243,14 +243,14 @@
         if processors > 2 {
             pin(None, 2..processors);
         }
-        let seen = load().await;
-        let latency = seen.latency.borrow().clone();
-        (latency, seen.failed.get(), seen.began.elapsed().as_secs_f64())
+        let results = load().await;
+        let latency = results.latency.borrow().clone();
+        (latency, results.failed.get(), results.began.elapsed().as_secs_f64())
     })?;
-    let (latency, failed, took) = done.await.map_err(|_| RunError::Thread)?;
+    let (latency, failed, elapsed_s) = done.await.map_err(|_| RunError::Thread)?;
     let used = cpu().saturating_sub(before).as_secs_f64();
     Ok(Point {
-        rate: latency.len() as f64 / took,
+        rate: latency.len() as f64 / elapsed_s,
         p50_us: latency.value_at_quantile(0.5) as f64,
         p99_us: latency.value_at_quantile(0.99) as f64,
         cpu_us: used * 1e6 / latency.len().max(1) as f64,
@@ -304,33 +304,33 @@
         "{:<16} {:>10} {:>8} {:>9} {:>9} | alone: {:>8} {:>8} | {:>7}",
         "way", "req/s", "cpu us", "p50 us", "p99 us", "p50 us", "p99 us", "failed"
     );
-    for w in paths {
-        let failed: u64 = w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum();
+    for path in paths {
+        let failed: u64 = path.saturated.iter().chain(&path.alone).map(|p| p.failed).sum();
         let _ = writeln!(
             out,
             "{:<12} {:>10.0} {:>8.1} {:>9.0} {:>9.0} | alone: {:>8.0} {:>8.0} | {:>7}",
-            w.name,
-            median(&w.saturated, |p| p.rate),
-            median(&w.saturated, |p| p.cpu_us),
-            median(&w.saturated, |p| p.p50_us),
-            median(&w.saturated, |p| p.p99_us),
-            median(&w.alone, |p| p.p50_us),
-            median(&w.alone, |p| p.p99_us),
+            path.name,
+            median(&path.saturated, |p| p.rate),
+            median(&path.saturated, |p| p.cpu_us),
+            median(&path.saturated, |p| p.p50_us),
+            median(&path.saturated, |p| p.p99_us),
+            median(&path.alone, |p| p.p50_us),
+            median(&path.alone, |p| p.p99_us),
             failed
         );
     }
-    let path_named = |name: &str| paths.iter().find(|w| w.name == name);
+    let path_named = |name: &str| paths.iter().find(|path| path.name == name);
     if let (Some(direct), Some(relay)) = (path_named("direct"), path_named("relay")) {
-        for w in paths.iter().filter(|w| w.name != "direct" && w.name != "relay") {
+        for path in paths.iter().filter(|path| path.name != "direct" && path.name != "relay") {
             let ratio = |a: f64, b: f64| a / b.max(1e-9);
             let _ = writeln!(
                 out,
                 "{}: {:.2} of the relay's rate, {:.2} times its processor time; adds {:.0} us at p50 and {:.0} us at p99 alone, the relay {:.0} and {:.0}",
-                w.name,
-                ratio(median(&w.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
-                ratio(median(&w.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
-                median(&w.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
-                median(&w.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
+                path.name,
+                ratio(median(&path.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
+                ratio(median(&path.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
+                median(&path.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
+                median(&path.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
                 median(&relay.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
                 median(&relay.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
             );
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -51,26 +51,26 @@
 /// Runs a closed loop on `drivers` drivers for `span`. With `prepared` each repeats a prepared statement, otherwise a
 /// simple query.
 async fn load(to: Vec<SocketAddr>, drivers: usize, span: Duration, prepared: bool) -> Rc<LoopMeasurement> {
-    let (seen, mut tasks) = (LoopMeasurement::start(span), Vec::new());
+    let (results, mut tasks) = (LoopMeasurement::start(span), Vec::new());
     for n in 0..drivers {
-        let (seen, at) = (seen.clone(), to[n % to.len()]);
+        let (results, at) = (results.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
-            let Ok(client) = connect(at).await else { return seen.count(Instant::now(), false) };
+            let Ok(client) = connect(at).await else { return results.count(Instant::now(), false) };
             let statement = if prepared { client.prepare("select").await.ok() } else { None };
-            while seen.is_running() {
+            while results.is_running() {
                 let asked = Instant::now();
                 let done = match &statement {
                     Some(statement) => client.execute(statement, &[]).await.is_ok(),
                     None => client.simple_query("select").await.is_ok(),
                 };
-                seen.count(asked, done);
+                results.count(asked, done);
             }
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    seen
+    results
 }
 
 async fn measure_all(args: &Cost, proxy_program: &Path) -> Result<String, SessionError> {
@@ -123,18 +123,18 @@
         "medians of {} rounds of {} s; {} servers, {} drivers and as many connections at saturation, proxy on one core\n",
         args.rounds, args.seconds, args.servers, args.connections
     );
-    for w in &paths {
+    for path in &paths {
         let _ = writeln!(
             out,
             "{:<16} {:>8.0} /s {:>6.1} cpu us, p50 {:>6.0} us, p99 {:>6.0} us | alone p50 {:>5.0} us, p99 {:>5.0} us | {} failed",
-            w.name,
-            median(&w.saturated, |p| p.rate),
-            median(&w.saturated, |p| p.cpu_us),
-            median(&w.saturated, |p| p.p50_us),
-            median(&w.saturated, |p| p.p99_us),
-            median(&w.alone, |p| p.p50_us),
-            median(&w.alone, |p| p.p99_us),
-            w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum::<u64>()
+            path.name,
+            median(&path.saturated, |p| p.rate),
+            median(&path.saturated, |p| p.cpu_us),
+            median(&path.saturated, |p| p.p50_us),
+            median(&path.saturated, |p| p.p99_us),
+            median(&path.alone, |p| p.p50_us),
+            median(&path.alone, |p| p.p99_us),
+            path.saturated.iter().chain(&path.alone).map(|p| p.failed).sum::<u64>()
         );
     }
     let _ = writeln!(
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -294,16 +294,16 @@
         "{} writes in {} s by {} drivers over {} connections to {} servers, which died {} times; {} sessions\n",
         s.writes, args.seconds, args.clients, args.connections, args.servers, s.deaths, s.sessions
     );
-    let part = |n: usize| n as f64 * 100.0 / s.writes.max(1) as f64;
+    let percent = |n: usize| n as f64 * 100.0 / s.writes.max(1) as f64;
     let _ = writeln!(
         out,
         "told as done {} ({:.2} %), as not done {} ({:.2} %), as unknown {} ({:.2} %), of which {} were done; {} wrong",
         s.reported[0],
-        part(s.reported[0]),
+        percent(s.reported[0]),
         s.reported[1],
-        part(s.reported[1]),
+        percent(s.reported[1]),
         s.reported[2],
-        part(s.reported[2]),
+        percent(s.reported[2]),
         s.unknown_done,
         s.wrong.len()
     );
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -19,8 +19,8 @@
     /// Parses an id as clients send it: two hexadecimal numbers of 8 digits each. Returns `None` for other text.
     pub fn parse(text: &[u8]) -> Option<TryId> {
         let text = std::str::from_utf8(text).ok().filter(|t| t.len() == 16)?;
-        let part = |range: std::ops::Range<usize>| u32::from_str_radix(&text[range], 16).ok();
-        Some(TryId { arrival: part(0..8)?, no: part(8..16)? })
+        let parse_hex = |range: std::ops::Range<usize>| u32::from_str_radix(&text[range], 16).ok();
+        Some(TryId { arrival: parse_hex(0..8)?, no: parse_hex(8..16)? })
     }
 }
 
--- a/crates/testbed/src/report/causes.rs
+++ b/crates/testbed/src/report/causes.rs
@@ -117,8 +117,8 @@
                     result.served = result.served.or(Some(r.at));
                 }
                 Observation::Answered { status, .. } => {
-                    let room = (held as f64) < cores.serving;
-                    result.refused = matches!(status, 429 | 503).then_some(room);
+                    let has_room = (held as f64) < cores.serving;
+                    result.refused = matches!(status, 429 | 503).then_some(has_room);
                 }
                 _ => {}
             }
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -133,11 +133,11 @@
         t.asked += class.worth;
         match result.served {
             Some(at) => {
-                let took = (at - due).0;
-                let in_time = took as f64 <= class.aim_ms * 1e3;
+                let latency_us = (at - due).0;
+                let in_time = latency_us as f64 <= class.aim_ms * 1e3;
                 t.earned += class.worth * if in_time { 1.0 } else { class.late_worth };
                 *(if in_time { &mut t.in_time } else { &mut t.late }) += 1;
-                self.latency.saturating_record(took.max(1));
+                self.latency.saturating_record(latency_us.max(1));
             }
             None if result.refused => t.refused += 1,
             None => t.failed += 1,
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -99,9 +99,10 @@
         ),
     ];
     let per_proxy = |value: &dyn Fn(&Sample, &Sample) -> f64| -> Vec<Line> {
-        let own = |p: usize| samples.iter().filter(move |s| s.proxy == p);
-        let points =
-            |p: usize| own(p).zip(own(p).skip(4)).step_by(4).map(|(a, b)| (b.at_s, value(a, b))).collect();
+        let samples_of = |p: usize| samples.iter().filter(move |s| s.proxy == p);
+        let points = |p: usize| {
+            samples_of(p).zip(samples_of(p).skip(4)).step_by(4).map(|(a, b)| (b.at_s, value(a, b))).collect()
+        };
         (0..e.proxies.min(6)).map(|p| line(p, &format!("proxy {p}"), points(p))).collect()
     };
     let cores = |a: &Sample, b: &Sample| {
--- a/crates/testbed/src/report/swing.rs
+++ b/crates/testbed/src/report/swing.rs
@@ -87,13 +87,13 @@
     let swing = |(k, kind): (usize, &crate::experiment::Kind)| {
         let of_bin = |bin: &Vec<Vec<f64>>| {
             let all: f64 = bin.iter().flatten().sum();
-            let own: f64 = bin.iter().map(|p| p[k]).sum();
-            (own, all)
+            let of_kind: f64 = bin.iter().map(|p| p[k]).sum();
+            (of_kind, all)
         };
         let totals: Vec<(f64, f64)> = counts.iter().map(of_bin).collect();
-        let shares: Vec<f64> = totals.iter().map(|(own, all)| own / all.max(1.0)).collect();
-        let (own, all) = totals.iter().fold((0.0, 0.0), |s, t| (s.0 + t.0, s.1 + t.1));
-        let mean = own / f64::max(all, 1.0);
+        let shares: Vec<f64> = totals.iter().map(|(of_kind, all)| of_kind / all.max(1.0)).collect();
+        let (of_kind, all) = totals.iter().fold((0.0, 0.0), |s, t| (s.0 + t.0, s.1 + t.1));
+        let mean = of_kind / f64::max(all, 1.0);
         let n = bins.max(1) as f64;
         let deviation = (shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / n).sqrt();
         let chance = totals.iter().map(|(_, all)| mean * (1.0 - mean) / all.max(1.0)).sum::<f64>() / n;
--- a/crates/testbed/src/scale/directory.rs
+++ b/crates/testbed/src/scale/directory.rs
@@ -224,10 +224,10 @@
         self.listed.get()
     }
 
-    async fn serve(self: Rc<Self>, follower: Follower, mut link: Connection) {
+    async fn serve(self: Rc<Self>, follower: Follower, mut connection: Connection) {
         // A follower has a whole version in force before it asks for newer changes.
         let mut held = None;
-        while let Ok(Some(request)) = link.request().await {
+        while let Ok(Some(request)) = connection.request().await {
             let (after, wait) = query(&request.target);
             self.record_in_force(follower, held, after);
             held = after;
@@ -235,15 +235,15 @@
                 let mut updates = self.latest_version.subscribe();
                 tokio::select! {
                     _ = tokio::time::timeout(wait, updates.wait_for(|version| *version > after)) => {}
-                    event = link.wait_read() => if event == ReadEvent::End { return },
+                    event = connection.wait_read() => if event == ReadEvent::End { return },
                 }
             }
             let answer = self.answer(after);
             self.wait_for_capacity(answer.lines).await;
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.text.len());
             let sent = async {
-                link.write(head.as_bytes()).await?;
-                link.write(&answer.text).await
+                connection.write(head.as_bytes()).await?;
+                connection.write(&answer.text).await
             };
             if sent.await.is_err() {
                 return;
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -83,18 +83,18 @@
 
 impl Window {
     async fn send_in_turn(self: Rc<Self>) {
-        let mut link = None;
+        let mut connection = None;
         while self.next.get() < self.total {
             let number = self.next.replace(self.next.get() + 1);
             let due = self.began + Duration::from_secs_f64(number as f64 / self.requests.rate_per_s);
             tokio::time::sleep_until(due).await;
             let end = self.began + self.requests.window + GRACE;
-            let served = tokio::time::timeout_at(end, self.send_request(&mut link, number)).await;
+            let served = tokio::time::timeout_at(end, self.send_request(&mut connection, number)).await;
             if served.unwrap_or(false) {
                 self.latency.borrow_mut().saturating_record(due.elapsed().as_micros() as u64);
             } else {
                 self.failed.set(self.failed.get() + 1);
-                link = None;
+                connection = None;
             }
         }
     }
@@ -102,8 +102,8 @@
     /// Sends one request, and returns whether it was served.
     async fn send_request(&self, kept: &mut Option<Connection>, number: u64) -> bool {
         let Requests { to, route, tenant, .. } = self.requests;
-        let mut link = match kept.take() {
-            Some(link) => link,
+        let mut connection = match kept.take() {
+            Some(connection) => connection,
             None => match TcpStream::connect(to).await {
                 Ok(tcp) => Connection::new(tcp),
                 Err(_) => return false,
@@ -115,12 +115,12 @@
             document::route(route),
             document::tenant(tenant),
         );
-        if link.write(request.as_bytes()).await.is_err() {
+        if connection.write(request.as_bytes()).await.is_err() {
             return false;
         }
-        let Ok(answer) = link.answer().await else { return false };
+        let Ok(answer) = connection.answer().await else { return false };
         if !answer.close {
-            *kept = Some(link);
+            *kept = Some(connection);
         }
         answer.status == 200
     }
--- a/crates/testbed/src/scale/record.rs
+++ b/crates/testbed/src/scale/record.rs
@@ -231,11 +231,11 @@
     }
 }
 
-/// Sorts the values and returns the quantile `part`, or 0 if there are none.
-pub fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Sorts the values and returns the quantile `fraction`, or 0 if there are none.
+pub fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
-    values.get((last as f64 * part).round() as usize).copied().unwrap_or(0.0)
+    values.get((last as f64 * fraction).round() as usize).copied().unwrap_or(0.0)
 }
 
 /// Collects measured values by axis, quantity and step.
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -412,7 +412,7 @@
             let restart = self.above_floor(Proxies, Metric::RestartCalls)?;
             Some(rest.plus(restart.scale(self.target.churn_per_day() / DAY_S)))
         };
-        let whole = || {
+        let full_list_bytes = || {
             let list = self.above_floor(Backends, Metric::WholeListBytes)?;
             Some(list.scale(self.target.proxies))
         };
@@ -455,7 +455,7 @@
             row.build(
                 "bytes where all proxies ask for the whole list",
                 Unit::Bytes,
-                whole(),
+                full_list_bytes(),
                 None,
                 "missing: a relay tree, subsetting",
             ),
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -109,9 +109,9 @@
                 }
             }
             Choice::Weighted(weights) => {
-                let own: Vec<f64> =
+                let candidate_weights: Vec<f64> =
                     from.iter().map(|b| weights.get(b.0 as usize).copied().unwrap_or(0.0)).collect();
-                from[self.rng.weighted(&own)]
+                from[self.rng.weighted(&candidate_weights)]
             }
             Choice::Oracle => {
                 let load = |b: &BackendId| global_view.get(b.0 as usize).copied().unwrap_or(f64::INFINITY);
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -69,8 +69,8 @@
     /// Schedules an answer of `lines` lines to a proxy, after the calls that are queued before it.
     pub(super) fn schedule_answer(&mut self, proxy: usize, lines: usize) {
         let spec = &self.plan.experiment.discovery;
-        let took = Micros::from_secs(spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64);
-        self.calls_end = self.calls_end.max(self.now) + took;
+        let duration = Micros::from_secs(spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64);
+        self.calls_end = self.calls_end.max(self.now) + duration;
         let generation = self.proxies[proxy].generation();
         self.at(self.calls_end + ONE_WAY, Event::ListAnswer { proxy, generation });
     }
--- a/crates/testbed/src/virtual_time/gossip.rs
+++ b/crates/testbed/src/virtual_time/gossip.rs
@@ -24,9 +24,9 @@
     /// Sends each live proxy the number of attempts that all others had in flight.
     fn send_fleet_load(&mut self, out: &[f64]) {
         let all: f64 = out.iter().sum();
-        for (proxy, own) in out.iter().enumerate() {
+        for (proxy, in_flight) in out.iter().enumerate() {
             if self.proxies[proxy].alive() {
-                self.proxies[proxy].push(lotusdeck_policy::Event::FleetLoad { in_flight: all - own });
+                self.proxies[proxy].push(lotusdeck_policy::Event::FleetLoad { in_flight: all - in_flight });
                 self.pump(proxy);
             }
         }
--- a/crates/testbed/src/virtual_time/policy_choice.rs
+++ b/crates/testbed/src/virtual_time/policy_choice.rs
@@ -66,8 +66,8 @@
     let shares = lotusdeck_policy::halb_shares(&kinds, Some(e.rate(0.0)));
     let of = |b: &crate::world::backend::Spec| {
         let at = e.kind.iter().position(|k| k.name == b.kind).unwrap_or(0);
-        let (count, own) = (kinds[at].0, speed(b));
-        debug_assert!((own - kinds[at].1).abs() < 1e-9);
+        let (count, backend_speed) = (kinds[at].0, speed(b));
+        debug_assert!((backend_speed - kinds[at].1).abs() < 1e-9);
         shares[at] / count
     };
     plan.fleet.iter().map(of).collect()
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -63,11 +63,11 @@
     pub(super) fn new(
         number: usize, settings: &Settings, plan: &Plan, choice: PolicyChoice, generation: u32,
     ) -> Result<Proxy, ConfigError> {
-        let own = settings.clone();
+        let settings = settings.clone();
         let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(generation) << 48;
         Ok(Proxy {
-            policy: choice.build(&own, plan, seed)?,
-            names: own.names,
+            policy: choice.build(&settings, plan, seed)?,
+            names: settings.names,
             alive: true,
             generation,
             requests: HashMap::new(),
--- a/crates/testbed/src/world/rng.rs
+++ b/crates/testbed/src/world/rng.rs
@@ -32,11 +32,11 @@
     /// Draws an index in proportion to its weight; the last one where rounding leaves a remainder.
     pub fn weighted(&mut self, weights: &[f64]) -> usize {
         let mut left = self.unit() * weights.iter().sum::<f64>();
-        let hit = weights.iter().position(|w| {
+        let index = weights.iter().position(|w| {
             left -= w;
             left < 0.0
         });
-        hit.unwrap_or(weights.len().saturating_sub(1))
+        index.unwrap_or(weights.len().saturating_sub(1))
     }
 
     /// Draws `count` different indices below `n`, or all where `n` is less, in ascending order.
--- a/crates/testbed/src/world/station.rs
+++ b/crates/testbed/src/world/station.rs
@@ -72,8 +72,8 @@
     pub fn warmth(&self, now: Time) -> f64 {
         let ramp = self.build.ramp.secs();
         let age = self.booted.map_or(f64::MAX, |boot| (now - boot).secs());
-        let part = if ramp > 0.0 { (age / ramp).min(1.0) } else { 1.0 };
-        self.build.cold_from + (1.0 - self.build.cold_from) * part
+        let warmed_up = if ramp > 0.0 { (age / ramp).min(1.0) } else { 1.0 };
+        self.build.cold_from + (1.0 - self.build.cold_from) * warmed_up
     }
 
     /// Returns the work it can do per second at `now`, in core-seconds of a standard core, leaving out the outside
