--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Plays power losses and restarts of several real proxy processes behind the fault proxy, without state and with
-//! lists kept on disk (docs/recovery.md). Each seed is played both ways before the next one.
+//! lists kept on disk (docs/recovery.md). Each seed is played in both modes before the next one.
 
 use crate::driver::run::{play, Outcome};
 use crate::experiment::{Experiment, ExperimentError};
@@ -22,7 +22,7 @@
 const AFTER_S: f64 = 30.0;
 /// How long discovery is down after the loss, s; longer than every restart, so that kept lists matter.
 const DISCOVERY_DOWN_S: f64 = 6.0;
-/// The most plays of one seed and way. A play is repeated if it is void because the machine was too busy for the
+/// The most plays of one seed and mode. A play is repeated if it is void because the machine was too busy for the
 /// schedule.
 const MAX_PLAYS: usize = 3;
 
@@ -72,7 +72,7 @@
     pub out: PathBuf,
 }
 
-/// Builds the experiment of a script with `processes` proxies, one way, that ends `after_s` seconds after the last
+/// Builds the experiment of a script with `processes` proxies, in one mode, that ends `after_s` seconds after the last
 /// restart.
 ///
 /// # Errors
@@ -264,8 +264,8 @@
     longest
 }
 
-/// Plays every seed both ways, prints each play and the medians, and writes all plays to a file. Returns whether every
-/// play counted and every rule held.
+/// Plays every seed in both modes, prints each play and the medians, and writes all plays to a file. Returns whether
+/// every play counted and every rule held.
 pub fn main(args: &Args) -> Result<bool, SessionError> {
     let program = session::program(args.proxy.as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -67,7 +67,7 @@
     pub failed: u64,
 }
 
-/// A way for the load to reach the backends, with its measurements. `Traffic` selects what is sent.
+/// A path by which the load reaches the backends, with its measurements. `Traffic` selects what is sent.
 pub(crate) struct LoadPath<Traffic> {
     pub name: &'static str,
     pub to: Vec<SocketAddr>,
@@ -81,7 +81,7 @@
 }
 
 impl<Traffic> LoadPath<Traffic> {
-    /// Creates a way without measurements.
+    /// Creates a path without measurements.
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
     ) -> LoadPath<Traffic> {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The extent of the measurements of each way.
+/// The extent of the measurements of each path.
 pub(crate) struct Rounds {
     pub count: usize,
     /// Duration of the measurement at saturation; the one with a single connection takes half of it.
@@ -258,7 +258,7 @@
     })
 }
 
-/// Measures every way in every round, in turn: at saturation, and with one connection. The measured processes share
+/// Measures every path in every round, in turn: at saturation, and with one connection. The measured processes share
 /// the first processor.
 pub(crate) async fn interleave<Traffic, Load, F>(
     paths: &mut [LoadPath<Traffic>], rounds: &Rounds, load: Load,
@@ -351,7 +351,7 @@
     Ok((command.spawn()?, at))
 }
 
-/// Measures all ways and prints the medians.
+/// Measures all paths and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let proxy_program = program(args.proxy.as_deref())?;
     let io_error = |e| SessionError::File("overhead".into(), e);
--- a/crates/testbed/src/postgres/cost.rs
+++ b/crates/testbed/src/postgres/cost.rs
@@ -150,7 +150,7 @@
     Ok(out)
 }
 
-/// Measures all ways and the idle clients, and prints the results.
+/// Measures all paths and the idle clients, and prints the results.
 ///
 /// # Errors
 /// The proxy, the relay or a server cannot be started.
