--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -47,7 +47,7 @@
         let mut slots = Vec::new();
         let mut listeners = Vec::new();
         for spec in &plan.fleet {
-            let port = Reserved::take(None)?;
+            let port = Reserved::bind(None)?;
             let listener = listen(Some(port.address()))?;
             slots.push(Slot {
                 _port: port,
@@ -82,7 +82,7 @@
     pub fn change(&self, which: &[usize], change: impl Fn(&mut Backend, Time)) {
         let now = self.clock.now();
         for &b in which {
-            self.settle(b, now);
+            self.end_finished_attempts(b, now);
             let mut slots = self.slots.borrow_mut();
             change(&mut slots[b].model, now);
             slots[b].rescheduled.notify_one();
@@ -160,11 +160,11 @@
                     _ = rescheduled.notified() => {}
                 },
             }
-            self.settle(b, self.clock.now());
+            self.end_finished_attempts(b, self.clock.now());
         }
     }
 
-    fn settle(&self, b: usize, now: Time) {
+    fn end_finished_attempts(&self, b: usize, now: Time) {
         let mut ended = Vec::new();
         let mut slots = self.slots.borrow_mut();
         slots[b].model.due(now, &mut ended);
@@ -186,7 +186,7 @@
         let resets = liveness.borrow().0;
         let mut connection = Connection::new(tcp);
         let opened = self.ticket();
-        self.settle(b, self.clock.now());
+        self.end_finished_attempts(b, self.clock.now());
         {
             let mut slots = self.slots.borrow_mut();
             slots[b].model.opened(self.clock.now(), opened);
@@ -231,7 +231,7 @@
             };
             let (ticket, now) = (self.ticket(), self.clock.now());
             self.log.add(Observation::Began { id, backend: b });
-            self.settle(b, now);
+            self.end_finished_attempts(b, now);
             let (done, mut wait) = oneshot::channel();
             let taken = {
                 let mut slots = self.slots.borrow_mut();
--- a/crates/testbed/src/driver/proxies.rs
+++ b/crates/testbed/src/driver/proxies.rs
@@ -54,7 +54,7 @@
 
 /// Reserves the given port, or one that the kernel chooses, for as long as the proxy exists.
 fn reserve(number: usize, port: Option<u16>) -> Result<Reserved, ProxyError> {
-    Reserved::take(port).map_err(|e| match e.kind() {
+    Reserved::bind(port).map_err(|e| match e.kind() {
         std::io::ErrorKind::AddrInUse => {
             ProxyError::Taken(number, ([127, 0, 0, 1], port.unwrap_or(0)).into())
         }
--- a/crates/testbed/src/driver/wire.rs
+++ b/crates/testbed/src/driver/wire.rs
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// When another socket uses the port.
-    pub fn take(port: Option<u16>) -> std::io::Result<Reserved> {
+    pub fn bind(port: Option<u16>) -> std::io::Result<Reserved> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], port.unwrap_or(0))).into())?;
--- a/crates/testbed/src/fault_proxy/pipe.rs
+++ b/crates/testbed/src/fault_proxy/pipe.rs
@@ -103,7 +103,7 @@
     }
 
     /// Accepts bytes from the sender.
-    pub fn take(&mut self, now: u64, mut bytes: &[u8]) {
+    pub fn receive(&mut self, now: u64, mut bytes: &[u8]) {
         self.tick(now);
         if let Some(framer) = &mut self.framer {
             framer.feed(bytes, &mut self.marks);
--- a/crates/testbed/src/fault_proxy/pipe/tests.rs
+++ b/crates/testbed/src/fault_proxy/pipe/tests.rs
@@ -19,7 +19,7 @@
 
 fn play(when: When, what: FaultKind, pieces: &[&str]) -> (String, Vec<Out>) {
     let mut pipe = Pipe::new(Framing::Http, Direction::Down, &[due(when, what)]);
-    pieces.iter().for_each(|piece| pipe.take(0, piece.as_bytes()));
+    pieces.iter().for_each(|piece| pipe.receive(0, piece.as_bytes()));
     let got = out(&mut pipe, 0);
     assert_eq!(pipe.held, 0, "sent bytes are no longer held");
     got
@@ -62,12 +62,12 @@
             due(When::Word("now".into()), FaultKind::Reset),
         ],
     );
-    pipe.take(0, b"abcd");
+    pipe.receive(0, b"abcd");
     assert_eq!(out(&mut pipe, 4_999).0, "ab");
     assert_eq!(pipe.next_due(0), Some(5_000));
     assert_eq!(out(&mut pipe, 5_000).0, "cd");
     assert_eq!(pipe.next_due(5_000), Some(9_000), "the time of a fault");
-    pipe.take(10_000, &[b'x'; 30]);
+    pipe.receive(10_000, &[b'x'; 30]);
     assert_eq!(
         out(&mut pipe, 20_000).0.len(),
         20,
@@ -79,17 +79,17 @@
     assert_eq!(out(&mut pipe, 40_000).1, [Out::Reset]);
     let mut full =
         Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Stall { ms: 1 })]);
-    full.take(0, &vec![b'x'; MAX_HELD]);
+    full.receive(0, &vec![b'x'; MAX_HELD]);
     assert!(!full.can_read(0), "reading stops at the limit of held bytes");
     assert!(out(&mut full, 1_000).0.len() == MAX_HELD && full.can_read(1_000));
     let mut merged =
         Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Merge { ms: 2 })]);
-    [0, 1_000, 2_000].iter().for_each(|at| merged.take(*at, b"ab"));
+    [0, 1_000, 2_000].iter().for_each(|at| merged.receive(*at, b"ab"));
     assert_eq!(merged.pop(1_999), None);
     assert_eq!(merged.pop(2_000), Some(Out::Bytes(b"ababab".to_vec())), "as one piece");
     let mut split =
         Pipe::new(Framing::None, Direction::Down, &[due(When::Byte(0), FaultKind::Split { bytes: 1 })]);
-    split.take(0, b"ab");
+    split.receive(0, b"ab");
     split.end(0);
     let pieces = [split.pop(0), split.pop(0), split.pop(0), split.pop(0)];
     let bytes = |b: &[u8]| Some(Out::Bytes(b.to_vec()));
--- a/crates/testbed/src/fault_proxy/run.rs
+++ b/crates/testbed/src/fault_proxy/run.rs
@@ -80,12 +80,12 @@
     }
 
     /// Gives a word, which triggers the faults that wait for it on current and future connections.
-    pub fn give(&self, word: &str) {
-        self.shared.give(word);
+    pub fn give_word(&self, word: &str) {
+        self.shared.give_word(word);
     }
 
     /// Takes a word back, so that it no longer triggers faults.
-    pub fn take_back(&self, word: &str) {
+    pub fn withdraw_word(&self, word: &str) {
         self.shared.words.borrow_mut().remove(word);
     }
 
@@ -114,11 +114,11 @@
             while let Ok(Some(line)) = lines.next_line().await {
                 let answer = match line.split_whitespace().collect::<Vec<_>>()[..] {
                     ["give", word] => {
-                        self.give(word);
+                        self.give_word(word);
                         "given\n".to_string()
                     }
                     ["take", word] => {
-                        self.take_back(word);
+                        self.withdraw_word(word);
                         "taken\n".to_string()
                     }
                     ["done"] => json(&self.done()),
@@ -158,7 +158,7 @@
 }
 
 impl Shared {
-    fn give(&self, word: &str) {
+    fn give_word(&self, word: &str) {
         self.words.borrow_mut().insert(word.into());
         self.given.send_replace(());
     }
@@ -317,7 +317,7 @@
                     let count = from.try_read(&mut buffer)?;
                     match count {
                         0 => pipe.end(now()),
-                        _ => pipe.take(now(), &buffer[..count]),
+                        _ => pipe.receive(now(), &buffer[..count]),
                     }
                     Ok(())
                 });
@@ -347,7 +347,7 @@
         let (route, connection) = (log.route.name.clone(), log.connection);
         log.shared.done.borrow_mut().push(Done { route, connection, fault: fault.index, at: fault.at });
         if let Some(word) = fault.gives {
-            log.shared.give(&word);
+            log.shared.give_word(&word);
         }
     }
 }
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -199,7 +199,7 @@
     out: &Path, seed: u64,
 ) -> Result<Front, SessionError> {
     let io = RunError::Io;
-    let held = Reserved::take(None).map_err(io)?;
+    let held = Reserved::bind(None).map_err(io)?;
     let at = held.address();
     let entry = |s: &SocketAddr| format!("{{ name = \"{s}\", address = \"{s}\" }}");
     let entries: Vec<String> = servers.iter().map(entry).collect();
@@ -219,7 +219,7 @@
     let plan = Arc::new(Plan::draw(&experiment, seed));
     let clock = Clock::default();
     clock.start_in(Duration::ZERO);
-    let unused = Reserved::take(None).map_err(io)?;
+    let unused = Reserved::bind(None).map_err(io)?;
     let log = Log::new(clock.clone());
     let service = Service::start(plan.clone(), clock, log, vec![unused.address()]);
     let (discovery, addresses) = service.map_err(io)?;
--- a/crates/testbed/src/postgres/server.rs
+++ b/crates/testbed/src/postgres/server.rs
@@ -77,7 +77,7 @@
         number: usize, chances: DeathChances, committed: Committed, seed: u64,
     ) -> std::io::Result<Rc<Server>> {
         let rng = RefCell::new(Rng::new(seed, &format!("postgres {number}")));
-        let (reserved, death, deaths) = (Reserved::take(None)?, Notify::new(), Cell::new(0));
+        let (reserved, death, deaths) = (Reserved::bind(None)?, Notify::new(), Cell::new(0));
         Ok(Rc::new(Server { number, reserved, chances, committed, rng, death, deaths }))
     }
 
--- a/crates/testbed/src/scale/capacity.rs
+++ b/crates/testbed/src/scale/capacity.rs
@@ -108,9 +108,9 @@
         "### Costs at the target\n\n| role | what | at the target | budget | of it | beyond what was measured | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for row in rows {
-        let value = row.unit.show(row.value);
+        let value = row.unit.format(row.value);
         let value = if exceeds_budget(row) { format!("**{value}**") } else { value };
-        let budget = row.budget.map_or("none named".into(), |budget| row.unit.show(budget));
+        let budget = row.budget.map_or("none named".into(), |budget| row.unit.format(budget));
         let ratio = row.ratio().map_or("-".into(), |ratio| {
             let ratio = format_ratio(ratio);
             if exceeds_budget(row) {
@@ -155,7 +155,7 @@
             at + 1,
             row.role.name(),
             row.what,
-            row.unit.show(row.value),
+            row.unit.format(row.value),
             row.carried_by
         );
     }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -47,7 +47,7 @@
 struct Held(HashMap<u64, Status>);
 
 impl Held {
-    fn take(&mut self, list: &List<'_>) {
+    fn apply(&mut self, list: &List<'_>) {
         if list.snapshot {
             self.0.clear();
         }
@@ -82,7 +82,7 @@
         let body = read_answer(&mut tcp).await?;
         let list: List<'_> =
             serde_json::from_slice(&body).map_err(|error| CallError::Unreadable(error.to_string()))?;
-        held.take(&list);
+        held.apply(&list);
         target = format!("/api/targets?after={}&wait_ms={}", list.index, WAIT.as_millis());
     }
 }
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -61,7 +61,7 @@
     ) -> Result<Process, ProcessError> {
         std::fs::create_dir_all(folder)?;
         let folder = std::path::absolute(folder)?;
-        let ports = [Reserved::take(None)?, Reserved::take(None)?];
+        let ports = [Reserved::bind(None)?, Reserved::bind(None)?];
         let place = Place { listen: ports[0].address(), admin: ports[1].address(), discovery };
         std::fs::write(folder.join("config.json"), document::node(size, place, 0))?;
         let log = std::fs::File::create(folder.join("log"))?;
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -46,7 +46,7 @@
 
 impl Unit {
     /// Formats a value with its unit.
-    pub fn show(self, value: f64) -> String {
+    pub fn format(self, value: f64) -> String {
         match self {
             Unit::Bytes => scaled(value, &[(1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "B")]),
             Unit::BytesPerSecond => scaled(value, &[(1e6, "MB/s"), (1e3, "KB/s"), (1.0, "B/s")]),
--- a/crates/testbed/src/scale/stand_ins.rs
+++ b/crates/testbed/src/scale/stand_ins.rs
@@ -74,7 +74,7 @@
     /// # Errors
     /// Fails if the thread has ended.
     pub async fn counters(&self) -> Result<Counters, ScaleRunError> {
-        self.ask(Command::Counters).await
+        self.call(Command::Counters).await
     }
 
     /// Returns the time from each change until each follower had it in force, for all observed since the last call.
@@ -82,7 +82,7 @@
     /// # Errors
     /// Fails if the thread has ended.
     pub async fn in_force(&self) -> Result<Vec<(Follower, Duration)>, ScaleRunError> {
-        self.ask(Command::InForce).await
+        self.call(Command::InForce).await
     }
 
     /// Applies the changes of the events to the list, each at its time.
@@ -101,7 +101,7 @@
     pub async fn wait_listed(&self, kind: Follower, count: usize) -> Result<(), ScaleRunError> {
         let end = Instant::now() + FOLLOWER_TIMEOUT;
         while Instant::now() < end {
-            let listed = self.ask(Command::Listed).await?;
+            let listed = self.call(Command::Listed).await?;
             let found = if kind == Follower::Real { listed.real } else { listed.hollow };
             if found >= count {
                 return Ok(());
@@ -127,7 +127,7 @@
         Err(ScaleRunError::Late(format!("{count} followers with a change in force")))
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, ScaleRunError> {
+    async fn call<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, ScaleRunError> {
         let (answer, receiver) = oneshot::channel();
         let _ = self.commands.send(command(answer));
         receiver.await.map_err(|_| ScaleRunError::Thread)
--- a/crates/testbed/src/virtual_time/acts.rs
+++ b/crates/testbed/src/virtual_time/acts.rs
@@ -45,7 +45,7 @@
     /// Ends the processes of backends; with `removed`, also removes them from the list.
     fn kill(&mut self, which: &[usize], removed: bool) {
         for &backend in which {
-            self.settle(backend);
+            self.end_finished_attempts(backend);
             self.backends[backend].set_health(self.now, Health::Down);
             self.drop_held(backend);
             if removed {
@@ -59,7 +59,7 @@
     /// Changes the health of backends and their status in the list.
     fn set_status(&mut self, which: &[usize], health: Health, status: Status) {
         for &backend in which {
-            self.settle(backend);
+            self.end_finished_attempts(backend);
             self.backends[backend].set_health(self.now, health);
             let booted = self.backends[backend].booted;
             self.discovery.change(self.now, backend, status, booted);
@@ -70,7 +70,7 @@
     /// Slows backends to that part of their speed.
     fn slow(&mut self, which: &[usize], factor: f64) {
         for &backend in which {
-            self.settle(backend);
+            self.end_finished_attempts(backend);
             self.backends[backend].slow(self.now, factor);
         }
         self.schedule_all(which);
@@ -80,7 +80,7 @@
     fn slow_shared(&mut self, factor: f64) {
         let all: Vec<usize> = (0..self.backends.len()).collect();
         for &backend in &all {
-            self.settle(backend);
+            self.end_finished_attempts(backend);
             self.backends[backend].slow_shared(self.now, factor);
         }
         self.schedule_all(&all);
@@ -90,7 +90,7 @@
     fn hang(&mut self, which: &[usize], silent: bool) {
         let health = if silent { Health::Hung } else { Health::Up };
         for &backend in which {
-            self.settle(backend);
+            self.end_finished_attempts(backend);
             self.backends[backend].set_health(self.now, health);
             if !silent {
                 self.drop_held(backend);
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -16,7 +16,7 @@
 
     /// Adds the work of a new connection's handshake to a backend.
     pub(super) fn handshake(&mut self, backend: usize) {
-        self.settle(backend);
+        self.end_finished_attempts(backend);
         let ticket = self.next_ticket();
         self.backends[backend].opened(self.now, ticket);
         self.schedule(backend);
@@ -32,7 +32,7 @@
             }
             Health::Up | Health::Draining => {}
         }
-        self.settle(backend);
+        self.end_finished_attempts(backend);
         let id = attempt.id;
         self.record(Observation::Began { id, backend });
         let arrival = &self.plan.arrivals[id.arrival as usize];
@@ -46,7 +46,7 @@
     }
 
     /// Ends the attempts that a backend has finished by now.
-    pub(super) fn settle(&mut self, backend: usize) {
+    pub(super) fn end_finished_attempts(&mut self, backend: usize) {
         let mut ended = Vec::new();
         self.backends[backend].due(self.now, &mut ended);
         for (_, ticket) in ended {
@@ -60,7 +60,7 @@
 
     /// Withdraws an attempt that its proxy gave up, if the backend still holds it.
     pub(super) fn withdraw(&mut self, backend: usize, ticket: Ticket) {
-        self.settle(backend);
+        self.end_finished_attempts(backend);
         if let Some(attempt) = self.held[backend].remove(&ticket) {
             self.backends[backend].withdraw(self.now, ticket);
             self.record(Observation::Ended { id: attempt.id, backend, how: RequestEnd::Withdrawn });
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -25,14 +25,14 @@
     }
 
     /// Starts a try that is due; the first try of an arrival also schedules the next arrival.
-    pub(super) fn ask_due(&mut self, id: TryId) {
+    pub(super) fn send_due_try(&mut self, id: TryId) {
         if id.no == 0 {
             self.next_arrival(id.arrival as usize + 1);
         }
-        self.ask(id);
+        self.send_try(id);
     }
 
-    fn ask(&mut self, id: TryId) {
+    fn send_try(&mut self, id: TryId) {
         let arrival = &self.plan.arrivals[id.arrival as usize];
         let class = &self.plan.experiment.class[arrival.class];
         let deadline = arrival.at + Micros::from_secs(class.deadline_ms / 1e3);
@@ -68,7 +68,7 @@
         let Some(waiting) = self.waiting.get_mut(&id) else { return };
         let class = self.plan.arrivals[id.arrival as usize].class;
         let left = Micros((deadline - self.now).0.saturating_sub(MARGIN.0));
-        let request = self.proxies[proxy].take(id, class, left, id.no > 0);
+        let request = self.proxies[proxy].submit(id, class, left, id.no > 0);
         waiting.request = Some((generation, request));
         self.after(left, Event::Deadline { proxy, generation, request });
         self.pump(proxy);
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -194,7 +194,7 @@
     fn handle(&mut self, event: Event) -> Result<(), VirtualError> {
         match event {
             Event::Act(number) => self.act(number)?,
-            Event::Ask(id) => self.ask_due(id),
+            Event::Ask(id) => self.send_due_try(id),
             Event::AtProxy { id, proxy, generation, deadline } => {
                 self.arrive(id, proxy, generation, deadline)
             }
@@ -209,7 +209,9 @@
                 self.connected(proxy, key, up);
             }
             Event::Reach { attempt, backend, ticket } => self.reach(attempt, backend, ticket),
-            Event::Due { backend, stamp } if self.stamps[backend] == stamp => self.settle(backend),
+            Event::Due { backend, stamp } if self.stamps[backend] == stamp => {
+                self.end_finished_attempts(backend)
+            }
             Event::Back { attempt, outcome } if self.is_current(attempt.proxy, attempt.generation) => {
                 self.end_attempt(attempt.proxy, attempt.key, outcome);
                 self.pump(attempt.proxy);
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -106,7 +106,7 @@
     }
 
     /// Takes a client's request and passes it to the policy.
-    pub(super) fn take(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
+    pub(super) fn submit(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.requests.insert(request, OpenRequest { id, attempts: 0 });
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -114,8 +114,8 @@
             relay.done().iter().map(|d| (&*d.route, d.fault, d.at)).collect::<Vec<_>>(),
             [("other", 0, None), ("r", 0, Some(3))]
         );
-        relay.take_back("reached");
-        relay.give("quiet");
+        relay.withdraw_word("reached");
+        relay.give_word("quiet");
         let mut c = TcpStream::connect(relay.addresses[1]).await.unwrap();
         c.write_all(b"xyz").await.unwrap();
         while relay.done().len() < 3 {
