--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -203,9 +203,10 @@
         while Instant::now() < until && !(args.first && broke()) {
             let seed = next.fetch_add(1, Relaxed);
             run_seed(seed, &proxy, args, &progress)?;
-            let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-            p.next = p.next.max(seed + 1);
-            std::fs::write(&file, serde_json::to_string_pretty(&*p).unwrap_or_default()).map_err(fault)?;
+            let mut progress = progress.lock().unwrap_or_else(|e| e.into_inner());
+            progress.next = progress.next.max(seed + 1);
+            std::fs::write(&file, serde_json::to_string_pretty(&*progress).unwrap_or_default())
+                .map_err(fault)?;
         }
         Ok(())
     };
@@ -226,11 +227,11 @@
     let verdict = run_and_check(&e, proxy, &folder)?;
     let found = verdict.broken.as_ref().filter(|(broken, _)| !broken.is_empty());
     {
-        let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-        p.add(&verdict.counts);
-        p.judged += u64::from(verdict.broken.is_some());
-        p.void += u64::from(verdict.broken.is_none());
-        p.broke.extend(found.map(|_| seed));
+        let mut progress = progress.lock().unwrap_or_else(|e| e.into_inner());
+        progress.add(&verdict.counts);
+        progress.judged += u64::from(verdict.broken.is_some());
+        progress.void += u64::from(verdict.broken.is_none());
+        progress.broke.extend(found.map(|_| seed));
     }
     let Some((broken, course)) = found else {
         let _ = std::fs::remove_dir_all(&folder); // holds only the files of a run that broke no rule
--- a/crates/testbed/src/driver/clients.rs
+++ b/crates/testbed/src/driver/clients.rs
@@ -96,32 +96,32 @@
 
     /// Makes the tries of one arrival.
     async fn run_arrival(&self, arrival: u32) {
-        let a = &self.plan.arrivals[arrival as usize];
-        let class = &self.plan.experiment.class[a.class];
+        let planned = &self.plan.arrivals[arrival as usize];
+        let class = &self.plan.experiment.class[planned.class];
         let client_settings = &self.plan.experiment.clients;
-        let deadline = a.at + Micros::from_secs(class.deadline_ms / 1e3);
-        let leaves = a.at + a.patience;
+        let deadline = planned.at + Micros::from_secs(class.deadline_ms / 1e3);
+        let leaves_at = planned.at + planned.patience;
         for no in 0..client_settings.tries {
             let id = TryId { arrival, no };
             let mut pause = client_settings.pause_ms / 1e3;
-            match self.make_try(id, deadline, leaves.min(deadline)).await {
+            match self.make_try(id, deadline, leaves_at.min(deadline)).await {
                 TryOutcome::Served | TryOutcome::Left => return,
                 TryOutcome::Refused(advice) => pause = advice.unwrap_or(pause),
                 TryOutcome::Unreached => {}
                 TryOutcome::Failed if class.effect == Effect::Free => {}
                 TryOutcome::Failed => return,
             }
-            let again = self.clock.now() + Micros::from_secs(pause);
-            if again >= leaves {
+            let next_try_at = self.clock.now() + Micros::from_secs(pause);
+            if next_try_at >= leaves_at {
                 return;
             }
-            tokio::time::sleep_until(self.clock.instant(again)).await;
+            tokio::time::sleep_until(self.clock.instant(next_try_at)).await;
         }
     }
 
-    async fn make_try(&self, id: TryId, deadline: Time, leaves: Time) -> TryOutcome {
-        let a = &self.plan.arrivals[id.arrival as usize];
-        let class = &self.plan.experiment.class[a.class];
+    async fn make_try(&self, id: TryId, deadline: Time, leaves_at: Time) -> TryOutcome {
+        let planned = &self.plan.arrivals[id.arrival as usize];
+        let class = &self.plan.experiment.class[planned.class];
         let proxy = self.next_proxy();
         let (mut connection, reused) = match self.connect(proxy).await {
             Some(got) => got,
@@ -143,7 +143,7 @@
         let mut request = format!(
             "{method} /{}/k{} HTTP/1.1\r\nHost: fleet\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {:.3}\r\n{repeat}{length}\r\n",
             class.name,
-            a.key,
+            planned.key,
             left.secs()
         )
         .into_bytes();
@@ -155,7 +155,7 @@
         self.log.add(Observation::Asked { id, proxy, left: left.0 });
         // An impatient client leaves when its patience ends; all others listen beyond the deadline, to see late
         // answers.
-        let until = if leaves < deadline { leaves } else { deadline + LISTEN_ON };
+        let until = if leaves_at < deadline { leaves_at } else { deadline + LISTEN_ON };
         let answer = match timeout_at(self.clock.instant(until), connection.answer()).await {
             Err(_) => {
                 self.log.add(Observation::Left { id });
--- a/crates/testbed/src/driver/fleet.rs
+++ b/crates/testbed/src/driver/fleet.rs
@@ -121,9 +121,9 @@
     /// Records for each backend the worst window of work sent while it was cold.
     pub fn record_pressure(&self) {
         for (backend, slot) in self.slots.borrow().iter().enumerate() {
-            let p = slot.model.pressure;
-            if p.sent > 0.0 {
-                self.log.add(Observation::Pressure { backend, sent: p.sent, bears: p.limit });
+            let pressure = slot.model.pressure;
+            if pressure.sent > 0.0 {
+                self.log.add(Observation::Pressure { backend, sent: pressure.sent, bears: pressure.limit });
             }
         }
     }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -281,8 +281,13 @@
 }
 
 fn format_spread(times: &Histogram<u64>) -> String {
-    let s = Spread::from_histogram(times);
-    format!("p50 {:.1} us, p99 {:.1} us, worst {:.0} us", s.p50 * 1e3, s.p99 * 1e3, s.max * 1e3)
+    let spread = Spread::from_histogram(times);
+    format!(
+        "p50 {:.1} us, p99 {:.1} us, worst {:.0} us",
+        spread.p50 * 1e3,
+        spread.p99 * 1e3,
+        spread.max * 1e3
+    )
 }
 
 fn time_each(
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -289,30 +289,36 @@
 /// # Errors
 /// The proxy or a server cannot be started.
 pub fn main(args: &Soak) -> Result<bool, SessionError> {
-    let s = run(args)?;
+    let summary = run(args)?;
     let mut out = format!(
         "{} writes in {} s by {} drivers over {} connections to {} servers, which died {} times; {} sessions\n",
-        s.writes, args.seconds, args.clients, args.connections, args.servers, s.deaths, s.sessions
+        summary.writes,
+        args.seconds,
+        args.clients,
+        args.connections,
+        args.servers,
+        summary.deaths,
+        summary.sessions
     );
-    let percent = |n: usize| n as f64 * 100.0 / s.writes.max(1) as f64;
+    let percent = |n: usize| n as f64 * 100.0 / summary.writes.max(1) as f64;
     let _ = writeln!(
         out,
         "told as done {} ({:.2} %), as not done {} ({:.2} %), as unknown {} ({:.2} %), of which {} were done; {} wrong",
-        s.reported[0],
-        percent(s.reported[0]),
-        s.reported[1],
-        percent(s.reported[1]),
-        s.reported[2],
-        percent(s.reported[2]),
-        s.unknown_done,
-        s.wrong.len()
+        summary.reported[0],
+        percent(summary.reported[0]),
+        summary.reported[1],
+        percent(summary.reported[1]),
+        summary.reported[2],
+        percent(summary.reported[2]),
+        summary.unknown_done,
+        summary.wrong.len()
     );
-    for (code, count) in &s.codes {
+    for (code, count) in &summary.codes {
         let _ = writeln!(out, "  {count:>6}  {code}");
     }
-    s.wrong.iter().take(20).for_each(|w| out.push_str(&format!("WRONG: {w}\n")));
+    summary.wrong.iter().take(20).for_each(|w| out.push_str(&format!("WRONG: {w}\n")));
     print(&out);
-    Ok(s.wrong.is_empty())
+    Ok(summary.wrong.is_empty())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/virtual_time/baseline_policies.rs
+++ b/crates/testbed/src/virtual_time/baseline_policies.rs
@@ -77,8 +77,8 @@
         }
         let held = |b: &BackendId| self.peers.get(b).map_or(0, |p| p.held);
         let cost = |b: &BackendId| {
-            let p = self.peers.get(b);
-            p.map_or(MIN_LATENCY_S, |p| p.ewma.max(MIN_LATENCY_S) * f64::from(p.held + 1))
+            let peer = self.peers.get(b);
+            peer.map_or(MIN_LATENCY_S, |peer| peer.ewma.max(MIN_LATENCY_S) * f64::from(peer.held + 1))
         };
         let rng = &mut self.rng;
         let two = [from[rng.below(from.len())], from[rng.below(from.len())]];
@@ -146,11 +146,11 @@
     }
 
     fn release(&mut self, backend: BackendId, latency: Option<f64>) {
-        let p = self.peers.entry(backend).or_default();
-        p.held = p.held.saturating_sub(1);
+        let peer = self.peers.entry(backend).or_default();
+        peer.held = peer.held.saturating_sub(1);
         if let Some(latency) = latency {
-            let smoothed = p.ewma + (latency - p.ewma) * EWMA_WEIGHT;
-            p.ewma = if latency > p.ewma { latency } else { smoothed };
+            let smoothed = peer.ewma + (latency - peer.ewma) * EWMA_WEIGHT;
+            peer.ewma = if latency > peer.ewma { latency } else { smoothed };
         }
     }
 }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -137,30 +137,30 @@
 
 /// Draws arrivals from a Poisson process whose rate follows the phases, by thinning (Lewis and Shedler, 1979).
 fn arrivals(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
-    let (mut when, mut what) = (Rng::new(seed, "arrivals"), Rng::new(seed, "requests"));
+    let (mut arrival_rng, mut request_rng) = (Rng::new(seed, "arrivals"), Rng::new(seed, "requests"));
     let zipf = Zipf::new(experiment.clients.keys, experiment.clients.zipf);
     let shares: Vec<f64> = experiment.class.iter().map(|c| c.share).collect();
     let ends = experiment.load.phase.iter().flat_map(|p| [p.at_s, p.at_s + p.over_s]);
     let peak = ends.chain([0.0]).map(|at| experiment.rate(at)).fold(1e-9, f64::max);
     let (mut at, mut out) = (0.0, Vec::new());
     loop {
-        at += when.exponential(1.0 / peak);
+        at += arrival_rng.exponential(1.0 / peak);
         if at >= experiment.duration_s {
             return out;
         }
-        if when.unit() * peak >= experiment.rate(at) {
+        if arrival_rng.unit() * peak >= experiment.rate(at) {
             continue;
         }
-        let class = what.weighted(&shares);
-        let c = &experiment.class[class];
-        let leaves = what.unit() < experiment.clients.impatient;
-        let stays = what.unit();
-        let patience = c.deadline_ms / 1e3 * if leaves { stays } else { 1.0 };
+        let class = request_rng.weighted(&shares);
+        let settings = &experiment.class[class];
+        let leaves = request_rng.unit() < experiment.clients.impatient;
+        let patience_part = request_rng.unit();
+        let patience = settings.deadline_ms / 1e3 * if leaves { patience_part } else { 1.0 };
         out.push(Arrival {
             at: time(at),
             class,
-            key: zipf.draw(&mut what) as u64,
-            work: what.exponential(c.work_ms / 1e3),
+            key: zipf.draw(&mut request_rng) as u64,
+            work: request_rng.exponential(settings.work_ms / 1e3),
             patience: Micros::from_secs(patience),
         });
     }
