--- a/crates/testbed/src/campaign/mod.rs
+++ b/crates/testbed/src/campaign/mod.rs
@@ -76,12 +76,12 @@
 ///
 /// # Errors
 /// Fails if the experiment cannot be run.
-pub fn judge(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
+pub fn run_and_check(e: &Experiment, proxy: &Path, folder: &Path) -> Result<Verdict, SessionError> {
     let plan = Arc::new(Plan::draw(e, e.seed));
     let fault = |e| SessionError::File(folder.display().to_string(), e);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
     let outcome = runtime.block_on(play(plan.clone(), proxy, folder, &|_| {}))?;
-    let (figures, broken) = Figures::of(&plan, &outcome);
+    let (figures, broken) = Figures::compute(&plan, &outcome);
     let mut counts = Progress::default();
     let count = |of: &mut BTreeMap<String, u64>, what: String| *of.entry(what).or_default() += 1;
     for r in &outcome.records {
@@ -122,7 +122,7 @@
 /// Returns whether the experiment breaks a rule in any of a few runs.
 fn breaks(e: &Experiment, proxy: &Path, folder: &Path) -> Result<bool, SessionError> {
     for _ in 0..SHRINK_RUNS {
-        if judge(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
+        if run_and_check(e, proxy, folder)?.broken.is_some_and(|(broken, _)| !broken.is_empty()) {
             return Ok(true);
         }
     }
@@ -203,9 +203,10 @@
         while Instant::now() < until && !(args.first && broke()) {
             let seed = next.fetch_add(1, Relaxed);
             run_seed(seed, &proxy, args, &progress)?;
-            let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-            p.next = p.next.max(seed + 1);
-            std::fs::write(&file, serde_json::to_string_pretty(&*p).unwrap_or_default()).map_err(fault)?;
+            let mut progress = progress.lock().unwrap_or_else(|e| e.into_inner());
+            progress.next = progress.next.max(seed + 1);
+            std::fs::write(&file, serde_json::to_string_pretty(&*progress).unwrap_or_default())
+                .map_err(fault)?;
         }
         Ok(())
     };
@@ -223,14 +224,14 @@
     let out = &args.out;
     let folder = out.join(format!("seed-{seed}"));
     let e = experiment(seed)?;
-    let verdict = judge(&e, proxy, &folder)?;
+    let verdict = run_and_check(&e, proxy, &folder)?;
     let found = verdict.broken.as_ref().filter(|(broken, _)| !broken.is_empty());
     {
-        let mut p = progress.lock().unwrap_or_else(|e| e.into_inner());
-        p.add(&verdict.counts);
-        p.judged += u64::from(verdict.broken.is_some());
-        p.void += u64::from(verdict.broken.is_none());
-        p.broke.extend(found.map(|_| seed));
+        let mut progress = progress.lock().unwrap_or_else(|e| e.into_inner());
+        progress.add(&verdict.counts);
+        progress.judged += u64::from(verdict.broken.is_some());
+        progress.void += u64::from(verdict.broken.is_none());
+        progress.broke.extend(found.map(|_| seed));
     }
     let Some((broken, course)) = found else {
         let _ = std::fs::remove_dir_all(&folder); // holds only the files of a run that broke no rule
--- a/crates/testbed/src/driver/discovery.rs
+++ b/crates/testbed/src/driver/discovery.rs
@@ -60,7 +60,7 @@
             let service = service.clone();
             tokio::task::spawn_local(async move {
                 while let Ok((tcp, _)) = listener.accept().await {
-                    tokio::task::spawn_local(service.clone().connection(proxy, Connection::new(tcp)));
+                    tokio::task::spawn_local(service.clone().serve_connection(proxy, Connection::new(tcp)));
                 }
             });
         }
@@ -78,9 +78,9 @@
     }
 
     /// Returns the whole list as JSON.
-    pub fn whole(&self) -> String {
+    pub fn full_list(&self) -> String {
         let model = self.model.borrow();
-        self.json(model.version(), true, model.whole())
+        self.json(model.version(), true, model.full_list())
     }
 
     async fn apply_changes_when_due(self: Rc<Self>) {
@@ -119,8 +119,8 @@
         serde_json::json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
     }
 
-    async fn connection(self: Rc<Self>, proxy: usize, mut link: Connection) {
-        while let Ok(Some(request)) = link.request().await {
+    async fn serve_connection(self: Rc<Self>, proxy: usize, mut connection: Connection) {
+        while let Ok(Some(request)) = connection.request().await {
             let query = |name: &str| -> Option<u64> {
                 let (_, query) = request.target.split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
@@ -129,14 +129,14 @@
             let wait = Duration::from_millis(query("wait_ms").unwrap_or(0)).min(MAX_WAIT);
             let answered = tokio::select! {
                 answered = self.answer(proxy, after, wait) => answered,
-                event = link.wait_read() => match event {
+                event = connection.wait_read() => match event {
                     ReadEvent::End => return,
                     ReadEvent::Bytes => None, // proxies do not pipeline calls: answered 503
                 },
             };
             let (status, body, reported) = answered.unwrap_or((503, String::new(), Vec::new()));
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
-            if link.write((head + &body).as_bytes()).await.is_err() {
+            if connection.write((head + &body).as_bytes()).await.is_err() {
                 return;
             }
             for (backend, status) in reported {
@@ -163,11 +163,11 @@
             let lines = {
                 let model = self.model.borrow();
                 let changes = after.filter(|after| *after <= model.version());
-                changes.map_or_else(|| model.whole().count(), |after| model.since(after).count())
+                changes.map_or_else(|| model.full_list().count(), |after| model.since(after).count())
             };
             let spec = &self.plan.experiment.discovery;
-            let took = spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64;
-            tokio::time::sleep(Duration::from_secs_f64(took)).await;
+            let duration_s = spec.call_ms / 1e3 + spec.line_us / 1e6 * lines as f64;
+            tokio::time::sleep(Duration::from_secs_f64(duration_s)).await;
         }
         let model = self.model.borrow();
         if model.down {
@@ -178,11 +178,11 @@
             let reported = model.since(after).map(|l| (l.backend, l.status)).collect();
             return Some((200, self.json(model.version(), false, model.since(after)), reported));
         }
-        let mut reported: Vec<_> = model.whole().map(|l| (l.backend, l.status)).collect();
+        let mut reported: Vec<_> = model.full_list().map(|l| (l.backend, l.status)).collect();
         let known = self.last_sent.borrow();
         let gone = known.keys().filter(|k| k.0 == proxy && !reported.iter().any(|t| t.0 == k.1));
         let gone: Vec<_> = gone.map(|k| (k.1, Status::Deleted)).collect();
         reported.extend(gone);
-        Some((200, self.json(model.version(), true, model.whole()), reported))
+        Some((200, self.json(model.version(), true, model.full_list()), reported))
     }
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Plays power losses and restarts of several real proxy processes behind the fault proxy, without state and with
-//! lists kept on disk (docs/recovery.md). Each seed is played both ways before the next one.
+//! lists kept on disk (docs/recovery.md). Each seed is played in both modes before the next one.
 
 use crate::driver::run::{play, Outcome};
 use crate::experiment::{Experiment, ExperimentError};
@@ -22,7 +22,7 @@
 const AFTER_S: f64 = 30.0;
 /// How long discovery is down after the loss, s; longer than every restart, so that kept lists matter.
 const DISCOVERY_DOWN_S: f64 = 6.0;
-/// The most plays of one seed and way. A play is repeated if it is void because the machine was too busy for the
+/// The most plays of one seed and mode. A play is repeated if it is void because the machine was too busy for the
 /// schedule.
 const MAX_PLAYS: usize = 3;
 
@@ -45,7 +45,7 @@
 /// Whether proxies keep their state across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum StateMode {
     /// No state is kept.
     Blank,
     /// State is kept on disk by `[state]` in the operator file, written every 200 ms.
@@ -72,13 +72,13 @@
     pub out: PathBuf,
 }
 
-/// Builds the experiment of a script with `processes` proxies, one way, that ends `after_s` seconds after the last
+/// Builds the experiment of a script with `processes` proxies, in one mode, that ends `after_s` seconds after the last
 /// restart.
 ///
 /// # Errors
 /// The experiment does not parse or fails a check; neither happens with the scripts here.
 pub fn experiment(
-    script: Script, way: Way, processes: usize, after_s: f64,
+    script: Script, mode: StateMode, processes: usize, after_s: f64,
 ) -> Result<Experiment, ExperimentError> {
     let mut troubles = String::new();
     let mut kill = |proxy: usize, at_s: f64, for_s: f64| {
@@ -117,13 +117,13 @@
             "{{ at_s = {LOSS_S}, what = \"discovery-down\", for_s = {discovery_down_s} }},"
         );
     }
-    let operator = match way {
-        Way::Blank => String::new(),
-        Way::Kept => {
+    let operator = match mode {
+        StateMode::Blank => String::new(),
+        StateMode::Kept => {
             "operator = \"\"\"\n[state]\nfolder = \"{folder}/state\"\nevery_ms = 200\n\"\"\"\n".into()
         }
     };
-    let name = format!("fleet-{}-{}", script.as_str(), way.as_str());
+    let name = format!("fleet-{}-{}", script.as_str(), mode.as_str());
     let text = format!(
         "name = \"{name}\"\nduration_s = {}\nproxies = {processes}\ndiscovery = {{ handed = false }}\n{operator}\
          trouble = [\n{troubles}]\ninjury = [\n\
@@ -134,7 +134,7 @@
     let mut table: toml::Table =
         BASE_EXPERIMENT.parse().map_err(|e| ExperimentError::Malformed(name.clone(), e))?;
     table.extend(text.parse::<toml::Table>().map_err(|e| ExperimentError::Malformed(name.clone(), e))?);
-    Experiment::of_table(&name, table)
+    Experiment::from_table(&name, table)
 }
 
 /// Returns when the last proxy is back, s.
@@ -158,11 +158,11 @@
     }
 }
 
-impl Way {
+impl StateMode {
     fn as_str(self) -> &'static str {
         match self {
-            Way::Blank => "blank",
-            Way::Kept => "kept",
+            StateMode::Blank => "blank",
+            StateMode::Kept => "kept",
         }
     }
 }
@@ -195,7 +195,7 @@
 
 /// Computes the figures of a play; `None` if it is void.
 pub fn evaluate(plan: &Plan, outcome: &Outcome, restart_s: f64) -> Option<PlayResult> {
-    let (figures, broken) = Figures::of(plan, outcome);
+    let (figures, broken) = Figures::compute(plan, outcome);
     if figures.void.is_some() {
         return None;
     }
@@ -264,8 +264,8 @@
     longest
 }
 
-/// Plays every seed both ways, prints each play and the medians, and writes all plays to a file. Returns whether every
-/// play counted and every rule held.
+/// Plays every seed in both modes, prints each play and the medians, and writes all plays to a file. Returns whether
+/// every play counted and every rule held.
 pub fn main(args: &Args) -> Result<bool, SessionError> {
     let program = session::program(args.proxy.as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -274,8 +274,8 @@
     let restart_s = last_restart(args.script, processes);
     let mut all: HashMap<&'static str, Vec<PlayResult>> = HashMap::new();
     for &seed in &args.seeds {
-        for way in [Way::Blank, Way::Kept] {
-            let experiment = experiment(args.script, way, processes, AFTER_S)?;
+        for mode in [StateMode::Blank, StateMode::Kept] {
+            let experiment = experiment(args.script, mode, processes, AFTER_S)?;
             let plan = Arc::new(Plan::draw(&experiment, seed));
             let mut result = None;
             for attempt in 0..MAX_PLAYS {
@@ -291,8 +291,8 @@
                 ));
             }
             let Some(result) = result else { continue };
-            session::print(&format!("{:<6} {}\n", way.as_str(), format_row(&result)));
-            all.entry(way.as_str()).or_default().push(result);
+            session::print(&format!("{:<6} {}\n", mode.as_str(), format_row(&result)));
+            all.entry(mode.as_str()).or_default().push(result);
         }
     }
     let mut text = format!(
@@ -301,9 +301,9 @@
         args.seeds,
         HEADER
     );
-    for way in [Way::Blank, Way::Kept] {
-        if let Some(plays) = all.get(way.as_str()) {
-            let _ = writeln!(text, "{:<6} {}", way.as_str(), format_row(&median(plays)));
+    for mode in [StateMode::Blank, StateMode::Kept] {
+        if let Some(plays) = all.get(mode.as_str()) {
+            let _ = writeln!(text, "{:<6} {}", mode.as_str(), format_row(&median(plays)));
         }
     }
     session::print(&text);
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::run::{self, Outcome};
 use crate::experiment::{Effect, Experiment, Trouble, TroubleKind};
-use crate::oracle::{judge, timeline};
+use crate::oracle::{find_violations, timeline};
 use crate::record::{seconds, Observation, RequestEnd, TryId};
 use crate::report::figures::Spread;
 use crate::session::{print, program, SessionError};
@@ -175,12 +175,12 @@
         }
         for a in &r.attempts {
             let backend = backend_index(&a.backend);
-            let had = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
+            let is_in = |list: &[usize]| backend.is_some_and(|b| list.contains(&b));
             match a.outcome {
-                AttemptOutcome::NeverSent if had(&ran) => {
+                AttemptOutcome::NeverSent if is_in(&ran) => {
                     out.wrong.push(format!("{id}: never sent to {}, which ran it", a.backend));
                 }
-                AttemptOutcome::Answered(200) if !had(&seen.served) => {
+                AttemptOutcome::Answered(200) if !is_in(&seen.served) => {
                     out.wrong.push(format!("{id}: answered by {}, which did not", a.backend));
                 }
                 _ => {}
@@ -222,7 +222,7 @@
     let progress = |at: lotusdeck_policy::Time| bar.set_position(at.0 / 1000);
     let (outcome, compared, history) = play(&plan, &proxy_program, &folder, &progress)?;
     bar.finish_and_clear();
-    let broken = judge(&plan, &outcome.records);
+    let broken = find_violations(&plan, &outcome.records);
     print(&format!(
         "{} kills in {}, mode {}: {} non-repeatable requests, {} wrong answers\n",
         args.kills,
@@ -283,8 +283,13 @@
 }
 
 fn format_spread(times: &Histogram<u64>) -> String {
-    let s = Spread::of(times);
-    format!("p50 {:.1} us, p99 {:.1} us, worst {:.0} us", s.p50 * 1e3, s.p99 * 1e3, s.max * 1e3)
+    let spread = Spread::from_histogram(times);
+    format!(
+        "p50 {:.1} us, p99 {:.1} us, worst {:.0} us",
+        spread.p50 * 1e3,
+        spread.p99 * 1e3,
+        spread.max * 1e3
+    )
 }
 
 fn time_each(
@@ -354,14 +359,14 @@
         }
     }
     writer.append(0, &batch).map_err(write_error)?;
-    let took = began.elapsed().as_secs_f64();
+    let elapsed_s = began.elapsed().as_secs_f64();
     let bytes = writer.write_counts().bytes;
     bar.finish_and_clear();
     print(&format!(
         "{} records in writes of {}: {:.0} a second; {:.0} bytes for each request\n",
         args.records,
         args.batch,
-        args.records as f64 / took,
+        args.records as f64 / elapsed_s,
         bytes as f64 * 4.0 / args.records as f64
     ));
     drop(writer);
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -67,8 +67,8 @@
     pub failed: u64,
 }
 
-/// A way for the load to reach the backends, with its measurements. `Traffic` selects what is sent.
-pub(crate) struct Way<Traffic> {
+/// A path by which the load reaches the backends, with its measurements. `Traffic` selects what is sent.
+pub(crate) struct LoadPath<Traffic> {
     pub name: &'static str,
     pub to: Vec<SocketAddr>,
     /// The process whose processor time is measured.
@@ -80,16 +80,16 @@
     pub alone: Vec<Point>,
 }
 
-impl<Traffic> Way<Traffic> {
-    /// Creates a way without measurements.
+impl<Traffic> LoadPath<Traffic> {
+    /// Creates a path without measurements.
     pub(crate) fn new(
         name: &'static str, to: Vec<SocketAddr>, pid: Option<u32>, traffic: Traffic,
-    ) -> Way<Traffic> {
-        Way { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
+    ) -> LoadPath<Traffic> {
+        LoadPath { name, to, pid, traffic, saturated: Vec::new(), alone: Vec::new() }
     }
 }
 
-/// The extent of the measurements of each way.
+/// The extent of the measurements of each path.
 pub(crate) struct Rounds {
     pub count: usize,
     /// Duration of the measurement at saturation; the one with a single connection takes half of it.
@@ -113,9 +113,9 @@
             while let Ok((tcp, _)) = listener.accept().await {
                 let answer = answer.clone();
                 tokio::task::spawn_local(async move {
-                    let mut link = Connection::new(tcp);
-                    while let Ok(Some(_)) = link.request().await {
-                        if link.write(&answer).await.is_err() {
+                    let mut connection = Connection::new(tcp);
+                    while let Ok(Some(_)) = connection.request().await {
+                        if connection.write(&answer).await.is_err() {
                             return;
                         }
                     }
@@ -128,28 +128,28 @@
 
 /// Runs a closed loop on `connections` connections for `span`; `post` sends requests that must never run twice.
 async fn load(to: Vec<SocketAddr>, connections: usize, span: Duration, post: bool) -> Rc<LoopMeasurement> {
-    let (seen, number, mut tasks) = (LoopMeasurement::start(span), Rc::new(Cell::new(0u64)), Vec::new());
+    let (results, number, mut tasks) = (LoopMeasurement::start(span), Rc::new(Cell::new(0u64)), Vec::new());
     for n in 0..connections {
-        let (seen, number, at) = (seen.clone(), number.clone(), to[n % to.len()]);
+        let (results, number, at) = (results.clone(), number.clone(), to[n % to.len()]);
         tasks.push(tokio::task::spawn_local(async move {
-            let mut link: Option<Connection> = None;
-            while seen.is_running() {
+            let mut connection: Option<Connection> = None;
+            while results.is_running() {
                 number.set(number.get() + 1);
                 let asked = Instant::now();
-                let served = send_request(&mut link, at, number.get(), post).await;
-                seen.count(asked, served);
+                let served = send_request(&mut connection, at, number.get(), post).await;
+                results.count(asked, served);
             }
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    seen
+    results
 }
 
 async fn send_request(idle: &mut Option<Connection>, to: SocketAddr, number: u64, post: bool) -> bool {
-    let mut link = match idle.take() {
-        Some(link) => link,
+    let mut connection = match idle.take() {
+        Some(connection) => connection,
         None => match tokio::net::TcpStream::connect(to).await {
             Ok(tcp) => Connection::new(tcp),
             Err(_) => return false,
@@ -161,13 +161,13 @@
     let request = format!(
         "{line}/k{key} HTTP/1.1\r\nHost: fleet\r\nX-Correlation-Id: {number:016x}\r\nX-Time-Left: 5.000\r\n{end}"
     );
-    if link.write(request.as_bytes()).await.is_err() {
+    if connection.write(request.as_bytes()).await.is_err() {
         return false;
     }
-    match link.answer().await {
+    match connection.answer().await {
         Ok(answer) => {
             if !answer.close {
-                *idle = Some(link);
+                *idle = Some(connection);
             }
             answer.status == 200
         }
@@ -243,14 +243,14 @@
         if processors > 2 {
             pin(None, 2..processors);
         }
-        let seen = load().await;
-        let latency = seen.latency.borrow().clone();
-        (latency, seen.failed.get(), seen.began.elapsed().as_secs_f64())
+        let results = load().await;
+        let latency = results.latency.borrow().clone();
+        (latency, results.failed.get(), results.began.elapsed().as_secs_f64())
     })?;
-    let (latency, failed, took) = done.await.map_err(|_| RunError::Thread)?;
+    let (latency, failed, elapsed_s) = done.await.map_err(|_| RunError::Thread)?;
     let used = cpu().saturating_sub(before).as_secs_f64();
     Ok(Point {
-        rate: latency.len() as f64 / took,
+        rate: latency.len() as f64 / elapsed_s,
         p50_us: latency.value_at_quantile(0.5) as f64,
         p99_us: latency.value_at_quantile(0.99) as f64,
         cpu_us: used * 1e6 / latency.len().max(1) as f64,
@@ -258,28 +258,28 @@
     })
 }
 
-/// Measures every way in every round, in turn: at saturation, and with one connection. The measured processes share
+/// Measures every path in every round, in turn: at saturation, and with one connection. The measured processes share
 /// the first processor.
 pub(crate) async fn interleave<Traffic, Load, F>(
-    ways: &mut [Way<Traffic>], rounds: &Rounds, load: Load,
+    paths: &mut [LoadPath<Traffic>], rounds: &Rounds, load: Load,
 ) -> Result<(), RunError>
 where
     Traffic: Copy + Send + 'static,
     Load: Fn(Vec<SocketAddr>, usize, Duration, Traffic) -> F + Copy + Send + 'static,
     F: Future<Output = Rc<LoopMeasurement>>,
 {
-    ways.iter().filter_map(|way| way.pid).for_each(|pid| pin(Some(pid), 0..1));
-    let bar = ProgressBar::new((rounds.count * ways.len() * 2) as u64);
+    paths.iter().filter_map(|path| path.pid).for_each(|pid| pin(Some(pid), 0..1));
+    let bar = ProgressBar::new((rounds.count * paths.len() * 2) as u64);
     for _ in 0..rounds.count {
-        for way in ways.iter_mut() {
-            let measure_way = |connections, span| {
-                let (to, traffic) = (way.to.clone(), way.traffic);
-                measure(way.pid, move || load(to, connections, span, traffic))
+        for path in paths.iter_mut() {
+            let measure_path = |connections, span| {
+                let (to, traffic) = (path.to.clone(), path.traffic);
+                measure(path.pid, move || load(to, connections, span, traffic))
             };
-            let saturated = measure_way(rounds.connections, rounds.span).await?;
-            let alone = measure_way(1, rounds.span / 2).await?;
-            way.saturated.push(saturated);
-            way.alone.push(alone);
+            let saturated = measure_path(rounds.connections, rounds.span).await?;
+            let alone = measure_path(1, rounds.span / 2).await?;
+            path.saturated.push(saturated);
+            path.alone.push(alone);
             bar.inc(2);
         }
     }
@@ -294,7 +294,7 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn report(ways: &[Way<bool>], args: &Args) -> String {
+fn report(paths: &[LoadPath<bool>], args: &Args) -> String {
     let mut out = format!(
         "medians of {} rounds of {} s; {} backends, {}-byte answers, {} connections at saturation, proxy on one core\n",
         args.rounds, args.seconds, args.backends, args.bytes, args.connections
@@ -304,33 +304,33 @@
         "{:<16} {:>10} {:>8} {:>9} {:>9} | alone: {:>8} {:>8} | {:>7}",
         "way", "req/s", "cpu us", "p50 us", "p99 us", "p50 us", "p99 us", "failed"
     );
-    for w in ways {
-        let failed: u64 = w.saturated.iter().chain(&w.alone).map(|p| p.failed).sum();
+    for path in paths {
+        let failed: u64 = path.saturated.iter().chain(&path.alone).map(|p| p.failed).sum();
         let _ = writeln!(
             out,
             "{:<12} {:>10.0} {:>8.1} {:>9.0} {:>9.0} | alone: {:>8.0} {:>8.0} | {:>7}",
-            w.name,
-            median(&w.saturated, |p| p.rate),
-            median(&w.saturated, |p| p.cpu_us),
-            median(&w.saturated, |p| p.p50_us),
-            median(&w.saturated, |p| p.p99_us),
-            median(&w.alone, |p| p.p50_us),
-            median(&w.alone, |p| p.p99_us),
+            path.name,
+            median(&path.saturated, |p| p.rate),
+            median(&path.saturated, |p| p.cpu_us),
+            median(&path.saturated, |p| p.p50_us),
+            median(&path.saturated, |p| p.p99_us),
+            median(&path.alone, |p| p.p50_us),
+            median(&path.alone, |p| p.p99_us),
             failed
         );
     }
-    let way_named = |name: &str| ways.iter().find(|w| w.name == name);
-    if let (Some(direct), Some(relay)) = (way_named("direct"), way_named("relay")) {
-        for w in ways.iter().filter(|w| w.name != "direct" && w.name != "relay") {
+    let path_named = |name: &str| paths.iter().find(|path| path.name == name);
+    if let (Some(direct), Some(relay)) = (path_named("direct"), path_named("relay")) {
+        for path in paths.iter().filter(|path| path.name != "direct" && path.name != "relay") {
             let ratio = |a: f64, b: f64| a / b.max(1e-9);
             let _ = writeln!(
                 out,
                 "{}: {:.2} of the relay's rate, {:.2} times its processor time; adds {:.0} us at p50 and {:.0} us at p99 alone, the relay {:.0} and {:.0}",
-                w.name,
-                ratio(median(&w.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
-                ratio(median(&w.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
-                median(&w.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
-                median(&w.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
+                path.name,
+                ratio(median(&path.saturated, |p| p.rate), median(&relay.saturated, |p| p.rate)),
+                ratio(median(&path.saturated, |p| p.cpu_us), median(&relay.saturated, |p| p.cpu_us)),
+                median(&path.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
+                median(&path.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
                 median(&relay.alone, |p| p.p50_us) - median(&direct.alone, |p| p.p50_us),
                 median(&relay.alone, |p| p.p99_us) - median(&direct.alone, |p| p.p99_us),
             );
@@ -351,7 +351,7 @@
     Ok((command.spawn()?, at))
 }
 
-/// Measures all ways and prints the medians.
+/// Measures all paths and prints the medians.
 pub fn main(args: &Args) -> Result<(), SessionError> {
     let proxy_program = program(args.proxy.as_deref())?;
     let io_error = |e| SessionError::File("overhead".into(), e);
@@ -373,7 +373,7 @@
         let log = Log::new(clock.clone());
         let backends = started.and_then(|to| {
             let (service, at) = Service::start(service_plan, clock, log, to.clone())?;
-            Ok((to, at, service.whole()))
+            Ok((to, at, service.full_list()))
         });
         let _ = ready.send(backends);
         let _ = stopped.await;
@@ -381,7 +381,7 @@
     .map_err(RunError::Io)?;
     let (to, discovery, known) = started.await.map_err(|_| RunError::Thread)?.map_err(RunError::Io)?;
     let (relay, relay_at) = start_relay(&to).map_err(RunError::Io)?;
-    let mut ways = Vec::new();
+    let mut paths = Vec::new();
     let beside = args.beside.as_deref().map(|program| ("beside", program, None));
     let mut played: Vec<(&'static str, &Path, Option<&str>)> = vec![("lotusdeck", proxy_program, None)];
     if args.ledger {
@@ -391,9 +391,9 @@
             ("power", proxy_program, Some("power")),
         ];
     } else {
-        ways.extend([
-            Way::new("direct", to, None, false),
-            Way::new("relay", vec![relay_at], relay.id(), false),
+        paths.extend([
+            LoadPath::new("direct", to, None, false),
+            LoadPath::new("relay", vec![relay_at], relay.id(), false),
         ]);
         played.extend(beside);
     }
@@ -406,23 +406,23 @@
         let prepared = Proxy::prepare(0, &plan, program, &folder, discovery[0], &known);
         let mut proxy = prepared.map_err(RunError::Proxy)?;
         proxy.start().await.map_err(RunError::Proxy)?;
-        ways.push(Way::new(name, vec![proxy.address], proxy.pid(), args.ledger));
+        paths.push(LoadPath::new(name, vec![proxy.address], proxy.pid(), args.ledger));
         if args.ledger {
             let reads = ["off, reads", "process, reads", "power, reads"][proxies.len()];
-            ways.push(Way::new(reads, vec![proxy.address], proxy.pid(), false));
+            paths.push(LoadPath::new(reads, vec![proxy.address], proxy.pid(), false));
         }
         proxies.push(proxy);
     }
     let span = Duration::from_secs_f64(args.seconds);
     let rounds = Rounds { count: args.rounds, span, connections: args.connections };
-    interleave(&mut ways, &rounds, load).await?;
+    interleave(&mut paths, &rounds, load).await?;
     for mut proxy in proxies {
         proxy.kill().await;
     }
     drop(relay);
     let _ = stop.send(());
     let _ = served.await;
-    Ok(report(&ways, args))
+    Ok(report(&paths, args))
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/postgres/mod.rs
+++ b/crates/testbed/src/postgres/mod.rs
@@ -199,7 +199,7 @@
     out: &Path, seed: u64,
 ) -> Result<Front, SessionError> {
     let io = RunError::Io;
-    let held = Reserved::take(None).map_err(io)?;
+    let held = Reserved::bind(None).map_err(io)?;
     let at = held.address();
     let entry = |s: &SocketAddr| format!("{{ name = \"{s}\", address = \"{s}\" }}");
     let entries: Vec<String> = servers.iter().map(entry).collect();
@@ -219,11 +219,11 @@
     let plan = Arc::new(Plan::draw(&experiment, seed));
     let clock = Clock::default();
     clock.start_in(Duration::ZERO);
-    let unused = Reserved::take(None).map_err(io)?;
+    let unused = Reserved::bind(None).map_err(io)?;
     let log = Log::new(clock.clone());
     let service = Service::start(plan.clone(), clock, log, vec![unused.address()]);
     let (discovery, addresses) = service.map_err(io)?;
-    let prepared = Proxy::prepare(0, &plan, proxy_program, out, addresses[0], &discovery.whole());
+    let prepared = Proxy::prepare(0, &plan, proxy_program, out, addresses[0], &discovery.full_list());
     let mut proxy = prepared.map_err(RunError::Proxy)?;
     proxy.start().await.map_err(RunError::Proxy)?;
     Ok(Front { proxy, at, _held: held, _discovery: discovery })
@@ -289,30 +289,36 @@
 /// # Errors
 /// The proxy or a server cannot be started.
 pub fn main(args: &Soak) -> Result<bool, SessionError> {
-    let s = run(args)?;
+    let summary = run(args)?;
     let mut out = format!(
         "{} writes in {} s by {} drivers over {} connections to {} servers, which died {} times; {} sessions\n",
-        s.writes, args.seconds, args.clients, args.connections, args.servers, s.deaths, s.sessions
+        summary.writes,
+        args.seconds,
+        args.clients,
+        args.connections,
+        args.servers,
+        summary.deaths,
+        summary.sessions
     );
-    let part = |n: usize| n as f64 * 100.0 / s.writes.max(1) as f64;
+    let percent = |n: usize| n as f64 * 100.0 / summary.writes.max(1) as f64;
     let _ = writeln!(
         out,
         "told as done {} ({:.2} %), as not done {} ({:.2} %), as unknown {} ({:.2} %), of which {} were done; {} wrong",
-        s.reported[0],
-        part(s.reported[0]),
-        s.reported[1],
-        part(s.reported[1]),
-        s.reported[2],
-        part(s.reported[2]),
-        s.unknown_done,
-        s.wrong.len()
+        summary.reported[0],
+        percent(summary.reported[0]),
+        summary.reported[1],
+        percent(summary.reported[1]),
+        summary.reported[2],
+        percent(summary.reported[2]),
+        summary.unknown_done,
+        summary.wrong.len()
     );
-    for (code, count) in &s.codes {
+    for (code, count) in &summary.codes {
         let _ = writeln!(out, "  {count:>6}  {code}");
     }
-    s.wrong.iter().take(20).for_each(|w| out.push_str(&format!("WRONG: {w}\n")));
+    summary.wrong.iter().take(20).for_each(|w| out.push_str(&format!("WRONG: {w}\n")));
     print(&out);
-    Ok(s.wrong.is_empty())
+    Ok(summary.wrong.is_empty())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/virtual_time/proxy.rs
+++ b/crates/testbed/src/virtual_time/proxy.rs
@@ -63,11 +63,11 @@
     pub(super) fn new(
         number: usize, settings: &Settings, plan: &Plan, choice: PolicyChoice, generation: u32,
     ) -> Result<Proxy, ConfigError> {
-        let own = settings.clone();
+        let settings = settings.clone();
         let seed = plan.seed ^ (number as u64) << 32 ^ u64::from(generation) << 48;
         Ok(Proxy {
-            policy: choice.build(&own, plan, seed)?,
-            names: own.names,
+            policy: choice.build(&settings, plan, seed)?,
+            names: settings.names,
             alive: true,
             generation,
             requests: HashMap::new(),
@@ -106,7 +106,7 @@
     }
 
     /// Takes a client's request and passes it to the policy.
-    pub(super) fn take(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
+    pub(super) fn submit(&mut self, id: TryId, class: usize, time_left: Micros, repeat: bool) -> RequestId {
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.requests.insert(request, OpenRequest { id, attempts: 0 });
