--- a/crates/ledger/tests/crash/kept.rs
+++ b/crates/ledger/tests/crash/kept.rs
@@ -4,7 +4,7 @@
 use lotusdeck_ledger::memory_disk::MemoryDisk;
 use lotusdeck_ledger::{Disk, End, Mode, OnFailure, Options, Writer};
 
-/// Old segments are deleted, but a segment with an unresolved request only from `keep_unresolved` on.
+/// Old segments are deleted, but a segment with an unresolved request only when its age reaches `keep_unresolved`.
 #[test]
 fn segment_with_an_unresolved_request_is_kept_until_its_age() {
     let disk = MemoryDisk::default();
--- a/crates/ledger/tests/crash/scenario.rs
+++ b/crates/ledger/tests/crash/scenario.rs
@@ -139,7 +139,7 @@
 /// Returns the number of uncertain requests.
 ///
 /// # Errors
-/// Something is shown wrongly.
+/// Returns an error if something is shown wrongly.
 pub(crate) fn compare(shown: &History, truth: &Truth) -> Result<usize, String> {
     let mut uncertain = 0;
     for (id, attempts) in truth {
--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of every size and framing, in both directions: whole, in pieces, and truncated.
+//! Bodies of every size and framing, in both directions: complete, in pieces, and truncated.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,7 +19,7 @@
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-/// Returns a text of pseudo-random letters, in which a lost or repeated piece shows.
+/// Returns pseudo-random letters, so that a lost or repeated piece changes the text.
 fn sample_text(length: usize) -> String {
     (0..length as u32).map(|i| char::from(b'a' + (i.wrapping_mul(2_654_435_761) >> 24) as u8 % 26)).collect()
 }
@@ -36,7 +36,7 @@
     text + "0\r\nX-Trailer: 1\r\n\r\n"
 }
 
-/// Splits a text into its bytes, for a write of each.
+/// Splits an ASCII text into its bytes, so that each can be written separately.
 fn bytewise(text: &str) -> Vec<String> {
     text.chars().map(String::from).collect()
 }
@@ -62,7 +62,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// Messages are read correctly in both directions when each byte is written by itself.
+/// Messages are read correctly in both directions when each byte is written separately.
 #[test]
 fn messages_written_byte_by_byte_are_read_correctly() {
     let body = sample_text(60);
@@ -126,14 +126,14 @@
     let mut client = proxy.client();
     client.send(&pay(3.0));
     let mut got = vec![0; LARGE / 2];
-    client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head is read too
+    client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head counts too
     gate.open();
     let left = client.0.read_until_closed();
     assert!(got.len() + left.len() > LARGE && left.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
 }
 
-/// Guards against an id that is free while the answer to its request still arrives, so that a duplicate runs in
-/// parallel.
+/// Guards against an id that is released while the answer to its request is still being sent, so that a duplicate
+/// runs in parallel.
 #[test]
 fn an_id_is_in_use_until_the_last_byte_of_a_large_answer() {
     let gate = Arc::new(Gate::default());
@@ -166,7 +166,7 @@
 }
 
 impl ReadUntilClosed for std::io::BufReader<std::net::TcpStream> {
-    /// Reads until the other side closes the connection, which it does once that is idle.
+    /// Reads until the other side closes the connection, which it does once the connection is idle.
     fn read_until_closed(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.read_to_end(&mut all);
@@ -174,8 +174,8 @@
     }
 }
 
-/// An answer that breaks off after its first bytes were passed on is truncated, so that the client can tell, and the
-/// request is not sent again.
+/// If an answer breaks off after its first bytes were forwarded, the client gets a truncated answer and can
+/// detect this, and the request is not sent again.
 #[test]
 fn a_large_answer_that_breaks_off_is_truncated() {
     for head in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -196,8 +196,8 @@
     }
 }
 
-/// A large request whose connection was refused goes to another backend. One that was rejected after its body was
-/// sent is refused, as it cannot be sent again.
+/// A large request whose connection was refused is sent to another backend. One that was rejected after its body was
+/// sent is refused, as its body is consumed and cannot be sent again.
 #[test]
 fn a_large_request_is_repeated_only_while_it_is_whole() {
     let sent = sample_text(LARGE);
@@ -221,7 +221,8 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// A request's time begins with its last byte, however long its upload takes; the backend is not blamed for that.
+/// The time of a request counts from its last byte, regardless of how long its upload takes, and a slow upload does
+/// not count against the backend.
 #[test]
 fn the_time_of_a_request_begins_at_the_end_of_its_upload() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect before an attempt for them begins, wherever it waits: nothing is sent for them. A whole
-//! request is followed by further bytes, so that a reader that stops after the request does not see the end of the
-//! connection.
+//! Clients that disconnect before an attempt begins, in each state in which it can wait: nothing is sent to a
+//! backend. A complete request is followed by further bytes, so that a reader that stops after the request does not
+//! see the end of the connection.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -17,8 +17,8 @@
 
 /// More than the proxy buffers, so that the body is streamed to the backend.
 const BODY_BYTES: usize = 300_000;
-/// The part of the body that arrives before the client leaves: the attempt begins with it, and the rest never
-/// follows.
+/// The part of the body that arrives before the client disconnects: the attempt begins with it, and the rest is never
+/// sent.
 const SENT_BYTES: usize = 100_000;
 /// The bytes that a client sends after its request.
 const FURTHER_BYTES: &str = "GET /";
@@ -64,7 +64,7 @@
     assert_eq!(backend.count(), 1, "{what}");
 }
 
-/// The client of a streamed body leaves in its middle while the connection to the backend is being established.
+/// The client disconnects in the middle of a streamed body while the connection to the backend is being established.
 #[test]
 fn no_attempt_begins_for_a_client_that_left_in_its_body() {
     std::thread::scope(|scope| {
@@ -91,7 +91,8 @@
     });
 }
 
-/// The module holds the request, as there is no backend yet, and its client leaves; then discovery lists one.
+/// The decision module holds the request, as there is no backend yet. Its client disconnects, and then discovery
+/// lists a backend.
 #[test]
 fn no_attempt_begins_for_a_client_that_left_while_its_request_was_held() {
     for how in DISCONNECTS {
@@ -113,11 +114,11 @@
     }
 }
 
-/// Requests that are answered first: they earn the retry budget, which is a part of the requests.
+/// Requests that are answered first, to earn the retry budget, which is a fraction of the requests.
 const WARM_UP: u32 = 12;
 
-/// The client leaves during an attempt that then ends in a way that allows another one: none is made. A client that
-/// stays gets it.
+/// The client disconnects during an attempt that then ends in a way that allows another one: none is made. If the
+/// client stays connected, another attempt is made.
 #[test]
 fn no_attempt_is_repeated_for_a_client_that_left() {
     std::thread::scope(|scope| {
--- a/crates/lotusdeck/tests/closing.rs
+++ b/crates/lotusdeck/tests/closing.rs
@@ -1,7 +1,7 @@
-//! Requests that arrive in the very turn of the event loop in which their connection would be closed
-//! (docs/crossings.md). Client, kernel and loop are real, time advances only where the test moves it, and client and
-//! server share one thread: between the moment at which a timer is due and the turn of the task that waits for it,
-//! only the test runs.
+//! Requests that arrive in the same iteration of the event loop in which their connection would be closed
+//! (docs/crossings.md). Client, kernel and event loop are real, time advances only where the test advances it, and
+//! client and server share one thread: after a timer is due, only the test runs until the task that waits for the
+//! timer is polled.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -35,11 +35,12 @@
 /// How long idle connections stay open after SIGTERM (`ACCEPT_LINGER` of proxy/src/server.rs).
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Added to a timer's time so that it is certainly due: the runtime counts whole milliseconds.
+/// Added to a timer's duration so that it is certainly due, as the runtime's timers have a resolution of one
+/// millisecond.
 const TIMER_TOLERANCE: Duration = Duration::from_millis(1);
 
-/// Keeps the runtime from advancing its paused time while all tasks wait for sockets, which it would take for
-/// idleness: it never does so while a blocking task runs.
+/// Keeps the runtime from advancing its paused clock while all tasks wait for sockets, a state that it treats as
+/// idle: it never advances the clock while a blocking task runs.
 struct PausedClock(#[allow(dead_code)] mpsc::Sender<()>);
 
 impl PausedClock {
@@ -89,7 +90,7 @@
         Running { server, address, stop, ended }
     }
 
-    /// Runs the loop until `done` returns true; no timer is due meanwhile.
+    /// Runs the event loop until `done` returns true; no timer becomes due meanwhile.
     async fn wait_until(&self, done: impl Fn(&Server) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
         while !done(&self.server) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Returns clients that have had an answer and keep their connections.
+    /// Returns clients that have received an answer and keep their connections open.
     async fn kept_clients(&self) -> Vec<Client> {
         let address = self.address;
         let ask = move || {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Asserts that each client is served; returns the clients with the connections that they were served on.
+/// Asserts that each client is served, and returns the clients with their connections.
 async fn assert_all_served(clients: Vec<Client>) -> Vec<Client> {
     let mut served = Vec::new();
     for (n, mut client) in clients.into_iter().enumerate() {
@@ -126,7 +127,7 @@
     served
 }
 
-/// Runs a scenario with a server for one backend and the clients that it has answered, while time stands still.
+/// Runs a scenario with a server for one backend and the clients that it has answered, with the clock paused.
 async fn with_kept_clients(scenario: impl AsyncFnOnce(Running, Vec<Client>)) {
     let backend = BackendServer::start(|_| ok("x"));
     LocalSet::new()
@@ -147,15 +148,15 @@
         clients.extend((0..CLIENTS_PER_KIND).map(|_| Client::connect(running.address)));
         running.wait_until(|server| server.client_count() == 2 * CLIENTS_PER_KIND).await;
         tokio::time::advance(IDLE_TIMEOUT + TIMER_TOLERANCE).await;
-        // The timers have expired, and the task of no connection has had its turn.
+        // The timers have expired, but no connection's task has been polled since.
         clients.iter_mut().for_each(|client| client.send(&pay(9.0)));
         assert_all_served(clients).await;
     })
     .await;
 }
 
-/// After SIGTERM and the linger time, idle connections are closed. A request that arrives before the loop does that
-/// is answered, and its connection is closed then.
+/// After SIGTERM and the linger time, idle connections are closed. A request that arrives before the event loop
+/// closes its connection is answered, and the connection is closed after the answer.
 #[tokio::test(start_paused = true)]
 async fn requests_that_meet_the_end_of_the_linger_are_answered() {
     with_kept_clients(async |running, mut clients| {
--- a/crates/lotusdeck/tests/compatibility.rs
+++ b/crates/lotusdeck/tests/compatibility.rs
@@ -189,7 +189,7 @@
     let backend = BackendServer::start(|_| ok("served"));
     let endpoints = [entry("b0", backend.address, "SERVING"), entry("b1", backend.address, "DRAINING")];
     let proxy = Proxy::with_operator_file(&endpoints, &operator_file);
-    // A fleet member that has just started has no share to admit requests with yet.
+    // A fleet member that has just started has no share of the limit yet and admits no requests.
     wait_until("a read is served", || proxy.ask(&read(3.0)).status() == 200);
     wait_until("a payment is served", || proxy.ask(&pay(3.0)).status() == 200);
     let output = run_command(&["admin", "--addr", &proxy.admin.to_string(), "status", "--format", "json"]);
--- a/crates/lotusdeck/tests/configuration.rs
+++ b/crates/lotusdeck/tests/configuration.rs
@@ -90,7 +90,7 @@
 
 static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
-/// Returns a request with an id of its own.
+/// Returns a request with a unique id.
 fn get(class: &str) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!("GET /{class}/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: r{id}\r\nX-Time-Left: 3.0\r\n\r\n")
@@ -108,8 +108,8 @@
     (server, known)
 }
 
-/// The proxy applies the full document and then a delta; an open request ends under the settings that it arrived
-/// with.
+/// The proxy applies the full document and then a delta; an open request is completed under the settings that it
+/// arrived with.
 #[test]
 fn a_delta_is_applied_and_open_requests_keep_their_class() {
     let mut source = TestSource::start();
@@ -180,8 +180,8 @@
     assert_eq!((proxy.ask(&get("read")).status(), proxy.ask(&get("draw")).status()), (404, 200));
 }
 
-/// The source ends, and another begins a new epoch: meanwhile the last version stays in force, and the status says
-/// that the proxy is cut off from the source.
+/// The source becomes unreachable, and another one starts a new epoch. Meanwhile the last version stays in force, and
+/// the status reports that the proxy is cut off from the source.
 #[test]
 fn the_sources_end_changes_nothing_and_a_new_epoch_is_followed() {
     let mut source = TestSource::start();
@@ -205,7 +205,8 @@
     assert_eq!((proxy.ask(&get("draw")).status(), proxy.ask(&get("read")).status()), (404, 200));
 }
 
-/// While a source is followed, SIGHUP does not restore the settings of the file; once none is named, it does.
+/// While the operator file names a source, SIGHUP does not restore the settings of the configuration file; once it
+/// names none, SIGHUP does.
 #[test]
 fn the_operator_file_says_which_settings_prevail() {
     let mut source = TestSource::start();
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that can cross (docs/crossings.md), each in the harmful order: stand-ins hold back, write and
-//! close on command, and the program is stopped where both events must have arrived before it resumes.
+//! Pairs of events that can cross (docs/crossings.md), each in the harmful order: stand-ins delay, write and close on
+//! command, and the program is stopped where both events must have arrived before it resumes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,7 +14,7 @@
 use std::io::{BufRead, Write};
 use std::time::{Duration, Instant};
 
-/// How long requests may still be sent to a backend after discovery has written that it leaves
+/// How long requests may still be sent to a backend after discovery has sent the change that it leaves
 /// (`rules.stop_sending_within_us` is 500 ms at the operators' site).
 const NOTIFIED_AFTER: Duration = Duration::from_secs(2);
 
@@ -22,16 +22,16 @@
     SETTINGS.replace("\"automatic\"", "\"subscribe\"")
 }
 
-/// Returns the wait that a call asks for.
+/// Returns the wait that a call requests.
 fn requested_wait(target: &str) -> Duration {
     let wait =
         target.split("wait_ms=").nth(1).and_then(|t| t.split(' ').next()).expect("a wait_ms parameter");
     Duration::from_millis(wait.parse().unwrap())
 }
 
-/// A silent watch is opened again, and the new answer applied, before a change that it missed counts as notified: 2 s
-/// after its wait is over. The watch is silent from its first byte, after its head, or in the middle of its body,
-/// with pushed and with polled lists.
+/// A silent watch is reopened, and the new answer applied, before a change that it missed counts as notified, 2 s
+/// after the end of its wait. The watch sends no byte of its answer, only the head, or only a part of the body, with
+/// pushed and with polled lists.
 #[test]
 fn a_silent_watch_is_reopened_before_a_missed_change_counts_as_notified() {
     let cuts = [
@@ -75,8 +75,8 @@
     }
 }
 
-/// Discovery moves while half of an answer from the old address has arrived. The other half still counts, whether the
-/// new address has sent nothing yet or an older version.
+/// The address of discovery changes when half of an answer from the old address has arrived. That answer is still
+/// applied once it is complete, whether the new address has sent nothing yet or an older version.
 #[test]
 fn changes_from_the_old_discovery_are_applied_after_discovery_moved() {
     for (settings, answered) in
@@ -106,8 +106,8 @@
     }
 }
 
-/// An entry that is not valid as a whole is logged. Its status is applied if it says that the backend leaves;
-/// otherwise the last valid entry of that backend stays in force.
+/// An invalid entry is logged. Its status is applied if it says that the backend leaves; otherwise the last valid
+/// entry of that backend stays in force.
 #[test]
 fn an_invalid_entry_loses_no_departure_and_nothing_valid() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -136,8 +136,8 @@
     }
 }
 
-/// Changes that do not continue the current list make the proxy poll the whole list. While that call is open,
-/// backends that leave according to these changes get no new requests, and the rest of the changes is ignored.
+/// Changes that do not continue the current list make the proxy poll the full list. While that call is open, backends
+/// that leave according to these changes get no new requests, and the rest of the changes is ignored.
 #[test]
 fn changes_across_a_gap_are_applied_only_to_backends_that_leave() {
     let (backend, other) = (BackendServer::start(|_| ok("x")), BackendServer::start(|_| ok("y")));
@@ -154,8 +154,8 @@
     assert_eq!(proxy.ask(&pay(3.0)).body, b"y");
 }
 
-/// A whole request is in the listener's queue, or on a kept connection, and its client has left before the program
-/// reads it: it is not forwarded, whatever its class and whatever bytes follow it.
+/// A complete request is in the listener's queue or on a kept connection, and its client disconnects before the
+/// program reads it: it is not forwarded, regardless of its class and of bytes that follow it.
 #[test]
 fn a_request_that_its_client_left_before_it_was_read_is_not_forwarded() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -170,7 +170,7 @@
         }
     }
     stop_process(&proxy);
-    let later = proxy.client(); // queued behind all of them before the program resumes
+    let later = proxy.client(); // queued after all of them before the program resumes
     let gone = clients.into_iter().map(|(mut client, how, request)| {
         client.send(&request);
         disconnect(client, how)
@@ -200,8 +200,8 @@
     }
 }
 
-/// The client sends further bytes and leaves while the connection to the backend is being established. A reader that
-/// stops after the request does not see the end of the connection behind these bytes, but the proxy checks for it
+/// The client sends further bytes and disconnects while the connection to the backend is being established. A reader
+/// that stops after the request does not see the end of the connection after these bytes, but the proxy checks for it
 /// before it sends the first byte to the backend.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_after_further_bytes() {
@@ -236,8 +236,8 @@
 }
 
 /// While a connection is being established the backend begins to drain, leaves the list, or is listed at another
-/// address, so that the old one may be another's: no byte is sent on the connection, and requests go where the list
-/// says.
+/// address, so that another process may listen at the old one: no byte is sent on the connection, and further
+/// requests go where the list says.
 #[test]
 fn a_list_change_while_a_connection_is_established_stops_the_send() {
     std::thread::scope(|scope| {
@@ -328,6 +328,6 @@
     let mut client = proxy.client();
     for n in 0..60 {
         assert_eq!(client.ask(&pay(3.0)).body, b"fresh", "request {n}");
-        std::thread::sleep(Duration::from_millis(3)); // as a client that makes further requests
+        std::thread::sleep(Duration::from_millis(3)); // the pause of a client between two requests
     }
 }
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -34,7 +34,8 @@
     (proxy, down)
 }
 
-/// In each round the whole crowd is in the queue, with a new client's request before it, in its middle and behind it.
+/// In each round the queue holds all idle clients of the round and three new clients with requests: one before them,
+/// one in the middle and one after them.
 #[test]
 fn new_clients_are_served_in_time_among_idle_ones_while_discovery_is_down() {
     let mut late = Vec::new();
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! A discovery that refuses, resets or stalls calls, is crowded, or sends answers that are too long or malformed: the
-//! proxy applies its changes in time and loses nothing valid.
+//! A discovery that refuses, resets or stalls calls, is overloaded, or sends answers that are too long or malformed:
+//! the proxy applies its changes in time and keeps all valid entries.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -33,7 +33,7 @@
     proxy
 }
 
-/// Answers after `time`, as a crowded discovery does that handles calls one after the other.
+/// Answers after `time`, like an overloaded discovery that handles one call at a time.
 fn answer_after(time: Duration, answer: Answer, text: String) {
     std::thread::spawn(move || {
         std::thread::sleep(time);
@@ -42,7 +42,7 @@
 }
 
 /// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
-/// one more call and answers each other one 2.5 s after its arrival. The proxy has the change within
+/// one more call and answers each later one 2.5 s after its arrival. The proxy has the change within
 /// [`NOTIFIED_AFTER`], and its calls before that were neither too rare nor too frequent.
 #[test]
 fn a_change_is_applied_in_time_after_refusals_silence_and_a_crowd() {
@@ -69,13 +69,13 @@
     };
     println!("held {held:?} after discovery could be reached, {refused} calls refused before");
     assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
-    // The pauses double: with shorter ones, a whole fleet would keep a crowded discovery from ever answering.
+    // The pauses double: with shorter ones, a fleet would keep an overloaded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the
-/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each other
+/// Guards against a pause, a silent call and a slow answer that together take longer than [`NOTIFIED_AFTER`] if the
+/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each later
 /// one is answered 2.5 s after its arrival.
 #[test]
 fn a_change_is_applied_in_time_after_a_refusal_and_a_silence() {
@@ -103,7 +103,7 @@
 }
 
 /// A silent discovery is called again after the silence timeout and a pause: one call at a time, as it may be
-/// crowded, and often enough for the bound to hold.
+/// overloaded, and often enough to notify changes in time.
 #[test]
 fn a_silent_discovery_has_one_call_at_a_time_and_is_called_again_in_time() {
     let (silence, longest_pause) = (Duration::from_secs(2), Duration::from_millis(1_900));
@@ -126,8 +126,8 @@
     });
 }
 
-/// An overdue watch stays open while another call is opened beside it, and both are answered. A newer change from the
-/// older call is applied although the list came from the other; an older one undoes nothing.
+/// An overdue watch stays open while another call is made in parallel, and both are answered. If the answer to the
+/// watch is newer than the list from the other call, it is applied; if it is older, it reverts nothing.
 #[test]
 fn an_overdue_watch_is_kept_and_its_answer_applied_beside_the_next_call() {
     std::thread::scope(|scope| {
@@ -171,7 +171,7 @@
     Reset,
     /// Sends these bytes and no more.
     Stall(&'static str),
-    /// Sends this body as a whole answer.
+    /// Sends a complete answer with this body.
     SendBody(String),
 }
 
@@ -216,8 +216,8 @@
     }
 }
 
-/// Indented lists of 10 MB, with up to the planned number of entries, are applied whole, and so are changes as long
-/// as the list. An operator can still name a backend that has left.
+/// Indented lists of 10 MB, with up to the planned number of entries, are applied completely, and so are changes of
+/// the same length. An operator can still cordon a backend that has left.
 #[test]
 fn long_lists_and_changes_are_applied_whole() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -250,8 +250,8 @@
     }
 }
 
-/// A draining backend that a whole list leaves out, or with which the proxy was started, gets no requests, not even
-/// after changes that name it again.
+/// A backend that a full list leaves out, or that drains in the list of the configuration, gets no requests, not even
+/// after changes that list it as draining.
 #[test]
 fn draining_backends_that_a_list_leaves_out_get_nothing() {
     let (leaving, other) = (BackendServer::start(|_| ok("leaving")), BackendServer::start(|_| ok("other")));
@@ -337,7 +337,7 @@
         lagging.next_call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
         let (watch, open_watch) = lagging.next_call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
-        // Once it has caught up, its lists count again.
+        // Once it has caught up, its lists are applied again.
         open_watch.send((200, list(11, false, &listed("SERVING")))).unwrap();
         let (watch, _open_watch) = lagging.next_call();
         assert!(watch.contains("after=11&"), "{watch}");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Limits for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, connected by the
-//! testbed's links, which lose, delay, duplicate and cut.
+//! testbed's links, which lose, delay and duplicate datagrams and can be cut.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -42,7 +42,7 @@
                 "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nmembers = \"{}\"\nsite = \"{name}\"\n\
                  term_ms = {}\n[[limit]]\nname = \"all\"\n{limit}\n",
                 links.addresses[n],
-                members[..2].join(" "), // the others are learned from these
+                members[..2].join(" "), // the others are discovered through these
                 TERM.as_millis()
             );
             std::fs::write(&path, text).unwrap();
@@ -60,7 +60,7 @@
         let settings = SETTINGS
             .replace("\"position\":0", &format!("\"position\":{n}"))
             .replace("\"group_size\":1", &format!("\"group_size\":{SIZE}"));
-        // Sixteen names for one backend: on a single one the module keeps no more than four attempts in flight.
+        // Sixteen names for one backend, as the decision module keeps no more than four attempts in flight on each.
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
         let proxy = Proxy::with_operator_file_and_settings(&known, &self.operators[n], &settings);
@@ -108,7 +108,7 @@
 /// The answers that clients received, each with its time, proxy and status.
 type Answers = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
 
-/// One client for each proxy, which makes requests at a rate of its own until the load ends and records the answers.
+/// One client for each proxy, which makes requests at its own rate until the load ends and records the answers.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
@@ -221,14 +221,15 @@
 }
 
 /// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
-/// is killed and restarted about every second: the bound holds, and no request that must not run twice does.
+/// is killed and restarted about every second: the bound holds, and no non-repeatable request runs twice.
 #[test]
 fn the_bound_holds_through_bad_links_and_restarts() {
     let mut fleet = Fleet::start("bad", "rate_per_s = 60.0", BackendServer::start(|_| ok("b")));
     fleet.links.set_all(Link { loss: 0.2, doubled: 0.1, delay_ms: 5.0, jitter_ms: 300.0 });
     let load = Load::start(&fleet, [60.0, 25.0, 5.0, 5.0], || pay(3.0));
     for round in 0..5 {
-        fleet.links.set(1, round % SIZE, CUT); // proxy 1 still receives, but is not heard
+        // A one-way cut: proxy 1 still receives from this proxy, but cannot send to it.
+        fleet.links.set(1, round % SIZE, CUT);
         std::thread::sleep(Duration::from_millis(700));
         fleet.restart(0);
         load.set_address(0, fleet.proxies[0].address);
--- a/crates/lotusdeck/tests/ledger.rs
+++ b/crates/lotusdeck/tests/ledger.rs
@@ -80,7 +80,7 @@
 }
 
 /// When nothing can be written, non-repeatable requests are refused at once with `Retry-After` and none is sent;
-/// others are served. The program goes on without records only once there is a segment that says so.
+/// others are served. With `go-on`, the program sends unrecorded requests only once there is a segment that says so.
 #[test]
 fn only_requests_that_must_be_recorded_are_refused_when_the_disk_takes_nothing() {
     for more in ["on_failure = \"refuse\"", "on_failure = \"go-on\""] {
@@ -101,7 +101,7 @@
     }
 }
 
-/// A process that ends in order records that, and nothing is uncertain then.
+/// A process that shuts down gracefully records this, and no request is uncertain afterwards.
 #[test]
 fn an_orderly_end_leaves_nothing_uncertain() {
     let folder = empty_folder("orderly");
--- a/crates/lotusdeck/tests/operation.rs
+++ b/crates/lotusdeck/tests/operation.rs
@@ -46,7 +46,8 @@
     assert_eq!(proxy.ask("GET /admin/health HTTP/1.1\r\nHost: s\r\n\r\n").status(), 404, "not for clients");
 }
 
-/// Callers that never finish a call keep no other out, however many they are, and each is disconnected in the end.
+/// Callers that never complete a call do not keep others out, regardless of their number, and each is disconnected
+/// eventually.
 #[test]
 fn silent_callers_do_not_keep_others_out() {
     let (a, b) = two_backends();
@@ -94,7 +95,8 @@
     }
 }
 
-/// A cordon holds for processes that start later, after its own process has ended, and despite damage to its file.
+/// A cordon applies to processes that start later, after the process that set it has ended, and despite damage to its
+/// file.
 #[test]
 fn a_cordon_outlasts_its_process_and_holds_for_the_next() {
     let (a, b) = two_backends();
@@ -121,13 +123,13 @@
     assert_eq!(a.count(), 0, "damage to the file lifts no cordon");
 }
 
-/// While two processes serve, a cordon by a call to one applies to the other.
+/// While two processes serve, a cordon set by a call to one also applies to the other.
 #[test]
 fn a_cordon_by_one_process_applies_to_the_other() {
     let (a, b) = two_backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = Proxy::with_inherited_listener(&both_serving(&a, &b), &listener);
-    let mut kept = old.client(); // the only process that listens yet
+    let mut kept = old.client(); // the only process that listens so far
     (0..40).for_each(|_| assert_eq!(kept.ask(&pay(3.0)).status(), 200));
     let new = old.successor(&both_serving(&a, &b), &listener);
     assert_eq!(new.operator_call("PUT", "/admin/cordon", "b0"), 200);
@@ -162,7 +164,7 @@
     other.replace(r#""max_attempts":4"#, r#""max_attempts":1"#)
 }
 
-/// New settings apply to new requests; an open one ends under those it arrived with.
+/// New settings apply to new requests; an open one is completed under those that it arrived with.
 #[test]
 fn new_settings_apply_to_new_requests_only() {
     let gate = Arc::new(Gate::default());
@@ -194,7 +196,7 @@
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
 
-/// The index of a class that was removed is not given to another while a request of it is open.
+/// The index of a removed class is not reassigned while a request of that class is open.
 #[test]
 fn a_request_keeps_its_class_across_changes_that_reuse_class_indexes() {
     let gate = Arc::new(Gate::default());
@@ -222,8 +224,8 @@
     assert_eq!(paid.count(), before, "it is not sent again");
 }
 
-/// Requests are served while a configuration file is read. A reload that is requested meanwhile follows, with the
-/// file as it is then.
+/// Requests are served while a configuration file is read. A reload that is requested meanwhile is done afterwards,
+/// with the contents that the file has then.
 #[test]
 fn the_program_serves_while_it_reads_a_file_and_applies_the_last_one() {
     let (a, b) = two_backends();
@@ -252,7 +254,7 @@
     assert_eq!(proxy.ask(&get("draw", "2")).status(), 404);
 }
 
-/// Nothing is applied from a file with a fault, nor its address of discovery.
+/// Nothing in a file with a fault is applied, not even its address of discovery.
 #[test]
 fn a_file_with_a_fault_changes_nothing() {
     let (a, b) = two_backends();
--- a/crates/lotusdeck/tests/postgres.rs
+++ b/crates/lotusdeck/tests/postgres.rs
@@ -34,7 +34,7 @@
     at.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
 
-/// The front runs beside the HTTP front of the same process; a shutdown notifies idle sessions.
+/// The front runs in parallel with the HTTP front of the same process; a shutdown notifies idle sessions.
 #[tokio::test]
 async fn the_program_serves_a_driver_and_says_when_it_stops() {
     let test = async {
@@ -67,7 +67,7 @@
     assert!(output.status.code() == Some(2) && text.contains("either discovery or"), "{text}");
 }
 
-/// A short form of the soak: servers die at the worst moments, and everything that a driver is told is true.
+/// A short form of the soak: servers die at the worst moments, and everything that is reported to a driver is true.
 #[test]
 fn no_write_is_lost_doubled_or_reported_wrongly_when_servers_die() {
     let args = lotusdeck_testbed::postgres::Soak {
@@ -81,6 +81,6 @@
     };
     let report = lotusdeck_testbed::postgres::run(&args).unwrap();
     assert!(report.wrong.is_empty(), "{:?}", report.wrong);
-    // How much is played depends on the machine; that something is played does not.
+    // The number of deaths and of reported results depends on the machine, but there must be some of each.
     assert!(report.deaths > 0 && report.reported[0] > 0, "{report:?}");
 }
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The whole program on loopback sockets: what it guarantees whatever backends, clients and discovery do.
+//! The program on loopback sockets: what it guarantees regardless of what backends, clients and discovery do.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -127,7 +127,7 @@
     assert_eq!(good.count() - before, 30);
 }
 
-/// A request that is given up is answered then, not at its deadline, and with `Retry-After`.
+/// A request that is given up is answered immediately, not at its deadline, and with `Retry-After`.
 #[test]
 fn a_refusal_comes_at_once_with_retry_after() {
     let rejecting = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
@@ -333,7 +333,7 @@
     assert!(idle[0].ended(), "the connection that was idle longest was closed first");
 }
 
-/// A backend's machine that was cut off leaves its connections open: none that was idle meanwhile is used again.
+/// When a backend's machine is cut off, its connections stay open: none that was idle meanwhile is used again.
 #[test]
 fn idle_connections_to_a_silent_backend_are_dropped() {
     let gate = Arc::new(Gate::default());
@@ -374,7 +374,7 @@
     assert!(idle[0].ended());
 }
 
-/// When every connection has sent half of a head, none is idle; after a while they are closed all the same.
+/// When every connection has sent half of a head, none is idle, but they are closed after a timeout.
 #[test]
 fn incomplete_heads_do_not_keep_other_clients_out() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -40,7 +40,7 @@
 }
 
 /// Restarted with no list from the platform and a silent discovery, the proxy serves from its saved list. Once
-/// discovery answers that the backend drains, the proxy sends it nothing new after 500 ms.
+/// discovery answers that the backend drains, the proxy sends it no new requests after 500 ms.
 #[test]
 fn a_restarted_proxy_serves_from_its_saved_list_and_follows_discovery_once_back() {
     let (first, second) = (BackendServer::start(|_| ok("first")), BackendServer::start(|_| ok("second")));
@@ -86,8 +86,8 @@
     }
 }
 
-/// A saved list that is hours old is not restored. With a half-life that allows it, a removed backend and the slow
-/// start of the other cost a few refusals, each at once and with `Retry-After`.
+/// A saved list that is hours old is restored only if the half-life allows it. Then a removed backend and the slow
+/// start of the other one cause a few refusals, each immediate and with `Retry-After`.
 #[test]
 fn a_list_hours_old_is_restored_only_if_the_half_life_allows_it() {
     let (gone, backend) = (RefusingPort::new(), BackendServer::start(|_| ok("here")));
@@ -123,7 +123,7 @@
     }
 }
 
-/// Of two processes of one proxy with one folder, the second only reads and leaves the writing to the first.
+/// Of two processes of one proxy that share a folder, only the first writes to it, and the second only reads.
 #[test]
 fn a_second_process_with_the_same_folder_only_reads() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -135,7 +135,7 @@
     assert_eq!(second.ask(&read(3.0)).body, b"b");
 }
 
-/// When the disk takes no more, the failed write is logged and the older file stays whole.
+/// When nothing more can be written to the disk, the failed write is logged and the previous file stays intact.
 #[test]
 fn a_full_disk_leaves_the_last_saved_state_whole() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -151,9 +151,9 @@
     assert_eq!(saved.index, 9);
 }
 
-/// The program is killed twenty times while lists of up to 400 KB arrive as fast as it takes them and are written
-/// every 100 ms: the file is always whole, and the saved version never goes back. The first kill waits for the first
-/// file.
+/// The program is killed twenty times while lists of up to 400 KB arrive as fast as it reads them and are written
+/// every 100 ms: the file is always complete, and the saved version never decreases. The first kill waits for the
+/// first file.
 #[test]
 fn a_kill_at_any_moment_of_a_write_leaves_a_whole_file() {
     let backend = BackendServer::start(|_| ok("b"));
@@ -194,8 +194,8 @@
     );
 }
 
-/// Estimates are saved beside the list and restored at the next start. If their file is truncated, of another format
-/// or older than the half-life allows, that is logged, and the list is restored all the same.
+/// Estimates are saved along with the list and restored at the next start. If their file is truncated, of another
+/// format or older than the half-life allows, that is logged, and the list is still restored.
 #[test]
 fn estimates_are_restored_or_logged_and_ignored() {
     let backend = BackendServer::start(|_| ok("b"));
--- a/crates/lotusdeck/tests/restarts.rs
+++ b/crates/lotusdeck/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! A process that is killed and restarted is ready in time, whatever discovery does.
+//! A process that is killed and restarted is ready in time, even if discovery does not answer.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/lotusdeck/tests/rig/backend.rs
+++ b/crates/lotusdeck/tests/rig/backend.rs
@@ -12,11 +12,11 @@
 pub(crate) enum Reply {
     /// Answers with a status, a header line (or none, if empty) and a body.
     Answer(u16, &'static str, String),
-    /// Answers with a status and a body, and closes the connection without having announced it.
+    /// Answers with a status and a body, and closes the connection without a `Connection: close` header.
     AnswerAndClose(u16, String),
-    /// Writes these texts, each in a segment of its own, and leaves the connection open.
+    /// Writes these texts, each in a separate segment, and leaves the connection open.
     Pieces(Vec<String>),
-    /// Writes these texts, each in a segment of its own, and closes the connection.
+    /// Writes these texts, each in a separate segment, and closes the connection.
     PiecesAndClose(Vec<String>),
     /// Writes the first text, and the second once the gate opens.
     Paused(String, Arc<Gate>, String),
@@ -165,7 +165,7 @@
     let _ = event_sender.send(BackendEvent::Closed);
 }
 
-/// A bound port on which nobody listens: connections to it are refused until this is dropped.
+/// A bound port without a listener: connections to it are refused until this is dropped.
 pub(crate) struct RefusingPort(socket2::Socket);
 
 impl RefusingPort {
--- a/crates/lotusdeck/tests/rig/discovery.rs
+++ b/crates/lotusdeck/tests/rig/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service whose answers the test gives.
+//! A discovery service whose answers the test provides.
 
 use super::message::Message;
 use super::TEST_TIMEOUT;
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 
 /// A discovery service. Passes the request line of each call to the test, which sends back a status and a body. With
-/// status 0 the text is written unchanged, and the call takes further ones.
+/// status 0 the text is written unchanged, and further texts may follow for the same call.
 pub(crate) struct DiscoveryServer {
     pub address: SocketAddr,
     calls: mpsc::Receiver<(String, mpsc::Sender<(u16, String)>)>,
--- a/crates/lotusdeck/tests/rig/message.rs
+++ b/crates/lotusdeck/tests/rig/message.rs
@@ -17,7 +17,7 @@
     pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
-    /// Reads a whole message; `None` if the connection ends before that.
+    /// Reads a complete message; returns `None` if the connection ends before its last byte.
     pub(crate) fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
--- a/crates/lotusdeck/tests/rig/proxy.rs
+++ b/crates/lotusdeck/tests/rig/proxy.rs
@@ -68,8 +68,8 @@
         Launch { listener: Some(listener), ..Launch::new(known) }.run()
     }
 
-    /// Starts another process beside this one, with the same listener, `$TMPDIR` and discovery and with its own
-    /// address for operators' calls.
+    /// Starts another process in parallel with this one, with the same listener, `$TMPDIR` and discovery and with its
+    /// own address for operators' calls.
     pub(crate) fn successor(&self, known: &[String], listener: &TcpListener) -> Proxy {
         let launch = Launch::sharing(known, self.tmp.clone(), self.discovery.clone());
         Launch { listener: Some(listener), ..launch }.run()
--- a/crates/lotusdeck/tests/rig/sockets.rs
+++ b/crates/lotusdeck/tests/rig/sockets.rs
@@ -29,7 +29,7 @@
     fields.filter(|fields: &Vec<String>| fields[column].ends_with(&port)).collect()
 }
 
-/// Returns a client that has had an answer and keeps its connection.
+/// Returns a client that has received an answer and keeps its connection open.
 pub(crate) fn kept_client(proxy: &Proxy) -> Client {
     let mut client = proxy.client();
     assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
@@ -48,8 +48,8 @@
 pub(crate) enum Disconnect {
     /// It closes its socket.
     Close,
-    /// It shuts down its sending side. The platform's clients do so only by closing, so none is taken to wait for an
-    /// answer.
+    /// It shuts down its sending side. The platform's clients do so only by closing, so the proxy does not assume
+    /// that the client waits for an answer.
     ShutdownWrite,
     /// It resets the connection.
     Reset,
@@ -98,7 +98,7 @@
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(1).unwrap();
         let mut full = FullListener { listener, fillers: Vec::new() };
-        // Counts by the kernel's table: a connection that is not established after some time may only be slow.
+        // Uses the kernel's table, as a connection that is not established after some time may only be slow.
         let end = Instant::now() + TEST_TIMEOUT;
         while full.queued() <= 1 {
             assert!(Instant::now() < end, "the accept queue does not fill");
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -48,9 +48,9 @@
     assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "changes of the new discovery are applied");
 }
 
-/// With `subscribe`, where lists are costly for discovery, proxies ask a new discovery only for changes at first:
-/// whole lists for a whole fleet at once took it 9 s. The whole list is polled later, as versions may be numbered
-/// differently there; if that poll fails, changes are polled first again.
+/// With `subscribe`, where lists are costly for discovery, proxies request only changes from a new discovery at
+/// first, as full lists for all proxies of a fleet at once took it 9 s. The full list is polled later, as versions
+/// may be numbered differently there; if that poll fails, changes are polled again first.
 #[test]
 fn a_polled_list_continues_from_its_version_when_discovery_moves() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
@@ -68,7 +68,7 @@
     let (target, answer) = elsewhere.next_call();
     assert_eq!(target, "GET /api/targets?after=9&wait_ms=0 HTTP/1.1", "missed changes are requested at once");
     answer.send((200, list(10, false, &[entry("b1", new.address, "SERVING")]))).unwrap();
-    // Each answer has no changes until the whole list is polled; the first such poll fails.
+    // Each answer has no changes until the full list is polled; the first such poll fails.
     let (mut change_polls, mut whole_polls) = (0, 0);
     while whole_polls < 2 {
         let (target, answer) = elsewhere.next_call();
@@ -79,7 +79,7 @@
         } else {
             assert!(target.contains("after=10&"), "{target}");
             change_polls += 1;
-            std::thread::sleep(std::time::Duration::from_millis(50)); // as a watch without changes
+            std::thread::sleep(std::time::Duration::from_millis(50)); // like a watch without changes
             answer.send((200, list(10, false, &[]))).unwrap();
         }
     }
@@ -89,7 +89,7 @@
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the whole list leaves out is removed");
 }
 
-/// Connections to any backend break now and then, so a single reset must not eject one.
+/// Connections to any backend break occasionally, so a single reset must not eject a backend.
 #[test]
 fn one_reset_does_not_eject_a_backend() {
     let switch = Arc::new(AtomicBool::new(false));
@@ -112,8 +112,7 @@
     assert!(a.count() > before, "the backend was ejected for one reset");
 }
 
-/// Attempts that never get an answer do not count against a backend's capacity for long, as it has answered others
-/// since.
+/// Unanswered attempts soon stop counting against the capacity of a backend that has answered others since.
 #[test]
 fn unanswered_attempts_do_not_use_up_a_backends_capacity() {
     let backend = BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok("x") });
@@ -171,7 +170,7 @@
 }
 
 /// Each malformed request gets an error and its connection is closed. Neither it nor a request that may be smuggled
-/// behind it reaches a backend.
+/// in after it reaches a backend.
 #[test]
 fn malformed_requests_are_rejected_and_their_connection_closed() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -269,7 +268,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// Connections that send nothing, half a head or half a body are closed, even while there is room for more.
+/// Connections that send nothing, half a head or half a body are closed, even while more connections are allowed.
 #[test]
 fn connections_without_a_whole_request_are_closed() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -488,14 +487,14 @@
             }
             client
         }));
-        // The pause of a slow client between pieces, longer than the crowd needs to fill all places.
+        // The pause of a slow client between pieces, longer than the other clients need to use up all connections.
         std::thread::sleep(std::time::Duration::from_millis(200));
     }
     assert_eq!(slow.answer().map(|a| a.status()), Some(200));
 }
 
-/// Guards against a request that waits in the listener's queue past its time, behind connections with half a head
-/// that are closed only after a rest. It counts as lost half a second after its time.
+/// Guards against a request that waits in the listener's queue beyond its time, as the connections before it have
+/// sent half a head and are closed only after a timeout. It counts as lost half a second after its time is over.
 #[test]
 fn a_request_behind_four_hundred_half_heads_is_answered_in_its_time() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! The program in the testbed: short runs with faults, judged only by what the stand-ins saw.
+//! The program in the testbed: short runs with faults, judged only by what the stand-ins observed.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -48,8 +48,9 @@
     RUNS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays an experiment on sockets, with one seed after the other, until `judge` reaches a verdict: on a machine too
-/// busy for the testbed's own schedule it gives the reason instead. Returns the verdict and the seed that was played.
+/// Plays an experiment on sockets, with one seed after the other, until `judge` reaches a verdict. If the machine is
+/// too busy for the testbed's own schedule, `judge` returns that as an error instead. Returns the verdict and the
+/// seed that was played.
 fn first_verdict<T>(
     experiment: &Experiment, seeds: Range<u64>, name: &str,
     judge: impl Fn(&Arc<Plan>, &Outcome) -> Result<T, String>,
@@ -68,7 +69,7 @@
     panic!("{name}: the testbed was late with each of the seeds {seeds:?}: no verdict");
 }
 
-/// Returns the figures of a run and the rules that it broke, or the reason why it does not count.
+/// Returns the figures of a run and the rules that it broke, or the reason why the run is void.
 fn valid_figures(plan: &Plan, outcome: &Outcome) -> Result<(Figures, Vec<Violation>), String> {
     let (figures, broken) = Figures::of(plan, outcome);
     match figures.void {
@@ -94,7 +95,7 @@
 }
 
 /// Scripts that once broke a rule, and some that a campaign draws, break none. Each is played up to three times, as
-/// the machine may be too busy for a verdict. The output tells how many got one, and at least one must.
+/// the machine may be too busy for a verdict. The output shows how many got a verdict; at least one must.
 #[test]
 fn saved_and_drawn_scripts_of_campaigns_hold() {
     let _lock = lock_runs();
@@ -122,7 +123,7 @@
     assert!(judged > 0, "the testbed was late in every run: no verdict");
 }
 
-/// A port that is in use is named before anything starts.
+/// A port that is in use is reported before anything starts.
 #[test]
 fn a_taken_port_is_named() {
     let _lock = lock_runs();
@@ -138,8 +139,8 @@
     assert!(fault.contains(&format!("127.0.0.1:{port} is taken")), "{fault}");
 }
 
-/// The two drivers play the same model: on a small fleet without faults the shares of the worth that they earn differ
-/// by at most a twentieth.
+/// The two drivers run the same model: on a small fleet without faults, the fractions of the worth that they earn
+/// differ by at most 0.05, and so do their attempts per request.
 #[test]
 fn virtual_time_and_sockets_earn_nearly_the_same() {
     let _lock = lock_runs();
@@ -190,9 +191,9 @@
 }
 
 /// The fleet rig's loss of power on four processes behind a fault proxy that delays and resets answers: proxies and
-/// backends fail at once, discovery for six seconds, and the platform provides no list. With saved lists the proxies
-/// serve while discovery is still down, without them they do not; every rule holds both ways, and no cold backend is
-/// overloaded.
+/// backends fail at the same time, discovery fails for six seconds, and the platform provides no list. With saved
+/// lists the proxies serve while discovery is still down, without them they do not; every rule holds in both cases,
+/// and no cold backend is overloaded.
 #[test]
 fn a_fleet_that_loses_power_serves_at_once_from_saved_lists() {
     let _lock = lock_runs();
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -1,5 +1,5 @@
 //! The time left that backends receive (`X-Time-Left`). Server and test share one thread: while the test blocks it, a
-//! request that a client has written waits in the kernel, and its time passes.
+//! request that a client has written waits in the kernel, and its time runs out.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -202,7 +202,8 @@
     });
 }
 
-/// A task that yields all the time keeps the loop from blocking, so the runtime does not record its polls.
+/// With a task that yields continually the event loop does not block, so the runtime does not report its polls;
+/// `yield_to_poll` records them instead.
 #[test]
 fn a_request_keeps_its_time_beside_a_task_that_yields() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/policy/benches/names.rs
+++ b/crates/policy/benches/names.rs
@@ -20,7 +20,7 @@
 
 /// Numbers of names, from those of today to those expected in two years.
 const SIZES: [usize; 4] = [1_000, 4_000, 16_000, 34_000];
-/// Each figure is the median of this many runs, as others use the machine.
+/// Each figure is the median of this many runs, as other processes use the machine too.
 const RUNS: usize = 7;
 /// Number of lookups that are timed together, as one is too short for the clock.
 const LOOKUPS: usize = 2_000;
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -284,8 +284,8 @@
 
 #[test]
 fn subsets_of_many_proxies_are_small_and_cover_every_backend_evenly() {
-    // In a fleet of full size, with a connection from every proxy to every backend, two attempts in three found none
-    // free.
+    // In a fleet of full size, with a connection from every proxy to every backend, two attempts in three found no
+    // free connection.
     let mut sent = [0; 30];
     for position in 0..300 {
         let mut host =
@@ -304,8 +304,7 @@
 
 #[test]
 fn a_full_backend_is_paused_briefly_and_not_ejected() {
-    // In a fleet of full size, busy backends were ejected by the hundred, and the others were filled up by their
-    // load.
+    // In a fleet of full size, busy backends were ejected by the hundred, and their load overloaded the others.
     let mut host = host(config(vec![class(SideEffects::None)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.submit(0, 900_000);
@@ -342,8 +341,8 @@
 
 #[test]
 fn many_proxies_reject_low_priority_first_and_at_once_when_the_fleet_is_overloaded() {
-    // In a fleet of full size, proxies without an in-flight limit sent all they had, and overload made the machines
-    // slow.
+    // In a fleet of full size, proxies without an in-flight limit sent every request, and the overload made the
+    // machines slow.
     let mut config =
         Config { proxy_count: 100, tenants: vec![Tenant { quota_per_s: 1e6 }], ..Config::example() };
     config.tenants.push(Tenant { quota_per_s: 1e-3 });
--- a/crates/policy/tests/low_traffic.rs
+++ b/crates/policy/tests/low_traffic.rs
@@ -35,8 +35,8 @@
 }
 
 /// Guards against a slow kind of machine that keeps its traffic share. All proxies first assume that kinds are
-/// equally fast and overload the slowest one, whose answers come too late to be measured. It used to count as fast
-/// as the others for ever, and a third of all requests were lost there.
+/// equally fast and overload the slowest one, whose answers come too late to be measured. It used to count as fast as
+/// the others forever, and a third of all requests were lost there.
 #[test]
 fn a_kind_that_never_answers_in_time_loses_its_share() {
     let list: Vec<Backend> = (0..60).map(|i| backend(i, 0, i / 20)).collect();
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -41,7 +41,7 @@
 }
 
 /// Guards against a customer that gets another one's quota, wherever the active settings list it, or keeps its quota
-/// when they no longer do. Its id stays its own, as open requests refer to it.
+/// when they no longer do. It keeps its id, as open requests refer to it.
 #[test]
 fn a_customer_has_the_quota_of_the_active_settings() {
     let first = read(&settings_with(&[("north", 500.0), ("south", 20.0)]));
@@ -57,7 +57,7 @@
     assert_eq!(customers.map(|name| quota(&none, name)), [None; 3]);
 }
 
-/// Guards against two customers of one name, as quotas are found by name: the error gives the place, and the
+/// Guards against two customers of one name, as quotas are found by name: the error gives the position, and the
 /// settings are rejected.
 #[test]
 fn two_customers_of_one_name_are_rejected() {
--- a/crates/policy/tests/warmup_budget.rs
+++ b/crates/policy/tests/warmup_budget.rs
@@ -1,5 +1,5 @@
-//! Tests that all proxies together send restarted backends no more than the overload limit during bursts, although
-//! no proxy learns what the others send.
+//! Tests that all proxies together send restarted backends no more than the overload limit during bursts, although no
+//! proxy knows what the others send.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -173,7 +173,7 @@
     }
 }
 
-/// The window in which most was sent in relation to the overload limit, and that limit.
+/// The window in which the most requests were sent in relation to the overload limit, and that limit.
 struct Worst {
     sent: usize,
     limit: f64,
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -13,7 +13,7 @@
 /// The limit on open connections in these tests.
 const MAX_CLIENTS: usize = 1000;
 
-/// The open connections, and the listener that the clients' ends of them come from.
+/// The open connections, and the listener that accepts the clients' ends of them.
 struct ClientTable {
     clients: Clients,
     listener: std::net::TcpListener,
