--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -49,12 +49,12 @@
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     let sent = sample_text(LARGE / 2);
-    let forms = [
+    let requests = [
         post("1", 3.0, &format!("Content-Length: {}\r\n", sent.len())) + &sent,
         post("2", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sent, 10_007),
     ];
-    for form in forms {
-        let got = client.ask(&form);
+    for request in requests {
+        let got = client.ask(&request);
         assert_eq!((got.status(), got.body.len()), (200, LARGE));
         assert!(got.body == answer.as_bytes());
         assert!(backend.next_request().body == sent.as_bytes());
@@ -74,13 +74,13 @@
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.0.get_ref().set_nodelay(true).unwrap();
-    let forms = [
+    let requests = [
         post("1", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked("cash", 3),
         post("2", 3.0, "Content-Length: 4\r\n") + "cash",
         post("3", 3.0, "transfer-encoding: Chunked\r\n") + &chunked("cash", 1),
     ];
-    for form in forms {
-        bytewise(&form).iter().for_each(|byte| client.send(byte));
+    for request in requests {
+        bytewise(&request).iter().for_each(|byte| client.send(byte));
         let got = client.answer().unwrap();
         assert_eq!((got.status(), &got.body[..]), (200, body.as_bytes()));
         assert_eq!(backend.next_request().body, b"cash");
@@ -128,8 +128,8 @@
     let mut got = vec![0; LARGE / 2];
     client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head counts too
     gate.open();
-    let left = client.0.read_until_closed();
-    assert!(got.len() + left.len() > LARGE && left.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
+    let rest = client.0.read_until_closed();
+    assert!(got.len() + rest.len() > LARGE && rest.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
 }
 
 /// Guards against an id that is released while the answer to its request is still being sent, so that a duplicate
@@ -246,9 +246,9 @@
     let broken =
         post("2", 3.0, "Transfer-Encoding: chunked\r\n") + "30d40\r\n" + &sample_text(200_000) + "!!";
     let surplus = post("3", 3.0, "Content-Length: 200000\r\n") + &sample_text(200_000) + &pay(3.0);
-    let behind =
+    let surplus_after_chunks =
         post("5", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sample_text(200_000), 9_000) + &pay(3.0);
-    for request in [stopped, broken, surplus, behind] {
+    for request in [stopped, broken, surplus, surplus_after_chunks] {
         let mut client = proxy.client();
         let _ = client.0.get_mut().write_all(request.as_bytes());
         if let Some(answer) = client.answer() {
--- a/crates/lotusdeck/tests/client_leaves.rs
+++ b/crates/lotusdeck/tests/client_leaves.rs
@@ -96,14 +96,14 @@
 #[test]
 fn no_attempt_begins_for_a_client_that_left_while_its_request_was_held() {
     for how in DISCONNECTS {
-        for (request, whole) in [(read(3.0), true), (pay(3.0), true), (partial_upload(), false)] {
+        for (request, is_complete) in [(read(3.0), true), (pay(3.0), true), (partial_upload(), false)] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
             let (_, answer) = proxy.discovery.next_call();
             let mut client = proxy.client();
             client.send(&request);
             wait_for_open_requests(&proxy, 1);
-            if whole {
+            if is_complete {
                 send_further_bytes(&mut client);
             }
             let _held = disconnect(client, how);
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -34,13 +34,13 @@
 /// pushed and with polled lists.
 #[test]
 fn a_silent_watch_is_reopened_before_a_missed_change_counts_as_notified() {
-    let cuts = [
+    let partial_answers = [
         "",
         "HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n",
         "HTTP/1.1 200 X\r\nContent-Length: 300\r\n\r\n{\"index\":10,",
     ];
     std::thread::scope(|scope| {
-        for cut in cuts {
+        for partial_answer in partial_answers {
             for settings in [SETTINGS.to_string(), polling_settings()] {
                 scope.spawn(move || {
                     let backend = BackendServer::start(|_| ok("x"));
@@ -49,7 +49,7 @@
                     proxy.discovery.next_call().1.send((200, list(9, true, &serving))).unwrap();
                     let (target, silent) = proxy.discovery.next_call();
                     let started = Instant::now();
-                    silent.send((0, cut.into())).unwrap();
+                    silent.send((0, partial_answer.into())).unwrap();
                     let (again, answer) = proxy.discovery.next_call();
                     assert!(again.contains("after=9&wait_ms=0 "), "{again}");
                     answer.send((200, list(10, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
@@ -58,7 +58,7 @@
                     let took = started.elapsed();
                     assert!(
                         took < requested_wait(&target) + NOTIFIED_AFTER,
-                        "{took:?} after {target}, cut behind {cut:?}"
+                        "{took:?} after {target}, cut behind {partial_answer:?}"
                     );
                     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
                 });
@@ -126,13 +126,13 @@
     let not_leaving = [serving.replace(&at.to_string(), "nowhere"), entry("b0", at, "RESTING")];
     let not_leaving =
         not_leaving.into_iter().flat_map(|line| [(line.clone(), false, 200), (line, true, 200)]);
-    for (line, whole, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(not_leaving) {
+    for (line, is_full, status) in cases.chain(twice.map(|both| (both, true, 503))).chain(not_leaving) {
         let proxy = Proxy::start(std::slice::from_ref(&serving));
         proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&serving)))).unwrap();
-        proxy.discovery.next_call().1.send((200, list(10, whole, std::slice::from_ref(&line)))).unwrap();
+        proxy.discovery.next_call().1.send((200, list(10, is_full, std::slice::from_ref(&line)))).unwrap();
         let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {whole}, {line}");
+        assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {is_full}, {line}");
     }
 }
 
@@ -146,8 +146,8 @@
     proxy.discovery.next_call().1.send((200, list(9, true, &[serving]))).unwrap();
     let change = [entry("b0", backend.address, "DRAINING"), entry("b1", other.address, "SERVING")];
     proxy.discovery.next_call().1.send((200, list(3, false, &change))).unwrap();
-    let (whole, answer) = proxy.discovery.next_call(); // the changes have been processed by now
-    assert_eq!(whole, "GET /api/targets HTTP/1.1");
+    let (target, answer) = proxy.discovery.next_call(); // the changes have been processed by now
+    assert_eq!(target, "GET /api/targets HTTP/1.1");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count(), other.count()), (503, 0, 0));
     answer.send((200, list(3, true, &[entry("b1", other.address, "SERVING")]))).unwrap();
     let (_, _open_watch) = proxy.discovery.next_call();
@@ -162,10 +162,11 @@
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut clients = Vec::new();
     for how in DISCONNECTS {
-        for (request, old) in [(read(3.0), false), (read(3.0), true), (pay(3.0), false), (pay(3.0), true)] {
-            for behind in ["", "GET /"] {
-                let client = if old { kept_client(&proxy) } else { proxy.client() };
-                clients.push((client, how, request.clone() + behind));
+        for (request, is_kept) in [(read(3.0), false), (read(3.0), true), (pay(3.0), false), (pay(3.0), true)]
+        {
+            for further_bytes in ["", "GET /"] {
+                let client = if is_kept { kept_client(&proxy) } else { proxy.client() };
+                clients.push((client, how, request.clone() + further_bytes));
             }
         }
     }
@@ -282,19 +283,19 @@
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
         let mut proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
         let _unanswered = proxy.discovery.next_call();
-        let (mut whole, mut half) = (proxy.client(), proxy.client());
-        whole.send(&pay(3.0));
+        let (mut complete, mut partial) = (proxy.client(), proxy.client());
+        complete.send(&pay(3.0));
         backend.next_request();
         let request = read(3.0);
         let (first, rest) = request.split_at(30);
-        half.send(first);
+        partial.send(first);
         proxy.signal("TERM");
         proxy.wait_for_log("stopping");
-        half.send(rest);
+        partial.send(rest);
         backend.next_request();
         proxy.signal("TERM");
         gate.open();
-        for client in [&mut whole, &mut half] {
+        for client in [&mut complete, &mut partial] {
             assert_eq!(client.answer().expect("an answer to an accepted request").body, b"gated");
         }
         assert!(proxy.child.wait().unwrap().success());
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -46,24 +46,26 @@
         for round in 0..ROUNDS {
             stop_process(&proxy);
             let mut new_clients = Vec::new();
-            for place in 0..=CROWD {
-                if [0, CROWD / 2, CROWD].contains(&place) {
+            for position in 0..=CROWD {
+                if [0, CROWD / 2, CROWD].contains(&position) {
                     let mut client = proxy.client();
                     client.send(&read(TIME_LEFT_S));
-                    new_clients.push((place, client));
+                    new_clients.push((position, client));
                 }
                 let mut client = proxy.client();
-                client.send(idle[place % idle.len()]);
+                client.send(idle[position % idle.len()]);
                 crowd.push(client);
             }
             let woken = Instant::now();
             proxy.signal("CONT");
-            for (place, mut client) in new_clients {
+            for (position, mut client) in new_clients {
                 let status = client.answer().map(|answer| answer.status());
                 let took = woken.elapsed();
-                println!("{idle:?}, round {round}, behind {place}: {status:?} after {took:?}");
+                println!("{idle:?}, round {round}, behind {position}: {status:?} after {took:?}");
                 if status != Some(200) || took > Duration::from_secs_f64(TIME_LEFT_S) {
-                    late.push(format!("{idle:?}, round {round}, behind {place}: {status:?} after {took:?}"));
+                    late.push(format!(
+                        "{idle:?}, round {round}, behind {position}: {status:?} after {took:?}"
+                    ));
                 }
             }
         }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -59,7 +59,7 @@
     let reachable = Instant::now();
     proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
-    let held = loop {
+    let received_after = loop {
         let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
@@ -67,8 +67,8 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {held:?} after discovery could be reached, {refused} calls refused before");
-    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
+    println!("held {received_after:?} after discovery could be reached, {refused} calls refused before");
+    assert!(received_after < NOTIFIED_AFTER, "held {received_after:?} after discovery could be reached");
     // The pauses double: with shorter ones, a fleet would keep an overloaded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
@@ -89,7 +89,7 @@
     let reachable = Instant::now();
     let (_, _silent) = proxy.discovery.next_call();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
-    let held = loop {
+    let received_after = loop {
         let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
@@ -97,8 +97,8 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {held:?} after the last refusal");
-    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
+    println!("held {received_after:?} after the last refusal");
+    assert!(received_after < NOTIFIED_AFTER, "held {received_after:?} after discovery could be reached");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
@@ -112,14 +112,14 @@
             scope.spawn(move || {
                 let proxy = Proxy::with_settings(&[], 1024, &settings);
                 let mut before = (proxy.discovery.next_call(), Instant::now());
-                let mut out = Vec::new();
+                let mut open_calls = Vec::new();
                 for _ in 0..4 {
                     let next = (proxy.discovery.next_call(), Instant::now());
                     let gap = next.1 - before.1;
                     let slack = Duration::from_millis(300); // for a busy machine
                     let bounds = silence - slack..silence + longest_pause + slack;
                     assert!(bounds.contains(&gap), "{gap:?}, {settings}");
-                    out.push(std::mem::replace(&mut before, next));
+                    open_calls.push(std::mem::replace(&mut before, next));
                 }
             });
         }
@@ -227,11 +227,11 @@
         let line = |n: usize, status| format!("\n{indent}{}", entry(&format!("s-{n}"), nowhere, status));
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DRAINING")).collect();
         lines.push(entry("b0", backend.address, "SERVING"));
-        let whole = list(9, true, &lines);
-        assert!(whole.len() > 9_000_000, "{}", whole.len());
+        let full_list = list(9, true, &lines);
+        assert!(full_list.len() > 9_000_000, "{}", full_list.len());
         let proxy = Proxy::with_settings(&[], 1024, &polling_settings());
         let started = Instant::now();
-        proxy.discovery.next_call().1.send((200, whole)).unwrap();
+        proxy.discovery.next_call().1.send((200, full_list)).unwrap();
         let (watch, changes) = proxy.discovery.next_call();
         println!("{count} lines: next call after {:?}", started.elapsed());
         assert!(watch.contains("after=9&"), "{watch}");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -251,8 +251,8 @@
 /// most of the traffic and its links are cut while its requests are in flight.
 #[test]
 fn requests_in_flight_stay_within_the_limit_of_the_fleet() {
-    let (now, most) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
-    let (held, peak) = (now.clone(), most.clone());
+    let (concurrent, max_concurrent) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
+    let (held, peak) = (concurrent.clone(), max_concurrent.clone());
     let backend = BackendServer::start(move |_| {
         peak.fetch_max(held.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(150));
@@ -273,8 +273,12 @@
         std::thread::sleep(Duration::from_millis(300));
     }
     loads.into_iter().for_each(|load| drop(load.end()));
-    println!("{} at once at most, of 16", most.load(Ordering::SeqCst));
-    assert!((5..=16).contains(&most.load(Ordering::SeqCst)), "{}", most.load(Ordering::SeqCst));
+    println!("{} at once at most, of 16", max_concurrent.load(Ordering::SeqCst));
+    assert!(
+        (5..=16).contains(&max_concurrent.load(Ordering::SeqCst)),
+        "{}",
+        max_concurrent.load(Ordering::SeqCst)
+    );
 }
 
 /// Datagrams of a proxy of another site, or with other limits, are rejected, and each proxy keeps to its own share.
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -61,8 +61,8 @@
 /// that it may be repeated.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
-    type Make = fn() -> Reply;
-    let cases: [(&str, Make, f64); 7] = [
+    type MakeReply = fn() -> Reply;
+    let cases: [(&str, MakeReply, f64); 7] = [
         ("500", || Reply::Answer(500, "", "oops".into()), 3.0),
         ("reset", || Reply::Reset, 3.0),
         ("silence", || Reply::Silence, 0.3),
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -94,7 +94,7 @@
     let entries = [entry("b0", gone.address(), "SERVING"), entry("b1", backend.address, "SERVING")];
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let three_hours = 3 * 3_600_000;
-    for (half_life_s, taken) in [(600, false), (86_400, true)] {
+    for (half_life_s, is_restored) in [(600, false), (86_400, true)] {
         let (operator, folder) = write_operator_file("old", half_life_s);
         std::fs::create_dir_all(&folder).unwrap();
         let body = list(9, true, &entries).into_bytes();
@@ -107,7 +107,7 @@
         };
         std::fs::write(folder.join("n0.state"), encode(&saved)).unwrap();
         let proxy = Proxy::with_operator_file(&[], &operator);
-        if taken {
+        if is_restored {
             proxy.wait_for_log("endpoint list restored");
             let answers: Vec<(u16, bool)> = (0..8)
                 .map(|_| proxy.ask(&read(3.0)))
@@ -222,10 +222,10 @@
     assert!(restart().contains("estimates restored"));
     let mut old = learned.clone();
     old.written_ms -= 3 * 3_600_000;
-    let list_in_its_place = std::fs::read(folder.join("n0.state")).unwrap();
+    let list_file = std::fs::read(folder.join("n0.state")).unwrap();
     let cases = [
         (valid[..valid.len() / 2].to_vec(), "truncated"),
-        (list_in_its_place, "the first bytes are not LDLEARN"),
+        (list_file, "the first bytes are not LDLEARN"),
         (encode(&old), "too old"),
     ];
     for (bytes, expected) in cases {
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -346,9 +346,9 @@
         let before = bad.count();
         for sent in 0.. {
             assert!(sent < 200, "the backend was never chosen");
-            let (was, status) = (good.count(), client.ask(&pay(3.0)).status());
+            let (served_by_good, status) = (good.count(), client.ask(&pay(3.0)).status());
             if bad.count() > before {
-                assert_eq!((status, good.count()), (502, was), "{malformed:.80}");
+                assert_eq!((status, good.count()), (502, served_by_good), "{malformed:.80}");
                 break;
             }
             assert_eq!(status, 200);
@@ -359,8 +359,8 @@
 /// A backend that fails one class gets few more requests of that class and still serves the others.
 #[test]
 fn a_backend_that_fails_one_class_serves_the_others() {
-    let paying = Arc::new(AtomicBool::new(false));
-    let fails = paying.clone();
+    let is_failing = Arc::new(AtomicBool::new(false));
+    let fails = is_failing.clone();
     let bad =
         BackendServer::start(
             move |_| {
@@ -376,9 +376,9 @@
     let mut client = proxy.client();
     let (mut failed, mut reads) = (0, 0);
     for _ in 0..100 {
-        paying.store(true, SeqCst);
+        is_failing.store(true, SeqCst);
         failed += u32::from(client.ask(&pay(3.0)).status() != 200);
-        paying.store(false, SeqCst);
+        is_failing.store(false, SeqCst);
         let before = bad.count();
         for _ in 0..4 {
             assert_eq!(client.ask(&read(3.0)).status(), 200);
--- a/crates/lotusdeck/tests/testbed.rs
+++ b/crates/lotusdeck/tests/testbed.rs
@@ -150,9 +150,9 @@
         let (real, _) = valid_figures(plan, outcome)?;
         Ok((real, Figures::of(plan, &virtual_time::play(plan, PolicyChoice::Halb).unwrap()).0))
     });
-    let apart = (real.whole.part() - played.whole.part()).abs();
+    let difference = (real.whole.part() - played.whole.part()).abs();
     assert!(
-        apart <= 0.05,
+        difference <= 0.05,
         "seed {seed}: {} on sockets, {} in virtual time",
         real.whole.part(),
         played.whole.part()
--- a/crates/policy/tests/warmup_budget.rs
+++ b/crates/policy/tests/warmup_budget.rs
@@ -201,8 +201,8 @@
     let mut worst = Worst { sent: 0, limit: f64::MAX, used: 0.0 };
     let mut total = 0;
     for id in 0..COLD {
-        let of_it = fleet.sends.iter().filter(|s| s.1 == id && s.0 >= start);
-        let mut times: Vec<Time> = of_it.map(|s| s.0).collect();
+        let sends_to_backend = fleet.sends.iter().filter(|s| s.1 == id && s.0 >= start);
+        let mut times: Vec<Time> = sends_to_backend.map(|s| s.0).collect();
         times.sort();
         total += times.len();
         for (first, from) in times.iter().enumerate() {
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -57,8 +57,8 @@
 /// Reads from a connection, as the event loop does when bytes have arrived.
 async fn read(client: &Client) {
     let mut stream = client.stream.clone();
-    let mut room = [0; 64];
-    let mut buffer = ReadBuf::new(&mut room);
+    let mut storage = [0; 64];
+    let mut buffer = ReadBuf::new(&mut storage);
     poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, buffer.unfilled())).await.unwrap();
 }
 
--- a/crates/proxy/src/stream/tests.rs
+++ b/crates/proxy/src/stream/tests.rs
@@ -84,9 +84,9 @@
     assert!(stream.is_closed_by_peer());
     let (mut stream, mut peer) = pair().await;
     peer.write_all(b"more").unwrap();
-    let mut room = [0; 8];
-    let mut room = hyper::rt::ReadBuf::new(&mut room);
-    std::future::poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, room.unfilled())).await.unwrap();
+    let mut storage = [0; 8];
+    let mut buffer = hyper::rt::ReadBuf::new(&mut storage);
+    std::future::poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, buffer.unfilled())).await.unwrap();
     socket2::SockRef::from(&peer).set_linger(Some(std::time::Duration::ZERO)).unwrap();
     drop(peer);
     assert!(
