--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -190,7 +190,7 @@
         let proxy = proxy_for(&backend);
         let mut client = proxy.client();
         client.send(&read(3.0));
-        assert!(client.answer().is_none(), "{head}: it is not whole");
+        assert!(client.answer().is_none(), "{head}: the answer is truncated");
         assert_eq!(backend.count(), 1, "{head}");
         assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
     }
@@ -262,6 +262,6 @@
     let sent_chunks = (0..60).take_while(|_| endless.0.get_mut().write_all(chunk.as_bytes()).is_ok()).count();
     let status = endless.answer().map_or(413, |a| a.status());
     assert!(status == 413, "{status} after {sent_chunks} MB");
-    assert_eq!(backend.count(), 0, "no request arrived whole");
+    assert_eq!(backend.count(), 0, "no request arrived completely");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
--- a/crates/lotusdeck/tests/crossings.rs
+++ b/crates/lotusdeck/tests/crossings.rs
@@ -58,7 +58,7 @@
                     let took = started.elapsed();
                     assert!(
                         took < requested_wait(&target) + NOTIFIED_AFTER,
-                        "{took:?} after {target}, cut behind {partial_answer:?}"
+                        "{took:?} after {target}, silent after {partial_answer:?}"
                     );
                     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
                 });
@@ -132,7 +132,7 @@
         proxy.discovery.next_call().1.send((200, list(10, is_full, std::slice::from_ref(&line)))).unwrap();
         let (next, _open_watch) = proxy.discovery.next_call(); // the list has been applied by now
         assert!(next.contains("after=10&"), "{next}");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), status, "whole: {is_full}, {line}");
+        assert_eq!(proxy.ask(&pay(3.0)).status(), status, "full list: {is_full}, {line}");
     }
 }
 
--- a/crates/lotusdeck/tests/crowd.rs
+++ b/crates/lotusdeck/tests/crowd.rs
@@ -61,10 +61,10 @@
             for (position, mut client) in new_clients {
                 let status = client.answer().map(|answer| answer.status());
                 let took = woken.elapsed();
-                println!("{idle:?}, round {round}, behind {position}: {status:?} after {took:?}");
+                println!("{idle:?}, round {round}, after {position} idle clients: {status:?} after {took:?}");
                 if status != Some(200) || took > Duration::from_secs_f64(TIME_LEFT_S) {
                     late.push(format!(
-                        "{idle:?}, round {round}, behind {position}: {status:?} after {took:?}"
+                        "{idle:?}, round {round}, after {position} idle clients: {status:?} after {took:?}"
                     ));
                 }
             }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -67,8 +67,8 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {received_after:?} after discovery could be reached, {refused} calls refused before");
-    assert!(received_after < NOTIFIED_AFTER, "held {received_after:?} after discovery could be reached");
+    println!("received {received_after:?} after discovery could be reached, {refused} calls refused before");
+    assert!(received_after < NOTIFIED_AFTER, "received {received_after:?} after discovery could be reached");
     // The pauses double: with shorter ones, a fleet would keep an overloaded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
@@ -97,8 +97,8 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {received_after:?} after the last refusal");
-    assert!(received_after < NOTIFIED_AFTER, "held {received_after:?} after discovery could be reached");
+    println!("received {received_after:?} after the last refusal");
+    assert!(received_after < NOTIFIED_AFTER, "received {received_after:?} after discovery could be reached");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
@@ -158,7 +158,7 @@
                 open_watch.send((200, list(11, false, &[]))).unwrap();
                 let (watch, _open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
-                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list undid a newer one");
+                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list reverted a newer one");
             });
         }
     });
@@ -266,7 +266,7 @@
             }
             proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
             let (_, changes) = proxy.discovery.next_call();
-            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the whole list");
+            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the full list");
             changes.send((200, list(10, false, std::slice::from_ref(&draining)))).unwrap();
             let (_, gone) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the changes after it");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -209,11 +209,11 @@
     wait_until("it falls back to its own share", || {
         cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own
     });
-    assert!(load.served(0, second) > 0.5 * own, "its own share stays: {}", load.served(0, second));
+    assert!(load.served(0, second) > 0.5 * own, "it keeps its own share: {}", load.served(0, second));
     fleet.set_links(0, Link::default());
     let healed = Instant::now();
     wait_until("it borrows again", || load.served(0, second) > 2.0 * own);
-    println!("lent again {:.1} s after the heal", healed.elapsed().as_secs_f64());
+    println!("borrows again {:.1} s after the heal", healed.elapsed().as_secs_f64());
     let shares = fleet.status(0)["shares"][0].clone();
     assert!(shares["borrowed_rate"].as_f64().unwrap() > 0.0, "{shares}");
     assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "every request is answered");
@@ -273,7 +273,7 @@
         std::thread::sleep(Duration::from_millis(300));
     }
     loads.into_iter().for_each(|load| drop(load.end()));
-    println!("{} at once at most, of 16", max_concurrent.load(Ordering::SeqCst));
+    println!("at most {} in flight at a time, of 16", max_concurrent.load(Ordering::SeqCst));
     assert!(
         (5..=16).contains(&max_concurrent.load(Ordering::SeqCst)),
         "{}",
--- a/crates/lotusdeck/tests/proxy.rs
+++ b/crates/lotusdeck/tests/proxy.rs
@@ -249,11 +249,11 @@
     let (_, answer) = proxy.discovery.next_call();
     answer.send((200, list(3, false, &[]))).unwrap();
     let (target, answer) = proxy.discovery.next_call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "the whole list is requested after a gap");
+    assert_eq!(target, "GET /api/targets HTTP/1.1", "the full list is requested after a gap");
     answer.send((200, list(3, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
     let (target, _open_watch) = proxy.discovery.next_call();
     assert!(target.contains("after=3&"), "{target}");
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "a backend that the whole list leaves out is removed");
+    assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "a backend that the full list leaves out is removed");
     assert_eq!(old.count(), 2);
 }
 
--- a/crates/lotusdeck/tests/recovery.rs
+++ b/crates/lotusdeck/tests/recovery.rs
@@ -184,7 +184,7 @@
         drop(proxy); // SIGKILL
         unfinished += usize::from(folder.join("n0.state.new").exists());
         let saved: SavedEndpoints =
-            decode(&std::fs::read(&file).expect("written at least once")).expect("whole");
+            decode(&std::fs::read(&file).expect("written at least once")).expect("a complete file");
         assert!(saved.index >= last, "seed {seed}: {} after {last}", saved.index);
         last = saved.index;
     }
--- a/crates/lotusdeck/tests/rig/client.rs
+++ b/crates/lotusdeck/tests/rig/client.rs
@@ -22,7 +22,7 @@
     }
     pub(crate) fn ask(&mut self, request: &str) -> Message {
         self.send(request);
-        self.answer().expect("a whole answer")
+        self.answer().expect("a complete answer")
     }
     /// Waits for the end of the connection and returns whether it ended, or failed, without a further byte.
     pub(crate) fn ended(&mut self) -> bool {
--- a/crates/lotusdeck/tests/rig/sockets.rs
+++ b/crates/lotusdeck/tests/rig/sockets.rs
@@ -139,7 +139,7 @@
         loop {
             let mut peer = self.accept_other();
             if !peer.fill_buf().unwrap_or_default().is_empty() {
-                return Message::read(&mut peer).expect("a whole request");
+                return Message::read(&mut peer).expect("a complete request");
             }
         }
     }
--- a/crates/lotusdeck/tests/service.rs
+++ b/crates/lotusdeck/tests/service.rs
@@ -86,7 +86,7 @@
     assert!(change_polls > 1, "changes are requested meanwhile");
     let (target, _open_watch) = elsewhere.next_call(); // the list has been applied by now
     assert!(target.contains("after=3&"), "{target}");
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the whole list leaves out is removed");
+    assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "a backend that the full list leaves out is removed");
 }
 
 /// Connections to any backend break occasionally, so a single reset must not eject a backend.
@@ -466,7 +466,10 @@
         })
         .collect();
     assert!(!closing[0] && !closing[3], "{closing:?}");
-    assert!(closing[5], "the connection is closed once half of the places are kept: {closing:?}");
+    assert!(
+        closing[5],
+        "the connection is closed once half of the allowed connections are kept: {closing:?}"
+    );
     assert!(kept[5].ended());
 }
 
--- a/crates/lotusdeck/tests/time_left.rs
+++ b/crates/lotusdeck/tests/time_left.rs
@@ -98,7 +98,7 @@
 }
 
 async fn status(mut client: Client) -> u16 {
-    spawn_blocking(move || client.answer().expect("a whole answer").status()).await.unwrap()
+    spawn_blocking(move || client.answer().expect("a complete answer").status()).await.unwrap()
 }
 
 /// Returns the time left of a request that a backend received, in seconds.
