--- a/crates/lotusdeck/tests/bodies.rs
+++ b/crates/lotusdeck/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of every size and framing, in both directions: whole, in pieces, and truncated.
+//! Bodies of every size and framing, in both directions: complete, in pieces, and truncated.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,7 +19,7 @@
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-/// Returns a text of pseudo-random letters, in which a lost or repeated piece shows.
+/// Returns pseudo-random letters, so that a lost or repeated piece changes the text.
 fn sample_text(length: usize) -> String {
     (0..length as u32).map(|i| char::from(b'a' + (i.wrapping_mul(2_654_435_761) >> 24) as u8 % 26)).collect()
 }
@@ -36,7 +36,7 @@
     text + "0\r\nX-Trailer: 1\r\n\r\n"
 }
 
-/// Splits a text into its bytes, for a write of each.
+/// Splits an ASCII text into its bytes, so that each can be written separately.
 fn bytewise(text: &str) -> Vec<String> {
     text.chars().map(String::from).collect()
 }
@@ -49,12 +49,12 @@
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     let sent = sample_text(LARGE / 2);
-    let forms = [
+    let requests = [
         post("1", 3.0, &format!("Content-Length: {}\r\n", sent.len())) + &sent,
         post("2", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sent, 10_007),
     ];
-    for form in forms {
-        let got = client.ask(&form);
+    for request in requests {
+        let got = client.ask(&request);
         assert_eq!((got.status(), got.body.len()), (200, LARGE));
         assert!(got.body == answer.as_bytes());
         assert!(backend.next_request().body == sent.as_bytes());
@@ -62,7 +62,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// Messages are read correctly in both directions when each byte is written by itself.
+/// Messages are read correctly in both directions when each byte is written separately.
 #[test]
 fn messages_written_byte_by_byte_are_read_correctly() {
     let body = sample_text(60);
@@ -74,13 +74,13 @@
     let proxy = proxy_for(&backend);
     let mut client = proxy.client();
     client.0.get_ref().set_nodelay(true).unwrap();
-    let forms = [
+    let requests = [
         post("1", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked("cash", 3),
         post("2", 3.0, "Content-Length: 4\r\n") + "cash",
         post("3", 3.0, "transfer-encoding: Chunked\r\n") + &chunked("cash", 1),
     ];
-    for form in forms {
-        bytewise(&form).iter().for_each(|byte| client.send(byte));
+    for request in requests {
+        bytewise(&request).iter().for_each(|byte| client.send(byte));
         let got = client.answer().unwrap();
         assert_eq!((got.status(), &got.body[..]), (200, body.as_bytes()));
         assert_eq!(backend.next_request().body, b"cash");
@@ -126,14 +126,14 @@
     let mut client = proxy.client();
     client.send(&pay(3.0));
     let mut got = vec![0; LARGE / 2];
-    client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head is read too
+    client.0.read_exact(&mut got).unwrap(); // less than was sent, as the head counts too
     gate.open();
-    let left = client.0.read_until_closed();
-    assert!(got.len() + left.len() > LARGE && left.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
+    let rest = client.0.read_until_closed();
+    assert!(got.len() + rest.len() > LARGE && rest.ends_with(&sample_text(LARGE).as_bytes()[LARGE - 1000..]));
 }
 
-/// Guards against an id that is free while the answer to its request still arrives, so that a duplicate runs in
-/// parallel.
+/// Guards against an id that is released while the answer to its request is still being sent, so that a duplicate
+/// runs in parallel.
 #[test]
 fn an_id_is_in_use_until_the_last_byte_of_a_large_answer() {
     let gate = Arc::new(Gate::default());
@@ -166,7 +166,7 @@
 }
 
 impl ReadUntilClosed for std::io::BufReader<std::net::TcpStream> {
-    /// Reads until the other side closes the connection, which it does once that is idle.
+    /// Reads until the other side closes the connection, which it does once the connection is idle.
     fn read_until_closed(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.read_to_end(&mut all);
@@ -174,8 +174,8 @@
     }
 }
 
-/// An answer that breaks off after its first bytes were passed on is truncated, so that the client can tell, and the
-/// request is not sent again.
+/// If an answer breaks off after its first bytes were forwarded, the client gets a truncated answer and can
+/// detect this, and the request is not sent again.
 #[test]
 fn a_large_answer_that_breaks_off_is_truncated() {
     for head in ["Content-Length: 3000000", "Transfer-Encoding: chunked"] {
@@ -190,14 +190,14 @@
         let proxy = proxy_for(&backend);
         let mut client = proxy.client();
         client.send(&read(3.0));
-        assert!(client.answer().is_none(), "{head}: it is not whole");
+        assert!(client.answer().is_none(), "{head}: the answer is truncated");
         assert_eq!(backend.count(), 1, "{head}");
         assert_eq!(proxy.operator_call("GET", "/admin/health", ""), 200);
     }
 }
 
-/// A large request whose connection was refused goes to another backend. One that was rejected after its body was
-/// sent is refused, as it cannot be sent again.
+/// A large request whose connection was refused is sent to another backend. One that was rejected after its body was
+/// sent is refused, as its body is consumed and cannot be sent again.
 #[test]
 fn a_large_request_is_repeated_only_while_it_is_whole() {
     let sent = sample_text(LARGE);
@@ -221,7 +221,8 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// A request's time begins with its last byte, however long its upload takes; the backend is not blamed for that.
+/// The time of a request counts from its last byte, regardless of how long its upload takes, and a slow upload does
+/// not count against the backend.
 #[test]
 fn the_time_of_a_request_begins_at_the_end_of_its_upload() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -245,9 +246,9 @@
     let broken =
         post("2", 3.0, "Transfer-Encoding: chunked\r\n") + "30d40\r\n" + &sample_text(200_000) + "!!";
     let surplus = post("3", 3.0, "Content-Length: 200000\r\n") + &sample_text(200_000) + &pay(3.0);
-    let behind =
+    let surplus_after_chunks =
         post("5", 3.0, "Transfer-Encoding: chunked\r\n") + &chunked(&sample_text(200_000), 9_000) + &pay(3.0);
-    for request in [stopped, broken, surplus, behind] {
+    for request in [stopped, broken, surplus, surplus_after_chunks] {
         let mut client = proxy.client();
         let _ = client.0.get_mut().write_all(request.as_bytes());
         if let Some(answer) = client.answer() {
@@ -261,6 +262,6 @@
     let sent_chunks = (0..60).take_while(|_| endless.0.get_mut().write_all(chunk.as_bytes()).is_ok()).count();
     let status = endless.answer().map_or(413, |a| a.status());
     assert!(status == 413, "{status} after {sent_chunks} MB");
-    assert_eq!(backend.count(), 0, "no request arrived whole");
+    assert_eq!(backend.count(), 0, "no request arrived completely");
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
 }
--- a/crates/lotusdeck/tests/discovery_faults.rs
+++ b/crates/lotusdeck/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! A discovery that refuses, resets or stalls calls, is crowded, or sends answers that are too long or malformed: the
-//! proxy applies its changes in time and loses nothing valid.
+//! A discovery that refuses, resets or stalls calls, is overloaded, or sends answers that are too long or malformed:
+//! the proxy applies its changes in time and keeps all valid entries.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -33,7 +33,7 @@
     proxy
 }
 
-/// Answers after `time`, as a crowded discovery does that handles calls one after the other.
+/// Answers after `time`, like an overloaded discovery that handles one call at a time.
 fn answer_after(time: Duration, answer: Answer, text: String) {
     std::thread::spawn(move || {
         std::thread::sleep(time);
@@ -42,7 +42,7 @@
 }
 
 /// Discovery answers 503 for three seconds and leaves one call unanswered. From then on it can be reached: it refuses
-/// one more call and answers each other one 2.5 s after its arrival. The proxy has the change within
+/// one more call and answers each later one 2.5 s after its arrival. The proxy has the change within
 /// [`NOTIFIED_AFTER`], and its calls before that were neither too rare nor too frequent.
 #[test]
 fn a_change_is_applied_in_time_after_refusals_silence_and_a_crowd() {
@@ -59,7 +59,7 @@
     let reachable = Instant::now();
     proxy.discovery.next_call().1.send((503, String::new())).unwrap();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
-    let held = loop {
+    let received_after = loop {
         let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
@@ -67,15 +67,15 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {held:?} after discovery could be reached, {refused} calls refused before");
-    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
-    // The pauses double: with shorter ones, a whole fleet would keep a crowded discovery from ever answering.
+    println!("received {received_after:?} after discovery could be reached, {refused} calls refused before");
+    assert!(received_after < NOTIFIED_AFTER, "received {received_after:?} after discovery could be reached");
+    // The pauses double: with shorter ones, a fleet would keep an overloaded discovery from ever answering.
     assert!((3..=8).contains(&refused), "{refused} calls in 3 s");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
-/// Guards against a pause, a silence and a slow answer that together take longer than [`NOTIFIED_AFTER`], where the
-/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each other
+/// Guards against a pause, a silent call and a slow answer that together take longer than [`NOTIFIED_AFTER`] if the
+/// refusal comes first: after the longest pause between calls one is refused, the next gets no answer, and each later
 /// one is answered 2.5 s after its arrival.
 #[test]
 fn a_change_is_applied_in_time_after_a_refusal_and_a_silence() {
@@ -89,7 +89,7 @@
     let reachable = Instant::now();
     let (_, _silent) = proxy.discovery.next_call();
     let change = list(10, false, &[entry("b0", backend.address, "DRAINING")]);
-    let held = loop {
+    let received_after = loop {
         let (target, answer) = proxy.discovery.next_call();
         if target.contains("after=10&") {
             break reachable.elapsed();
@@ -97,13 +97,13 @@
         assert!(reachable.elapsed() < 2 * NOTIFIED_AFTER, "the proxy never gets the change");
         answer_after(Duration::from_millis(2_500), answer, change.clone());
     };
-    println!("held {held:?} after the last refusal");
-    assert!(held < NOTIFIED_AFTER, "held {held:?} after discovery could be reached");
+    println!("received {received_after:?} after the last refusal");
+    assert!(received_after < NOTIFIED_AFTER, "received {received_after:?} after discovery could be reached");
     assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0));
 }
 
 /// A silent discovery is called again after the silence timeout and a pause: one call at a time, as it may be
-/// crowded, and often enough for the bound to hold.
+/// overloaded, and often enough to notify changes in time.
 #[test]
 fn a_silent_discovery_has_one_call_at_a_time_and_is_called_again_in_time() {
     let (silence, longest_pause) = (Duration::from_secs(2), Duration::from_millis(1_900));
@@ -112,22 +112,22 @@
             scope.spawn(move || {
                 let proxy = Proxy::with_settings(&[], 1024, &settings);
                 let mut before = (proxy.discovery.next_call(), Instant::now());
-                let mut out = Vec::new();
+                let mut open_calls = Vec::new();
                 for _ in 0..4 {
                     let next = (proxy.discovery.next_call(), Instant::now());
                     let gap = next.1 - before.1;
                     let slack = Duration::from_millis(300); // for a busy machine
                     let bounds = silence - slack..silence + longest_pause + slack;
                     assert!(bounds.contains(&gap), "{gap:?}, {settings}");
-                    out.push(std::mem::replace(&mut before, next));
+                    open_calls.push(std::mem::replace(&mut before, next));
                 }
             });
         }
     });
 }
 
-/// An overdue watch stays open while another call is opened beside it, and both are answered. A newer change from the
-/// older call is applied although the list came from the other; an older one undoes nothing.
+/// An overdue watch stays open while another call is made in parallel, and both are answered. If the answer to the
+/// watch is newer than the list from the other call, it is applied; if it is older, it reverts nothing.
 #[test]
 fn an_overdue_watch_is_kept_and_its_answer_applied_beside_the_next_call() {
     std::thread::scope(|scope| {
@@ -158,7 +158,7 @@
                 open_watch.send((200, list(11, false, &[]))).unwrap();
                 let (watch, _open_watch) = proxy.discovery.next_call();
                 assert!(watch.contains("after=11&"), "{watch}");
-                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list undid a newer one");
+                assert_eq!(proxy.ask(&read(3.0)).status(), 503, "an older list reverted a newer one");
             });
         }
     });
@@ -171,7 +171,7 @@
     Reset,
     /// Sends these bytes and no more.
     Stall(&'static str),
-    /// Sends this body as a whole answer.
+    /// Sends a complete answer with this body.
     SendBody(String),
 }
 
@@ -216,8 +216,8 @@
     }
 }
 
-/// Indented lists of 10 MB, with up to the planned number of entries, are applied whole, and so are changes as long
-/// as the list. An operator can still name a backend that has left.
+/// Indented lists of 10 MB, with up to the planned number of entries, are applied completely, and so are changes of
+/// the same length. An operator can still cordon a backend that has left.
 #[test]
 fn long_lists_and_changes_are_applied_whole() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -227,11 +227,11 @@
         let line = |n: usize, status| format!("\n{indent}{}", entry(&format!("s-{n}"), nowhere, status));
         let mut lines: Vec<String> = (0..count).map(|n| line(n, "DRAINING")).collect();
         lines.push(entry("b0", backend.address, "SERVING"));
-        let whole = list(9, true, &lines);
-        assert!(whole.len() > 9_000_000, "{}", whole.len());
+        let full_list = list(9, true, &lines);
+        assert!(full_list.len() > 9_000_000, "{}", full_list.len());
         let proxy = Proxy::with_settings(&[], 1024, &polling_settings());
         let started = Instant::now();
-        proxy.discovery.next_call().1.send((200, whole)).unwrap();
+        proxy.discovery.next_call().1.send((200, full_list)).unwrap();
         let (watch, changes) = proxy.discovery.next_call();
         println!("{count} lines: next call after {:?}", started.elapsed());
         assert!(watch.contains("after=9&"), "{watch}");
@@ -250,8 +250,8 @@
     }
 }
 
-/// A draining backend that a whole list leaves out, or with which the proxy was started, gets no requests, not even
-/// after changes that name it again.
+/// A backend that a full list leaves out, or that drains in the list of the configuration, gets no requests, not even
+/// after changes that list it as draining.
 #[test]
 fn draining_backends_that_a_list_leaves_out_get_nothing() {
     let (leaving, other) = (BackendServer::start(|_| ok("leaving")), BackendServer::start(|_| ok("other")));
@@ -266,7 +266,7 @@
             }
             proxy.discovery.next_call().1.send((200, list(9, true, std::slice::from_ref(&stays)))).unwrap();
             let (_, changes) = proxy.discovery.next_call();
-            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the whole list");
+            assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "left out of the full list");
             changes.send((200, list(10, false, std::slice::from_ref(&draining)))).unwrap();
             let (_, gone) = proxy.discovery.next_call();
             assert_eq!(proxy.ask(&pay(3.0)).body, b"other", "draining in the changes after it");
@@ -337,7 +337,7 @@
         lagging.next_call().1.send((200, list(9, true, &listed("SERVING")))).unwrap();
         let (watch, open_watch) = lagging.next_call(); // the list has been applied by now
         assert_eq!((proxy.ask(&pay(3.0)).status(), backend.count()), (503, 0), "sent after {watch}");
-        // Once it has caught up, its lists count again.
+        // Once it has caught up, its lists are applied again.
         open_watch.send((200, list(11, false, &listed("SERVING")))).unwrap();
         let (watch, _open_watch) = lagging.next_call();
         assert!(watch.contains("after=11&"), "{watch}");
--- a/crates/lotusdeck/tests/fleet.rs
+++ b/crates/lotusdeck/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Limits for the whole fleet (docs/fleet-limits.md): several processes of the program on loopback, connected by the
-//! testbed's links, which lose, delay, duplicate and cut.
+//! testbed's links, which lose, delay and duplicate datagrams and can be cut.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -42,7 +42,7 @@
                 "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nmembers = \"{}\"\nsite = \"{name}\"\n\
                  term_ms = {}\n[[limit]]\nname = \"all\"\n{limit}\n",
                 links.addresses[n],
-                members[..2].join(" "), // the others are learned from these
+                members[..2].join(" "), // the others are discovered through these
                 TERM.as_millis()
             );
             std::fs::write(&path, text).unwrap();
@@ -60,7 +60,7 @@
         let settings = SETTINGS
             .replace("\"position\":0", &format!("\"position\":{n}"))
             .replace("\"group_size\":1", &format!("\"group_size\":{SIZE}"));
-        // Sixteen names for one backend: on a single one the module keeps no more than four attempts in flight.
+        // Sixteen names for one backend, as the decision module keeps no more than four attempts in flight on each.
         let known: Vec<String> =
             (0..16).map(|b| entry(&format!("b{b}"), self.backend.address, "SERVING")).collect();
         let proxy = Proxy::with_operator_file_and_settings(&known, &self.operators[n], &settings);
@@ -108,7 +108,7 @@
 /// The answers that clients received, each with its time, proxy and status.
 type Answers = Arc<Mutex<Vec<(Instant, usize, u16)>>>;
 
-/// One client for each proxy, which makes requests at a rate of its own until the load ends and records the answers.
+/// One client for each proxy, which makes requests at its own rate until the load ends and records the answers.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
@@ -209,11 +209,11 @@
     wait_until("it falls back to its own share", || {
         cut.elapsed() > TERM + second && load.served(0, second) < 1.3 * own
     });
-    assert!(load.served(0, second) > 0.5 * own, "its own share stays: {}", load.served(0, second));
+    assert!(load.served(0, second) > 0.5 * own, "it keeps its own share: {}", load.served(0, second));
     fleet.set_links(0, Link::default());
     let healed = Instant::now();
     wait_until("it borrows again", || load.served(0, second) > 2.0 * own);
-    println!("lent again {:.1} s after the heal", healed.elapsed().as_secs_f64());
+    println!("borrows again {:.1} s after the heal", healed.elapsed().as_secs_f64());
     let shares = fleet.status(0)["shares"][0].clone();
     assert!(shares["borrowed_rate"].as_f64().unwrap() > 0.0, "{shares}");
     assert_eq!(load.unanswered.load(Ordering::SeqCst), 0, "every request is answered");
@@ -221,14 +221,15 @@
 }
 
 /// Links that lose a fifth, duplicate a tenth and delay by more than half a term, one-way cuts, and a busy proxy that
-/// is killed and restarted about every second: the bound holds, and no request that must not run twice does.
+/// is killed and restarted about every second: the bound holds, and no non-repeatable request runs twice.
 #[test]
 fn the_bound_holds_through_bad_links_and_restarts() {
     let mut fleet = Fleet::start("bad", "rate_per_s = 60.0", BackendServer::start(|_| ok("b")));
     fleet.links.set_all(Link { loss: 0.2, doubled: 0.1, delay_ms: 5.0, jitter_ms: 300.0 });
     let load = Load::start(&fleet, [60.0, 25.0, 5.0, 5.0], || pay(3.0));
     for round in 0..5 {
-        fleet.links.set(1, round % SIZE, CUT); // proxy 1 still receives, but is not heard
+        // A one-way cut: proxy 1 still receives from this proxy, but cannot send to it.
+        fleet.links.set(1, round % SIZE, CUT);
         std::thread::sleep(Duration::from_millis(700));
         fleet.restart(0);
         load.set_address(0, fleet.proxies[0].address);
@@ -250,8 +251,8 @@
 /// most of the traffic and its links are cut while its requests are in flight.
 #[test]
 fn requests_in_flight_stay_within_the_limit_of_the_fleet() {
-    let (now, most) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
-    let (held, peak) = (now.clone(), most.clone());
+    let (concurrent, max_concurrent) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
+    let (held, peak) = (concurrent.clone(), max_concurrent.clone());
     let backend = BackendServer::start(move |_| {
         peak.fetch_max(held.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(150));
@@ -272,8 +273,12 @@
         std::thread::sleep(Duration::from_millis(300));
     }
     loads.into_iter().for_each(|load| drop(load.end()));
-    println!("{} at once at most, of 16", most.load(Ordering::SeqCst));
-    assert!((5..=16).contains(&most.load(Ordering::SeqCst)), "{}", most.load(Ordering::SeqCst));
+    println!("at most {} in flight at a time, of 16", max_concurrent.load(Ordering::SeqCst));
+    assert!(
+        (5..=16).contains(&max_concurrent.load(Ordering::SeqCst)),
+        "{}",
+        max_concurrent.load(Ordering::SeqCst)
+    );
 }
 
 /// Datagrams of a proxy of another site, or with other limits, are rejected, and each proxy keeps to its own share.
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -13,7 +13,7 @@
 /// The limit on open connections in these tests.
 const MAX_CLIENTS: usize = 1000;
 
-/// The open connections, and the listener that the clients' ends of them come from.
+/// The open connections, and the listener that accepts the clients' ends of them.
 struct ClientTable {
     clients: Clients,
     listener: std::net::TcpListener,
@@ -57,8 +57,8 @@
 /// Reads from a connection, as the event loop does when bytes have arrived.
 async fn read(client: &Client) {
     let mut stream = client.stream.clone();
-    let mut room = [0; 64];
-    let mut buffer = ReadBuf::new(&mut room);
+    let mut storage = [0; 64];
+    let mut buffer = ReadBuf::new(&mut storage);
     poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, buffer.unfilled())).await.unwrap();
 }
 
